--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -7,12 +7,12 @@
 
 	"laburnumfall/internal/dispatch"
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/share"
+	"laburnumfall/internal/statestore"
 )
 
-// world is real Schedulers, a real Divider and a real Ledger joined by fake
+// world is real Schedulers, a real Divider and a real Store joined by fake
 // links, targets and callers on one clock.
 type world struct {
 	now     time.Time
@@ -22,7 +22,7 @@
 	config  fleet.Config
 	divider *share.Divider
 	term    uint64
-	ledger  ledger.Ledger
+	ledger  statestore.Store
 	routers []*node
 	targets map[string]*engine
 	ids     uint64
@@ -180,7 +180,7 @@
 		w.claim(n, s, a)
 	case dispatch.Settle:
 		w.at(w.delay, func() {
-			w.do(ledger.Command{At: w.now, Settlements: []message.Settlement{a.Settlement}})
+			w.do(statestore.Command{At: w.now, Settlements: []message.Settlement{a.Settlement}})
 		})
 	case dispatch.Refuse:
 		r := n.live[a.ID]
@@ -196,7 +196,7 @@
 	}
 }
 
-func (w *world) do(c ledger.Command) ledger.Result {
+func (w *world) do(c statestore.Command) statestore.Result {
 	result, err := w.ledger.Do(c.Encode())
 	if err != nil {
 		panic(err)
@@ -259,7 +259,7 @@
 		return
 	}
 	w.at(w.delay, func() {
-		v := w.do(ledger.Command{At: w.now, Claims: []message.Claim{a.Claim}}).Verdicts[0]
+		v := w.do(statestore.Command{At: w.now, Claims: []message.Claim{a.Claim}}).Verdicts[0]
 		if fault.lostAfter {
 			w.at(patience, func() { answer(message.Verdict{}, true) })
 			return
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -20,13 +20,13 @@
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
 	"laburnumfall/internal/keeper"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
 	"laburnumfall/internal/router"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/standin"
+	"laburnumfall/internal/statestore"
 )
 
 // benchFleet is a group of three keepers on real disks, and some routers, in
@@ -166,7 +166,7 @@
 	var p message.Claims
 	for range batch {
 		n := next.Add(1)
-		p.Claims = append(p.Claims, message.Claim{Key: ledger.KeyOf("a", fmt.Sprint(n)), Owner: "r1/abc", Attempt: n})
+		p.Claims = append(p.Claims, message.Claim{Key: statestore.KeyOf("a", fmt.Sprint(n)), Owner: "r1/abc", Attempt: n})
 	}
 	start := time.Now()
 	var v message.Verdicts
@@ -242,7 +242,7 @@
 				_, err := j.Open()
 				require.NoError(b, err)
 				_, base, entries := j.Load()
-				var l ledger.Ledger
+				var l statestore.Store
 				require.NoError(b, l.Restore(base.Data))
 				for _, e := range entries {
 					_, err := l.Do(e.Data)
@@ -263,11 +263,11 @@
 	_, err := j.Open()
 	require.NoError(b, err)
 	require.NoError(b, j.SetIdentity(journal.Identity{Name: "k1", ID: "k1-x", Founded: true}))
-	var l ledger.Ledger
+	var l statestore.Store
 	limit, grown := 4<<20, 0
 	var batch []quorum.Entry
 	for i := range changes {
-		cmd := ledger.Command{At: time.Unix(1e9, 0), Apply: &ledger.Apply{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
+		cmd := statestore.Command{At: time.Unix(1e9, 0), Apply: &statestore.Apply{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
 		e := quorum.Entry{Index: uint64(i) + 1, Term: 1, Kind: quorum.EntryData, Data: cmd.Encode()}
 		_, err := l.Do(e.Data)
 		require.NoError(b, err)
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -12,12 +12,12 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/quorum"
 	"laburnumfall/internal/share"
+	"laburnumfall/internal/statestore"
 )
 
 const (
@@ -39,7 +39,7 @@
 	damaged atomic.Uint64 // entries of the platform's list of targets
 
 	node    *quorum.Node
-	ledger  ledger.Ledger
+	ledger  statestore.Store
 	divider *share.Divider // while this keeper leads
 	routers map[routerKey]*link.Conn
 	waiters map[uint64]waiter
@@ -78,7 +78,7 @@
 // waiter is told what became of the log entry at an index.
 type waiter struct {
 	term uint64
-	done func(ledger.Result, error)
+	done func(statestore.Result, error)
 }
 
 type claimCall struct {
@@ -251,7 +251,7 @@
 }
 
 func (c *core) applyEntry(e quorum.Entry) {
-	var r ledger.Result
+	var r statestore.Result
 	var err error
 	if e.Kind == quorum.EntryData {
 		before := c.ledger.Number()
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/statestore"
 )
 
 // Evacuate begins or ends the evacuation of an availability zone. It returns once that is
@@ -42,8 +42,8 @@
 		done(message.Evacuated{Zones: held.Zones}, nil)
 	default:
 		c.log.Info("evacuation ordered", "zone", p.Zone, "end", p.End, "operator", p.Operator)
-		cmd := ledger.Command{Evacuation: &ledger.Evacuation{Zone: p.Zone, End: p.End}}
-		c.submit(now, cmd, func(_ ledger.Result, err error) {
+		cmd := statestore.Command{Evacuation: &statestore.Evacuation{Zone: p.Zone, End: p.End}}
+		c.submit(now, cmd, func(_ statestore.Result, err error) {
 			done(message.Evacuated{Zones: c.ledger.Evacuations().Zones}, err)
 		})
 	}
--- a/internal/keeper/lead.go
+++ b/internal/keeper/lead.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/quorum"
 	"laburnumfall/internal/share"
+	"laburnumfall/internal/statestore"
 )
 
 var errLost = fleet.NewError(fleet.KindNoQuorum, "send it again: the same request is carried out once",
@@ -61,7 +61,7 @@
 	}
 	for index, w := range c.waiters {
 		delete(c.waiters, index)
-		w.done(ledger.Result{}, errLost)
+		w.done(statestore.Result{}, errLost)
 	}
 }
 
@@ -84,14 +84,14 @@
 		return
 	}
 	c.claims, c.settles = nil, nil
-	cmd := ledger.Command{}
+	cmd := statestore.Command{}
 	for _, call := range claims {
 		cmd.Claims = append(cmd.Claims, call.claims...)
 	}
 	for _, call := range settles {
 		cmd.Settlements = append(cmd.Settlements, call.settlements...)
 	}
-	c.submit(now, cmd, func(r ledger.Result, err error) {
+	c.submit(now, cmd, func(r statestore.Result, err error) {
 		at := 0
 		for _, call := range claims {
 			if err != nil {
@@ -108,11 +108,11 @@
 }
 
 // submit proposes a command and has done told what became of it.
-func (c *core) submit(now time.Time, cmd ledger.Command, done func(ledger.Result, error)) {
+func (c *core) submit(now time.Time, cmd statestore.Command, done func(statestore.Result, error)) {
 	cmd.At = now
 	index, term, err := c.node.Propose(now, cmd.Encode())
 	if err != nil {
-		done(ledger.Result{}, err)
+		done(statestore.Result{}, err)
 		return
 	}
 	c.waiters[index] = waiter{term: term, done: done}
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/statestore"
 )
 
 // court returns the registry of the term, and false while this keeper may not answer for the
@@ -84,7 +84,7 @@
 		done(nil)
 		return
 	}
-	c.submit(now, ledger.Command{Quarantine: entries}, func(_ ledger.Result, err error) { done(err) })
+	c.submit(now, statestore.Command{Quarantine: entries}, func(_ statestore.Result, err error) { done(err) })
 }
 
 // rulings returns what a router is told.
--- a/internal/keeper/quarantine_test.go
+++ b/internal/keeper/quarantine_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
+	"laburnumfall/internal/statestore"
 )
 
 const heldPrint quarantine.Print = "alike"
@@ -141,7 +141,7 @@
 	require.NoError(t, c.turn())
 	require.Equal(t, 1, c.registry.Ends(heldPrint))
 
-	c.submit(g.clock.Now(), ledger.Command{}, func(ledger.Result, error) {})
+	c.submit(g.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
 	require.NoError(t, c.turn())
 	g.commitUnapplied(c)
 	require.False(t, c.node.Applied())
@@ -175,7 +175,7 @@
 	require.True(t, ok)
 	end := quarantine.End{Print: heldPrint, Account: "x", Target: fleet.Incarnation{ID: "a"}}
 	p := message.Renew{Router: "r", Inc: 1, Quarantine: &quarantine.Report{Ends: []quarantine.End{end}}}
-	c.submit(g.clock.Now(), ledger.Command{}, func(ledger.Result, error) {})
+	c.submit(g.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
 	require.NoError(t, c.turn())
 	g.commitUnapplied(c)
 	require.False(t, c.node.Applied())
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/packed"
 	"laburnumfall/internal/quorum"
 	"laburnumfall/internal/quota"
+	"laburnumfall/internal/statestore"
 	"laburnumfall/internal/warmup"
 )
 
@@ -38,7 +38,7 @@
 	term   uint64
 	readAt time.Time
 	board  quota.Board
-	own    ledger.Document // the product's own configuration, packed
+	own    statestore.Document // the product's own configuration, packed
 
 	warming warming
 	seats   warmup.Seats // of seatsOf
@@ -135,7 +135,7 @@
 
 // document returns the configuration that routers of routes serve: the one in an
 // operator's own form, or else the product's own.
-func (c *core) document() ledger.Document {
+func (c *core) document() statestore.Document {
 	if d := c.ledger.Document(); d.Number > 0 {
 		return d
 	}
@@ -148,7 +148,7 @@
 		c.log.Error("a configuration cannot be packed: its routes are not served", "number", config.Number, "error", err)
 		return c.routes.own
 	}
-	c.routes.own = ledger.Document{Number: config.Number, Text: data}
+	c.routes.own = statestore.Document{Number: config.Number, Text: data}
 	return c.routes.own
 }
 
@@ -263,8 +263,8 @@
 			done(struct{}{}, nil) // overtaken, or sent again: it changes nothing
 			return
 		}
-		cmd := ledger.Command{Document: &ledger.Document{Number: p.Number, Text: p.Text}}
-		c.submit(now, cmd, func(_ ledger.Result, err error) { done(struct{}{}, err) })
+		cmd := statestore.Command{Document: &statestore.Document{Number: p.Number, Text: p.Text}}
+		c.submit(now, cmd, func(_ statestore.Result, err error) { done(struct{}{}, err) })
 	})
 }
 
--- a/internal/keeper/serve.go
+++ b/internal/keeper/serve.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/statestore"
 )
 
 const (
@@ -138,7 +138,7 @@
 
 func (c *core) ownerAlive(owner uint64) bool {
 	return c.divider.AnyAlive(func(name string, inc uint64) bool {
-		return ledger.HashOwner(message.Owner(name, inc)) == owner
+		return statestore.HashOwner(message.Owner(name, inc)) == owner
 	})
 }
 
@@ -178,8 +178,8 @@
 		done(message.Applied{}, quorum.ErrNotLeader(c.node.LeaderID()))
 		return
 	}
-	cmd := ledger.Command{Apply: &ledger.Apply{Config: config.JSON(), Operator: operator}}
-	c.submit(now, cmd, func(r ledger.Result, err error) {
+	cmd := statestore.Command{Apply: &statestore.Apply{Config: config.JSON(), Operator: operator}}
+	c.submit(now, cmd, func(r statestore.Result, err error) {
 		if err != nil || r.Applied == nil {
 			done(message.Applied{}, err)
 			return
--- a/internal/keeper/tendedgroup_test.go
+++ b/internal/keeper/tendedgroup_test.go
@@ -11,10 +11,10 @@
 
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/statestore"
 )
 
 // tended is a group of keepers that tend their membership themselves, with
@@ -253,8 +253,8 @@
 			continue
 		}
 		c := vm.core
-		cmd := ledger.Command{Document: &ledger.Document{Number: number, Text: fmt.Append(nil, number)}}
-		c.submit(g.clock.Time, cmd, func(_ ledger.Result, err error) {
+		cmd := statestore.Command{Document: &statestore.Document{Number: number, Text: fmt.Append(nil, number)}}
+		c.submit(g.clock.Time, cmd, func(_ statestore.Result, err error) {
 			if err == nil && number > g.acked {
 				g.acked, g.ackAt = number, g.clock.Time
 			}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -13,9 +13,9 @@
 
 	"laburnumfall/internal/dispatch"
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
+	"laburnumfall/internal/statestore"
 )
 
 // The headers of the outside interface.
@@ -147,7 +147,7 @@
 	case key == "":
 		return malformed(headerKey, "a key, since Lf-Repeat is never")
 	default:
-		req.Claim = ledger.KeyOf(req.Account, key)
+		req.Claim = statestore.KeyOf(req.Account, key)
 	}
 	if text := string(h.Peek(headerDeadline)); text != "" {
 		t, err := time.Parse(time.RFC3339, text)
--- a/internal/ledger/bench_test.go
+++ b/internal/statestore/bench_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statestore
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			var l Ledger
+			var l Store
 			for i := range claims {
 				l.claims.claim(message.Claim{Key: KeyOf("a", fmt.Sprint(i)), Owner: "r1/abc", Attempt: 1}, start, claims)
 			}
--- a/internal/ledger/claim.go
+++ b/internal/statestore/claim.go
@@ -1,4 +1,4 @@
-package ledger
+package statestore
 
 import (
 	"crypto/sha256"
--- a/internal/ledger/document_test.go
+++ b/internal/statestore/document_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statestore
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 // content of the highest number, byte for byte, also through a snapshot.
 func TestHighestDocumentWinsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Ledger
+		var l Store
 		var want Document
 		for i := range rapid.IntRange(1, 20).Draw(t, "orders") {
 			d := Document{
@@ -28,7 +28,7 @@
 			if rapid.Bool().Draw(t, "snapshot") {
 				data, err := l.Snapshot()
 				require.NoError(t, err)
-				var again Ledger
+				var again Store
 				require.NoError(t, again.Restore(data))
 				l = again
 			}
--- a/internal/ledger/evacuation_test.go
+++ b/internal/statestore/evacuation_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statestore
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 // the revision tells each change, and that snapshots keep both.
 func TestTheLastOrderOfAZoneHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Ledger
+		var l Store
 		want := map[fleet.Zone]bool{}
 		for range rapid.IntRange(1, 30).Draw(t, "orders") {
 			order := Evacuation{
@@ -37,7 +37,7 @@
 			if rapid.Bool().Draw(t, "snapshot") {
 				data, err := l.Snapshot()
 				require.NoError(t, err)
-				var again Ledger
+				var again Store
 				require.NoError(t, again.Restore(data))
 				l = again
 			}
@@ -47,7 +47,7 @@
 
 // Guards against a keeper that cannot start on the snapshot of the version before.
 func TestASnapshotWithoutEvacuations(t *testing.T) {
-	var l Ledger
+	var l Store
 	_, err := l.Do(Command{Document: &Document{Number: 3, Text: []byte("x")}}.Encode())
 	require.NoError(t, err)
 	data, err := l.Snapshot()
--- a/internal/ledger/ledger.go
+++ b/internal/statestore/statestore.go
@@ -1,8 +1,8 @@
-// Package ledger is the durable state of the fleet: the configuration in
+// Package statestore is the durable state of the fleet: the configuration in
 // force, its history, and the claims of non-repeatable requests. It changes
 // only by commands from the keepers' log, so that every keeper computes the
 // same state from the same commands.
-package ledger
+package statestore
 
 import (
 	"encoding/json"
@@ -64,9 +64,9 @@
 	Verdicts []message.Verdict
 }
 
-// A Ledger is the state. Its zero value is the state before any command. It is
+// A Store is the state. Its zero value is the state before any command. It is
 // used by one goroutine.
-type Ledger struct {
+type Store struct {
 	// Limit bounds the claims kept; 0 means DefaultLimit. It must be the same
 	// on every keeper.
 	Limit int
@@ -84,48 +84,48 @@
 }
 
 // Config returns the configuration in force, in its parsed and stored forms.
-func (l *Ledger) Config() (fleet.Config, json.RawMessage) {
+func (l *Store) Config() (fleet.Config, json.RawMessage) {
 	return l.config, l.text
 }
 
 // Number returns the number of the configuration in force, or 0.
-func (l *Ledger) Number() uint64 {
+func (l *Store) Number() uint64 {
 	return l.config.Number
 }
 
 // Digest returns the digest of the configuration in force.
-func (l *Ledger) Digest() string {
+func (l *Store) Digest() string {
 	return l.digest
 }
 
 // History returns the accepted configurations, the oldest first.
-func (l *Ledger) History() []message.Change {
+func (l *Store) History() []message.Change {
 	return l.history
 }
 
 // Claims returns the number of claims kept.
-func (l *Ledger) Claims() int {
+func (l *Store) Claims() int {
 	return l.claims.len()
 }
 
 // Document returns the configuration of routes in force; its number is 0 before
 // any.
-func (l *Ledger) Document() Document {
+func (l *Store) Document() Document {
 	return l.document
 }
 
 // Quarantine returns the requests under which targets have ended.
-func (l *Ledger) Quarantine() *quarantine.Book {
+func (l *Store) Quarantine() *quarantine.Book {
 	return &l.quarantine
 }
 
 // Evacuations returns the availability zones that are evacuated.
-func (l *Ledger) Evacuations() fleet.Evacuations {
+func (l *Store) Evacuations() fleet.Evacuations {
 	return l.evacuations
 }
 
 // Do carries out a command from the log.
-func (l *Ledger) Do(data json.RawMessage) (Result, error) {
+func (l *Store) Do(data json.RawMessage) (Result, error) {
 	var c Command
 	if err := json.Unmarshal(data, &c); err != nil {
 		return Result{}, fmt.Errorf("decode a command: %w", err)
@@ -164,7 +164,7 @@
 	return r, nil
 }
 
-func (l *Ledger) limit() int {
+func (l *Store) limit() int {
 	if l.Limit > 0 {
 		return l.Limit
 	}
@@ -173,7 +173,7 @@
 
 // apply puts a configuration in force if its number is above the present one.
 // The same number with the same content is the same request sent again.
-func (l *Ledger) apply(a Apply) (message.Applied, error) {
+func (l *Store) apply(a Apply) (message.Applied, error) {
 	var c fleet.Config
 	if err := json.Unmarshal(a.Config, &c); err != nil {
 		return message.Applied{}, fmt.Errorf("decode a configuration: %w", err)
@@ -193,7 +193,7 @@
 // answerOld answers for a number that is not above the present one. One that
 // was accepted with the same content counts as accepted, even if a later one
 // has replaced it since.
-func (l *Ledger) answerOld(number uint64, digest string) message.Applied {
+func (l *Store) answerOld(number uint64, digest string) message.Applied {
 	for i := len(l.history) - 1; i >= 0; i-- {
 		if h := l.history[i]; h.Number == number && h.Digest == digest {
 			applied := message.Applied{Number: number, Digest: digest}
@@ -206,7 +206,7 @@
 	return message.Applied{Number: l.config.Number, Digest: l.digest, Conflict: true}
 }
 
-// snapshot is the stored form of a Ledger.
+// snapshot is the stored form of a Store.
 type snapshot struct {
 	At      time.Time        `json:"at"`
 	Config  json.RawMessage  `json:"config,omitempty"`
@@ -219,7 +219,7 @@
 }
 
 // Snapshot returns the state in its stored form.
-func (l *Ledger) Snapshot() (json.RawMessage, error) {
+func (l *Store) Snapshot() (json.RawMessage, error) {
 	data, err := json.Marshal(snapshot{
 		At: l.at, Config: l.text, History: l.history, Claims: l.claims.save(),
 		Document: l.document, Quarantine: l.quarantine.Save(), Evacuations: l.evacuations,
@@ -231,12 +231,12 @@
 }
 
 // Restore replaces the state by a stored one.
-func (l *Ledger) Restore(data json.RawMessage) error {
+func (l *Store) Restore(data json.RawMessage) error {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("decode a snapshot: %w", err)
 	}
-	fresh := Ledger{Limit: l.Limit, at: s.At, text: s.Config, history: s.History, document: s.Document, evacuations: s.Evacuations}
+	fresh := Store{Limit: l.Limit, at: s.At, text: s.Config, history: s.History, document: s.Document, evacuations: s.Evacuations}
 	if len(s.Config) > 0 {
 		if err := json.Unmarshal(s.Config, &fresh.config); err != nil {
 			return fmt.Errorf("decode the configuration of a snapshot: %w", err)
--- a/internal/ledger/ledger_test.go
+++ b/internal/statestore/statestore_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statestore
 
 import (
 	"fmt"
@@ -14,13 +14,13 @@
 
 var start = time.Unix(1e9, 0)
 
-func (l *Ledger) claimOne(t require.TestingT, at time.Time, c message.Claim) message.Verdict {
+func (l *Store) claimOne(t require.TestingT, at time.Time, c message.Claim) message.Verdict {
 	r, err := l.Do(Command{At: at, Claims: []message.Claim{c}}.Encode())
 	require.NoError(t, err)
 	return r.Verdicts[0]
 }
 
-func (l *Ledger) settleOne(t require.TestingT, at time.Time, s message.Settlement) {
+func (l *Store) settleOne(t require.TestingT, at time.Time, s message.Settlement) {
 	_, err := l.Do(Command{At: at, Settlements: []message.Settlement{s}}.Encode())
 	require.NoError(t, err)
 }
@@ -31,7 +31,7 @@
 // overtakes the claim, which is still on its way.
 // Cause: the late claim finds no record and is granted.
 func TestReleaseThatOvertakesItsClaim(t *testing.T) {
-	var l Ledger
+	var l Store
 	key := KeyOf("a", "k")
 	l.settleOne(t, start, message.Settlement{Key: key, Owner: "r1/1", Attempt: 1, Fate: message.FateUnrun})
 	v := l.claimOne(t, start, message.Claim{Key: key, Owner: "r1/1", Attempt: 1})
@@ -41,7 +41,7 @@
 }
 
 func TestClaimSentAgainGetsTheSameAnswer(t *testing.T) {
-	var l Ledger
+	var l Store
 	c := message.Claim{Key: KeyOf("a", "k"), Owner: "r1/1", Attempt: 1}
 	require.True(t, l.claimOne(t, start, c).Granted)
 	require.True(t, l.claimOne(t, start, c).Granted)
@@ -54,7 +54,7 @@
 }
 
 func TestClaimsAreBoundedAndKeptForTheirTime(t *testing.T) {
-	l := Ledger{Limit: 3}
+	l := Store{Limit: 3}
 	claim := func(at time.Time, n int) message.Verdict {
 		return l.claimOne(t, at, message.Claim{Key: KeyOf("a", fmt.Sprint(n)), Owner: "r1/1", Attempt: uint64(n)})
 	}
@@ -73,7 +73,7 @@
 // across snapshots.
 func TestClaimsAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Ledger
+		var l Store
 		type naive struct {
 			owner   string
 			attempt uint64
@@ -103,7 +103,7 @@
 			default:
 				data, err := l.Snapshot()
 				require.NoError(t, err)
-				l = Ledger{}
+				l = Store{}
 				require.NoError(t, l.Restore(data))
 			}
 			require.Equal(t, len(records), l.Claims())
@@ -112,7 +112,7 @@
 }
 
 func TestConfigurationsSentAgain(t *testing.T) {
-	var l Ledger
+	var l Store
 	apply := func(number uint64, share float64) message.Applied {
 		c := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: share}}}
 		r, err := l.Do(Command{At: start, Apply: &Apply{Config: c.JSON(), Operator: "op"}}.Encode())
@@ -131,7 +131,7 @@
 	require.Equal(t, uint64(3), conflict.Number)
 	data, err := l.Snapshot()
 	require.NoError(t, err)
-	var again Ledger
+	var again Store
 	require.NoError(t, again.Restore(data))
 	require.Equal(t, l.Digest(), again.Digest())
 	require.Equal(t, l.History(), again.History())
@@ -142,13 +142,13 @@
 	f.Add([]byte(`{"apply":{"config":{}}}`))
 	f.Add([]byte(`{`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var l Ledger
+		var l Store
 		if _, err := l.Do(data); err != nil {
 			return
 		}
 		snap, err := l.Snapshot()
 		require.NoError(t, err)
-		var again Ledger
+		var again Store
 		require.NoError(t, again.Restore(snap))
 		require.Equal(t, l.Claims(), again.Claims())
 	})
@@ -157,7 +157,7 @@
 // Whatever stands in place of a snapshot is an error that changes nothing, or a state that
 // can be stored again.
 func FuzzRestore(f *testing.F) {
-	var l Ledger
+	var l Store
 	_, err := l.Do(Command{At: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
 	require.NoError(f, err)
 	good, err := l.Snapshot()
@@ -167,7 +167,7 @@
 	f.Add([]byte(`{"config":7,"document":{"number":-1}}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var l Ledger
+		var l Store
 		if err := l.Restore(data); err != nil {
 			require.Zero(t, l.Claims())
 			require.Zero(t, l.Number())
@@ -175,7 +175,7 @@
 		}
 		snap, err := l.Snapshot()
 		require.NoError(t, err)
-		var again Ledger
+		var again Store
 		require.NoError(t, again.Restore(snap))
 		require.Equal(t, l.Claims(), again.Claims())
 		require.Equal(t, l.Digest(), again.Digest())
