--- a/internal/cmd/ctlcmd.go
+++ b/internal/cmd/ctlcmd.go
@@ -14,8 +14,8 @@
 	"github.com/jessevdk/go-flags"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // The exit codes of lfctl.
@@ -95,13 +95,13 @@
 // noPeer answers what a keeper would call of lfctl: nothing.
 type noPeer struct{}
 
-// Call implements link.Handler.
-func (noPeer) Call(context.Context, *link.Conn, string, json.RawMessage) (any, error) {
+// Call implements rpc.Handler.
+func (noPeer) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, fleet.NewError(fleet.KindMalformed, "call a keeper", "lfctl serves no calls")
 }
 
-// Notice implements link.Handler.
-func (noPeer) Notice(*link.Conn, string, json.RawMessage) {}
+// Notice implements rpc.Handler.
+func (noPeer) Notice(*rpc.Conn, string, json.RawMessage) {}
 
 // call asks the leading keeper, whichever it is, until timeout. Every call of
 // lfctl may be sent again: the same request is carried out once.
@@ -128,7 +128,7 @@
 	return fleet.NewError(fleet.KindNoQuorum, "look at the keepers, then send it again: that is safe", "no keeper answered as leader: %v", last)
 }
 
-func (c *ctl) target() (link.Secret, []string, error) {
+func (c *ctl) target() (rpc.Secret, []string, error) {
 	if c.Keepers == "" || c.Secret == "" {
 		return nil, nil, errors.New("name the keepers with --keepers and the fleet's secret with --secret")
 	}
@@ -139,9 +139,9 @@
 	return secret, strings.Split(c.Keepers, ","), nil
 }
 
-func callOne(ctx context.Context, address string, secret link.Secret, method string, params, result any) error {
-	var count link.Counter
-	conn, err := link.Dial(ctx, address, "lfctl", secret, noPeer{}, &count)
+func callOne(ctx context.Context, address string, secret rpc.Secret, method string, params, result any) error {
+	var count rpc.Counter
+	conn, err := rpc.Dial(ctx, address, "lfctl", secret, noPeer{}, &count)
 	if err != nil {
 		return err
 	}
--- a/internal/cmd/localcmd.go
+++ b/internal/cmd/localcmd.go
@@ -16,9 +16,9 @@
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
 	"laburnumfall/internal/keeper"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/router"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/standin"
 )
@@ -222,7 +222,7 @@
 	var applied message.Applied
 	params := message.Apply{Config: json.RawMessage(config.JSON()), Operator: "lf-local", Wait: true}
 	for applied.Routers < len(l.routers) {
-		err := callOne(ctx, l.keeper, link.Secret(secret), message.MethodApply, params, &applied)
+		err := callOne(ctx, l.keeper, rpc.Secret(secret), message.MethodApply, params, &applied)
 		if ctx.Err() != nil {
 			return nil // stopped before the fleet was up
 		}
--- a/internal/keeper/admin.go
+++ b/internal/keeper/admin.go
@@ -10,9 +10,9 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 )
 
 const adminTimeout = time.Second
@@ -24,7 +24,7 @@
 
 // newMeters registers the measures of the brief: the service gap between
 // backlogged accounts, busy and total slots, and control bytes.
-func newMeters(count *link.Counter, c *core) *meters {
+func newMeters(count *rpc.Counter, c *core) *meters {
 	reg := prometheus.NewRegistry()
 	gauge := func(name, help string, value func(s message.Status) float64) {
 		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -20,10 +20,10 @@
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
 	"laburnumfall/internal/keeper"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
 	"laburnumfall/internal/router"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/standin"
 	"laburnumfall/internal/statestore"
@@ -81,20 +81,20 @@
 // mute answers what a keeper would call of an operator: nothing.
 type mute struct{}
 
-// Call implements link.Handler.
-func (mute) Call(context.Context, *link.Conn, string, json.RawMessage) (any, error) {
+// Call implements rpc.Handler.
+func (mute) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, nil
 }
 
-// Notice implements link.Handler.
-func (mute) Notice(*link.Conn, string, json.RawMessage) {}
+// Notice implements rpc.Handler.
+func (mute) Notice(*rpc.Conn, string, json.RawMessage) {}
 
 // leader returns a link to the leader.
-func (f *benchFleet) leader() *link.Conn {
+func (f *benchFleet) leader() *rpc.Conn {
 	for range 400 {
 		for _, address := range f.addresses {
-			var count link.Counter
-			conn, err := link.Dial(context.Background(), address, "bench", f.secret, mute{}, &count)
+			var count rpc.Counter
+			conn, err := rpc.Dial(context.Background(), address, "bench", f.secret, mute{}, &count)
 			if err != nil {
 				continue
 			}
@@ -162,7 +162,7 @@
 	}
 }
 
-func claimBatch(conn *link.Conn, next *atomic.Uint64, batch int, h *hdrhistogram.Histogram) error {
+func claimBatch(conn *rpc.Conn, next *atomic.Uint64, batch int, h *hdrhistogram.Histogram) error {
 	var p message.Claims
 	for range batch {
 		n := next.Add(1)
--- a/internal/keeper/control.go
+++ b/internal/keeper/control.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/packed"
+	"laburnumfall/internal/rpc"
 )
 
 const (
@@ -35,7 +35,7 @@
 		return err
 	}
 	p := message.Put{Number: number, Text: data}
-	return c.try(ctx, func(ctx context.Context, conn *link.Conn) error {
+	return c.try(ctx, func(ctx context.Context, conn *rpc.Conn) error {
 		if conn == nil {
 			_, err := c.keeper.core.put(ctx, p)
 			return err
@@ -48,7 +48,7 @@
 // that is not certain.
 func (c *Control) Read(ctx context.Context) (number uint64, text []byte, err error) {
 	var d message.Document
-	err = c.try(ctx, func(ctx context.Context, conn *link.Conn) error {
+	err = c.try(ctx, func(ctx context.Context, conn *rpc.Conn) error {
 		var err error
 		if conn == nil {
 			d, err = c.keeper.core.read(ctx)
@@ -64,7 +64,7 @@
 }
 
 // try has this keeper, and then the leader that it knows, carry an order out.
-func (c *Control) try(ctx context.Context, do func(ctx context.Context, conn *link.Conn) error) error {
+func (c *Control) try(ctx context.Context, do func(ctx context.Context, conn *rpc.Conn) error) error {
 	ctx, cancel := context.WithTimeout(ctx, controlPatience)
 	defer cancel()
 	for {
@@ -79,7 +79,7 @@
 	}
 }
 
-func (c *Control) once(ctx context.Context, do func(ctx context.Context, conn *link.Conn) error) error {
+func (c *Control) once(ctx context.Context, do func(ctx context.Context, conn *rpc.Conn) error) error {
 	known, err := c.keeper.core.known(ctx)
 	if err != nil {
 		return err
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -12,10 +12,10 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/share"
 	"laburnumfall/internal/statestore"
 )
@@ -41,7 +41,7 @@
 	node    *quorum.Node
 	ledger  statestore.Store
 	divider *share.Divider // while this keeper leads
-	routers map[routerKey]*link.Conn
+	routers map[routerKey]*rpc.Conn
 	waiters map[uint64]waiter
 	gone    goneVMs
 	routes  routes
@@ -63,7 +63,7 @@
 // A carrier takes a core's messages to other processes. It may lose any.
 type carrier interface {
 	send(m quorum.Message)
-	grant(conn *link.Conn, g message.Grant)
+	grant(conn *rpc.Conn, g message.Grant)
 	setMembers(self string, members []quorum.Member)
 }
 
@@ -95,7 +95,7 @@
 	return &core{
 		clock: c, log: log, journal: j, carrier: p,
 		inputs:  make(chan input, ringSize),
-		routers: make(map[routerKey]*link.Conn),
+		routers: make(map[routerKey]*rpc.Conn),
 		waiters: make(map[uint64]waiter),
 		limit:   compactBytes,
 	}
@@ -347,7 +347,7 @@
 }
 
 // onReport takes a router's report.
-func (c *core) onReport(conn *link.Conn, params json.RawMessage) {
+func (c *core) onReport(conn *rpc.Conn, params json.RawMessage) {
 	var r message.Report
 	if err := json.Unmarshal(params, &r); err != nil {
 		c.log.Warn("report cannot be read", "router", conn.Name(), "error", err)
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/statestore"
 )
 
@@ -16,7 +16,7 @@
 // durable. An error of another kind than [fleet.KindMalformed] means that it may or may not
 // come in force; to send the order again is safe.
 func (c *Control) Evacuate(ctx context.Context, p message.Evacuate) error {
-	return c.try(ctx, func(ctx context.Context, conn *link.Conn) error {
+	return c.try(ctx, func(ctx context.Context, conn *rpc.Conn) error {
 		if conn == nil {
 			_, err := c.keeper.core.evacuate(ctx, p)
 			return err
--- a/internal/keeper/founding.go
+++ b/internal/keeper/founding.go
@@ -16,9 +16,9 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
 )
 
@@ -42,7 +42,7 @@
 	log      hclog.Logger
 	journal  *journal.Journal
 	init     bool
-	dial     func(ctx context.Context, address string) (*link.Conn, error)
+	dial     func(ctx context.Context, address string) (*rpc.Conn, error)
 
 	clock clock.Clock
 	began time.Time // when this keeper began to found
--- a/internal/keeper/histories_test.go
+++ b/internal/keeper/histories_test.go
@@ -11,8 +11,8 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/dispatch"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 )
 
 // trio is three cores, two routers and two operators on fake disks, fake links
@@ -29,8 +29,8 @@
 	lossy  bool
 
 	routers map[string]*dispatch.Scheduler
-	conns   map[*link.Conn]string // router by its link
-	links   []*link.Conn
+	conns   map[*rpc.Conn]string // router by its link
+	links   []*rpc.Conn
 	ids     int
 
 	// The naive model: what operators were told.
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -18,7 +18,7 @@
 
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/link"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
 )
 
@@ -42,8 +42,8 @@
 	// Serve, if set, serves operators in the platform's way.
 	Serve func(ctx context.Context, c *Control) error
 
-	count   link.Counter
-	secret  link.Secret
+	count   rpc.Counter
+	secret  rpc.Secret
 	journal journal.Journal
 	core    *core
 	peers   *peers
@@ -133,8 +133,8 @@
 	}
 }
 
-func (k *Keeper) dialPeer(ctx context.Context, address string) (*link.Conn, error) {
-	return link.Dial(ctx, address, k.Settings.Name, k.secret, k, &k.count)
+func (k *Keeper) dialPeer(ctx context.Context, address string) (*rpc.Conn, error) {
+	return rpc.Dial(ctx, address, k.Settings.Name, k.secret, k, &k.count)
 }
 
 func closeAdmin(ctx context.Context, admin *fasthttp.Server) error {
@@ -154,7 +154,7 @@
 	defer stopPeers()
 	admin := &fasthttp.Server{Handler: k.serveAdmin, CloseOnShutdown: true}
 	g.Go(func() error {
-		return link.Serve(ctx, listener, k.Settings.Name, k.secret, k, &k.count)
+		return rpc.Serve(ctx, listener, k.Settings.Name, k.secret, k, &k.count)
 	})
 	g.Go(func() error { return admin.Serve(adminListener) })
 	g.Go(func() error { return k.peers.run(peersCtx) })
--- a/internal/keeper/linkcache.go
+++ b/internal/keeper/linkcache.go
@@ -4,18 +4,18 @@
 	"context"
 	"sync"
 
-	"laburnumfall/internal/link"
+	"laburnumfall/internal/rpc"
 )
 
 // A linkCache keeps one link to each address that calls are made to.
 type linkCache struct {
 	mu    sync.Mutex
-	links map[string]*link.Conn
+	links map[string]*rpc.Conn
 }
 
-type dialer func(ctx context.Context, address string) (*link.Conn, error)
+type dialer func(ctx context.Context, address string) (*rpc.Conn, error)
 
-func (l *linkCache) get(ctx context.Context, address string, dial dialer) (*link.Conn, error) {
+func (l *linkCache) get(ctx context.Context, address string, dial dialer) (*rpc.Conn, error) {
 	l.mu.Lock()
 	conn := l.links[address]
 	l.mu.Unlock()
@@ -29,7 +29,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.links == nil {
-		l.links = make(map[string]*link.Conn)
+		l.links = make(map[string]*rpc.Conn)
 	}
 	if other := l.links[address]; other != nil && !ended(other) {
 		conn.Close()
@@ -40,7 +40,7 @@
 }
 
 // drop ends a link, unless another has taken its place.
-func (l *linkCache) drop(address string, conn *link.Conn) {
+func (l *linkCache) drop(address string, conn *rpc.Conn) {
 	conn.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-func ended(conn *link.Conn) bool {
+func ended(conn *rpc.Conn) bool {
 	select {
 	case <-conn.Done():
 		return true
--- a/internal/keeper/peers.go
+++ b/internal/keeper/peers.go
@@ -8,9 +8,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 )
 
 const (
@@ -29,16 +29,16 @@
 type peers struct {
 	log     hclog.Logger
 	name    string
-	secret  link.Secret
-	count   *link.Counter
-	handler link.Handler
+	secret  rpc.Secret
+	count   *rpc.Counter
+	handler rpc.Handler
 
 	queued atomic.Int64 // messages to members that are not sent yet
 
 	mu      sync.Mutex
 	ctx     context.Context
-	links   map[string]*peerLink     // by member ID
-	routers map[*link.Conn]*outbound // by the link that reports come in by
+	links   map[string]*peerLink    // by member ID
+	routers map[*rpc.Conn]*outbound // by the link that reports come in by
 }
 
 var _ carrier = &peers{}
@@ -113,7 +113,7 @@
 }
 
 func (p *peers) carry(ctx context.Context, l *peerLink) {
-	var conn *link.Conn
+	var conn *rpc.Conn
 	defer func() {
 		if conn != nil {
 			conn.Close()
@@ -139,8 +139,8 @@
 
 // open dials a member. While it cannot be reached, what waits for it is
 // dropped, so that it does not get a backlog of old messages later.
-func (p *peers) open(ctx context.Context, l *peerLink) *link.Conn {
-	conn, err := link.Dial(ctx, l.address, p.name, p.secret, p.handler, p.count)
+func (p *peers) open(ctx context.Context, l *peerLink) *rpc.Conn {
+	conn, err := rpc.Dial(ctx, l.address, p.name, p.secret, p.handler, p.count)
 	if err == nil {
 		return conn
 	}
@@ -157,11 +157,11 @@
 }
 
 // grant queues a grant on the link that the router's reports come in by.
-func (p *peers) grant(conn *link.Conn, g message.Grant) {
+func (p *peers) grant(conn *rpc.Conn, g message.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.routers == nil {
-		p.routers = make(map[*link.Conn]*outbound)
+		p.routers = make(map[*rpc.Conn]*outbound)
 	}
 	o := p.routers[conn]
 	if o == nil {
@@ -176,7 +176,7 @@
 	}
 }
 
-func (p *peers) carryGrants(conn *link.Conn, o *outbound) {
+func (p *peers) carryGrants(conn *rpc.Conn, o *outbound) {
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/keeper/quarantine_test.go
+++ b/internal/keeper/quarantine_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/statestore"
 )
 
@@ -126,7 +126,7 @@
 	c, ok := g.whole()
 	require.True(t, ok)
 	key := routerKey{"told", 1}
-	conn := &link.Conn{}
+	conn := &rpc.Conn{}
 	g.conns[conn], g.cut[key.name] = key.name, true // what it is granted goes nowhere
 	report := func(q quarantine.Report) {
 		data, err := json.Marshal(message.Report{Router: key.name, Inc: key.inc, Full: true, Quarantine: &q})
--- a/internal/keeper/serve.go
+++ b/internal/keeper/serve.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/statestore"
 )
 
@@ -18,8 +18,8 @@
 	forcePoll = 20 * time.Millisecond
 )
 
-// Notice implements link.Handler.
-func (k *Keeper) Notice(peer *link.Conn, method string, params json.RawMessage) {
+// Notice implements rpc.Handler.
+func (k *Keeper) Notice(peer *rpc.Conn, method string, params json.RawMessage) {
 	switch method {
 	case message.MethodQuorum:
 		k.core.onQuorum(params)
@@ -29,8 +29,8 @@
 	}
 }
 
-// Call implements link.Handler.
-func (k *Keeper) Call(ctx context.Context, _ *link.Conn, method string, params json.RawMessage) (any, error) {
+// Call implements rpc.Handler.
+func (k *Keeper) Call(ctx context.Context, _ *rpc.Conn, method string, params json.RawMessage) (any, error) {
 	switch method {
 	case message.MethodFound:
 		return serve(params, k.found.answer)
--- a/internal/keeper/tendedgroup_test.go
+++ b/internal/keeper/tendedgroup_test.go
@@ -11,9 +11,9 @@
 
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/statestore"
 )
 
@@ -90,7 +90,7 @@
 	c.g.wire = append(c.g.wire, letter{c.g.clock.Time.Add(time.Duration(c.g.random.IntN(3)) * tendedStep), m})
 }
 
-func (c *tendedCarrier) grant(*link.Conn, message.Grant) {}
+func (c *tendedCarrier) grant(*rpc.Conn, message.Grant) {}
 
 func (c *tendedCarrier) setMembers(string, []quorum.Member) {}
 
--- a/internal/keeper/trio_test.go
+++ b/internal/keeper/trio_test.go
@@ -12,16 +12,16 @@
 	"laburnumfall/internal/dispatch"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 )
 
 func newTrio(t require.TestingT, seed uint64) *trio {
 	g := &trio{
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), clock: clock.MockClock{Time: time.Unix(1e9, 0)},
 		cores: map[string]*core{}, disks: map[string]*journal.MockDisk{}, cut: map[string]bool{},
-		names: []string{"k1", "k2", "k3"}, routers: map[string]*dispatch.Scheduler{}, conns: map[*link.Conn]string{},
+		names: []string{"k1", "k2", "k3"}, routers: map[string]*dispatch.Scheduler{}, conns: map[*rpc.Conn]string{},
 		accepted: map[uint64]string{}, seen: map[string]uint64{},
 	}
 	var members []quorum.Member
@@ -54,7 +54,7 @@
 func (g *trio) startRouter(name string) {
 	g.routers[name] = &dispatch.Scheduler{Name: name, Zone: "z", Inc: uint64(g.clock.Now().UnixNano())}
 	g.seen[name] = 0
-	conn := &link.Conn{}
+	conn := &rpc.Conn{}
 	g.conns[conn] = name
 	g.links = append(g.links, conn)
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-func (c *trioCarrier) grant(conn *link.Conn, m message.Grant) {
+func (c *trioCarrier) grant(conn *rpc.Conn, m message.Grant) {
 	name := c.g.conns[conn]
 	if c.g.cut[name] {
 		return
@@ -137,7 +137,7 @@
 	}
 }
 
-func (g *trio) report(conn *link.Conn, r message.Report) {
+func (g *trio) report(conn *rpc.Conn, r message.Report) {
 	for _, name := range g.names {
 		c := g.cores[name]
 		if c == nil || g.cut[name] || c.divider == nil || !c.node.Leads(g.clock.Now()) {
--- a/internal/router/apply_test.go
+++ b/internal/router/apply_test.go
@@ -10,30 +10,30 @@
 	"github.com/stretchr/testify/require"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // mute answers what a keeper would call of an operator: nothing.
 type mute struct{}
 
-// Call implements link.Handler.
-func (mute) Call(context.Context, *link.Conn, string, json.RawMessage) (any, error) {
+// Call implements rpc.Handler.
+func (mute) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, nil
 }
 
-// Notice implements link.Handler.
-func (mute) Notice(*link.Conn, string, json.RawMessage) {}
+// Notice implements rpc.Handler.
+func (mute) Notice(*rpc.Conn, string, json.RawMessage) {}
 
 // applyConfig puts a configuration in force on one router.
 func applyConfig(t testing.TB, address, secretFile string, c fleet.Config) {
 	secret, err := os.ReadFile(secretFile)
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		var count link.Counter
+		var count rpc.Counter
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		conn, err := link.Dial(ctx, address, "test", secret, mute{}, &count)
+		conn, err := rpc.Dial(ctx, address, "test", secret, mute{}, &count)
 		if err != nil {
 			return false
 		}
--- a/internal/router/keepers.go
+++ b/internal/router/keepers.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 const (
@@ -29,8 +29,8 @@
 type keepers struct {
 	addresses []string
 	name      string
-	secret    link.Secret
-	count     *link.Counter
+	secret    rpc.Secret
+	count     *rpc.Counter
 	log       hclog.Logger
 	desk      *desk
 
@@ -42,7 +42,7 @@
 
 // keeperLink is one open link and the reports that wait for it.
 type keeperLink struct {
-	conn    *link.Conn
+	conn    *rpc.Conn
 	reports chan message.Report
 }
 
@@ -63,7 +63,7 @@
 	pause.InitialInterval = redialFirst
 	pause.MaxInterval = redialLast
 	for ctx.Err() == nil {
-		conn, err := link.Dial(ctx, address, k.name, k.secret, k, k.count)
+		conn, err := rpc.Dial(ctx, address, k.name, k.secret, k, k.count)
 		if err == nil {
 			pause.Reset()
 			k.log.Debug("linked", "keeper", conn.Name(), "address", address)
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (k *keepers) useLink(ctx context.Context, address string, conn *link.Conn) {
+func (k *keepers) useLink(ctx context.Context, address string, conn *rpc.Conn) {
 	l := &keeperLink{conn: conn, reports: make(chan message.Report, reportRing)}
 	k.mu.Lock()
 	k.links[address] = l
@@ -128,13 +128,13 @@
 	}
 }
 
-// Call implements link.Handler. Keepers call nothing of a router.
-func (k *keepers) Call(context.Context, *link.Conn, string, json.RawMessage) (any, error) {
+// Call implements rpc.Handler. Keepers call nothing of a router.
+func (k *keepers) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, fleet.NewError(fleet.KindMalformed, "call a keeper", "a router serves no calls")
 }
 
-// Notice implements link.Handler: it takes grants.
-func (k *keepers) Notice(peer *link.Conn, method string, params json.RawMessage) {
+// Notice implements rpc.Handler: it takes grants.
+func (k *keepers) Notice(peer *rpc.Conn, method string, params json.RawMessage) {
 	if method != message.MethodGrant {
 		return
 	}
@@ -151,7 +151,7 @@
 }
 
 // follow notes which keeper leads.
-func (k *keepers) follow(peer *link.Conn) {
+func (k *keepers) follow(peer *rpc.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, l := range k.links {
@@ -164,10 +164,10 @@
 
 // conns returns the links in the order in which to try them: the leader's
 // first.
-func (k *keepers) conns() []*link.Conn {
+func (k *keepers) conns() []*rpc.Conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var list []*link.Conn
+	var list []*rpc.Conn
 	if k.leader != nil {
 		list = append(list, k.leader.conn)
 	}
--- a/internal/router/meters.go
+++ b/internal/router/meters.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 
 	"laburnumfall/internal/dispatch"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // meters are the router's metrics.
@@ -27,7 +27,7 @@
 	slots    prometheus.Gauge
 }
 
-func newMeters(count *link.Counter) *meters {
+func newMeters(count *rpc.Counter) *meters {
 	reg := prometheus.NewRegistry()
 	m := &meters{
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_refusals_total", Help: "Requests answered by the router itself."}, []string{"kind", "outcome"}),
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -17,10 +17,10 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/dispatch"
 	"laburnumfall/internal/gateway"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/routing"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/target"
 )
@@ -46,7 +46,7 @@
 	Log      hclog.Logger
 	Clock    clock.Clock
 
-	count   link.Counter
+	count   rpc.Counter
 	desk    *desk
 	keepers *keepers
 	claimer *claimer
--- a/internal/router/stop_test.go
+++ b/internal/router/stop_test.go
@@ -9,8 +9,8 @@
 
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/dispatch"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // Symptom: a router of which a duty failed hangs instead of ending.
@@ -19,7 +19,7 @@
 // Cause: a question to a scheduler that has ended waited for its answer.
 func TestAskingADeskThatHasEnded(t *testing.T) {
 	d := newDesk(clock.NewRealClock(), &dispatch.Scheduler{Name: "r1"})
-	d.meters, d.report = newMeters(&link.Counter{}), func(message.Report) {}
+	d.meters, d.report = newMeters(&rpc.Counter{}), func(message.Report) {}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	require.NoError(t, d.run(ctx))
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -13,9 +13,9 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/gateway"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/uplink"
 )
@@ -28,7 +28,7 @@
 	Listen  string
 	Clock   clock.Clock
 	Log     hclog.Logger
-	Secret  link.Secret
+	Secret  rpc.Secret
 	Dialect gateway.Dialect
 	// Decode reads a configuration as the keepers keep it.
 	Decode func(text []byte) (*fleet.Table, error)
--- a/internal/link/link.go
+++ b/internal/rpc/rpc.go
@@ -1,7 +1,7 @@
-// Package link joins two processes of a fleet by JSON-RPC 2.0 over TCP. Both
+// Package rpc joins two processes of a fleet by JSON-RPC 2.0 over TCP. Both
 // ends prove that they hold the fleet's secret before any other message, and
 // every byte is counted.
-package link
+package rpc
 
 import (
 	"bufio"
--- a/internal/link/link_test.go
+++ b/internal/rpc/rpc_test.go
@@ -1,4 +1,4 @@
-package link
+package rpc
 
 import (
 	"bufio"
--- a/internal/uplink/ask.go
+++ b/internal/uplink/ask.go
@@ -7,14 +7,14 @@
 	"slices"
 	"time"
 
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // A reply is what came of a question to one keeper.
 type reply struct {
 	address string
-	conn    *link.Conn
+	conn    *rpc.Conn
 	dialed  bool // for this question
 	packs   bool // the question may be packed
 	asked   time.Time
@@ -68,7 +68,7 @@
 // call asks one keeper. It touches nothing of the uplink that changes.
 func (u *Uplink) call(ctx context.Context, q reply, ask message.Renew) reply {
 	if q.conn == nil {
-		q.conn, q.err = link.Dial(ctx, q.address, u.Name, u.Secret, noCalls{}, &u.count)
+		q.conn, q.err = rpc.Dial(ctx, q.address, u.Name, u.Secret, noCalls{}, &u.count)
 		q.dialed = true
 	}
 	if q.err != nil {
@@ -154,13 +154,13 @@
 
 var errNoCalls = errors.New("a router serves no calls (ask a keeper)")
 
-// Call implements link.Handler.
-func (noCalls) Call(context.Context, *link.Conn, string, json.RawMessage) (any, error) {
+// Call implements rpc.Handler.
+func (noCalls) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, errNoCalls
 }
 
-// Notice implements link.Handler.
-func (noCalls) Notice(*link.Conn, string, json.RawMessage) {}
+// Notice implements rpc.Handler.
+func (noCalls) Notice(*rpc.Conn, string, json.RawMessage) {}
 
 // mostKeepers bounds the keepers that a router remembers from hearsay: some times as many
 // as there may be.
--- a/internal/uplink/round.go
+++ b/internal/uplink/round.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // A round is one search for the leader's answer.
@@ -15,15 +15,15 @@
 	open    int // questions without a reply
 	count   int // questions
 	asked   map[string]bool
-	fresh   map[string]bool       // asked over a fresh link
-	since   map[string]time.Time  // when it was asked first
-	waiting map[string]*link.Conn // links over which a question has no reply
+	fresh   map[string]bool      // asked over a fresh link
+	since   map[string]time.Time // when it was asked first
+	waiting map[string]*rpc.Conn // links over which a question has no reply
 }
 
 func newRound(u *Uplink) *round {
 	return &round{
 		uplink: u, replies: make(chan reply, mostAsked), asked: make(map[string]bool), fresh: make(map[string]bool),
-		since: make(map[string]time.Time), waiting: make(map[string]*link.Conn),
+		since: make(map[string]time.Time), waiting: make(map[string]*rpc.Conn),
 	}
 }
 
--- a/internal/uplink/round_test.go
+++ b/internal/uplink/round_test.go
@@ -10,18 +10,18 @@
 	"github.com/stretchr/testify/require"
 
 	"laburnumfall/internal/clock"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // silentKeepers returns a router's uplink to keepers that take connections and say
 // nothing.
 func silentKeepers(t *testing.T, count int) *Uplink {
 	u := &Uplink{
-		Name: "r1", Clock: clock.NewRealClock(), Log: hclog.NewNullLogger(), Secret: link.Secret("0123456789abcdef"),
+		Name: "r1", Clock: clock.NewRealClock(), Log: hclog.NewNullLogger(), Secret: rpc.Secret("0123456789abcdef"),
 		Load: func(time.Time) ([]message.Demand, []message.Backlog) { return nil, nil },
 	}
-	u.links = map[string]*link.Conn{}
+	u.links = map[string]*rpc.Conn{}
 	var seeds []string
 	for range count {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/uplink/uplink.go
+++ b/internal/uplink/uplink.go
@@ -12,11 +12,11 @@
 
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/quota"
 	"laburnumfall/internal/roster"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/warmup"
 )
 
@@ -71,7 +71,7 @@
 	Clock clock.Clock
 	Log   hclog.Logger
 	// Secret proves to the keepers that this router belongs to the fleet.
-	Secret link.Secret
+	Secret rpc.Secret
 	// Lease is how long after a question, answered by a leader, keys count.
 	Lease time.Duration
 	// Decode reads a configuration.
@@ -99,21 +99,21 @@
 	Ruled      func(now, asked time.Time, term uint64, r quarantine.Rulings)
 	Wake       <-chan struct{}
 
-	count   link.Counter
+	count   rpc.Counter
 	seeds   atomic.Pointer[[]string]
 	state   atomic.Pointer[State]
 	damaged atomic.Uint64
 	roster  roster.Roster
-	links   map[string]*link.Conn
+	links   map[string]*rpc.Conn
 	turn    int // counts the keepers asked beside the leader
 	keepers []string
 	// accounts are those of the loads, as a leader named them last.
 	accounts []string
-	members  uint32     // digest of keepers as a leader sent them; 0 if others were added
-	names    uint32     // digest of accounts; 0 is none
-	packs    *link.Conn // over which questions may be packed
-	leader   string     // "" while none is known
-	last     string     // the keeper that is thought to lead, "" if none
+	members  uint32    // digest of keepers as a leader sent them; 0 if others were added
+	names    uint32    // digest of accounts; 0 is none
+	packs    *rpc.Conn // over which questions may be packed
+	leader   string    // "" while none is known
+	last     string    // the keeper that is thought to lead, "" if none
 	renewed  time.Time
 	term     uint64
 	list     uint64
@@ -162,7 +162,7 @@
 
 // Run asks until ctx ends.
 func (u *Uplink) Run(ctx context.Context) error {
-	u.links = make(map[string]*link.Conn)
+	u.links = make(map[string]*rpc.Conn)
 	if u.List != nil {
 		u.notes.List = u.List.Address()
 	}
--- a/internal/uplink/uplink_test.go
+++ b/internal/uplink/uplink_test.go
@@ -14,10 +14,10 @@
 
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/packed"
 	"laburnumfall/internal/quota"
+	"laburnumfall/internal/rpc"
 )
 
 // fakeKeeper answers renewals as it is told.
@@ -33,8 +33,8 @@
 	mute   bool
 }
 
-// Call implements link.Handler.
-func (k *fakeKeeper) Call(ctx context.Context, _ *link.Conn, method string, params json.RawMessage) (any, error) {
+// Call implements rpc.Handler.
+func (k *fakeKeeper) Call(ctx context.Context, _ *rpc.Conn, method string, params json.RawMessage) (any, error) {
 	ask, err := readRenew(method, params)
 	if err != nil {
 		return nil, err
@@ -72,8 +72,8 @@
 	return ask, json.Unmarshal(params, &ask)
 }
 
-// Notice implements link.Handler.
-func (k *fakeKeeper) Notice(*link.Conn, string, json.RawMessage) {}
+// Notice implements rpc.Handler.
+func (k *fakeKeeper) Notice(*rpc.Conn, string, json.RawMessage) {}
 
 func (k *fakeKeeper) set(change func(k *fakeKeeper)) {
 	k.mu.Lock()
@@ -86,8 +86,8 @@
 	require.NoError(t, err)
 	k := &fakeKeeper{address: l.Addr().String()}
 	ctx, cancel := context.WithCancel(context.Background())
-	var count link.Counter
-	go func() { _ = link.Serve(ctx, l, "keeper", nil, k, &count) }() // ends with the listener
+	var count rpc.Counter
+	go func() { _ = rpc.Serve(ctx, l, "keeper", nil, k, &count) }() // ends with the listener
 	t.Cleanup(func() {
 		cancel()
 		require.NoError(t, l.Close())
