--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"laburnumfall/internal/fairshare"
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/share"
 )
 
 // admit lets a request wait, or returns its refusal.
@@ -24,9 +24,9 @@
 		return unrun(now.Add(wait), fleet.KindDeadline, "allow more time, or come back after Retry-After",
 			"the deadline passes before the account's queue has drained")
 	}
-	p.item = &share.Item{
+	p.item = &fairshare.Item{
 		ID: p.ID, Account: p.Account, Event: p.Event, Hint: p.Hint, Size: p.Size,
-		Order: share.OrderOf(now, p.Deadline),
+		Order: fairshare.OrderOf(now, p.Deadline),
 	}
 	if err := s.queues.Push(p.item); err != nil {
 		return unrun(now.Add(max(wait, retrySoon)), fleet.KindQueueFull, "come back after Retry-After", "%v", err)
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -8,10 +8,10 @@
 import (
 	"time"
 
+	"laburnumfall/internal/fairshare"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
-	"laburnumfall/internal/share"
 )
 
 // A Request is what the scheduler needs to know of a caller's request.
@@ -46,7 +46,7 @@
 // pending is a request that the router has not yet answered in full.
 type pending struct {
 	Request
-	item    *share.Item
+	item    *fairshare.Item
 	phase   phase
 	target  string
 	arrived time.Time
@@ -70,7 +70,7 @@
 	// Guard decides which requests are held back because targets end under them.
 	Guard quarantine.Guard
 
-	queues    share.Queues
+	queues    fairshare.Queues
 	requests  map[uint64]*pending
 	deadlines deadlineHeap
 	attempts  uint64
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"laburnumfall/internal/dispatch"
+	"laburnumfall/internal/fairshare"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/share"
 	"laburnumfall/internal/statestore"
 )
 
@@ -20,7 +20,7 @@
 	agenda  agenda
 	seq     int
 	config  fleet.Config
-	divider *share.Divider
+	divider *fairshare.Divider
 	term    uint64
 	ledger  statestore.Store
 	routers []*node
@@ -100,14 +100,14 @@
 // lead begins a term with a leader that knows nothing but the log.
 func (w *world) lead() {
 	w.term++
-	d := &share.Divider{Term: w.term, Blank: w.term == 1}
+	d := &fairshare.Divider{Term: w.term, Blank: w.term == 1}
 	d.Start(w.now)
 	d.SetConfig(w.now, w.config, w.config.JSON())
 	w.divider = d
 	w.tickDivider(d)
 }
 
-func (w *world) tickDivider(d *share.Divider) {
+func (w *world) tickDivider(d *fairshare.Divider) {
 	if d != w.divider {
 		return
 	}
--- a/internal/share/divider.go
+++ b/internal/fairshare/divider.go
@@ -1,10 +1,10 @@
-// Package share decides which account is served next, across the whole fleet.
+// Package fairshare decides which account is served next, across the whole fleet.
 //
 // The Divider, in the leading keeper, divides the slots of the targets among
 // the routers by the service that each account had. The Queues, in each
 // router, choose the next account for a free slot. Both are deterministic:
 // they take a time and a message and have no clock of their own.
-package share
+package fairshare
 
 import (
 	"encoding/json"
--- a/internal/share/estimate.go
+++ b/internal/fairshare/estimate.go
@@ -1,4 +1,4 @@
-package share
+package fairshare
 
 // queue is the waiting work of an account for one event.
 type queue struct {
--- a/internal/share/itemheap.go
+++ b/internal/fairshare/itemheap.go
@@ -1,4 +1,4 @@
-package share
+package fairshare
 
 // itemHeap orders items by Order, then by ID.
 type itemHeap []*Item
--- a/internal/share/report.go
+++ b/internal/fairshare/report.go
@@ -1,4 +1,4 @@
-package share
+package fairshare
 
 import (
 	"cmp"
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -10,13 +10,13 @@
 	"github.com/hashicorp/go-hclog"
 
 	"laburnumfall/internal/clock"
+	"laburnumfall/internal/fairshare"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/quorum"
 	"laburnumfall/internal/rpc"
-	"laburnumfall/internal/share"
 	"laburnumfall/internal/statestore"
 )
 
@@ -40,7 +40,7 @@
 
 	node    *quorum.Node
 	ledger  statestore.Store
-	divider *share.Divider // while this keeper leads
+	divider *fairshare.Divider // while this keeper leads
 	routers map[routerKey]*rpc.Conn
 	waiters map[uint64]waiter
 	gone    goneVMs
--- a/internal/keeper/lead.go
+++ b/internal/keeper/lead.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"laburnumfall/internal/fairshare"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/quorum"
-	"laburnumfall/internal/share"
 	"laburnumfall/internal/statestore"
 )
 
@@ -33,7 +33,7 @@
 	}
 	if c.divider == nil || c.divider.Term != c.node.Term() {
 		c.log.Info("leading", "term", c.node.Term(), "number", c.ledger.Number())
-		c.divider = &share.Divider{Term: c.node.Term(), Blank: c.ledger.Number() == 0}
+		c.divider = &fairshare.Divider{Term: c.node.Term(), Blank: c.ledger.Number() == 0}
 		c.divider.Start(now)
 		c.registry = nil // of the term before
 		if c.ledger.Number() > 0 {
