--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -11,8 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"laburnumfall/internal/fleet"
+	"laburnumfall/internal/keeperclient"
 	"laburnumfall/internal/placement"
-	"laburnumfall/internal/uplink"
 )
 
 const (
@@ -44,7 +44,7 @@
 }
 
 // admit finds a request's route and account.
-func (g *Gateway) admit(q *request, s uplink.State) (refusal, bool) {
+func (g *Gateway) admit(q *request, s keeperclient.State) (refusal, bool) {
 	if s.Table == nil || !g.ready.Load() {
 		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonNoConfig, back: g.startBack(q)}, false
 	}
@@ -86,7 +86,7 @@
 // checkKey finds the account of a request's key. It is asked again before each
 // attempt: a key may be withdrawn, or this router lose its lease on keys, while
 // a request is on its way.
-func (g *Gateway) checkKey(q *request, s uplink.State) (refusal, bool) {
+func (g *Gateway) checkKey(q *request, s keeperclient.State) (refusal, bool) {
 	if q.route.Keyless {
 		return refusal{}, true
 	}
@@ -103,7 +103,7 @@
 
 // readBody reads a whole body, so that it can be sent a second time and is
 // framed anew for the target whatever framing the caller used.
-func (g *Gateway) readBody(q *request, s uplink.State) (refusal, bool) {
+func (g *Gateway) readBody(q *request, s keeperclient.State) (refusal, bool) {
 	if q.r.ContentLength == 0 {
 		return refusal{}, true
 	}
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -10,8 +10,8 @@
 
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
+	"laburnumfall/internal/keeperclient"
 	"laburnumfall/internal/placement"
-	"laburnumfall/internal/uplink"
 )
 
 // Symptom: callers get 502 for requests that may be sent again, though another
@@ -23,7 +23,7 @@
 	g := &Gateway{Clock: clock.NewRealClock()}
 	now := g.Clock.Now()
 	table := &fleet.Table{Capacity: 1000, Pools: map[string]fleet.Pool{"p": {Engine: &fleet.Engine{}}}}
-	g.SetTargets(uplink.State{Table: table, Routers: 1}, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p", Slots: 4}, {Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p", Slots: 4}})
+	g.SetTargets(keeperclient.State{Table: table, Routers: 1}, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p", Slots: 4}, {Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p", Slots: 4}})
 	route := &fleet.Route{Kind: fleet.RouteStream, Resumable: true, Attempts: 2, Aim: time.Second, Timeout: 10 * time.Second, Cached: true}
 	newRequest := func() *request {
 		r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "/", nil)
@@ -59,7 +59,7 @@
 	c := &clock.MockClock{Time: time.Unix(1e9, 0)}
 	g := &Gateway{Clock: c, started: c.Time}
 	refused := func() refusal {
-		r, ok := g.admit(&request{}, uplink.State{})
+		r, ok := g.admit(&request{}, keeperclient.State{})
 		require.False(t, ok)
 		require.Equal(t, fleet.ReasonNoConfig, r.reason)
 		return r
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -22,6 +22,7 @@
 	"laburnumfall/internal/admission"
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
+	"laburnumfall/internal/keeperclient"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/placement"
 	"laburnumfall/internal/quarantine"
@@ -29,7 +30,6 @@
 	"laburnumfall/internal/retry"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/throttle"
-	"laburnumfall/internal/uplink"
 	"laburnumfall/internal/upstream"
 	"laburnumfall/internal/warmup"
 )
@@ -56,7 +56,7 @@
 	Log      hclog.Logger
 	Dialect  Dialect
 	// State is what the keepers said last.
-	State  func() uplink.State
+	State  func() keeperclient.State
 	Meters *Meters
 	// Informed, if set, tells whether this router knows what the fleet does, or has to ask
 	// first, after a standstill of its process.
@@ -90,7 +90,7 @@
 
 // SetTargets puts a configuration and the targets in force. It may be called at
 // any time.
-func (g *Gateway) SetTargets(s uplink.State, targets []fleet.Instance) {
+func (g *Gateway) SetTargets(s keeperclient.State, targets []fleet.Instance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.placer.Zone = g.Zone
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,9 +17,9 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/gateway"
+	"laburnumfall/internal/keeperclient"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/standin"
-	"laburnumfall/internal/uplink"
 	"laburnumfall/platform"
 )
 
@@ -42,7 +42,7 @@
 	gateway *gateway.Gateway
 	address string
 	ready   string
-	state   atomic.Pointer[uplink.State]
+	state   atomic.Pointer[keeperclient.State]
 	stop    context.CancelFunc
 	stopped chan error
 	client  *http.Client
@@ -61,14 +61,14 @@
 	table, err := platform.Decode([]byte(testConfig))
 	require.NoError(t, err)
 	real := clock.NewRealClock()
-	b.state.Store(&uplink.State{Table: table, KeysUntil: real.Now().Add(time.Hour), Routers: 1})
+	b.state.Store(&keeperclient.State{Table: table, KeysUntil: real.Now().Add(time.Hour), Routers: 1})
 	b.gateway = &gateway.Gateway{
 		Settings: settings.Routes{
 			Ready: b.ready, Grace: 5 * time.Second, Memory: 1 << 28,
 			RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second,
 		},
 		Zone: "z1", Listen: b.address, Clock: real, Log: hclog.NewNullLogger(), Dialect: platform.Headers{},
-		State: func() uplink.State { return *b.state.Load() }, Meters: gateway.NewMeters(),
+		State: func() keeperclient.State { return *b.state.Load() }, Meters: gateway.NewMeters(),
 	}
 	b.apply()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -197,7 +197,7 @@
 	resp, _, _ = b.do(http.MethodPost, "/once/x", strings.Repeat("x", 100001))
 	require.Equal(t, http.StatusRequestEntityTooLarge, resp.StatusCode)
 	s := *b.state.Load()
-	b.state.Store(&uplink.State{})
+	b.state.Store(&keeperclient.State{})
 	resp, _, _ = b.do(http.MethodGet, "/nowhere/", "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "what is not known is not denied")
 	b.state.Store(&s)
--- a/internal/keeper/tendedgroup_test.go
+++ b/internal/keeper/tendedgroup_test.go
@@ -20,7 +20,7 @@
 // tended is a group of keepers that tend their membership themselves, with
 // routers that renew their lease on keys, on fake disks, fake links and one
 // clock. The keepers' decisions are the real code; a router follows the same
-// rules as the uplink does.
+// rules as keeperclient does.
 type tended struct {
 	t      require.TestingT
 	random *rand.Rand
@@ -231,7 +231,7 @@
 	g.asks = later
 }
 
-// take follows the rules of the uplink.
+// take follows the rules of keeperclient.
 func (r *leaseRouter) take(asked time.Time, a message.Renewal) {
 	if !a.Leads {
 		return
--- a/internal/uplink/ask.go
+++ b/internal/keeperclient/ask.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"context"
@@ -28,7 +28,7 @@
 // gone, its link silent, its answer long or this router behind, and nothing tells
 // which. One after the other, two keepers that are gone cost up to three seconds by
 // calculation; a configuration was not in force in time on a day with two gone.
-func (u *Uplink) ask(ctx context.Context) {
+func (u *Client) ask(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	round := newRound(u)
 	defer func() {
@@ -66,7 +66,7 @@
 }
 
 // call asks one keeper. It touches nothing of the uplink that changes.
-func (u *Uplink) call(ctx context.Context, q reply, ask message.Renew) reply {
+func (u *Client) call(ctx context.Context, q reply, ask message.Renew) reply {
 	if q.conn == nil {
 		q.conn, q.err = rpc.Dial(ctx, q.address, u.Name, u.Secret, noCalls{}, &u.count)
 		q.dialed = true
@@ -86,7 +86,7 @@
 }
 
 // keep keeps the link of a reply, or gives it up if it failed.
-func (u *Uplink) keep(q reply) {
+func (u *Client) keep(q reply) {
 	if q.conn == nil {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // nextOther returns the keepers beside the one thought to lead, in turn.
-func (u *Uplink) nextOther() string {
+func (u *Client) nextOther() string {
 	list := u.others()
 	for range list {
 		u.turn++
@@ -121,7 +121,7 @@
 }
 
 // others returns every keeper that was ever heard of.
-func (u *Uplink) others() []string {
+func (u *Client) others() []string {
 	seen := make(map[string]bool)
 	var list []string
 	for _, a := range append(append([]string(nil), u.keepers...), u.seedList()...) {
@@ -133,7 +133,7 @@
 	return list
 }
 
-func (u *Uplink) lost() {
+func (u *Client) lost() {
 	if u.leader == "" {
 		return
 	}
@@ -142,7 +142,7 @@
 	u.leader = ""
 }
 
-func (u *Uplink) number() uint64 {
+func (u *Client) number() uint64 {
 	if s := u.state.Load(); s != nil && s.Table != nil {
 		return s.Table.Number
 	}
@@ -167,7 +167,7 @@
 const mostKeepers = 64
 
 // learn adds keepers that one who does not lead has named. What a leader says replaces it.
-func (u *Uplink) learn(addresses []string) {
+func (u *Client) learn(addresses []string) {
 	for _, a := range addresses {
 		if a != "" && len(u.keepers) < mostKeepers && !slices.Contains(u.keepers, a) {
 			u.keepers, u.members = append(u.keepers, a), 0
--- a/internal/uplink/incarnation_test.go
+++ b/internal/keeperclient/incarnation_test.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"testing"
@@ -15,7 +15,7 @@
 }
 
 // hear lets a router take a leader's list.
-func (u *Uplink) hear(t *testing.T, asked time.Time, list uint64, targets ...fleet.Instance) {
+func (u *Client) hear(t *testing.T, asked time.Time, list uint64, targets ...fleet.Instance) {
 	r := message.Renewal{Leads: true, Term: 1, Number: 1, List: list}
 	if targets != nil {
 		r.Roll = pack(t, targets)
--- a/internal/uplink/uplink.go
+++ b/internal/keeperclient/keeperclient.go
@@ -1,7 +1,7 @@
-// Package uplink is a router's side of its talk with the keepers: it renews the
+// Package keeperclient is a router's side of its talk with the keepers: it renews the
 // lease on accounts' keys and learns the configuration, the targets and the
 // keepers themselves. While no keeper leads it goes on with what it has.
-package uplink
+package keeperclient
 
 import (
 	"context"
@@ -63,8 +63,8 @@
 	Address() string
 }
 
-// An Uplink asks the keepers. Set the exported fields, then call Run.
-type Uplink struct {
+// An Client asks the keepers. Set the exported fields, then call Run.
+type Client struct {
 	Name  string
 	Zone  fleet.Zone
 	Inc   uint64
@@ -124,7 +124,7 @@
 }
 
 // State returns what is known now.
-func (u *Uplink) State() State {
+func (u *Client) State() State {
 	if s := u.state.Load(); s != nil {
 		return *s
 	}
@@ -132,7 +132,7 @@
 }
 
 // routed reports whether the configuration in force has a pool.
-func (u *Uplink) routed(pool string) bool {
+func (u *Client) routed(pool string) bool {
 	t := u.State().Table
 	if t == nil {
 		return true
@@ -143,17 +143,17 @@
 
 // Damaged returns how many damaged entries this router's own readings of the list have
 // held.
-func (u *Uplink) Damaged() uint64 {
+func (u *Client) Damaged() uint64 {
 	return u.damaged.Load()
 }
 
 // SetSeeds names the keepers that the settings tell of. It may be called at any
 // time; keepers learned from others stay known.
-func (u *Uplink) SetSeeds(addresses []string) {
+func (u *Client) SetSeeds(addresses []string) {
 	u.seeds.Store(&addresses)
 }
 
-func (u *Uplink) seedList() []string {
+func (u *Client) seedList() []string {
 	if s := u.seeds.Load(); s != nil {
 		return *s
 	}
@@ -161,7 +161,7 @@
 }
 
 // Run asks until ctx ends.
-func (u *Uplink) Run(ctx context.Context) error {
+func (u *Client) Run(ctx context.Context) error {
 	u.links = make(map[string]*rpc.Conn)
 	if u.List != nil {
 		u.notes.List = u.List.Address()
@@ -191,7 +191,7 @@
 
 // rest waits until a pause after a moment, or until something is to be told at once, but
 // for askPause at least.
-func (u *Uplink) rest(ctx context.Context, started time.Time, pause time.Duration) {
+func (u *Client) rest(ctx context.Context, started time.Time, pause time.Duration) {
 	end := started.Add(pause)
 	u.beat(max(pause, askPause))
 	sleep(ctx, askPause)
--- a/internal/uplink/uplink_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"context"
@@ -139,8 +139,8 @@
 	return s.targets
 }
 
-func newUplink(list *fakeList, seeds ...string) *Uplink {
-	u := &Uplink{
+func newUplink(list *fakeList, seeds ...string) *Client {
+	u := &Client{
 		Name: "r1", Inc: 1, Clock: clock.NewRealClock(), Log: hclog.NewNullLogger(), Lease: 4 * time.Second,
 		Decode: decodeNumber, List: list, Reads: 40,
 		Changed: func(State, []fleet.Instance) {},
@@ -151,7 +151,7 @@
 	return u
 }
 
-func runUplink(t *testing.T, u *Uplink) {
+func runUplink(t *testing.T, u *Client) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- u.Run(ctx) }()
@@ -161,7 +161,7 @@
 	})
 }
 
-func startUplink(t *testing.T, list *fakeList, seeds ...string) (*Uplink, *seenTargets) {
+func startUplink(t *testing.T, list *fakeList, seeds ...string) (*Client, *seenTargets) {
 	seen := &seenTargets{}
 	u := newUplink(list, seeds...)
 	u.Changed = func(_ State, targets []fleet.Instance) {
@@ -179,7 +179,7 @@
 	return data
 }
 
-func (u *Uplink) has(number uint64) func() bool {
+func (u *Client) has(number uint64) func() bool {
 	return func() bool {
 		s := u.State()
 		return s.Table != nil && s.Table.Number == number
--- a/internal/uplink/packed_test.go
+++ b/internal/keeperclient/packed_test.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"testing"
--- a/internal/uplink/restart_test.go
+++ b/internal/keeperclient/restart_test.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"math/rand/v2"
@@ -89,7 +89,7 @@
 	t       *testing.T
 	now     time.Duration
 	begin   time.Time
-	uplink  *Uplink
+	uplink  *Client
 	placer  placement.Placer
 	flights []flight
 
--- a/internal/uplink/round.go
+++ b/internal/keeperclient/round.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 // A round is one search for the leader's answer.
 type round struct {
-	uplink  *Uplink
+	uplink  *Client
 	replies chan reply
 	open    int // questions without a reply
 	count   int // questions
@@ -20,7 +20,7 @@
 	waiting map[string]*rpc.Conn // links over which a question has no reply
 }
 
-func newRound(u *Uplink) *round {
+func newRound(u *Client) *round {
 	return &round{
 		uplink: u, replies: make(chan reply, mostAsked), asked: make(map[string]bool), fresh: make(map[string]bool),
 		since: make(map[string]time.Time), waiting: make(map[string]*rpc.Conn),
--- a/internal/uplink/round_test.go
+++ b/internal/keeperclient/round_test.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 
 // silentKeepers returns a router's uplink to keepers that take connections and say
 // nothing.
-func silentKeepers(t *testing.T, count int) *Uplink {
-	u := &Uplink{
+func silentKeepers(t *testing.T, count int) *Client {
+	u := &Client{
 		Name: "r1", Clock: clock.NewRealClock(), Log: hclog.NewNullLogger(), Secret: rpc.Secret("0123456789abcdef"),
 		Load: func(time.Time) ([]message.Demand, []message.Backlog) { return nil, nil },
 	}
--- a/internal/uplink/search_test.go
+++ b/internal/keeperclient/search_test.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"fmt"
@@ -73,7 +73,7 @@
 }
 
 func TestHearsayOfKeepersIsBounded(t *testing.T) {
-	u := &Uplink{keepers: []string{"a"}}
+	u := &Client{keepers: []string{"a"}}
 	var list []string
 	for i := range 10 * mostKeepers {
 		list = append(list, fmt.Sprint("k", i))
--- a/internal/uplink/standstill.go
+++ b/internal/keeperclient/standstill.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"sync/atomic"
@@ -44,12 +44,12 @@
 
 // Informed reports whether this router knows what the fleet does as well as it can: it may
 // have to ask first, after a standstill of its process. It may be called at any time.
-func (u *Uplink) Informed(now time.Time) bool {
+func (u *Client) Informed(now time.Time) bool {
 	return u.pulse.informed(now)
 }
 
 // beat notes that the talk with the keepers goes on.
-func (u *Uplink) beat(pause time.Duration) {
+func (u *Client) beat(pause time.Duration) {
 	if now := u.Clock.Now(); u.pulse.beat(now, pause) {
 		u.Log.Warn("stood still: asking the keepers before new work is sent", "silent", now.Sub(u.renewed).Milliseconds())
 	}
--- a/internal/uplink/take.go
+++ b/internal/keeperclient/take.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 // take puts a leader's answer in force. The lease counts from when the question
 // was sent: the leader led after that moment, so a key that it still counted
 // was not yet withdrawn then, however late the answer is read.
-func (u *Uplink) take(asked time.Time, address string, mine []message.Backlog, r message.Renewal) {
+func (u *Client) take(asked time.Time, address string, mine []message.Backlog, r message.Renewal) {
 	if u.leader != address {
 		u.Log.Info("keepers: leader found", "leader", address, "term", r.Term, "number", r.Number)
 		u.leader, u.last = address, address
@@ -46,7 +46,7 @@
 
 // takeTable never goes back to a lower number: a leader always has the highest,
 // so a lower one comes from an answer that was overtaken.
-func (u *Uplink) takeTable(s *State, r message.Renewal) bool {
+func (u *Client) takeTable(s *State, r message.Renewal) bool {
 	if len(r.Text) == 0 || r.Number <= u.number() {
 		return false
 	}
@@ -66,7 +66,7 @@
 }
 
 // takeEvacuations never goes back to a lower revision, for the same reason.
-func (u *Uplink) takeEvacuations(s *State, r message.Renewal) bool {
+func (u *Client) takeEvacuations(s *State, r message.Renewal) bool {
 	if r.Evacuations == nil || r.Evacuations.Revision <= s.Evacuated.Revision {
 		return false
 	}
@@ -75,7 +75,7 @@
 	return true
 }
 
-func (u *Uplink) takeWarming(asked time.Time, r message.Renewal) {
+func (u *Client) takeWarming(asked time.Time, r message.Renewal) {
 	if u.Seat != nil {
 		u.Seat(asked, r.Seat)
 	}
@@ -92,7 +92,7 @@
 
 // takeSent keeps the list of targets that the keepers sent last: what follows refers
 // to its order, whichever list this router goes by.
-func (u *Uplink) takeSent(r message.Renewal) {
+func (u *Client) takeSent(r message.Renewal) {
 	list := r.Targets
 	if len(r.Roll) > 0 {
 		var err error
@@ -107,7 +107,7 @@
 }
 
 // takeLoads hands on what all other routers report.
-func (u *Uplink) takeLoads(mine []message.Backlog, r message.Renewal) {
+func (u *Client) takeLoads(mine []message.Backlog, r message.Renewal) {
 	demand, backlog := r.Demand, r.Backlog
 	if len(r.Loads) > 0 {
 		loads, err := packed.UnpackJSON[message.Loads](r.Loads)
@@ -127,7 +127,7 @@
 
 // nameAccounts keeps the accounts that the leader names, and puts them in where it leaves them
 // out. Demands whose accounts are not known are left out by quota.Rows.
-func (u *Uplink) nameAccounts(l *message.Loads) {
+func (u *Client) nameAccounts(l *message.Loads) {
 	switch {
 	case len(l.Accounts) > 0:
 		u.accounts, u.names = l.Accounts, l.Names
@@ -156,7 +156,7 @@
 	return s.number != 0 && s.term == r.Term && s.number == r.List
 }
 
-func (u *Uplink) takeList(asked time.Time, r message.Renewal) bool {
+func (u *Client) takeList(asked time.Time, r message.Renewal) bool {
 	if r.List == 0 {
 		return false
 	}
@@ -171,7 +171,7 @@
 	return u.takeTargets("keepers", readAt, u.sent.listing())
 }
 
-func (u *Uplink) takeTargets(source string, readAt time.Time, listing fleet.Listing) bool {
+func (u *Client) takeTargets(source string, readAt time.Time, listing fleet.Listing) bool {
 	before := u.roster.Targets()
 	if !u.roster.Take(readAt, listing) {
 		return false
@@ -196,7 +196,7 @@
 
 // readList reads the platform's list when the keepers bring no fresh one: a
 // target that leaves must get no new work even then.
-func (u *Uplink) readList(ctx context.Context) {
+func (u *Client) readList(ctx context.Context) {
 	now := u.Clock.Now()
 	if u.List == nil || now.Sub(u.roster.ReadAt()) < listPatience || now.Sub(u.readOwn) < u.ownPeriod() {
 		return
@@ -222,7 +222,7 @@
 }
 
 // ownPeriod spreads the reads of all routers over what the platform takes.
-func (u *Uplink) ownPeriod() time.Duration {
+func (u *Client) ownPeriod() time.Duration {
 	routers := float64(max(u.State().Routers, 1))
 	spread := time.Duration(routers / (ownReads * max(u.Reads, 1)) * float64(time.Second))
 	return max(spread, leastOwnPeriod)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -13,11 +13,11 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/gateway"
+	"laburnumfall/internal/keeperclient"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
-	"laburnumfall/internal/uplink"
 )
 
 // A Service serves the routes of one router. Set the exported fields, then call
@@ -33,11 +33,11 @@
 	// Decode reads a configuration as the keepers keep it.
 	Decode func(text []byte) (*fleet.Table, error)
 	// List is the platform's list of targets; nil where configurations list them.
-	List   uplink.TargetList
+	List   keeperclient.TargetList
 	Meters *gateway.Meters
 
 	gateway gateway.Gateway
-	uplink  uplink.Uplink
+	uplink  keeperclient.Client
 }
 
 // DecodeConfig reads a configuration of the product's own form.
