--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -104,9 +104,9 @@
 	}
 	switch {
 	case r.Surplus && !r.Sent:
-		return nil, d.refusal(now, r, choice, fleet.ReasonCrowded, Moment)
-	case choice.Wait > min(r.Route.Patience(), r.Until.Sub(now)):
-		return nil, d.refusal(now, r, choice, fleet.ReasonBehind, max(choice.Wait-r.Route.Aim, Soon))
+		return nil, d.refusal(now, r, choice, fleet.ReasonServiceOverloaded, Moment)
+	case choice.Wait > min(r.Route.AbandonAfter(), r.Until.Sub(now)):
+		return nil, d.refusal(now, r, choice, fleet.ReasonWaitTooLong, max(choice.Wait-r.Route.LatencyObjective, Soon))
 	case !r.Within && !r.Sent && !d.lets(now, r, choice):
 		return nil, d.refusal(now, r, choice, fleet.ReasonOverShare, d.Return.Back(now, d.Shares, r))
 	}
@@ -122,7 +122,7 @@
 func (d Desk) noTarget(now time.Time, pool string) *Refusal {
 	switch evacuated, warming := d.Placer.Shut(now, pool); {
 	case evacuated:
-		return &Refusal{Reason: fleet.ReasonEvacuated, Back: While}
+		return &Refusal{Reason: fleet.ReasonAllEvacuated, Back: While}
 	case warming:
 		return &Refusal{Reason: fleet.ReasonWarming, Back: Moment}
 	default:
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -22,7 +22,7 @@
 	return d
 }
 
-var route = &fleet.Route{Kind: fleet.RouteStream, Aim: time.Second, Timeout: 10 * time.Second, Pause: 300 * time.Millisecond, Attempts: 1, Cached: true}
+var route = &fleet.Route{Kind: fleet.RouteStream, LatencyObjective: time.Second, Timeout: 10 * time.Second, MaxEventGap: 300 * time.Millisecond, MaxAttempts: 1, PrefixCached: true}
 
 func request(tokens int) Request {
 	return Request{
@@ -42,10 +42,10 @@
 	}{
 		"room":                       {0, request(100), "", 0, 0},
 		"within its share, late":     {45000, within(request(100)), "", 0, 0},
-		"within, but would leave":    {120000, within(request(100)), fleet.ReasonBehind, time.Second, 5 * time.Second},
-		"beyond its share, no room":  {30000, request(100), fleet.ReasonOverShare, Soon, route.Aim / backPart},
+		"within, but would leave":    {120000, within(request(100)), fleet.ReasonWaitTooLong, time.Second, 5 * time.Second},
+		"beyond its share, no room":  {30000, request(100), fleet.ReasonOverShare, Soon, route.LatencyObjective / backPart},
 		"beyond, but was sent":       {30000, func() Request { r := request(100); r.Sent = true; return r }(), "", 0, 0},
-		"surplus of a plain service": {0, func() Request { r := request(0); r.Surplus = true; return r }(), fleet.ReasonCrowded, Moment, Moment},
+		"surplus of a plain service": {0, func() Request { r := request(0); r.Surplus = true; return r }(), fleet.ReasonServiceOverloaded, Moment, Moment},
 		"no target":                  {0, func() Request { r := request(1); r.Place.Pool = "q"; return r }(), fleet.ReasonNoTarget, Moment, Moment},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -80,10 +80,10 @@
 	require.Nil(t, no)
 	d.Shares.Ask(start, "x", 5000)
 	d.Shares.Spend(start, "x", 5000)
-	require.Greater(t, d.Shares.Wait(start, "x"), route.Aim)
+	require.Greater(t, d.Shares.Wait(start, "x"), route.LatencyObjective)
 	_, no = d.Decide(start, request(100))
 	require.Equal(t, fleet.ReasonOverShare, no.Reason)
-	require.LessOrEqual(t, no.Back, route.Aim/backPart)
+	require.LessOrEqual(t, no.Back, route.LatencyObjective/backPart)
 }
 
 // roomOf returns whether the rule of room lets an account's request in by its wait and the
@@ -103,7 +103,7 @@
 // the one that has less.
 func TestTheAccountThatHasLessFindsMoreRoom(t *testing.T) {
 	shares := &quota.Shares{Capacity: 1000}
-	room := roomOf(shares, &fleet.Route{Aim: time.Second})
+	room := roomOf(shares, &fleet.Route{LatencyObjective: time.Second})
 	demand := func(served float64) []message.Demand {
 		return []message.Demand{{Account: "well", Rate: 5000, Served: 900}, {Account: "ill", Rate: 900, Served: served}}
 	}
@@ -123,7 +123,7 @@
 // other one did not count.
 func TestAnAccountBetweenTwoOthersIsHeldAgainstBoth(t *testing.T) {
 	shares := &quota.Shares{Capacity: 1000}
-	room := roomOf(shares, &fleet.Route{Aim: time.Second})
+	room := roomOf(shares, &fleet.Route{LatencyObjective: time.Second})
 	shares.SetFleet([]message.Demand{
 		{Account: "well", Rate: 5000, Served: 900}, {Account: "middle", Rate: 5000, Served: 400}, {Account: "ill", Rate: 640, Served: 250},
 	})
@@ -144,7 +144,7 @@
 // any caller waits, so nothing was sent, and nothing showed otherwise.
 func TestARouterThatStoodStillServesAgain(t *testing.T) {
 	const stood = 9 * time.Second
-	plain := &fleet.Route{Kind: fleet.RouteIdempotent, Aim: 500 * time.Millisecond, Timeout: 2 * time.Second, Attempts: 1}
+	plain := &fleet.Route{Kind: fleet.RouteIdempotent, LatencyObjective: 500 * time.Millisecond, Timeout: 2 * time.Second, MaxAttempts: 1}
 	ask := func(now time.Time) Request {
 		return Request{Place: placement.Request{Pool: "p"}, Route: plain, Account: "x", Until: now.Add(plain.Timeout), Within: true}
 	}
@@ -162,7 +162,7 @@
 	}
 	c, no := d.Decide(woken, ask(woken))
 	require.Nil(t, no)
-	require.Less(t, c.Wait, plain.Aim, "one standstill is not how long it takes")
+	require.Less(t, c.Wait, plain.LatencyObjective, "one standstill is not how long it takes")
 
 	// A service that is slow indeed is believed, and tried again once nobody knows any more.
 	const step, work = 100 * time.Millisecond, 4 * time.Second
@@ -181,7 +181,7 @@
 		sent[now] = c
 	}
 	require.NotNil(t, slow, "it is known to be slow")
-	require.Equal(t, fleet.ReasonBehind, slow.Reason)
+	require.Equal(t, fleet.ReasonWaitTooLong, slow.Reason)
 	later := now.Add(30 * time.Second)
 	_, no = d.Decide(later, ask(later))
 	require.Nil(t, no, "that was long ago")
--- a/internal/admission/back.go
+++ b/internal/admission/back.go
@@ -19,5 +19,5 @@
 
 // Back implements Return.
 func (InTime) Back(now time.Time, s *quota.Shares, r Request) time.Duration {
-	return max(min(s.Wait(now, r.Account), r.Route.Aim/backPart), Soon)
+	return max(min(s.Wait(now, r.Account), r.Route.LatencyObjective/backPart), Soon)
 }
--- a/internal/admission/back_test.go
+++ b/internal/admission/back_test.go
@@ -22,7 +22,7 @@
 		d.Shares.Ask(start, "x", 5000)
 		d.Shares.Spend(start, "x", 5000)
 		r := request(100)
-		r.Route = &fleet.Route{Kind: fleet.RouteStream, Aim: aim, Timeout: 10 * time.Second, Pause: 300 * time.Millisecond, Attempts: 1, Cached: true}
+		r.Route = &fleet.Route{Kind: fleet.RouteStream, LatencyObjective: aim, Timeout: 10 * time.Second, MaxEventGap: 300 * time.Millisecond, MaxAttempts: 1, PrefixCached: true}
 		_, no = d.Decide(start, r)
 		require.Equal(t, fleet.ReasonOverShare, no.Reason)
 		require.LessOrEqual(t, no.Back, aim/2, "half of the aim is left for the answer")
--- a/internal/admission/brief.go
+++ b/internal/admission/brief.go
@@ -20,5 +20,5 @@
 
 // Lets implements Rule.
 func (Brief) Lets(_ time.Time, _ *quota.Shares, r Request, c *placement.Choice) bool {
-	return c.Wait <= r.Route.Aim/briefPart && c.Load <= roomLoad
+	return c.Wait <= r.Route.LatencyObjective/briefPart && c.Load <= roomLoad
 }
--- a/internal/admission/room.go
+++ b/internal/admission/room.go
@@ -51,7 +51,7 @@
 	for _, scale := range m.Scales {
 		part = scale.Scale(now, s, r.Account, part)
 	}
-	room := time.Duration(float64(r.Route.Aim/roomPart) * part)
+	room := time.Duration(float64(r.Route.LatencyObjective/roomPart) * part)
 	wait := c.Wait
 	if begins := c.Wait - c.Own; r.owed && begins <= room/beginPart {
 		wait = begins
--- a/internal/cmd/ctlcmd.go
+++ b/internal/cmd/ctlcmd.go
@@ -85,7 +85,7 @@
 		return exitNoQuorum
 	case fleet.KindConflict:
 		return exitConflict
-	case fleet.KindConfig, fleet.KindMalformed:
+	case fleet.KindInvalidConfig, fleet.KindMalformed:
 		return exitUsage
 	default:
 		return exitPolicy
--- a/internal/cmd/localcmd.go
+++ b/internal/cmd/localcmd.go
@@ -140,7 +140,7 @@
 	for _, kind := range []fleet.TargetKind{fleet.TargetEngine, fleet.TargetService} {
 		s := &standin.Standin{Settings: standin.Settings{
 			Name: string(kind) + "-1", Listen: "127.0.0.1:0", Kind: kind,
-			Tokens: localTokens, Pace: fleet.Span(localPace), Delay: fleet.Span(localPace),
+			Tokens: localTokens, Pace: fleet.Duration(localPace), Delay: fleet.Duration(localPace),
 		}}
 		address, err := s.Listen()
 		if err != nil {
@@ -209,8 +209,8 @@
 		},
 		Pools: []fleet.PoolSpec{{Name: "viewers", Targets: []string{l.targets[1].Name}}},
 		Routes: []fleet.RouteSpec{{
-			Name: "sheets", Host: localHost, Prefix: "/sheets/", Kind: fleet.RouteIdempotent, Timeout: fleet.Span(localTimeout),
-			Attempts: 2, Pools: []fleet.PoolPart{{Pool: "viewers", Weight: 1}},
+			Name: "sheets", Host: localHost, Prefix: "/sheets/", Kind: fleet.RouteIdempotent, Timeout: fleet.Duration(localTimeout),
+			MaxAttempts: 2, Pools: []fleet.PoolWeightSpec{{Pool: "viewers", Weight: 1}},
 		}},
 	}
 	secret, err := os.ReadFile(l.secret)
--- a/internal/cmd/showcmd.go
+++ b/internal/cmd/showcmd.go
@@ -119,7 +119,7 @@
 func describe(c fleet.Config) []string {
 	var lines []string
 	for _, a := range c.Accounts {
-		lines = append(lines, fmt.Sprintf("account %s share=%v keys=%d [%s] queue=%d", a.Name, a.Share, len(a.Keys), strings.Join(a.Keys, " "), a.QueueBound()))
+		lines = append(lines, fmt.Sprintf("account %s share=%v keys=%d [%s] queue=%d", a.Name, a.Share, len(a.Keys), strings.Join(a.Keys, " "), a.EffectiveQueueLimit()))
 	}
 	for _, t := range c.Targets {
 		lines = append(lines, fmt.Sprintf("target %s address=%s zone=%s kind=%s slots=%d fenced=%t state=%s", t.Name, t.Address, t.Zone, t.Kind, t.Slots, t.Fenced, t.State))
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -40,11 +40,11 @@
 func (s *Scheduler) checkEvent(now time.Time, e *event, p *pending) *Refuse {
 	switch {
 	case e == nil:
-		return unrun(time.Time{}, fleet.KindEvent, "name an event of the configuration in force", "there is no event %q", p.Event)
+		return unrun(time.Time{}, fleet.KindEventUnavailable, "name an event of the configuration in force", "there is no event %q", p.Event)
 	case !e.Admits(p.Account):
-		return unrun(time.Time{}, fleet.KindAccount, "have the account added to the event", "account %q is not in event %q", p.Account, p.Event)
+		return unrun(time.Time{}, fleet.KindAccountNotAdmitted, "have the account added to the event", "account %q is not in event %q", p.Account, p.Event)
 	case !e.End.IsZero() && !now.Before(e.End):
-		return unrun(time.Time{}, fleet.KindEvent, "name an event that is open", "event %q has ended", p.Event)
+		return unrun(time.Time{}, fleet.KindEventUnavailable, "name an event that is open", "event %q has ended", p.Event)
 	case !e.Open(now):
 		return unrun(e.Start, fleet.KindNoTarget, "come back when the event starts", "event %q starts at %s", p.Event, e.Start)
 	case !e.served():
@@ -90,6 +90,6 @@
 		"this router has no lease from the keepers")
 }
 
-func unrun(retryAt time.Time, kind fleet.Kind, remedy, format string, args ...any) *Refuse {
-	return &Refuse{Err: fleet.NewError(kind, remedy, format, args...), Outcome: fleet.OutcomeUnrun, RetryAt: retryAt}
+func unrun(retryAt time.Time, kind fleet.ErrorKind, remedy, format string, args ...any) *Refuse {
+	return &Refuse{Err: fleet.NewError(kind, remedy, format, args...), Outcome: fleet.OutcomeNotRun, RetryAt: retryAt}
 }
--- a/internal/dispatch/agenda_test.go
+++ b/internal/dispatch/agenda_test.go
@@ -58,7 +58,7 @@
 	e := fleet.Event{Name: "e"}
 	for i, s := range shares {
 		name := fmt.Sprintf("a%02d", i)
-		c.Accounts = append(c.Accounts, fleet.Account{Name: name, Share: s, Queue: 1 << 20})
+		c.Accounts = append(c.Accounts, fleet.Account{Name: name, Share: s, QueueLimit: 1 << 20})
 		e.Accounts = append(e.Accounts, name)
 	}
 	for i, n := range slots {
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -168,12 +168,12 @@
 func (s *Scheduler) refuseClaim(now time.Time, p *pending, v message.Verdict, lost bool) {
 	switch {
 	case p.gone:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(p, unrun(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case lost || v.Granted:
 		s.refuse(p, s.noLease(now))
 	case v.Full:
 		p.attempt = 0
-		s.refuse(p, unrun(now.Add(claimsFullPause), fleet.KindFull, "come back later, or send it as repeatable",
+		s.refuse(p, unrun(now.Add(claimsFullPause), fleet.KindCapacityExhausted, "come back later, or send it as repeatable",
 			"the keepers hold as many claims as they may"))
 	default:
 		p.attempt = 0
@@ -280,7 +280,7 @@
 	case e.Answered:
 		s.drop(p, message.FateUnknown)
 	case p.gone:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(p, unrun(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case s.mayRetry(now, p, e):
 		p.avoid = p.target
 		p.target = ""
@@ -291,7 +291,7 @@
 		s.drop(p, message.FateUnknown)
 		s.act(Refuse{
 			ID: p.ID, Outcome: fleet.OutcomeUnknown,
-			Err: fleet.NewError(fleet.KindTarget, "ask the target's operators; send a repeatable request again",
+			Err: fleet.NewError(fleet.KindTargetFailed, "ask the target's operators; send a repeatable request again",
 				"target %s failed after it was sent the request", p.target),
 		})
 	}
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -121,7 +121,7 @@
 		p := s.requests[id]
 		e := s.events[p.Event]
 		if e == nil || !e.Admits(p.Account) {
-			s.refuse(p, unrun(time.Time{}, fleet.KindEvent, "name an event of the configuration in force",
+			s.refuse(p, unrun(time.Time{}, fleet.KindEventUnavailable, "name an event of the configuration in force",
 				"event %q no longer takes account %q", p.Event, p.Account))
 		}
 	}
--- a/internal/dispatch/once_test.go
+++ b/internal/dispatch/once_test.go
@@ -153,7 +153,7 @@
 			sum.ran++
 		case r.refused == nil:
 			sum.unknown++ // the caller's connection broke
-		case r.refused.Outcome == fleet.OutcomeUnrun:
+		case r.refused.Outcome == fleet.OutcomeNotRun:
 			sum.unrun++
 			require.Zero(t, r.runs, "seed %d: request %d was told unrun (%v) and ran", seed, r.ID, r.refused.Err)
 		case r.refused.Outcome == fleet.OutcomeRan:
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -37,7 +37,7 @@
 }
 
 func heldBack(back time.Time, ends int) *Refuse {
-	return unrun(back, fleet.KindHeld, "send other work; ask the operators about this request (lfctl held)",
+	return unrun(back, fleet.KindQuarantined, "send other work; ask the operators about this request (lfctl held)",
 		"%d targets have ended under this request", ends)
 }
 
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -46,8 +46,8 @@
 	s.Arrive(epoch, alike(1))
 	refused := find[dispatch.Refuse](s)
 	require.Len(t, refused, 1, "at once")
-	require.Equal(t, fleet.KindHeld, refused[0].Err.Kind)
-	require.Equal(t, fleet.OutcomeUnrun, refused[0].Outcome)
+	require.Equal(t, fleet.KindQuarantined, refused[0].Err.Kind)
+	require.Equal(t, fleet.OutcomeNotRun, refused[0].Outcome)
 	require.Equal(t, epoch.Add(5*time.Second), refused[0].RetryAt)
 	s.Arrive(epoch, request1(2))
 	require.Len(t, find[dispatch.Send](s), 1, "other work goes on")
@@ -94,12 +94,12 @@
 func TestAParkedRequestEnds(t *testing.T) {
 	for name, tt := range map[string]struct {
 		do   func(s *dispatch.Scheduler)
-		kind fleet.Kind
+		kind fleet.ErrorKind
 	}{
-		"no word":     {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(time.Second)) }, fleet.KindHeld},
+		"no word":     {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(time.Second)) }, fleet.KindQuarantined},
 		"stop":        {func(s *dispatch.Scheduler) { s.Stop(epoch.Add(time.Millisecond)) }, fleet.KindStopping},
 		"no lease":    {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(3 * time.Second)) }, fleet.KindNoLease},
-		"caller left": {func(s *dispatch.Scheduler) { s.Abandon(epoch.Add(time.Millisecond), 1) }, fleet.KindGone},
+		"caller left": {func(s *dispatch.Scheduler) { s.Abandon(epoch.Add(time.Millisecond), 1) }, fleet.KindCallerLeft},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := guarded(quarantine.Ruling{Print: heldPrint, Ends: 2})
@@ -109,7 +109,7 @@
 			refused := find[dispatch.Refuse](s)
 			require.Len(t, refused, 1)
 			require.Equal(t, tt.kind, refused[0].Err.Kind)
-			require.Equal(t, fleet.OutcomeUnrun, refused[0].Outcome)
+			require.Equal(t, fleet.OutcomeNotRun, refused[0].Outcome)
 			require.True(t, s.Idle())
 		})
 	}
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -188,10 +188,10 @@
 	p.gone = true
 	switch p.phase {
 	case phaseWaiting:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(p, unrun(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 		s.pump(now)
 	case phaseParked:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(p, unrun(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case phaseRunning:
 		s.act(Cancel{ID: id})
 	case phaseClaiming:
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -63,7 +63,7 @@
 			require.Fail(t, "sent without a lease")
 		case dispatch.Refuse:
 			refused = true
-			require.Equal(t, fleet.OutcomeUnrun, a.Outcome)
+			require.Equal(t, fleet.OutcomeNotRun, a.Outcome)
 			require.False(t, a.RetryAt.IsZero())
 		case dispatch.Settle:
 			settled = true
@@ -147,13 +147,13 @@
 	refusals := find[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.KindDeadline, refusals[0].Err.Kind)
-	require.Equal(t, fleet.OutcomeUnrun, refusals[0].Outcome)
+	require.Equal(t, fleet.OutcomeNotRun, refusals[0].Outcome)
 	require.True(t, refusals[0].RetryAt.After(r.Deadline))
 }
 
 func TestFullQueueSaysWhenToComeBack(t *testing.T) {
 	c := configOf([]float64{1}, []int{1})
-	c.Accounts[0].Queue = 3
+	c.Accounts[0].QueueLimit = 3
 	s := leased(c, 1)
 	for id := range uint64(5) {
 		s.Arrive(epoch, request1(id+1))
@@ -296,7 +296,7 @@
 	s.Claimed(at, 3, message.Verdict{}, true)
 	refusals := find[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
-	require.Equal(t, fleet.OutcomeUnrun, refusals[0].Outcome)
+	require.Equal(t, fleet.OutcomeNotRun, refusals[0].Outcome)
 	s.Ended(at, 4, dispatch.End{Sent: true, Answered: true, Whole: true, Cost: 1})
 	sends = find[dispatch.Send](s)
 	require.Len(t, sends, 1, "claimed once, sent once")
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -44,7 +44,7 @@
 	case end.Message == messageEnd:
 		return Cause{Why: fmt.Sprintf("target %s answered %d", end.Target, end.Status), Look: "the target's own log"}
 	}
-	reason, broken := strings.CutPrefix(string(end.Reason), string(fleet.ReasonBrokenOff))
+	reason, broken := strings.CutPrefix(string(end.Reason), string(fleet.ReasonTruncatedPrefix))
 	tell, ok := causes[fleet.Reason(reason)]
 	if !ok {
 		return Cause{Why: "unknown reason: " + reason, Look: "the lines above"}
@@ -68,58 +68,58 @@
 
 // causes has one entry for each reason.
 var causes = map[fleet.Reason]tell{
-	fleet.ReasonAnswered:     {answered, "the target's other attempts; its own log"},
-	fleet.ReasonBadBody:      {withError("its body could not be read"), "the caller"},
-	fleet.ReasonBehind:       {behind, "send lines of that pool: queue and load at each target"},
-	fleet.ReasonBrokenAnswer: {lost("the answer ended early"), "the target: did it stop, or was its zone cut off?"},
-	fleet.ReasonBrokenStream: {lost("the stream ended early"), "the target: did it stop, or was its zone cut off?"},
-	fleet.ReasonCallerLeft:   {left, "the caller's own time limit"},
-	fleet.ReasonCallerTookNone: {
+	fleet.ReasonAnswered:        {answered, "the target's other attempts; its own log"},
+	fleet.ReasonBodyReadFailed:  {withError("its body could not be read"), "the caller"},
+	fleet.ReasonWaitTooLong:     {behind, "send lines of that pool: queue and load at each target"},
+	fleet.ReasonAnswerTruncated: {lost("the answer ended early"), "the target: did it stop, or was its zone cut off?"},
+	fleet.ReasonStreamTruncated: {lost("the stream ended early"), "the target: did it stop, or was its zone cut off?"},
+	fleet.ReasonCallerLeft:      {left, "the caller's own time limit"},
+	fleet.ReasonAnswerWriteFailed: {
 		withError("the answer was there, and the caller's connection took it no more"), "the caller, and the way to it",
 	},
-	fleet.ReasonCallerTookNoMore: {
+	fleet.ReasonStreamWriteFailed: {
 		withError("the caller's connection took no more of the stream"), "the caller, and the way to it",
 	},
-	fleet.ReasonClosed: {
+	fleet.ReasonTargetClosed: {
 		always("its target was evacuated, or became cold, while the request was on its way there"), "evacuated zones changed, targets changed",
 	},
-	fleet.ReasonCrowded: {crowded, "how many targets the pool has (targets changed), and what its routes ask for"},
-	fleet.ReasonEvacuated: {
+	fleet.ReasonServiceOverloaded: {crowded, "how many targets the pool has (targets changed), and what its routes ask for"},
+	fleet.ReasonAllEvacuated: {
 		always("all targets of its pool lie in evacuated zones"), "lfctl status: the evacuated zones; docs/operators/evacuate.md",
 	},
-	fleet.ReasonFailed: {lost("the target answered with a failure"), "the target's own log"},
-	fleet.ReasonFullMemory: {
+	fleet.ReasonTargetFailed: {lost("the target answered with a failure"), "the target's own log"},
+	fleet.ReasonBodyMemoryFull: {
 		always("bodies of requests in progress filled an eighth of the router's memory"), "who sends large bodies, and whether targets are slow",
 	},
-	fleet.ReasonGraceOver: {
+	fleet.ReasonGraceExpired: {
 		always("the router was stopping, and the request was still in progress when the grace ended"), "stopping and stopped lines: until, active",
 	},
-	fleet.ReasonHeldBack: {
+	fleet.ReasonQuarantined: {
 		heldBack,
 		"quarantine and cut by the target lines with its print; lfctl held, lfctl lift",
 	},
-	fleet.ReasonLargeBody: {always("its body is larger than the configuration's limit"), "the configuration's limits of callers"},
-	fleet.ReasonLateBody:  {withError("its body did not come whole before its time was up"), "the caller, and the way to it"},
-	fleet.ReasonNoAnswer:  {lost("the target gave no answer"), "the target: did it stop, or was its zone cut off?"},
-	fleet.ReasonMoved:     {moved, "the target's start; targets changed: its age"},
+	fleet.ReasonBodyTooLarge:   {always("its body is larger than the configuration's limit"), "the configuration's limits of callers"},
+	fleet.ReasonBodyIncomplete: {withError("its body did not come whole before its time was up"), "the caller, and the way to it"},
+	fleet.ReasonNoAnswer:       {lost("the target gave no answer"), "the target: did it stop, or was its zone cut off?"},
+	fleet.ReasonAddressReused:  {moved, "the target's start; targets changed: its age"},
 	fleet.ReasonNoConfig: {
 		always("the router had just started and had no configuration, or no target, yet"), "start, configuration in force and targets changed lines",
 	},
 	fleet.ReasonNoConnection: {lost("no connection to the target"), "targets changed: its age"},
-	fleet.ReasonNoKeys: {
+	fleet.ReasonKeysUnverifiable: {
 		noKeys,
 		"keepers: no leader found; leading and no longer leading at the keepers",
 	},
-	fleet.ReasonNoRoute:     {always("the configuration in force has no route for its host and path"), "configuration in force: its number"},
-	fleet.ReasonNoTarget:    {always("the pool had no target that takes new work"), "targets changed: how many leave"},
-	fleet.ReasonOverShare:   {overShare, "other accounts' done lines: who else was refused, and who served"},
-	fleet.ReasonStopping:    {stopping, "stopping: since when; the balancer's readiness checks"},
-	fleet.ReasonStreamStuck: {lost("the stream broke off, and the next target could not go on with it"), "send lines: after"},
-	fleet.ReasonTimeUp:      {timeUp, "the attempts: which one took the time"},
-	fleet.ReasonUnknownKey:  {always("no account of the configuration in force has its key"), "configuration in force: its number"},
-	fleet.ReasonUnreached:   {lost("no connection to several targets in a row"), "targets changed: its age; is the router's zone cut off?"},
-	fleet.ReasonUnrun:       {unrun, "the target's load in the send lines"},
-	fleet.ReasonUnsigned:    {lost("the answer bore no signature of the target"), "what listens at the target's address"},
+	fleet.ReasonNoRoute:            {always("the configuration in force has no route for its host and path"), "configuration in force: its number"},
+	fleet.ReasonNoTarget:           {always("the pool had no target that takes new work"), "targets changed: how many leave"},
+	fleet.ReasonOverShare:          {overShare, "other accounts' done lines: who else was refused, and who served"},
+	fleet.ReasonStopping:           {stopping, "stopping: since when; the balancer's readiness checks"},
+	fleet.ReasonStreamNotResumable: {lost("the stream broke off, and the next target could not go on with it"), "send lines: after"},
+	fleet.ReasonDeadlineExceeded:   {timeUp, "the attempts: which one took the time"},
+	fleet.ReasonUnknownKey:         {always("no account of the configuration in force has its key"), "configuration in force: its number"},
+	fleet.ReasonNoTargetReachable:  {lost("no connection to several targets in a row"), "targets changed: its age; is the router's zone cut off?"},
+	fleet.ReasonNotRun:             {unrun, "the target's load in the send lines"},
+	fleet.ReasonUnsigned:           {lost("the answer bore no signature of the target"), "what listens at the target's address"},
 	fleet.ReasonWarming: {
 		always("all targets of its pool that are not evacuated were cold, and had what they may get"), "targets changed: how many started anew; docs/operators/evacuate.md",
 	},
@@ -177,7 +177,7 @@
 }
 
 func crowded(s *Story, _ *Line) string {
-	all, unrun := s.Pool.All(), s.Pool[fleet.AttemptUnrun]
+	all, unrun := s.Pool.All(), s.Pool[fleet.AttemptNotRun]
 	text := "its service was asked for more than it can do, and the request was kept back as surplus of its account or route"
 	if all > 0 {
 		text += fmt.Sprintf(": of %d attempts there around that time, it refused %d", all, unrun)
@@ -192,7 +192,7 @@
 			text += fmt.Sprintf("; it had found none for %.1f s", end.At.Sub(l.At).Seconds())
 		}
 	}
-	lack, served := s.Others[fleet.ReasonNoKeys], s.Others[fleet.ReasonAnswered]
+	lack, served := s.Others[fleet.ReasonKeysUnverifiable], s.Others[fleet.ReasonAnswered]
 	switch {
 	case served > 0 && lack*10 < served:
 		text += fmt.Sprintf("; other routers served %d requests meanwhile and refused %d for that: this router was cut off from the keepers", served, lack)
@@ -243,13 +243,13 @@
 			text += fmt.Sprintf("; the router had heard of the last change %.1f s before", end.At.Sub(l.At).Seconds())
 		}
 	}
-	return text + fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", s.Pool.All(), s.Pool[fleet.AttemptMoved])
+	return text + fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", s.Pool.All(), s.Pool[fleet.AttemptAddressReused])
 }
 
 func unrun(s *Story, end *Line) string {
 	text := fmt.Sprintf("the targets that it was sent to (%d) said that they had no room for it", end.Sent)
 	if last := s.Last(); last != nil {
-		text += fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", s.Pool.All(), s.Pool[fleet.AttemptUnrun])
+		text += fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", s.Pool.All(), s.Pool[fleet.AttemptNotRun])
 	}
 	return text
 }
@@ -305,5 +305,5 @@
 
 // failed counts the attempts that a target is to blame for.
 func (c Count) failed() int {
-	return c[fleet.AttemptMoved] + c[fleet.AttemptBroken] + c[fleet.AttemptFailure] + c[fleet.AttemptNoAnswer] + c[fleet.AttemptUnreached] + c[fleet.AttemptUnsigned]
+	return c[fleet.AttemptAddressReused] + c[fleet.AttemptTruncated] + c[fleet.AttemptTargetFailed] + c[fleet.AttemptNoAnswer] + c[fleet.AttemptConnectFailed] + c[fleet.AttemptUnsigned]
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -108,8 +108,8 @@
 		reason, err := strconv.Unquote(literal.Value)
 		require.NoError(t, err)
 		count++
-		if fleet.Reason(reason) == fleet.ReasonBrokenOff {
-			reason += string(fleet.ReasonBrokenStream)
+		if fleet.Reason(reason) == fleet.ReasonTruncatedPrefix {
+			reason += string(fleet.ReasonStreamTruncated)
 		}
 		story := explain.Story{ID: "mine", Lines: []explain.Line{{Message: "done", Reason: fleet.Reason(reason)}}}
 		require.NotContains(t, story.Cause().Why, "unknown reason", reason)
@@ -147,7 +147,7 @@
 // A request that is held back is explained by the ends under it, and by whose it is.
 func TestWhyARequestIsHeldBack(t *testing.T) {
 	story := explain.Story{Lines: []explain.Line{{
-		Message: "done", Reason: fleet.ReasonHeldBack, Status: 503, Ends: 3, Print: "e5Ym0IaA-ksrL0NoekFNyg",
+		Message: "done", Reason: fleet.ReasonQuarantined, Status: 503, Ends: 3, Print: "e5Ym0IaA-ksrL0NoekFNyg",
 	}}}
 	cause := story.Cause()
 	require.Contains(t, cause.Why, "3 targets have ended under requests like it")
@@ -189,7 +189,7 @@
 	require.NoError(t, os.WriteFile(file, []byte(lines), 0o600))
 	story, err := explain.Find("mine", []explain.Source{explain.File(file)})
 	require.NoError(t, err)
-	require.Equal(t, 1, story.Targets[explain.Run{ID: "t", Born: 1000}].All(), "the next run's attempts are not its own")
+	require.Equal(t, 1, story.Targets[explain.Run{ID: "t", StartMillis: 1000}].All(), "the next run's attempts are not its own")
 	text, err := json.Marshal(story)
 	require.NoError(t, err)
 	require.Contains(t, string(text), `"t (started 00:00:01.000)":{"no answer":1}`)
@@ -201,11 +201,11 @@
 		want   string
 		others explain.Ends
 	}{
-		{"this router was cut off", explain.Ends{fleet.ReasonAnswered: 100, fleet.ReasonNoKeys: 2}},
-		{"nobody led the keepers", explain.Ends{fleet.ReasonAnswered: 10, fleet.ReasonNoKeys: 50}},
+		{"this router was cut off", explain.Ends{fleet.ReasonAnswered: 100, fleet.ReasonKeysUnverifiable: 2}},
+		{"nobody led the keepers", explain.Ends{fleet.ReasonAnswered: 10, fleet.ReasonKeysUnverifiable: 50}},
 	}
 	for _, tt := range tests {
-		story := explain.Story{Lines: []explain.Line{{Message: "done", Reason: fleet.ReasonNoKeys, Status: 503}}, Others: tt.others}
+		story := explain.Story{Lines: []explain.Line{{Message: "done", Reason: fleet.ReasonKeysUnverifiable, Status: 503}}, Others: tt.others}
 		require.Contains(t, story.Cause().Why, tt.want)
 	}
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -44,40 +44,40 @@
 	Message string    `json:"@message"`
 	Module  string    `json:"@module"`
 
-	Account   string           `json:"account"`
-	Age       int64            `json:"age"`  // of a list, in ms
-	Aim       int64            `json:"aim"`  // of the route, in ms
-	Back      int64            `json:"back"` // when the caller may come back, in ms
-	Born      int64            `json:"born"` // start of the target, as a Unix millisecond
-	Copy      string           `json:"copy"` // from where parts of the prompt are copied
-	Ends      int              `json:"ends"` // of targets under the request
-	Error     string           `json:"error"`
-	Excess    float64          `json:"excess"` // how many times as much as others the account has
-	First     int64            `json:"first"`  // until the first byte, in ms
-	Home      bool             `json:"home"`   // the prompt's parts belong there
-	Left      int64            `json:"left"`   // until the caller gives up, in ms
-	Load      float64          `json:"load"`   // part of the target's slots
-	Own       int              `json:"own"`    // tokens of the prompt's own part
-	Pool      string           `json:"pool"`
-	Predicted int64            `json:"predicted"` // until the first byte, in ms
-	Print     string           `json:"print"`     // fingerprint of the request
-	Queue     int64            `json:"queue"`     // of that, for others, in ms
-	Reason    fleet.Reason     `json:"reason"`
-	Request   string           `json:"request"`
-	Result    fleet.AttemptEnd `json:"result"`
-	Route     string           `json:"route"`
-	Sent      int              `json:"sent"`
-	Shared    int              `json:"shared"` // tokens of the prompt's shared parts
-	Status    int              `json:"status"`
-	Target    string           `json:"target"`
-	Took      int64            `json:"took"` // in ms
-	Try       int              `json:"try"`
-	Unread    int              `json:"unread"` // tokens
-	Wait      int64            `json:"wait"`   // predicted, in ms
-	Whole     bool             `json:"whole"`
-	Within    bool             `json:"within"` // its account's share
-	Why       string           `json:"why"`    // of a refusal or a choice
-	Zone      string           `json:"zone"`
+	Account   string              `json:"account"`
+	Age       int64               `json:"age"`  // of a list, in ms
+	Aim       int64               `json:"aim"`  // of the route, in ms
+	Back      int64               `json:"back"` // when the caller may come back, in ms
+	Born      int64               `json:"born"` // start of the target, as a Unix millisecond
+	Copy      string              `json:"copy"` // from where parts of the prompt are copied
+	Ends      int                 `json:"ends"` // of targets under the request
+	Error     string              `json:"error"`
+	Excess    float64             `json:"excess"` // how many times as much as others the account has
+	First     int64               `json:"first"`  // until the first byte, in ms
+	Home      bool                `json:"home"`   // the prompt's parts belong there
+	Left      int64               `json:"left"`   // until the caller gives up, in ms
+	Load      float64             `json:"load"`   // part of the target's slots
+	Own       int                 `json:"own"`    // tokens of the prompt's own part
+	Pool      string              `json:"pool"`
+	Predicted int64               `json:"predicted"` // until the first byte, in ms
+	Print     string              `json:"print"`     // fingerprint of the request
+	Queue     int64               `json:"queue"`     // of that, for others, in ms
+	Reason    fleet.Reason        `json:"reason"`
+	Request   string              `json:"request"`
+	Result    fleet.AttemptResult `json:"result"`
+	Route     string              `json:"route"`
+	Sent      int                 `json:"sent"`
+	Shared    int                 `json:"shared"` // tokens of the prompt's shared parts
+	Status    int                 `json:"status"`
+	Target    string              `json:"target"`
+	Took      int64               `json:"took"` // in ms
+	Try       int                 `json:"try"`
+	Unread    int                 `json:"unread"` // tokens
+	Wait      int64               `json:"wait"`   // predicted, in ms
+	Whole     bool                `json:"whole"`
+	Within    bool                `json:"within"` // its account's share
+	Why       string              `json:"why"`    // of a refusal or a choice
+	Zone      string              `json:"zone"`
 
 	// Process is what stands before the line, as collectors of logs put it there,
 	// or else the name of the file.
@@ -88,7 +88,7 @@
 
 // target returns which run of a target the line tells of.
 func (l *Line) target() Run {
-	return Run{ID: l.Target, Born: l.Born}
+	return Run{ID: l.Target, StartMillis: l.Born}
 }
 
 // parse reads one line; ok is false for what is no line of this project.
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -128,7 +128,7 @@
 
 // byStart orders targets by their IDs, and the runs of one by their starts.
 func byStart(a, b Run) int {
-	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
+	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartMillis, b.StartMillis))
 }
 
 func startOf(born int64) string {
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -53,10 +53,10 @@
 
 // String returns the ID, with the start if that is known.
 func (r Run) String() string {
-	if r.Born == 0 {
+	if r.StartMillis == 0 {
 		return r.ID
 	}
-	return fmt.Sprintf("%s (started %s)", r.ID, startOf(r.Born))
+	return fmt.Sprintf("%s (started %s)", r.ID, startOf(r.StartMillis))
 }
 
 // MarshalText implements encoding.TextMarshaler, since runs are keys in the story's JSON.
@@ -65,7 +65,7 @@
 }
 
 // A Count counts attempts by their end.
-type Count map[fleet.AttemptEnd]int
+type Count map[fleet.AttemptResult]int
 
 // All returns how many there are.
 func (c Count) All() int {
@@ -197,7 +197,7 @@
 	case messageSend:
 		result := l.Result
 		if result == fleet.AttemptAnswered && l.Status >= failure {
-			result = fleet.AttemptFailure
+			result = fleet.AttemptTargetFailed
 		}
 		if l.Pool == v.pool {
 			v.story.Pool[result]++
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -75,7 +75,7 @@
 
 // Check returns the first fault of a configuration that was not read from a
 // file.
-func (c Config) Check() error {
+func (c Config) Validate() error {
 	var v validator
 	v.config(c)
 	return v.err
@@ -152,8 +152,8 @@
 	v.name(key+".name", a.Name, seen)
 	v.check(a.Share > 0 && a.Share <= 1e6, key+".share", "give a share above 0, up to 1000000",
 		"account %q has the share %v", a.Name, a.Share)
-	v.check(a.Queue >= 0, key+".queue", "give 0 for the default, or a positive bound",
-		"account %q has the queue bound %d", a.Name, a.Queue)
+	v.check(a.QueueLimit >= 0, key+".queue", "give 0 for the default, or a positive bound",
+		"account %q has the queue bound %d", a.Name, a.QueueLimit)
 	for _, k := range a.Keys {
 		v.check(keyPattern.MatchString(k), key+".keys", `write "sha256:" and 64 hex digits; lfctl digest prints it for a key`,
 			"account %q has a key that is no digest", a.Name)
--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -13,38 +13,38 @@
 	Targets []string `json:"targets" toml:"targets"`
 	// Warm is how long a target is cold after it came, and Pace how many requests a second
 	// it takes meanwhile. What is left out says that targets are never cold.
-	Warm Span    `json:"warm,omitempty" toml:"warm,omitempty"`
-	Pace float64 `json:"pace,omitempty" toml:"pace,omitempty"`
+	WarmupTime Duration `json:"warm,omitempty" toml:"warm,omitempty"`
+	WarmupRate float64  `json:"pace,omitempty" toml:"pace,omitempty"`
 }
 
 // A LimitSpec bounds what callers of routes may send, in bytes, and how long they
 // may take to send a header and stay idle. What is left out has the router's
 // defaults.
 type LimitSpec struct {
-	Header int  `json:"header,omitempty" toml:"header,omitempty"`
-	Body   int  `json:"body,omitempty" toml:"body,omitempty"`
-	Time   Span `json:"time,omitempty" toml:"time,omitempty"`
-	Idle   Span `json:"idle,omitempty" toml:"idle,omitempty"`
+	MaxHeaderBytes int      `json:"header,omitempty" toml:"header,omitempty"`
+	MaxBodyBytes   int      `json:"body,omitempty" toml:"body,omitempty"`
+	HeaderTimeout  Duration `json:"time,omitempty" toml:"time,omitempty"`
+	IdleTimeout    Duration `json:"idle,omitempty" toml:"idle,omitempty"`
 }
 
 // A RouteSpec declares a route. What is left out has the defaults of Table.
 type RouteSpec struct {
-	Name     string     `json:"name" toml:"name"`
-	Host     string     `json:"host" toml:"host"`
-	Prefix   string     `json:"prefix" toml:"prefix"`
-	Kind     RouteKind  `json:"kind" toml:"kind"`
-	Resume   bool       `json:"resume,omitempty" toml:"resume,omitempty"`
-	Timeout  Span       `json:"timeout" toml:"timeout"`
-	Aim      Span       `json:"aim,omitempty" toml:"aim,omitempty"`
-	Pause    Span       `json:"pause,omitempty" toml:"pause,omitempty"`
-	Rank     int        `json:"rank,omitempty" toml:"rank,omitempty"`
-	Attempts int        `json:"attempts,omitempty" toml:"attempts,omitempty"`
-	Keyless  bool       `json:"keyless,omitempty" toml:"keyless,omitempty"`
-	Pools    []PoolPart `json:"pools" toml:"pools"`
+	Name             string           `json:"name" toml:"name"`
+	Host             string           `json:"host" toml:"host"`
+	Prefix           string           `json:"prefix" toml:"prefix"`
+	Kind             RouteKind        `json:"kind" toml:"kind"`
+	Resumable        bool             `json:"resume,omitempty" toml:"resume,omitempty"`
+	Timeout          Duration         `json:"timeout" toml:"timeout"`
+	LatencyObjective Duration         `json:"aim,omitempty" toml:"aim,omitempty"`
+	MaxEventGap      Duration         `json:"pause,omitempty" toml:"pause,omitempty"`
+	Priority         int              `json:"rank,omitempty" toml:"rank,omitempty"`
+	MaxAttempts      int              `json:"attempts,omitempty" toml:"attempts,omitempty"`
+	Keyless          bool             `json:"keyless,omitempty" toml:"keyless,omitempty"`
+	Pools            []PoolWeightSpec `json:"pools" toml:"pools"`
 }
 
 // A PoolPart is the part of a route's requests that a pool gets.
-type PoolPart struct {
+type PoolWeightSpec struct {
 	Pool   string `json:"pool" toml:"pool"`
 	Weight int    `json:"weight" toml:"weight"`
 }
@@ -54,21 +54,21 @@
 const aimPart = 4
 
 // Table returns the routes of a configuration in the form that routers use.
-func (c Config) Table() (*Table, error) {
-	t := Table{
-		Number: c.Number, Capacity: c.Capacity, Accounts: len(c.Accounts),
+func (c Config) RoutingTable() (*RoutingTable, error) {
+	t := RoutingTable{
+		Number: c.Number, Capacity: c.Capacity, AccountCount: len(c.Accounts),
 		Limits: CallerLimits{
-			Header: c.Limits.Header, Body: c.Limits.Body,
-			HeaderTime: time.Duration(c.Limits.Time), IdleTime: time.Duration(c.Limits.Idle),
+			MaxHeaderBytes: c.Limits.MaxHeaderBytes, MaxBodyBytes: c.Limits.MaxBodyBytes,
+			HeaderTimeout: time.Duration(c.Limits.HeaderTimeout), IdleTimeout: time.Duration(c.Limits.IdleTimeout),
 		},
-		Pools: make(map[string]Pool, len(c.Pools)), Holders: make(map[string]Holder),
+		Pools: make(map[string]Pool, len(c.Pools)), KeyOwners: make(map[string]KeyOwner),
 	}
 	for _, p := range c.Pools {
-		t.Pools[p.Name] = Pool{Name: p.Name, WarmFor: time.Duration(p.Warm), WarmRate: p.Pace}
+		t.Pools[p.Name] = Pool{Name: p.Name, WarmupTime: time.Duration(p.WarmupTime), WarmupRate: p.WarmupRate}
 	}
 	for _, a := range c.Accounts {
 		for _, key := range a.Keys {
-			t.Holders[key] = Holder{Account: a.Name}
+			t.KeyOwners[key] = KeyOwner{Account: a.Name}
 		}
 	}
 	routes := make([]Route, 0, len(c.Routes))
@@ -81,12 +81,12 @@
 
 func (r RouteSpec) route() Route {
 	out := Route{
-		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: r.Kind, Resumable: r.Resume,
-		Timeout: time.Duration(r.Timeout), Aim: time.Duration(r.Aim), Pause: time.Duration(r.Pause),
-		Rank: r.Rank, Attempts: max(r.Attempts, 1), Keyless: r.Keyless,
+		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: r.Kind, Resumable: r.Resumable,
+		Timeout: time.Duration(r.Timeout), LatencyObjective: time.Duration(r.LatencyObjective), MaxEventGap: time.Duration(r.MaxEventGap),
+		Priority: r.Priority, MaxAttempts: max(r.MaxAttempts, 1), Keyless: r.Keyless,
 	}
-	if out.Aim == 0 {
-		out.Aim = out.Timeout / aimPart
+	if out.LatencyObjective == 0 {
+		out.LatencyObjective = out.Timeout / aimPart
 	}
 	for _, p := range r.Pools {
 		out.Pools = append(out.Pools, PoolWeight(p))
@@ -112,15 +112,15 @@
 }
 
 func (v *validator) limits(l LimitSpec) {
-	v.check(l.Header >= 0 && l.Body >= 0 && l.Time >= 0 && l.Idle >= 0, "limits",
+	v.check(l.MaxHeaderBytes >= 0 && l.MaxBodyBytes >= 0 && l.HeaderTimeout >= 0 && l.IdleTimeout >= 0, "limits",
 		"give bytes and times above 0, or leave them out", "a limit is negative")
 }
 
 func (v *validator) pool(key string, p PoolSpec, seen, targets map[string]bool) {
 	v.name(key+".name", p.Name, seen)
 	v.references(key+".targets", "target", fmt.Sprintf("pool %q", p.Name), p.Targets, targets)
-	v.check(p.Warm >= 0 && p.Pace >= 0 && (p.Warm > 0) == (p.Pace > 0), key+".warm",
-		`give both warm, as "3s", and pace, in requests a second, or leave both out`, "pool %q is cold for %v at %v a second", p.Name, time.Duration(p.Warm), p.Pace)
+	v.check(p.WarmupTime >= 0 && p.WarmupRate >= 0 && (p.WarmupTime > 0) == (p.WarmupRate > 0), key+".warm",
+		`give both warm, as "3s", and pace, in requests a second, or leave both out`, "pool %q is cold for %v at %v a second", p.Name, time.Duration(p.WarmupTime), p.WarmupRate)
 }
 
 func (v *validator) route(key string, r RouteSpec, seen, pools map[string]bool, places map[string]string) {
@@ -133,11 +133,11 @@
 		"routes %q and %q have the same host and prefix", other, r.Name)
 	places[place] = r.Name
 	v.check(r.Host != "", key+".host", "name the host that callers send to", "route %q has no host", r.Name)
-	v.check(r.Kind == RouteIdempotent || r.Kind == RouteOnce || r.Kind == RouteStream, key+".kind",
+	v.check(r.Kind == RouteIdempotent || r.Kind == RouteAtMostOnce || r.Kind == RouteStream, key+".kind",
 		`write "idempotent", "once" or "stream"`, "route %q has the kind %q", r.Name, r.Kind)
-	v.check(!r.Resume || r.Kind == RouteStream, key+".resume", "only streams can be resumed", "route %q is no stream", r.Name)
+	v.check(!r.Resumable || r.Kind == RouteStream, key+".resume", "only streams can be resumed", "route %q is no stream", r.Name)
 	v.check(r.Timeout > 0, key+".timeout", `write how long callers are kept waiting, as "10s"`, "route %q has no timeout", r.Name)
-	v.check(r.Aim >= 0 && r.Pause >= 0 && r.Attempts >= 0 && r.Rank >= 0, key, "give no negative figures",
+	v.check(r.LatencyObjective >= 0 && r.MaxEventGap >= 0 && r.MaxAttempts >= 0 && r.Priority >= 0, key, "give no negative figures",
 		"route %q has a negative figure", r.Name)
 	total := 0
 	for _, p := range r.Pools {
--- a/internal/fleet/declare_test.go
+++ b/internal/fleet/declare_test.go
@@ -51,17 +51,17 @@
 func TestDeclaredRoutes(t *testing.T) {
 	c, err := ParseConfig("fleet.toml", []byte(declared))
 	require.NoError(t, err)
-	table, err := c.Table()
+	table, err := c.RoutingTable()
 	require.NoError(t, err)
 	r, ok := table.Route("h.example", "/notes/1")
 	require.True(t, ok)
 	require.Equal(t, Route{
 		Name: "notes", Host: "h.example", Prefix: "/notes/", Kind: RouteStream, Resumable: true, Timeout: 8 * time.Second,
-		Aim: 2 * time.Second, Pause: 300 * time.Millisecond, Rank: 1, Attempts: 2, Pools: []PoolWeight{{Pool: "engines", Weight: 3}},
+		LatencyObjective: 2 * time.Second, MaxEventGap: 300 * time.Millisecond, Priority: 1, MaxAttempts: 2, Pools: []PoolWeight{{Pool: "engines", Weight: 3}},
 	}, *r)
-	require.Equal(t, Holder{Account: "regina"}, table.Holders[c.Accounts[0].Keys[0]])
+	require.Equal(t, KeyOwner{Account: "regina"}, table.KeyOwners[c.Accounts[0].Keys[0]])
 	require.Equal(t, 5000.0, table.Capacity)
-	require.Equal(t, CallerLimits{Body: 70000, IdleTime: 20 * time.Second}, table.Limits)
+	require.Equal(t, CallerLimits{MaxBodyBytes: 70000, IdleTimeout: 20 * time.Second}, table.Limits)
 	require.Equal(t, []Instance{
 		{Incarnation: Incarnation{ID: "engines/a1"}, Pool: "engines", Address: "127.0.0.1:9001", Zone: "z1", Slots: 8},
 		{Incarnation: Incarnation{ID: "engines/a2"}, Pool: "engines", Address: "127.0.0.1:9002", Zone: "z2", Slots: 4, Leaving: true},
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -4,42 +4,42 @@
 
 // A Kind names one way in which a request, a configuration or an order is
 // refused. Its text is the "kind" of the JSON body that callers receive.
-type Kind string
+type ErrorKind string
 
 // The kinds of refusal. The router maps each to one HTTP status.
 const (
-	KindMalformed Kind = "malformed"
-	KindKey       Kind = "key"
-	KindAccount   Kind = "account"
-	KindEvent     Kind = "event"
-	KindClaimed   Kind = "claimed"
-	KindTooLarge  Kind = "toolarge"
-	KindQueueFull Kind = "queuefull"
-	KindNoTarget  Kind = "notarget"
-	KindNoLease   Kind = "nolease"
-	KindStopping  Kind = "stopping"
-	KindDeadline  Kind = "deadline"
-	KindTarget    Kind = "target"
-	KindGone      Kind = "gone"
-	KindConfig    Kind = "config"
-	KindConflict  Kind = "conflict"
-	KindPolicy    Kind = "policy"
-	KindNotLeader Kind = "notleader"
-	KindNoQuorum  Kind = "noquorum"
-	KindFull      Kind = "full"
-	KindProof     Kind = "proof"
-	KindHeld      Kind = "held"
+	KindMalformed          ErrorKind = "malformed"
+	KindUnknownKey         ErrorKind = "key"
+	KindAccountNotAdmitted ErrorKind = "account"
+	KindEventUnavailable   ErrorKind = "event"
+	KindClaimed            ErrorKind = "claimed"
+	KindTooLarge           ErrorKind = "toolarge"
+	KindQueueFull          ErrorKind = "queuefull"
+	KindNoTarget           ErrorKind = "notarget"
+	KindNoLease            ErrorKind = "nolease"
+	KindStopping           ErrorKind = "stopping"
+	KindDeadline           ErrorKind = "deadline"
+	KindTargetFailed       ErrorKind = "target"
+	KindCallerLeft         ErrorKind = "gone"
+	KindInvalidConfig      ErrorKind = "config"
+	KindConflict           ErrorKind = "conflict"
+	KindPrecondition       ErrorKind = "policy"
+	KindNotLeader          ErrorKind = "notleader"
+	KindNoQuorum           ErrorKind = "noquorum"
+	KindCapacityExhausted  ErrorKind = "full"
+	KindBadProof           ErrorKind = "proof"
+	KindQuarantined        ErrorKind = "held"
 )
 
 // An Error is a refusal with its kind and the remedy for whoever meets it.
 type Error struct {
-	Kind    Kind   `json:"kind"`
-	Message string `json:"message"`
-	Remedy  string `json:"remedy"`
+	Kind    ErrorKind `json:"kind"`
+	Message string    `json:"message"`
+	Remedy  string    `json:"remedy"`
 }
 
 // NewError returns an Error of the given kind.
-func NewError(kind Kind, remedy, format string, args ...any) *Error {
+func NewError(kind ErrorKind, remedy, format string, args ...any) *Error {
 	return &Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy}
 }
 
@@ -55,6 +55,6 @@
 // will.
 const (
 	OutcomeRan     Outcome = "ran"
-	OutcomeUnrun   Outcome = "unrun"
+	OutcomeNotRun  Outcome = "unrun"
 	OutcomeUnknown Outcome = "unknown"
 )
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -28,18 +28,18 @@
 	Share float64  `json:"share" toml:"share"`
 	Keys  []string `json:"keys" toml:"keys"`
 	// Queue bounds the requests that wait in one router; 0 means DefaultQueue.
-	Queue int `json:"queue,omitempty" toml:"queue,omitempty"`
+	QueueLimit int `json:"queue,omitempty" toml:"queue,omitempty"`
 }
 
 // DefaultQueue is how many requests of one account may wait in one router.
-const DefaultQueue = 1024
+const DefaultQueueLimit = 1024
 
 // QueueBound returns how many requests of the account may wait in one router.
-func (a Account) QueueBound() int {
-	if a.Queue > 0 {
-		return a.Queue
+func (a Account) EffectiveQueueLimit() int {
+	if a.QueueLimit > 0 {
+		return a.QueueLimit
 	}
-	return DefaultQueue
+	return DefaultQueueLimit
 }
 
 // A TargetKind tells model engines from plain services.
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -8,13 +8,13 @@
 	ID string `json:"id"`
 	// Born is the Unix millisecond of its start, by the platform's word; 0 if that
 	// tells none.
-	Born int64 `json:"born,omitempty"`
+	StartMillis int64 `json:"born,omitempty"`
 }
 
 // Like reports whether two may be the same run: they have one ID, and the same start as
 // far as both are known.
-func (i Incarnation) Like(other Incarnation) bool {
-	return i.ID == other.ID && (i.Born == other.Born || i.Born == 0 || other.Born == 0)
+func (i Incarnation) MayEqual(other Incarnation) bool {
+	return i.ID == other.ID && (i.StartMillis == other.StartMillis || i.StartMillis == 0 || other.StartMillis == 0)
 }
 
 // An Instance is one incarnation of a discovered target.
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -9,22 +9,22 @@
 )
 
 // A Listing is one reading of a list of targets that others write.
-type Listing struct {
+type TargetListing struct {
 	Targets []Instance
 	// Damaged are the entries that name no target to use.
-	Damaged []Damage
+	Damaged []DamagedEntry
 	// Warming are the targets that say for how long they are still cold.
-	Warming []Warming
+	Warming []WarmingTarget
 }
 
 // A Warming is a target that is cold for a time after its list was read.
-type Warming struct {
+type WarmingTarget struct {
 	Target Incarnation
 	Left   time.Duration
 }
 
 // WarmingUntil returns until when targets are cold, of a listing that was read at a moment.
-func (l Listing) WarmingUntil(readAt time.Time) map[Incarnation]time.Time {
+func (l TargetListing) WarmingUntil(readAt time.Time) map[Incarnation]time.Time {
 	if len(l.Warming) == 0 {
 		return nil
 	}
@@ -36,7 +36,7 @@
 }
 
 // A Damage is an entry of a list that could not be understood.
-type Damage struct {
+type DamagedEntry struct {
 	// ID is the target's that the entry names, or "" if even that cannot be read.
 	ID string
 	// Field is what is wrong: a field's name, or that it is no entry at all.
@@ -49,7 +49,7 @@
 
 // DamagedIDs returns the IDs that damaged entries name, each once and in order, the first
 // mostNamed of them.
-func (l Listing) DamagedIDs() []string {
+func (l TargetListing) DamagedIDs() []string {
 	var ids []string
 	for _, d := range l.Damaged {
 		if d.ID != "" {
@@ -63,7 +63,7 @@
 
 // Faults counts the damaged entries by what is wrong, as text such as "id:2 slots:1". It
 // is as long as there are fields, however many entries there are.
-func (l Listing) Faults() string {
+func (l TargetListing) DamageSummary() string {
 	counts := make(map[string]int)
 	for _, d := range l.Damaged {
 		counts[d.Field]++
--- a/internal/fleet/route.go
+++ b/internal/fleet/route.go
@@ -14,7 +14,7 @@
 	// RouteIdempotent requests may run more than once.
 	RouteIdempotent RouteKind = "idempotent"
 	// RouteOnce requests run at most once.
-	RouteOnce RouteKind = "once"
+	RouteAtMostOnce RouteKind = "once"
 	// RouteStream requests are answered by a stream of events. They run at most
 	// once, unless the route is Resumable.
 	RouteStream RouteKind = "stream"
@@ -33,18 +33,18 @@
 	Timeout time.Duration
 	// Aim is the time within which an answer, or the first event of a stream,
 	// is of full use to the caller.
-	Aim time.Duration
+	LatencyObjective time.Duration
 	// Pause is the longest gap between two events of a stream that is in time.
-	Pause time.Duration
+	MaxEventGap time.Duration
 	// Rank orders routes by urgency; 0 is the most urgent.
-	Rank int
+	Priority int
 	// Attempts is how many targets one request may be sent to.
-	Attempts int
+	MaxAttempts int
 	// Keyless routes need no key of an account.
 	Keyless bool
 	// Cached says that targets keep parts of the route's prompts.
-	Cached bool
-	Pools  []PoolWeight
+	PrefixCached bool
+	Pools        []PoolWeight
 }
 
 // A PoolWeight is the part of a route's requests that goes to a pool.
@@ -61,12 +61,12 @@
 // Patience is how long a caller waits for the next sign of a stream before it
 // leaves: two seconds, four times the aim or eight times the pause between
 // events, whichever is longest. The figures are the platform's for its callers.
-func (r *Route) Patience() time.Duration {
+func (r *Route) AbandonAfter() time.Duration {
 	const least = 2 * time.Second
 	if r.Kind != RouteStream {
 		return r.Timeout
 	}
-	return max(least, 4*r.Aim, 8*r.Pause)
+	return max(least, 4*r.LatencyObjective, 8*r.MaxEventGap)
 }
 
 // PoolFor returns the pool for a request, drawn by the routes' weights. Draw is
@@ -93,13 +93,13 @@
 type Pool struct {
 	Name string
 	// Health is the path that tells whether a target is healthy.
-	Health string
+	HealthPath string
 	// Conns is how many connections one target takes from all routers.
-	Conns int
+	MaxConns int
 	// WarmFor is how long a target is cold after its start, and WarmRate how many requests
 	// a second it takes meanwhile; 0 where targets are never cold.
-	WarmFor  time.Duration
-	WarmRate float64
+	WarmupTime time.Duration
+	WarmupRate float64
 	// Engine describes the pool's model engines; nil for a plain service.
 	Engine *Engine
 }
@@ -112,28 +112,28 @@
 	// 0 if it cannot.
 	CopyRate float64
 	// Memory is the tokens that running requests and kept parts share.
-	Memory int
+	KVCapacity int
 }
 
 // CallerLimits bound what callers may send and how long they may take.
 type CallerLimits struct {
-	Header     int // bytes
-	Body       int // bytes
-	HeaderTime time.Duration
-	IdleTime   time.Duration
+	MaxHeaderBytes int // bytes
+	MaxBodyBytes   int // bytes
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // A Holder is the account that a key names.
-type Holder struct {
+type KeyOwner struct {
 	Account string
 	// Rank orders accounts by urgency; 0 is the most urgent, and it goes before
 	// the rank of a route.
-	Rank int
+	Priority int
 }
 
 // A Table is one configuration of routes, with everything that a router needs
 // to serve it. It is never changed.
-type Table struct {
+type RoutingTable struct {
 	Number uint64
 	Limits CallerLimits
 	Pools  map[string]Pool
@@ -141,16 +141,16 @@
 	// token read counts once, a generated one twice. 0 if nobody states it.
 	Capacity float64
 	// Holders holds the accounts by the digests of their keys.
-	Holders map[string]Holder
+	KeyOwners map[string]KeyOwner
 	// Accounts is how many accounts the configuration declares.
-	Accounts int
+	AccountCount int
 
 	routes map[string]map[string]*Route // by host and prefix
 }
 
 // WithRoutes returns a table that holds these routes. A route whose host and
 // prefix another one has already is refused.
-func (t Table) WithRoutes(routes []Route) (Table, error) {
+func (t RoutingTable) WithRoutes(routes []Route) (RoutingTable, error) {
 	byHost := make(map[string]map[string]*Route)
 	for i := range routes {
 		r := &routes[i]
@@ -159,7 +159,7 @@
 			byHost[host] = make(map[string]*Route)
 		}
 		if other := byHost[host][r.Prefix]; other != nil {
-			return t, NewError(KindConfig, "give each route a place of its own",
+			return t, NewError(KindInvalidConfig, "give each route a place of its own",
 				"routes %s and %s share host %s and prefix %s", other.Name, r.Name, r.Host, r.Prefix)
 		}
 		byHost[host][r.Prefix] = r
@@ -170,7 +170,7 @@
 
 // Route returns the route of a request: of those of its host, the one with the
 // longest prefix that begins its path.
-func (t *Table) Route(host, path string) (*Route, bool) {
+func (t *RoutingTable) Route(host, path string) (*Route, bool) {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
 	}
@@ -187,7 +187,7 @@
 }
 
 // Holder returns the account that a key names.
-func (t *Table) Holder(key string) (Holder, bool) {
-	h, ok := t.Holders[KeyDigest(key)]
+func (t *RoutingTable) KeyOwner(key string) (KeyOwner, bool) {
+	h, ok := t.KeyOwners[KeyDigest(key)]
 	return h, ok
 }
--- a/internal/fleet/route_test.go
+++ b/internal/fleet/route_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-func tableOf(t require.TestingT, places ...string) *Table {
+func tableOf(t require.TestingT, places ...string) *RoutingTable {
 	var routes []Route
 	for _, p := range places {
 		host, prefix, _ := strings.Cut(p, "/")
 		routes = append(routes, Route{Name: p, Host: host, Prefix: "/" + prefix})
 	}
-	table, err := Table{}.WithRoutes(routes)
+	table, err := RoutingTable{}.WithRoutes(routes)
 	require.NoError(t, err)
 	return &table
 }
@@ -65,10 +65,10 @@
 }
 
 func TestRoutesOfOnePlaceAreRefused(t *testing.T) {
-	_, err := Table{}.WithRoutes([]Route{{Name: "a", Host: "h", Prefix: "/"}, {Name: "b", Host: "H", Prefix: "/"}})
+	_, err := RoutingTable{}.WithRoutes([]Route{{Name: "a", Host: "h", Prefix: "/"}, {Name: "b", Host: "H", Prefix: "/"}})
 	var refused *Error
 	require.ErrorAs(t, err, &refused)
-	require.Equal(t, KindConfig, refused.Kind)
+	require.Equal(t, KindInvalidConfig, refused.Kind)
 }
 
 func TestPoolForFollowsWeights(t *testing.T) {
@@ -82,7 +82,7 @@
 }
 
 func TestPatience(t *testing.T) {
-	require.Equal(t, 2400*time.Millisecond, (&Route{Kind: RouteStream, Aim: 600 * time.Millisecond, Pause: 300 * time.Millisecond}).Patience())
-	require.Equal(t, 2*time.Second, (&Route{Kind: RouteStream, Aim: 100 * time.Millisecond}).Patience())
-	require.Equal(t, time.Second, (&Route{Kind: RouteOnce, Timeout: time.Second}).Patience())
+	require.Equal(t, 2400*time.Millisecond, (&Route{Kind: RouteStream, LatencyObjective: 600 * time.Millisecond, MaxEventGap: 300 * time.Millisecond}).AbandonAfter())
+	require.Equal(t, 2*time.Second, (&Route{Kind: RouteStream, LatencyObjective: 100 * time.Millisecond}).AbandonAfter())
+	require.Equal(t, time.Second, (&Route{Kind: RouteAtMostOnce, Timeout: time.Second}).AbandonAfter())
 }
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -51,7 +51,7 @@
 	path, _, _ := strings.Cut(q.r.RequestURI, "?")
 	route, ok := s.Table.Route(q.r.Host, path)
 	if !ok {
-		return refusal{status: http.StatusNotFound, kind: fleet.KindEvent, reason: fleet.ReasonNoRoute}, false
+		return refusal{status: http.StatusNotFound, kind: fleet.KindEventUnavailable, reason: fleet.ReasonNoRoute}, false
 	}
 	q.route = route
 	if refused, ok := g.checkKey(q, s); !ok {
@@ -62,7 +62,7 @@
 		q.until = q.arrived.Add(left)
 	}
 	q.pool = route.PoolFor(xxhash.Sum64String(q.id))
-	if route.Cached {
+	if route.PrefixCached {
 		var output int
 		q.parts, output = g.Dialect.Prompt(q.r.Header)
 		q.tokens = cost(q.parts, output)
@@ -91,11 +91,11 @@
 		return refusal{}, true
 	}
 	if !g.Clock.Now().Before(s.KeysUntil) {
-		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonNoKeys, back: soon}, false
+		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonKeysUnverifiable, back: soon}, false
 	}
-	holder, ok := s.Table.Holder(g.Dialect.Key(q.r.Header))
+	holder, ok := s.Table.KeyOwner(g.Dialect.Key(q.r.Header))
 	if !ok {
-		return refusal{status: http.StatusUnauthorized, kind: fleet.KindKey, reason: fleet.ReasonUnknownKey}, false
+		return refusal{status: http.StatusUnauthorized, kind: fleet.KindUnknownKey, reason: fleet.ReasonUnknownKey}, false
 	}
 	q.account = holder.Account
 	return refusal{}, true
@@ -108,9 +108,9 @@
 		return refusal{}, true
 	}
 	if g.Settings.Memory > 0 && g.held.Load() > g.Settings.Memory/heldPart {
-		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindFull, reason: fleet.ReasonFullMemory, back: moment}, false
+		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindCapacityExhausted, reason: fleet.ReasonBodyMemoryFull, back: moment}, false
 	}
-	limit := int64(s.Table.Limits.Body)
+	limit := int64(s.Table.Limits.MaxBodyBytes)
 	if limit <= 0 {
 		limit = 4 << 20
 	}
@@ -122,11 +122,11 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return refusal{status: http.StatusRequestEntityTooLarge, kind: fleet.KindTooLarge, reason: fleet.ReasonLargeBody}, false
+		return refusal{status: http.StatusRequestEntityTooLarge, kind: fleet.KindTooLarge, reason: fleet.ReasonBodyTooLarge}, false
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, io.ErrUnexpectedEOF):
-		return refusal{status: http.StatusRequestTimeout, kind: fleet.KindMalformed, reason: fleet.ReasonLateBody, back: soon, err: err}, false
+		return refusal{status: http.StatusRequestTimeout, kind: fleet.KindMalformed, reason: fleet.ReasonBodyIncomplete, back: soon, err: err}, false
 	case err != nil:
-		return refusal{status: http.StatusBadRequest, kind: fleet.KindMalformed, reason: fleet.ReasonBadBody, err: err}, false
+		return refusal{status: http.StatusBadRequest, kind: fleet.KindMalformed, reason: fleet.ReasonBodyReadFailed, err: err}, false
 	}
 	if err := rc.SetReadDeadline(time.Time{}); err != nil {
 		g.Log.Debug("no read deadline", "request", q.id, "error", err)
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -131,9 +131,9 @@
 		_ = c.feed.Close() // ends its server's accepting, not its connections
 	}
 	s := c.server(c.handler)
-	s.ReadHeaderTimeout = orDefault(limits.HeaderTime, headerTime)
-	s.IdleTimeout = orDefault(limits.IdleTime, idleTime)
-	s.MaxHeaderBytes = orDefault(limits.Header, headerSize)
+	s.ReadHeaderTimeout = orDefault(limits.HeaderTimeout, headerTime)
+	s.IdleTimeout = orDefault(limits.IdleTimeout, idleTime)
+	s.MaxHeaderBytes = orDefault(limits.MaxHeaderBytes, headerSize)
 	s.ConnState = c.note
 	s.ConnContext = withConn
 	f := newFeed(addr)
--- a/internal/gateway/callers_test.go
+++ b/internal/gateway/callers_test.go
@@ -104,7 +104,7 @@
 	var idle atomic.Int64
 	idle.Store(int64(time.Minute))
 	_, address := startCallers(t, 100, func() fleet.CallerLimits {
-		return fleet.CallerLimits{IdleTime: time.Duration(idle.Load())}
+		return fleet.CallerLimits{IdleTimeout: time.Duration(idle.Load())}
 	}, answerNothing)
 	old := dialCaller(t, address)
 	require.NoError(t, ask(old))
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -22,9 +22,9 @@
 func TestASecondAttemptIsNotHeldAgainstTheShareAgain(t *testing.T) {
 	g := &Gateway{Clock: clock.NewRealClock()}
 	now := g.Clock.Now()
-	table := &fleet.Table{Capacity: 1000, Pools: map[string]fleet.Pool{"p": {Engine: &fleet.Engine{}}}}
+	table := &fleet.RoutingTable{Capacity: 1000, Pools: map[string]fleet.Pool{"p": {Engine: &fleet.Engine{}}}}
 	g.SetTargets(uplink.State{Table: table, Routers: 1}, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p", Slots: 4}, {Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p", Slots: 4}})
-	route := &fleet.Route{Kind: fleet.RouteStream, Resumable: true, Attempts: 2, Aim: time.Second, Timeout: 10 * time.Second, Cached: true}
+	route := &fleet.Route{Kind: fleet.RouteStream, Resumable: true, MaxAttempts: 2, LatencyObjective: time.Second, Timeout: 10 * time.Second, PrefixCached: true}
 	newRequest := func() *request {
 		r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "/", nil)
 		require.NoError(t, err)
--- a/internal/gateway/crowd.go
+++ b/internal/gateway/crowd.go
@@ -29,7 +29,7 @@
 // keptBack counts a request to a plain service, and reports whether it is surplus
 // that the service would refuse. Engines' work is shared by tokens instead.
 func (g *Gateway) keptBack(now time.Time, q *request) bool {
-	if q.route.Cached {
+	if q.route.PrefixCached {
 		return false
 	}
 	name := q.account
@@ -49,9 +49,9 @@
 	long := false
 	if told {
 		g.placer.Loaded(now, target, waiting)
-		long = q.route.Aim > 0 && g.placer.QueueTime(now, target, waiting) > q.route.Aim/longQueue
+		long = q.route.LatencyObjective > 0 && g.placer.QueueTime(now, target, waiting) > q.route.LatencyObjective/longQueue
 	}
-	if q.route.Cached || unrun && g.Dialect.Moved(a.Status) {
+	if q.route.PrefixCached || unrun && g.Dialect.Moved(a.Status) {
 		return
 	}
 	g.throttle(q.pool).Ended(now, unrun || long)
--- a/internal/gateway/crowd_test.go
+++ b/internal/gateway/crowd_test.go
@@ -37,7 +37,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 		require.NotEmpty(t, resp.Header.Get("Retry-After"))
-		if !strings.Contains(text, string(fleet.ReasonCrowded)) {
+		if !strings.Contains(text, string(fleet.ReasonServiceOverloaded)) {
 			return false
 		}
 		require.Equal(t, before, arrived.Load(), "it is not sent")
--- a/internal/gateway/cut.go
+++ b/internal/gateway/cut.go
@@ -25,7 +25,7 @@
 		return
 	}
 	g.Log.Warn("cut by the target", "request", q.id, "account", q.account, "route", q.route.Name, "print", q.print(),
-		"target", c.Target.ID, "born", c.Target.Born, "error", err)
+		"target", c.Target.ID, "born", c.Target.StartMillis, "error", err)
 	g.Meters.cuts.Inc()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -255,7 +255,7 @@
 // Ready reports whether callers are served here.
 func (g *Gateway) Ready() bool {
 	s := g.State()
-	keyed := s.Table != nil && len(s.Table.Holders) > 0
+	keyed := s.Table != nil && len(s.Table.KeyOwners) > 0
 	lapsed := keyed && !g.Clock.Now().Before(s.KeysUntil)
 	return g.ready.Load() && g.stopping.Load() == nil && !lapsed
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -94,7 +94,7 @@
 func (b *bed) apply() {
 	var list []fleet.Instance
 	for _, t := range b.targets {
-		list = append(list, fleet.Instance{Incarnation: fleet.Incarnation{ID: t.ID, Born: t.Born}, Pool: t.Pool, Address: t.Address, Zone: fleet.Zone(t.Zone), Slots: t.Slots})
+		list = append(list, fleet.Instance{Incarnation: fleet.Incarnation{ID: t.ID, StartMillis: t.Born}, Pool: t.Pool, Address: t.Address, Zone: fleet.Zone(t.Zone), Slots: t.Slots})
 	}
 	b.gateway.SetTargets(*b.state.Load(), list)
 }
--- a/internal/gateway/hang.go
+++ b/internal/gateway/hang.go
@@ -104,10 +104,10 @@
 // hangLimit returns how long an attempt may be without an answer, and false if it may
 // take all the time there is.
 func (q *request) hangLimit(now time.Time, c *placement.Choice) (time.Duration, bool) {
-	if !q.route.Repeatable() || q.tries() >= q.route.Attempts {
+	if !q.route.Repeatable() || q.tries() >= q.route.MaxAttempts {
 		return 0, false
 	}
-	left := min(q.until.Sub(now), q.route.Patience()-now.Sub(q.arrived))
+	left := min(q.until.Sub(now), q.route.AbandonAfter()-now.Sub(q.arrived))
 	limit := left / hangPart
 	return limit, limit > 0 && limit >= hangSlack*c.Wait
 }
--- a/internal/gateway/hangwatch_test.go
+++ b/internal/gateway/hangwatch_test.go
@@ -46,7 +46,7 @@
 				require.NoError(t, err)
 				require.Eventually(t, func() bool { return !conn.Quiet() }, time.Second, time.Millisecond)
 			}
-			q := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, Attempts: 2, Timeout: time.Minute}, arrived: now.Time, until: now.Time.Add(time.Minute), sent: 1}
+			q := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, MaxAttempts: 2, Timeout: time.Minute}, arrived: now.Time, until: now.Time.Add(time.Minute), sent: 1}
 			w := &hangWatch{gateway: g, request: q, choice: &placement.Choice{}, conn: conn}
 			w.start()
 			require.NotNil(t, w.timer)
--- a/internal/gateway/pass.go
+++ b/internal/gateway/pass.go
@@ -23,10 +23,10 @@
 	body, err := io.ReadAll(io.LimitReader(a, wholeLimit+1))
 	if err != nil {
 		g.ended(c, placement.Failed)
-		g.logSend(q, c, started, fleet.AttemptBroken, err)
+		g.logSend(q, c, started, fleet.AttemptTruncated, err)
 		g.noteCut(q, c, started, err)
 		q.begun = false
-		return g.repeat(q, fleet.ReasonBrokenAnswer, err)
+		return g.repeat(q, fleet.ReasonAnswerTruncated, err)
 	}
 	if !a.Whole() && len(body) > wholeLimit {
 		return g.passLarge(q, c, started, a, body...)
@@ -41,7 +41,7 @@
 	}
 	q.w.WriteHeader(a.Status)
 	if _, err := q.w.Write(body); err != nil {
-		g.logEnd(q, 0, fleet.ReasonCallerTookNone, err)
+		g.logEnd(q, 0, fleet.ReasonAnswerWriteFailed, err)
 		return outcome{next: finished}
 	}
 	g.logEnd(q, a.Status, fleet.ReasonAnswered, nil)
@@ -76,9 +76,9 @@
 		return outcome{next: over, reason: fleet.ReasonCallerLeft, err: err}
 	case err != nil:
 		g.ended(c, placement.Failed)
-		g.logSend(q, c, started, fleet.AttemptBroken, err)
+		g.logSend(q, c, started, fleet.AttemptTruncated, err)
 		g.noteCut(q, c, started, err)
-		return outcome{next: over, reason: fleet.ReasonBrokenAnswer, err: err}
+		return outcome{next: over, reason: fleet.ReasonAnswerTruncated, err: err}
 	}
 	g.result(c, a.Status)
 	g.noteWhole(q, a.Status)
@@ -96,9 +96,9 @@
 		piece, err := events.next()
 		if err != nil && !errors.Is(err, io.EOF) {
 			g.ended(c, placement.Failed)
-			g.logSend(q, c, started, fleet.AttemptBroken, err, "after", q.after)
+			g.logSend(q, c, started, fleet.AttemptTruncated, err, "after", q.after)
 			g.noteCut(q, c, started, err)
-			return g.repeat(q, fleet.ReasonBrokenStream, err)
+			return g.repeat(q, fleet.ReasonStreamTruncated, err)
 		}
 		if !q.begun {
 			g.copyHead(q, a)
@@ -109,7 +109,7 @@
 			if writeErr := g.pass(q, rc, piece); writeErr != nil {
 				g.ended(c, placement.Left)
 				g.logSend(q, c, started, fleet.AttemptCallerLeft, writeErr)
-				return outcome{next: over, reason: fleet.ReasonCallerTookNoMore, err: writeErr}
+				return outcome{next: over, reason: fleet.ReasonStreamWriteFailed, err: writeErr}
 			}
 		}
 		if err != nil {
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -20,7 +20,7 @@
 	go func() {
 		began := g.Clock.Now()
 		p := target.Look(in.Address)
-		g.Log.Info("target looked for after a cut", "target", in.ID, "born", in.Born, "address", in.Address, "presence", p,
+		g.Log.Info("target looked for after a cut", "target", in.ID, "born", in.StartMillis, "address", in.Address, "presence", p,
 			"took", g.Clock.Now().Sub(began).Milliseconds())
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -47,7 +47,7 @@
 	}
 	back := max(q.verdict.Back, rulingBack)
 	return refusal{
-		status: http.StatusServiceUnavailable, kind: fleet.KindHeld, reason: fleet.ReasonHeldBack, back: back, ends: q.verdict.Ends, print: q.print(),
+		status: http.StatusServiceUnavailable, kind: fleet.KindQuarantined, reason: fleet.ReasonQuarantined, back: back, ends: q.verdict.Ends, print: q.print(),
 	}, false
 }
 
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -61,7 +61,7 @@
 	resp, text, err = b.do(http.MethodPost, "/whole/x", guilty)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, text)
-	require.Contains(t, text, string(fleet.KindHeld))
+	require.Contains(t, text, string(fleet.KindQuarantined))
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	require.Less(t, time.Since(began), 2*time.Second, "nobody has its word: it is told soon")
 	require.EqualValues(t, 2, ends.Load())
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -28,7 +28,7 @@
 // A refusal is an answer of the router's own.
 type refusal struct {
 	status int
-	kind   fleet.Kind
+	kind   fleet.ErrorKind
 	reason fleet.Reason
 	back   time.Duration // after which the caller may come back; 0 is never
 	wait   time.Duration // predicted
@@ -42,9 +42,9 @@
 
 // refusalBody is its body.
 type refusalBody struct {
-	Kind    fleet.Kind `json:"kind"`
-	Message string     `json:"message"`
-	Remedy  string     `json:"remedy"`
+	Kind    fleet.ErrorKind `json:"kind"`
+	Message string          `json:"message"`
+	Remedy  string          `json:"remedy"`
 }
 
 // refuse answers a request that was sent to no target.
@@ -56,7 +56,7 @@
 		h.Set("Retry-After", strconv.FormatFloat(r.back.Seconds(), 'f', 3, 64))
 		remedy = "come back after Retry-After"
 	}
-	g.answer(q, r.status, fleet.OutcomeUnrun, refusalBody{Kind: r.kind, Message: string(r.reason), Remedy: remedy})
+	g.answer(q, r.status, fleet.OutcomeNotRun, refusalBody{Kind: r.kind, Message: string(r.reason), Remedy: remedy})
 }
 
 func (g *Gateway) answer(q *request, status int, o fleet.Outcome, body refusalBody) {
@@ -124,7 +124,7 @@
 		g.answer(q, http.StatusGatewayTimeout, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindDeadline, Message: string(reason), Remedy: "it may have run; ask for less or wait longer"})
 	default:
 		g.logEnd(q, http.StatusBadGateway, reason, err)
-		g.answer(q, http.StatusBadGateway, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindTarget, Message: string(reason), Remedy: "it may have run; send it again only if that does no harm"})
+		g.answer(q, http.StatusBadGateway, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindTargetFailed, Message: string(reason), Remedy: "it may have run; send it again only if that does no harm"})
 	}
 }
 
@@ -133,7 +133,7 @@
 func (g *Gateway) leave(q *request, err error) {
 	reason := fleet.ReasonCallerLeft
 	if g.over.Load() {
-		reason = fleet.ReasonGraceOver
+		reason = fleet.ReasonGraceExpired
 	}
 	g.logEnd(q, 0, reason, err)
 	panic(http.ErrAbortHandler)
@@ -142,7 +142,7 @@
 // breakOff ends an answer that has begun so that it cannot look whole: the
 // connection closes before the end of the body.
 func (g *Gateway) breakOff(q *request, reason fleet.Reason, err error) {
-	g.logEnd(q, 0, fleet.ReasonBrokenOff+reason, err)
+	g.logEnd(q, 0, fleet.ReasonTruncatedPrefix+reason, err)
 	panic(http.ErrAbortHandler)
 }
 
@@ -159,7 +159,7 @@
 func (g *Gateway) logEnd(q *request, status int, reason fleet.Reason, err error, more ...any) {
 	route, aim := "", time.Duration(0)
 	if q.route != nil {
-		route, aim = q.route.Name, q.route.Aim
+		route, aim = q.route.Name, q.route.LatencyObjective
 	}
 	now := g.Clock.Now()
 	args := []any{
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -47,14 +47,14 @@
 			return outcome{next: over, reason: fleet.ReasonCallerLeft, err: err}
 		}
 		g.ended(c, placement.Unreached)
-		g.logSend(q, c, started, fleet.AttemptUnreached, err)
+		g.logSend(q, c, started, fleet.AttemptConnectFailed, err)
 		return outcome{next: elsewhere, reason: fleet.ReasonNoConnection, err: err, unrun: true}
 	}
 	if !g.maySend(c) {
 		g.pool.Return(c.Target.Incarnation, conn)
 		g.ended(c, placement.Left)
-		g.logSend(q, c, started, fleet.AttemptClosed, nil)
-		return outcome{next: elsewhere, reason: fleet.ReasonClosed, unrun: true}
+		g.logSend(q, c, started, fleet.AttemptTargetClosed, nil)
+		return outcome{next: elsewhere, reason: fleet.ReasonTargetClosed, unrun: true}
 	}
 	q.sent++
 	answer, givenUp, err := g.sendWatched(ctx, q, c, conn)
@@ -134,18 +134,18 @@
 	case q.begun && !q.streams(a):
 		q.ran = true
 		g.ended(c, placement.Failed)
-		g.logSend(q, c, started, fleet.AttemptFailure, nil, "status", a.Status)
-		return g.repeat(q, fleet.ReasonStreamStuck, nil)
+		g.logSend(q, c, started, fleet.AttemptTargetFailed, nil, "status", a.Status)
+		return g.repeat(q, fleet.ReasonStreamNotResumable, nil)
 	case q.streams(a):
 		q.ran = true
 		return g.passStream(q, c, started, a)
 	}
 	q.ran = true
-	if a.Status >= failure && q.route.Repeatable() && q.tries() < q.route.Attempts {
+	if a.Status >= failure && q.route.Repeatable() && q.tries() < q.route.MaxAttempts {
 		if g.mayRepeat(q) {
 			g.ended(c, placement.Failed)
-			g.logSend(q, c, started, fleet.AttemptFailure, nil, "status", a.Status)
-			return outcome{next: granted, reason: fleet.ReasonFailed}
+			g.logSend(q, c, started, fleet.AttemptTargetFailed, nil, "status", a.Status)
+			return outcome{next: granted, reason: fleet.ReasonTargetFailed}
 		}
 	}
 	return g.passWhole(q, c, started, a)
@@ -157,12 +157,12 @@
 	if g.Dialect.Moved(a.Status) {
 		q.moved++
 		g.ended(c, placement.Unreached)
-		g.logSend(q, c, started, fleet.AttemptMoved, nil, "status", a.Status)
-		return outcome{next: again, reason: fleet.ReasonMoved, unrun: true}
+		g.logSend(q, c, started, fleet.AttemptAddressReused, nil, "status", a.Status)
+		return outcome{next: again, reason: fleet.ReasonAddressReused, unrun: true}
 	}
 	g.ended(c, placement.Refused)
-	g.logSend(q, c, started, fleet.AttemptUnrun, nil, "status", a.Status)
-	return outcome{next: again, reason: fleet.ReasonUnrun, unrun: true}
+	g.logSend(q, c, started, fleet.AttemptNotRun, nil, "status", a.Status)
+	return outcome{next: again, reason: fleet.ReasonNotRun, unrun: true}
 }
 
 // drain reads the rest of a small answer, so that its connection can be kept.
@@ -172,10 +172,10 @@
 }
 
 // logSend writes the line of one attempt.
-func (g *Gateway) logSend(q *request, c *placement.Choice, started time.Time, result fleet.AttemptEnd, err error, more ...any) {
+func (g *Gateway) logSend(q *request, c *placement.Choice, started time.Time, result fleet.AttemptResult, err error, more ...any) {
 	now := g.Clock.Now()
 	args := []any{
-		"request", q.id, "target", c.Target.ID, "born", c.Target.Born, "zone", c.Target.Zone, "pool", c.Target.Pool, "result", result,
+		"request", q.id, "target", c.Target.ID, "born", c.Target.StartMillis, "zone", c.Target.Zone, "pool", c.Target.Pool, "result", result,
 		"try", q.sent, "home", c.Home, "copy", c.CopyFrom, "load", c.Load, "queue", c.Queue.Milliseconds(), "unread", c.Unread, "predicted", c.Wait.Milliseconds(),
 		"first", c.First.Milliseconds(), "took", now.Sub(started).Milliseconds(), "left", q.until.Sub(now).Milliseconds(),
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -95,7 +95,7 @@
 		}
 		g.callers.settled(connOf(q.r.Context()))
 		if !now.Before(q.until) {
-			g.giveUp(q, fleet.ReasonTimeUp, nil)
+			g.giveUp(q, fleet.ReasonDeadlineExceeded, nil)
 			return
 		}
 		g.awaitNews(now)
@@ -130,7 +130,7 @@
 			}
 			unreached++
 			if unreached >= maxUnreached || g.Clock.Now().Sub(since) >= unreachedFor {
-				g.end(q, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: fleet.ReasonUnreached, back: moment, err: out.err})
+				g.end(q, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: fleet.ReasonNoTargetReachable, back: moment, err: out.err})
 				return
 			}
 		case granted:
@@ -234,7 +234,7 @@
 // mayRepeat reports whether a request may go to one more target, and takes that
 // from the budget that all routers share.
 func (g *Gateway) mayRepeat(q *request) bool {
-	if q.tries() >= q.route.Attempts {
+	if q.tries() >= q.route.MaxAttempts {
 		return false
 	}
 	g.mu.Lock()
--- a/internal/gateway/shed.go
+++ b/internal/gateway/shed.go
@@ -40,7 +40,7 @@
 // shedAnswer refuses a request that was not read.
 var shedAnswer = []byte("HTTP/1.1 " + strconv.Itoa(http.StatusServiceUnavailable) + " Service Unavailable\r\n" +
 	"Retry-After: " + strconv.FormatFloat(shedBack.Seconds(), 'f', 3, 64) + "\r\n" +
-	"Lf-Outcome: " + string(fleet.OutcomeUnrun) + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+	"Lf-Outcome: " + string(fleet.OutcomeNotRun) + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 
 // unreadBytes are where requests are read that nobody looks at. A buffer on the stack of
 // each one's goroutine made that grow to twice the size, and the runtime gives stacks back
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -36,9 +36,9 @@
 	switch {
 	case !c.leads(now):
 		done(message.Evacuated{}, quorum.ErrNotLeader(c.leaderAddress()))
-	case !held.Has(p.Zone) && !c.hasZone(p.Zone):
+	case !held.Contains(p.Zone) && !c.hasZone(p.Zone):
 		done(message.Evacuated{}, fleet.NewError(fleet.KindMalformed, "name a zone that has targets", "no zone is named %q", p.Zone))
-	case held.Has(p.Zone) != p.End:
+	case held.Contains(p.Zone) != p.End:
 		done(message.Evacuated{Zones: held.Zones}, nil)
 	default:
 		c.log.Info("evacuation ordered", "zone", p.Zone, "end", p.End, "operator", p.Operator)
@@ -63,7 +63,7 @@
 
 // noteEvacuations puts a change of the evacuated zones in force at the routers of events.
 // Those of routes hear it with their next renewal.
-func (c *core) noteEvacuations(before, now fleet.Evacuations) {
+func (c *core) noteEvacuations(before, now fleet.EvacuatedZones) {
 	if before.Revision == now.Revision {
 		return
 	}
--- a/internal/keeper/evacuation_test.go
+++ b/internal/keeper/evacuation_test.go
@@ -54,7 +54,7 @@
 			}
 			held := g.leader().core.ledger.Evacuations()
 			for zone, evacuated := range want {
-				require.Equal(t, evacuated, held.Has(zone), "seed %d", seed)
+				require.Equal(t, evacuated, held.Contains(zone), "seed %d", seed)
 			}
 			answer := g.leader().core.renew(g.clock.Time, message.Renew{Router: "new", Inc: 9})
 			require.True(t, answer.Evacuations == nil && held.Revision == 0 || answer.Evacuations.Revision == held.Revision,
@@ -80,9 +80,9 @@
 	}
 	require.Zero(t, c.ledger.Evacuations().Revision)
 
-	c.setTargets(g.clock.Now(), fleet.Listing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Zone: "z"}}})
+	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Zone: "z"}}})
 	require.NoError(t, try(message.Evacuate{Zone: "z"}))
-	c.setTargets(g.clock.Now(), fleet.Listing{})
+	c.setTargets(g.clock.Now(), fleet.TargetListing{})
 	require.NoError(t, try(message.Evacuate{Zone: "z"}), "it was accepted, and is never refused after that")
 	require.NoError(t, try(message.Evacuate{Zone: "z", End: true}))
 	require.False(t, slices.Contains(c.ledger.Evacuations().Zones, "z"))
--- a/internal/keeper/forming.go
+++ b/internal/keeper/forming.go
@@ -145,7 +145,7 @@
 	}
 	mine := slices.ContainsFunc(p.Members, func(m quorum.Member) bool { return m.ID == id.ID })
 	if id.Bound == nil || !mine || len(id.Proposed) > 0 {
-		return formResult{}, fleet.NewError(fleet.KindPolicy, "ask again, or wait for its own proposal",
+		return formResult{}, fleet.NewError(fleet.KindPrecondition, "ask again, or wait for its own proposal",
 			"keeper %s takes no part in this group", f.settings.Name)
 	}
 	id.Members, id.Founded = p.Members, true
--- a/internal/keeper/founding.go
+++ b/internal/keeper/founding.go
@@ -133,7 +133,7 @@
 	defer f.mu.Unlock()
 	id := f.journal.Identity()
 	if id.Bound == nil {
-		return foundResult{}, fleet.NewError(fleet.KindPolicy, "start it with --init, or wait for it", "keeper %s founds no group", f.settings.Name)
+		return foundResult{}, fleet.NewError(fleet.KindPrecondition, "start it with --init, or wait for it", "keeper %s founds no group", f.settings.Name)
 	}
 	if id.Bound[p.Name] == "" && !id.Founded {
 		if err := f.bind(id, p.Name, p.ID); err != nil {
--- a/internal/keeper/instances.go
+++ b/internal/keeper/instances.go
@@ -11,21 +11,21 @@
 // An InstanceList is the platform's list of targets. It lags, and takes a
 // bounded number of reads from all nodes.
 type InstanceList interface {
-	Read(ctx context.Context) (fleet.Listing, error)
+	Read(ctx context.Context) (fleet.TargetListing, error)
 	// Address is where it is read, for those who look for the cause of damage.
 	Address() string
 }
 
 // A MockInstanceList is a list set by hand.
 type MockInstanceList struct {
-	List fleet.Listing
+	List fleet.TargetListing
 	Err  error
 }
 
 var _ InstanceList = &MockInstanceList{}
 
 // Read implements InstanceList.
-func (l *MockInstanceList) Read(context.Context) (fleet.Listing, error) {
+func (l *MockInstanceList) Read(context.Context) (fleet.TargetListing, error) {
 	return l.List, l.Err
 }
 
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -116,7 +116,7 @@
 		case !ok:
 			done(struct{}{}, quorum.ErrNotLeader(c.leaderAddress()))
 		case !registry.Lift(now, p.Print):
-			done(struct{}{}, fleet.NewError(fleet.KindPolicy, "see lfctl held for those that are", "request %q is not held back", p.Print))
+			done(struct{}{}, fleet.NewError(fleet.KindPrecondition, "see lfctl held for those that are", "request %q is not held back", p.Print))
 		default:
 			c.log.Info("quarantine lifted", "print", p.Print, "operator", p.Operator)
 			c.putQuarantine(now, func(err error) { done(struct{}{}, err) })
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -182,7 +182,7 @@
 	var list []message.Warming
 	for target, until := range w {
 		if left := until.Sub(now); left > 0 {
-			list = append(list, message.Warming{Target: target.ID, Born: target.Born, Left: left})
+			list = append(list, message.Warming{Target: target.ID, Born: target.StartMillis, Left: left})
 		}
 	}
 	slices.SortFunc(list, func(a, b message.Warming) int { return cmp.Compare(a.Target, b.Target) })
@@ -212,7 +212,7 @@
 // setTargets takes the platform's list of targets as it was read at a time. It goes to the
 // routers as it is: what follows from a damaged entry, or from a list that is suddenly
 // empty, is decided by the roster of each, or two of them would add up their patience.
-func (c *core) setTargets(readAt time.Time, listing fleet.Listing) {
+func (c *core) setTargets(readAt time.Time, listing fleet.TargetListing) {
 	targets, damaged := listing.Targets, listing.DamagedIDs()
 	term := c.node.Term()
 	if c.routes.term != term {
--- a/internal/keeper/renew_test.go
+++ b/internal/keeper/renew_test.go
@@ -18,7 +18,7 @@
 func TestRoutersOfTheVersionBeforeGetTheirOwnForm(t *testing.T) {
 	g, c := newLeader(t, 5)
 	targets := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p"}, {Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p"}}
-	c.setTargets(g.clock.Now(), fleet.Listing{Targets: targets})
+	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: targets})
 	backlog := []message.Backlog{{Target: "b", Tokens: 4, Running: 1}}
 	demand := []message.Demand{{Account: "x", Rate: 9, Served: 8}}
 
@@ -43,7 +43,7 @@
 	again := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: now.Term, List: now.List})
 	require.Empty(t, again.Roll, "the router holds that list")
 	require.Equal(t, now.Loads, again.Loads)
-	c.setTargets(g.clock.Now(), fleet.Listing{Targets: targets[1:]})
+	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: targets[1:]})
 	next := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: now.Term, List: now.List})
 	require.NotEmpty(t, next.Roll)
 	require.NotEqual(t, now.Loads, next.Loads, "columns go by the list that is named")
@@ -54,11 +54,11 @@
 // Cause: the leader takes the list for the one that its routers have.
 func TestANewStartIsAnotherList(t *testing.T) {
 	g, c := newLeader(t, 5)
-	c.setTargets(g.clock.Now(), fleet.Listing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", Born: 1000}, Pool: "p"}}})
+	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", StartMillis: 1000}, Pool: "p"}}})
 	backlog := []message.Backlog{{Target: "a", Born: 1000, Tokens: 4, Running: 1}}
 	former := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Backlog: backlog})
-	next := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", Born: 2000}, Pool: "p"}}
-	c.setTargets(g.clock.Now(), fleet.Listing{Targets: next})
+	next := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", StartMillis: 2000}, Pool: "p"}}
+	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: next})
 	now := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: former.Term, List: former.List, Backlog: backlog})
 	require.Greater(t, now.List, former.List)
 	roll, err := packed.UnpackJSON[[]fleet.Instance](now.Roll)
@@ -75,10 +75,10 @@
 func TestRoutersAreToldOfDamagedEntries(t *testing.T) {
 	g, c := newLeader(t, 5)
 	sound := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p"}}
-	c.setTargets(g.clock.Now(), fleet.Listing{Targets: sound})
+	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: sound})
 	before := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true})
 	require.Empty(t, before.Damaged)
-	c.setTargets(g.clock.Now(), fleet.Listing{Targets: sound, Damaged: []fleet.Damage{{ID: "a", Field: "slots"}, {Field: "type"}}})
+	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: sound, Damaged: []fleet.DamagedEntry{{ID: "a", Field: "slots"}, {Field: "type"}}})
 	now := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: before.Term, List: before.List})
 	require.Greater(t, now.List, before.List, "it is another list")
 	require.Equal(t, []string{"a"}, now.Damaged)
@@ -91,9 +91,9 @@
 // thousands of them it does nothing else.
 func TestColdTargetsAreToldOnce(t *testing.T) {
 	g, c := newLeader(t, 5)
-	listing := fleet.Listing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p"}}}
+	listing := fleet.TargetListing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p"}}}
 	cold := func(left time.Duration) {
-		listing.Warming = []fleet.Warming{{Target: fleet.Incarnation{ID: "a"}, Left: left}}
+		listing.Warming = []fleet.WarmingTarget{{Target: fleet.Incarnation{ID: "a"}, Left: left}}
 		c.setTargets(g.clock.Now(), listing)
 	}
 	cold(3 * time.Second)
--- a/internal/keeper/serve.go
+++ b/internal/keeper/serve.go
@@ -159,10 +159,10 @@
 func (c *core) applyConfig(ctx context.Context, p message.Apply) (message.Applied, error) {
 	var config fleet.Config
 	if err := json.Unmarshal(p.Config, &config); err != nil {
-		return message.Applied{}, fleet.NewError(fleet.KindConfig, "send a configuration", "the configuration cannot be read: %v", err)
+		return message.Applied{}, fleet.NewError(fleet.KindInvalidConfig, "send a configuration", "the configuration cannot be read: %v", err)
 	}
-	if err := config.Check(); err != nil {
-		return message.Applied{}, fleet.NewError(fleet.KindConfig, "mend the configuration", "%v", err)
+	if err := config.Validate(); err != nil {
+		return message.Applied{}, fleet.NewError(fleet.KindInvalidConfig, "mend the configuration", "%v", err)
 	}
 	applied, err := await(ctx, c, func(now time.Time, done func(message.Applied, error)) {
 		c.submitConfig(now, config, p.Operator, done)
--- a/internal/keeper/vmlist.go
+++ b/internal/keeper/vmlist.go
@@ -144,13 +144,13 @@
 		switch {
 		case err == nil && c.gone.addresses[host]:
 			names = append(names, t.Name)
-		case c.ledger.Evacuations().Has(t.Zone):
+		case c.ledger.Evacuations().Contains(t.Zone):
 			evacuated = append(evacuated, t.Name)
 		}
 	}
 	slices.Sort(names)
 	c.divider.SetGone(c.clock.Now(), append(evacuated, names...))
 	if len(config.Pools) > 0 {
-		c.setTargets(c.clock.Now(), fleet.Listing{Targets: config.Instances(names)})
+		c.setTargets(c.clock.Now(), fleet.TargetListing{Targets: config.Instances(names)})
 	}
 }
--- a/internal/ledger/evacuation_test.go
+++ b/internal/ledger/evacuation_test.go
@@ -32,7 +32,7 @@
 			require.Equal(t, changes, now.Revision == before.Revision+1)
 			require.Equal(t, !changes, now.Revision == before.Revision)
 			for zone, evacuated := range want {
-				require.Equal(t, evacuated, now.Has(zone))
+				require.Equal(t, evacuated, now.Contains(zone))
 			}
 			if rapid.Bool().Draw(t, "snapshot") {
 				data, err := l.Snapshot()
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -80,7 +80,7 @@
 
 	document    Document
 	quarantine  quarantine.Book
-	evacuations fleet.Evacuations
+	evacuations fleet.EvacuatedZones
 }
 
 // Config returns the configuration in force, in its parsed and stored forms.
@@ -120,7 +120,7 @@
 }
 
 // Evacuations returns the availability zones that are evacuated.
-func (l *Ledger) Evacuations() fleet.Evacuations {
+func (l *Ledger) Evacuations() fleet.EvacuatedZones {
 	return l.evacuations
 }
 
@@ -215,7 +215,7 @@
 
 	Document    Document             `json:"document,omitzero"`
 	Quarantine  quarantine.SavedBook `json:"quarantine,omitzero"`
-	Evacuations fleet.Evacuations    `json:"evacuations,omitzero"`
+	Evacuations fleet.EvacuatedZones `json:"evacuations,omitzero"`
 }
 
 // Snapshot returns the state in its stored form.
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -200,7 +200,7 @@
 	return c.Call(ctx, message.MethodProve, answer, nil)
 }
 
-var errProof = fleet.NewError(fleet.KindProof, "give every process the same secret file", "the peer does not hold the fleet's secret")
+var errProof = fleet.NewError(fleet.KindBadProof, "give every process the same secret file", "the peer does not hold the fleet's secret")
 
 func (s Secret) prove(role, a, b string) string {
 	mac := hmac.New(sha256.New, s)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -25,7 +25,7 @@
 // Call implements Handler.
 func (e *echo) Call(_ context.Context, _ *Conn, method string, params json.RawMessage) (any, error) {
 	if method == "refuse" {
-		return nil, fleet.NewError(fleet.KindPolicy, "ask nicely", "refused")
+		return nil, fleet.NewError(fleet.KindPrecondition, "ask nicely", "refused")
 	}
 	return params, nil
 }
@@ -68,7 +68,7 @@
 	err = c.Call(context.Background(), "refuse", nil, nil)
 	var kind *fleet.Error
 	require.ErrorAs(t, err, &kind)
-	require.Equal(t, fleet.KindPolicy, kind.Kind)
+	require.Equal(t, fleet.KindPrecondition, kind.Kind)
 	require.Positive(t, count.Sent.Load())
 	require.Positive(t, count.Received.Load())
 }
--- a/internal/message/renew.go
+++ b/internal/message/renew.go
@@ -60,12 +60,12 @@
 
 // BacklogOf returns the backlog of a target.
 func BacklogOf(target fleet.Incarnation, tokens, running int) Backlog {
-	return Backlog{Target: target.ID, Born: target.Born, Tokens: tokens, Running: running}
+	return Backlog{Target: target.ID, Born: target.StartMillis, Tokens: tokens, Running: running}
 }
 
 // Of returns whose backlog it is.
 func (b Backlog) Of() fleet.Incarnation {
-	return fleet.Incarnation{ID: b.Target, Born: b.Born}
+	return fleet.Incarnation{ID: b.Target, StartMillis: b.Born}
 }
 
 // Plus returns the sum of two backlogs of one target.
@@ -98,7 +98,7 @@
 	// Warming are the targets that the list shows as cold. They come with Targets or Roll.
 	Warming []Warming `json:"warming,omitempty"`
 	// Evacuations are the evacuated zones, if the router does not hold them yet.
-	Evacuations *fleet.Evacuations `json:"evacuations,omitempty"`
+	Evacuations *fleet.EvacuatedZones `json:"evacuations,omitempty"`
 	// Seat is leased to the router from when it asked.
 	Seat warmup.Seat `json:"seat,omitzero"`
 	// Age is how long before this answer the list was read.
@@ -127,7 +127,7 @@
 
 // Of returns which target it is.
 func (w Warming) Of() fleet.Incarnation {
-	return fleet.Incarnation{ID: w.Target, Born: w.Born}
+	return fleet.Incarnation{ID: w.Target, StartMillis: w.Born}
 }
 
 // Loads are the sums of what all routers report, by column: every router gets them
--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -31,7 +31,7 @@
 	}
 	for target, s := range p.states {
 		for _, b := range byID[target.ID] {
-			if b.Of().Like(target) {
+			if b.Of().MayEqual(target) {
 				s.others = s.others.Plus(b)
 			}
 		}
--- a/internal/placement/incarnation_test.go
+++ b/internal/placement/incarnation_test.go
@@ -15,7 +15,7 @@
 	list = append([]fleet.Instance(nil), list...)
 	for i := range list {
 		if list[i].ID == id {
-			list[i].Born = at
+			list[i].StartMillis = at
 		}
 	}
 	return list
@@ -94,7 +94,7 @@
 		{Target: "i-0", Born: 2000, Tokens: 5, Running: 1},
 		{Target: "i-0", Born: 1000, Tokens: 700, Running: 7},
 	})
-	s := p.states[fleet.Incarnation{ID: "i-0", Born: 2000}]
+	s := p.states[fleet.Incarnation{ID: "i-0", StartMillis: 2000}]
 	require.Equal(t, 15, s.others.Tokens)
 	require.Equal(t, 2, s.others.Running)
 }
--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -15,7 +15,7 @@
 // again: that pays for small parts only. What the home of a zone lacks it copies from the
 // home of the fleet.
 func (p *Placer) local(r Request) bool {
-	shared, memory := 0, p.engines[r.Pool].Memory
+	shared, memory := 0, p.engines[r.Pool].KVCapacity
 	for _, part := range r.shared() {
 		shared += part.Tokens
 	}
--- a/internal/placement/locality_test.go
+++ b/internal/placement/locality_test.go
@@ -14,7 +14,7 @@
 	var list []*Placer
 	for _, zone := range []fleet.Zone{"z0", "z1", "z2"} {
 		p := &Placer{Zone: zone, Routers: 86}
-		p.SetPools(map[string]fleet.Pool{"engines": {Engine: &fleet.Engine{Slots: 64, Memory: 500_000, CopyRate: 200}}})
+		p.SetPools(map[string]fleet.Pool{"engines": {Engine: &fleet.Engine{Slots: 64, KVCapacity: 500_000, CopyRate: 200}}})
 		p.SetTargets(start, instances(engines))
 		list = append(list, p)
 	}
@@ -69,7 +69,7 @@
 // Guards against requests without a home in a zone whose engines have gone.
 func TestAZoneWithoutEnginesUsesOthers(t *testing.T) {
 	p := inZones(60)[0]
-	p.SetEvacuated(fleet.Evacuations{Revision: 1, Zones: []fleet.Zone{"z0"}})
+	p.SetEvacuated(fleet.EvacuatedZones{Revision: 1, Zones: []fleet.Zone{"z0"}})
 	p.SetTargets(start, instances(60))
 	c := send(t, p, start, prompt(1, 6_000, 300))
 	require.NotEqual(t, fleet.Zone("z0"), c.Target.Zone)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -179,7 +179,7 @@
 	rate    float64                 // prompt tokens read in a millisecond by one engine
 	bounds  map[string]warmup.Bound // by pool
 
-	evacuations fleet.Evacuations
+	evacuations fleet.EvacuatedZones
 	warming     map[fleet.Incarnation]time.Time // until when targets are cold
 	spent       map[string]spent                // how long a request takes, by pool
 }
@@ -193,7 +193,7 @@
 	takers, locals := make(map[string]int), make(map[string]int)
 	for _, in := range list {
 		s := p.states[in.Incarnation]
-		evacuated := p.evacuations.Has(in.Zone)
+		evacuated := p.evacuations.Contains(in.Zone)
 		if s == nil || s.Leaving && !in.Leaving || s.evacuated && !evacuated { // it may have started again
 			s = newState(now, in)
 			p.come(now, s)
--- a/internal/placement/warming.go
+++ b/internal/placement/warming.go
@@ -13,7 +13,7 @@
 const doubtFor = 3 * time.Second
 
 // SetEvacuated takes which zones are evacuated. It comes in force with the next SetTargets.
-func (p *Placer) SetEvacuated(e fleet.Evacuations) {
+func (p *Placer) SetEvacuated(e fleet.EvacuatedZones) {
 	p.evacuations = e
 }
 
@@ -94,6 +94,6 @@
 func (p *Placer) setBounds(pools map[string]fleet.Pool) {
 	p.bounds = make(map[string]warmup.Bound, len(pools))
 	for name, pool := range pools {
-		p.bounds[name] = p.Warmup.Bound(pool.WarmFor, pool.WarmRate)
+		p.bounds[name] = p.Warmup.Bound(pool.WarmupTime, pool.WarmupRate)
 	}
 }
--- a/internal/placement/warming_test.go
+++ b/internal/placement/warming_test.go
@@ -17,7 +17,7 @@
 func warming(n, part int) *Placer {
 	p := &Placer{Zone: "z0", Routers: 6}
 	p.Warmup.Ratio = 1
-	p.SetPools(map[string]fleet.Pool{"engines": {Name: "engines", WarmFor: coldFor, WarmRate: 1.1 * float64(part), Engine: &fleet.Engine{CopyRate: 26}}})
+	p.SetPools(map[string]fleet.Pool{"engines": {Name: "engines", WarmupTime: coldFor, WarmupRate: 1.1 * float64(part), Engine: &fleet.Engine{CopyRate: 26}}})
 	p.SetTargets(start, instances(n))
 	return p
 }
@@ -28,7 +28,7 @@
 }
 
 func evacuate(p *Placer, now time.Time, revision uint64, zones ...fleet.Zone) {
-	p.SetEvacuated(fleet.Evacuations{Revision: revision, Zones: zones})
+	p.SetEvacuated(fleet.EvacuatedZones{Revision: revision, Zones: zones})
 	p.SetTargets(now, instances(len(p.states)))
 }
 
@@ -173,7 +173,7 @@
 func TestTheFirstTargetsAreNotCold(t *testing.T) {
 	p := &Placer{Zone: "z0"}
 	p.Warmup.Ratio = 1
-	p.SetPools(map[string]fleet.Pool{"engines": {WarmFor: coldFor, WarmRate: 8}})
+	p.SetPools(map[string]fleet.Pool{"engines": {WarmupTime: coldFor, WarmupRate: 8}})
 	p.SetTargets(start, nil) // the leader has not read the list yet
 	p.SetTargets(start, instances(9))
 	_, ok := p.Choose(start, prompt(1, 13000, 300))
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -189,7 +189,7 @@
 func (s *suit) has(e End, at time.Time) bool {
 	return slices.ContainsFunc(s.Ended, func(known Ended) bool {
 		same := !e.Named || at.Sub(known.At).Abs() < sameEnd && !s.before(known, e)
-		return known.Target.Like(e.Target) && same
+		return known.Target.MayEqual(e.Target) && same
 	})
 }
 
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -36,12 +36,12 @@
 // the loss of another member right after can not lose any of it.
 func (n *Node) Promote(now time.Time, id string) error {
 	if n.Match(id) < n.commit {
-		return fleet.NewError(fleet.KindPolicy, "wait until it has caught up", "keeper %s holds %d of %d entries", id, n.Match(id), n.commit)
+		return fleet.NewError(fleet.KindPrecondition, "wait until it has caught up", "keeper %s holds %d of %d entries", id, n.Match(id), n.commit)
 	}
 	members := slices.Clone(n.Members())
 	i := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 	if i < 0 {
-		return fleet.NewError(fleet.KindPolicy, "add it first", "keeper %s is no member", id)
+		return fleet.NewError(fleet.KindPrecondition, "add it first", "keeper %s is no member", id)
 	}
 	if members[i].Voter {
 		return nil
@@ -57,7 +57,7 @@
 	}
 	members := slices.DeleteFunc(slices.Clone(n.Members()), func(m Member) bool { return m.ID == id })
 	if id == n.ID || voters(members) == 0 {
-		return fleet.NewError(fleet.KindPolicy, "ask after another keeper leads", "keeper %s leads", id)
+		return fleet.NewError(fleet.KindPrecondition, "ask after another keeper leads", "keeper %s leads", id)
 	}
 	if err := n.change(now, members); err != nil {
 		return err
--- a/internal/quorum/types.go
+++ b/internal/quorum/types.go
@@ -134,7 +134,7 @@
 }
 
 // ErrChanging refuses a change of membership while another is on its way.
-var ErrChanging = fleet.NewError(fleet.KindPolicy, "wait until the change before is done",
+var ErrChanging = fleet.NewError(fleet.KindPrecondition, "wait until the change before is done",
 	"a change of the keepers is on its way, or the leader is new")
 
 func findMember(members []Member, id string) (Member, bool) {
--- a/internal/quota/incarnation_test.go
+++ b/internal/quota/incarnation_test.go
@@ -19,7 +19,7 @@
 	b.Report(start, "knows", nil, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}})
 	_, sums, _ := b.Sums(start)
 	require.Equal(t, []message.Backlog{{Target: "a", Born: 1000, Tokens: 90_000, Running: 60}, {Target: "a", Born: 2000, Tokens: 10, Running: 1}}, sums)
-	targets := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", Born: 2000}}}
+	targets := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", StartMillis: 2000}}}
 	loads := Columns(nil, sums, targets)
 	require.Equal(t, []int{10}, loads.Tokens)
 	require.Equal(t, []int{1}, loads.Running)
@@ -34,7 +34,7 @@
 // Cause: an unknown start is taken for another one.
 func TestBacklogsOfTheVersionBeforeCount(t *testing.T) {
 	mixed := []message.Backlog{{Target: "a", Tokens: 5}, {Target: "a", Born: 2000, Tokens: 10}}
-	require.Equal(t, []int{15}, Columns(nil, mixed, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", Born: 2000}}}).Tokens)
+	require.Equal(t, []int{15}, Columns(nil, mixed, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", StartMillis: 2000}}}).Tokens)
 	require.Equal(t, []int{15}, Columns(nil, mixed, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}}}).Tokens)
 	old := []message.Backlog{{Target: "a", Tokens: 15}} // a keeper's sum
 	require.Equal(t, []message.Backlog{{Target: "a", Tokens: 5}}, Without(old, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10}}))
--- a/internal/quota/loads.go
+++ b/internal/quota/loads.go
@@ -77,7 +77,7 @@
 // version before, it counts as the same.
 func (b backlogs) of(target fleet.Incarnation) message.Backlog {
 	sum := message.BacklogOf(target, 0, 0)
-	if target.Born == 0 || b.runs == nil {
+	if target.StartMillis == 0 || b.runs == nil {
 		return sum.Plus(b.ids[target.ID])
 	}
 	return sum.Plus(b.runs[target]).Plus(b.runs[fleet.Incarnation{ID: target.ID}])
--- a/internal/roster/notes.go
+++ b/internal/roster/notes.go
@@ -30,9 +30,9 @@
 }
 
 // Take notes what a reading holds.
-func (n *DamageNotes) Take(now time.Time, listing fleet.Listing) {
+func (n *DamageNotes) Take(now time.Time, listing fleet.TargetListing) {
 	n.Count.Add(uint64(len(listing.Damaged)))
-	faults := listing.Faults()
+	faults := listing.DamageSummary()
 	since := now.Sub(n.lastAt)
 	if since < notePause || faults == n.last && (faults == "" || since < noteAgain) {
 		return
--- a/internal/roster/notes_test.go
+++ b/internal/roster/notes_test.go
@@ -26,7 +26,7 @@
 	n.Take(at(0), list(sound))
 	require.Equal(t, []string{""}, lines())
 	bad := damaged(list(sound), "a", "b", "")
-	bad.Damaged = append(bad.Damaged, fleet.Damage{Field: "type"})
+	bad.Damaged = append(bad.Damaged, fleet.DamagedEntry{Field: "type"})
 	for s := 1.0; s < 50; s += 0.6 {
 		n.Take(at(s), bad)
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -65,7 +65,7 @@
 // A list without any sound entry is believed only after emptyFor: more often than all
 // targets at once, whoever writes the list is gone. A damaged entry does not say that its
 // target is gone either.
-func (r *Roster) Take(readAt time.Time, list fleet.Listing) bool {
+func (r *Roster) Take(readAt time.Time, list fleet.TargetListing) bool {
 	if readAt.Before(r.readAt) {
 		return false
 	}
@@ -99,7 +99,7 @@
 }
 
 // doubtful reports whether a list is empty and that has not lasted for long enough.
-func (r *Roster) doubtful(list fleet.Listing) bool {
+func (r *Roster) doubtful(list fleet.TargetListing) bool {
 	if len(list.Targets) > 0 || len(r.targets) == 0 {
 		r.emptyAt = time.Time{}
 		return false
@@ -118,7 +118,7 @@
 	sorted := slices.Clone(list)
 	slices.SortStableFunc(sorted, func(a, b fleet.Instance) int {
 		return cmp.Or(
-			cmp.Compare(a.ID, b.ID), yesFirst(r.routed(a), r.routed(b)), cmp.Compare(b.Born, a.Born), yesFirst(a.Leaving, b.Leaving),
+			cmp.Compare(a.ID, b.ID), yesFirst(r.routed(a), r.routed(b)), cmp.Compare(b.StartMillis, a.StartMillis), yesFirst(a.Leaving, b.Leaving),
 			yesFirst(r.used(a), r.used(b)), cmp.Compare(a.Address, b.Address), cmp.Compare(a.Pool, b.Pool),
 		)
 	})
@@ -157,13 +157,13 @@
 	case k == nil || r.isNew(k, in):
 		k = &known{}
 		r.known[in.ID] = k
-	case in.Born != 0 && in.Born < k.Born:
+	case in.StartMillis != 0 && in.StartMillis < k.StartMillis:
 		// A reader that lags shows the start before. What is known of the newer one
 		// stands: also that it is gone, if the list before did not have it.
 		k.listed = held
 		return
-	case in.Born == 0:
-		in.Born = k.Born // this reader's source tells no start
+	case in.StartMillis == 0:
+		in.StartMillis = k.StartMillis // this reader's source tells no start
 	}
 	if in.Leaving {
 		k.left, k.leftAt = true, r.readAt
@@ -177,8 +177,8 @@
 	switch {
 	case r.readAt.Sub(k.seenAt) > memory:
 		return true
-	case in.Born != 0 && k.Born != 0:
-		return in.Born > k.Born || in.Born == k.Born && r.readAt.Sub(k.leftAt) > memory && k.left && !in.Leaving
+	case in.StartMillis != 0 && k.StartMillis != 0:
+		return in.StartMillis > k.StartMillis || in.StartMillis == k.StartMillis && r.readAt.Sub(k.leftAt) > memory && k.left && !in.Leaving
 	default:
 		// Nobody can tell the starts. A target never goes back from leaving to ready,
 		// so a list that shows that was either read by a reader that lags, or shows
@@ -209,12 +209,12 @@
 	for _, k := range r.known {
 		at := place{pool: k.Pool, address: k.Address}
 		if k.listed && k.Address != "" {
-			latest[at] = max(latest[at], k.Born)
+			latest[at] = max(latest[at], k.StartMillis)
 		}
 	}
 	list := make([]fleet.Instance, 0, len(r.known))
 	for _, k := range r.known {
-		if k.listed && (k.Born == 0 || k.Born >= latest[place{pool: k.Pool, address: k.Address}]) {
+		if k.listed && (k.StartMillis == 0 || k.StartMillis >= latest[place{pool: k.Pool, address: k.Address}]) {
 			list = append(list, k.Instance)
 		}
 	}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -44,14 +44,14 @@
 
 // run is a target with a start.
 func run(id string, born int64) fleet.Instance {
-	return fleet.Instance{Incarnation: fleet.Incarnation{ID: id, Born: born}, Pool: "p", Address: id + ":80"}
+	return fleet.Instance{Incarnation: fleet.Incarnation{ID: id, StartMillis: born}, Pool: "p", Address: id + ":80"}
 }
 
 // sound is a target that is always there.
 var sound = run("z", 1)
 
-func list(targets ...fleet.Instance) fleet.Listing {
-	return fleet.Listing{Targets: targets}
+func list(targets ...fleet.Instance) fleet.TargetListing {
+	return fleet.TargetListing{Targets: targets}
 }
 
 func leaving(in fleet.Instance) fleet.Instance {
@@ -235,10 +235,10 @@
 			}
 			r.Take(now, list(entries...))
 			for _, in := range entries {
-				newest[in.ID] = max(newest[in.ID], in.Born)
+				newest[in.ID] = max(newest[in.ID], in.StartMillis)
 			}
 			for _, in := range r.Targets() {
-				require.Equal(t, newest[in.ID], in.Born)
+				require.Equal(t, newest[in.ID], in.StartMillis)
 				require.False(t, left[in.Incarnation] && !in.Leaving)
 				left[in.Incarnation] = in.Leaving
 			}
@@ -247,9 +247,9 @@
 }
 
 // damaged returns a list with damaged entries that name IDs.
-func damaged(l fleet.Listing, ids ...string) fleet.Listing {
+func damaged(l fleet.TargetListing, ids ...string) fleet.TargetListing {
 	for _, id := range ids {
-		l.Damaged = append(l.Damaged, fleet.Damage{ID: id, Field: "slots"})
+		l.Damaged = append(l.Damaged, fleet.DamagedEntry{ID: id, Field: "slots"})
 	}
 	return l
 }
@@ -291,7 +291,7 @@
 // Cause: whatever list comes is believed at once.
 func TestASuddenlyEmptyListIsNotBelievedAtOnce(t *testing.T) {
 	targets := []fleet.Instance{run("a", 1000), leaving(run("b", 1000))}
-	for name, empty := range map[string]fleet.Listing{"empty": {}, "all damaged": damaged(fleet.Listing{}, "a", "b", "")} {
+	for name, empty := range map[string]fleet.TargetListing{"empty": {}, "all damaged": damaged(fleet.TargetListing{}, "a", "b", "")} {
 		t.Run(name, func(t *testing.T) {
 			var r Roster
 			r.Take(at(0), list(targets...))
@@ -308,6 +308,6 @@
 		})
 	}
 	var fresh Roster
-	require.False(t, fresh.Take(at(0), fleet.Listing{}), "nobody is known")
+	require.False(t, fresh.Take(at(0), fleet.TargetListing{}), "nobody is known")
 	require.Equal(t, at(0), fresh.ReadAt())
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -36,27 +36,27 @@
 
 // refusalBody is the body of every answer by the router itself.
 type refusalBody struct {
-	Kind    fleet.Kind   `json:"kind"`
-	Message string       `json:"message"`
-	Remedy  string       `json:"remedy"`
-	Fate    message.Fate `json:"fate,omitempty"`
+	Kind    fleet.ErrorKind `json:"kind"`
+	Message string          `json:"message"`
+	Remedy  string          `json:"remedy"`
+	Fate    message.Fate    `json:"fate,omitempty"`
 }
 
-var statuses = map[fleet.Kind]int{
-	fleet.KindMalformed: fasthttp.StatusBadRequest,
-	fleet.KindKey:       fasthttp.StatusUnauthorized,
-	fleet.KindAccount:   fasthttp.StatusForbidden,
-	fleet.KindEvent:     fasthttp.StatusNotFound,
-	fleet.KindClaimed:   fasthttp.StatusConflict,
-	fleet.KindTooLarge:  fasthttp.StatusRequestEntityTooLarge,
-	fleet.KindQueueFull: fasthttp.StatusTooManyRequests,
-	fleet.KindNoTarget:  fasthttp.StatusServiceUnavailable,
-	fleet.KindNoLease:   fasthttp.StatusServiceUnavailable,
-	fleet.KindStopping:  fasthttp.StatusServiceUnavailable,
-	fleet.KindFull:      fasthttp.StatusServiceUnavailable,
-	fleet.KindHeld:      fasthttp.StatusServiceUnavailable,
-	fleet.KindDeadline:  fasthttp.StatusGatewayTimeout,
-	fleet.KindTarget:    fasthttp.StatusBadGateway,
+var statuses = map[fleet.ErrorKind]int{
+	fleet.KindMalformed:          fasthttp.StatusBadRequest,
+	fleet.KindUnknownKey:         fasthttp.StatusUnauthorized,
+	fleet.KindAccountNotAdmitted: fasthttp.StatusForbidden,
+	fleet.KindEventUnavailable:   fasthttp.StatusNotFound,
+	fleet.KindClaimed:            fasthttp.StatusConflict,
+	fleet.KindTooLarge:           fasthttp.StatusRequestEntityTooLarge,
+	fleet.KindQueueFull:          fasthttp.StatusTooManyRequests,
+	fleet.KindNoTarget:           fasthttp.StatusServiceUnavailable,
+	fleet.KindNoLease:            fasthttp.StatusServiceUnavailable,
+	fleet.KindStopping:           fasthttp.StatusServiceUnavailable,
+	fleet.KindCapacityExhausted:  fasthttp.StatusServiceUnavailable,
+	fleet.KindQuarantined:        fasthttp.StatusServiceUnavailable,
+	fleet.KindDeadline:           fasthttp.StatusGatewayTimeout,
+	fleet.KindTargetFailed:       fasthttp.StatusBadGateway,
 }
 
 // serve takes one caller's request through the router.
@@ -66,7 +66,7 @@
 	ctx.Response.Header.Set(headerRequest, name)
 	req, path, err := r.parse(ctx, id)
 	if err != nil {
-		refusal := dispatch.Refuse{Err: err, Outcome: fleet.OutcomeUnrun}
+		refusal := dispatch.Refuse{Err: err, Outcome: fleet.OutcomeNotRun}
 		if err.Kind == fleet.KindNoLease {
 			refusal.RetryAt = r.Clock.Now().Add(time.Second)
 		}
@@ -105,14 +105,14 @@
 	rest, ok := strings.CutPrefix(string(ctx.Path()), pathPrefix)
 	event, path, slash := strings.Cut(rest, "/")
 	if !ok || event == "" || !slash {
-		return dispatch.Request{}, "", fleet.NewError(fleet.KindEvent, "send to /e/EVENT/PATH", "the path names no event")
+		return dispatch.Request{}, "", fleet.NewError(fleet.KindEventUnavailable, "send to /e/EVENT/PATH", "the path names no event")
 	}
 	if r.desk.blank() {
 		return dispatch.Request{}, "", fleet.NewError(fleet.KindNoLease, "ask another router, or come back after Retry-After", "this router has no configuration yet")
 	}
 	account, ok := r.account(ctx)
 	if !ok {
-		return dispatch.Request{}, "", fleet.NewError(fleet.KindKey, "send Authorization: Bearer KEY with a key of the configuration", "the key names no account")
+		return dispatch.Request{}, "", fleet.NewError(fleet.KindUnknownKey, "send Authorization: Bearer KEY with a key of the configuration", "the key names no account")
 	}
 	req := dispatch.Request{ID: id, Account: account, Event: event, Size: len(ctx.PostBody()), Prefix: prefixOf(ctx.PostBody())}
 	if err := parseHeaders(&ctx.Request.Header, &req); err != nil {
@@ -236,6 +236,6 @@
 	ctx.Response.Header.Set(headerRequest, name)
 	r.refuse(ctx, name, dispatch.Refuse{
 		Err:     fleet.NewError(kind, remedy, "the request could not be read"),
-		Outcome: fleet.OutcomeUnrun,
+		Outcome: fleet.OutcomeNotRun,
 	})
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -31,7 +31,7 @@
 	Secret  link.Secret
 	Dialect gateway.Dialect
 	// Decode reads a configuration as the keepers keep it.
-	Decode func(text []byte) (*fleet.Table, error)
+	Decode func(text []byte) (*fleet.RoutingTable, error)
 	// List is the platform's list of targets; nil where configurations list them.
 	List   uplink.TargetList
 	Meters *gateway.Meters
@@ -41,12 +41,12 @@
 }
 
 // DecodeConfig reads a configuration of the product's own form.
-func DecodeConfig(text []byte) (*fleet.Table, error) {
+func DecodeConfig(text []byte) (*fleet.RoutingTable, error) {
 	var c fleet.Config
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	return c.Table()
+	return c.RoutingTable()
 }
 
 // SetSeeds names the keepers that the settings tell of. It may be called at any
--- a/internal/share/queues.go
+++ b/internal/share/queues.go
@@ -126,7 +126,7 @@
 // Push lets a request wait. It refuses one over the account's bound.
 func (q *Queues) Push(it *Item) error {
 	s := q.account(it.Account)
-	if s.waiting >= s.account.QueueBound() {
+	if s.waiting >= s.account.EffectiveQueueLimit() {
 		return fleet.NewError(fleet.KindQueueFull, "come back after the time in Retry-After",
 			"%d requests of account %q wait here", s.waiting, it.Account)
 	}
--- a/internal/soak/draw_test.go
+++ b/internal/soak/draw_test.go
@@ -62,7 +62,7 @@
 }
 
 func (d *drawing) add(at time.Duration, k kind, victim int, do, how string, length time.Duration) {
-	d.Events = append(d.Events, event{At: fleet.Span(at), Kind: k, Victim: victim, Do: do, How: how, For: fleet.Span(length)})
+	d.Events = append(d.Events, event{At: fleet.Duration(at), Kind: k, Victim: victim, Do: do, How: how, For: fleet.Duration(length)})
 }
 
 // take reports whether a victim is free at a time, and takes it for a while.
--- a/internal/soak/scenario_test.go
+++ b/internal/soak/scenario_test.go
@@ -76,12 +76,12 @@
 
 // An event is one fault or change.
 type event struct {
-	At     fleet.Span `toml:"at"` // since the callers began
-	Kind   kind       `toml:"kind"`
-	Victim int        `toml:"victim"`
-	Do     string     `toml:"do"`
-	How    string     `toml:"how,omitempty"`
-	For    fleet.Span `toml:"for,omitempty"`
+	At     fleet.Duration `toml:"at"` // since the callers began
+	Kind   kind           `toml:"kind"`
+	Victim int            `toml:"victim"`
+	Do     string         `toml:"do"`
+	How    string         `toml:"how,omitempty"`
+	For    fleet.Duration `toml:"for,omitempty"`
 }
 
 // String returns the event as a scenario's file has it.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -34,12 +34,12 @@
 	Fenced bool             `toml:"fenced"`
 	// Delay is the time to the first token or to a service's answer, Pace the
 	// time between tokens, Tokens how many an answer has unless it asks.
-	Delay  fleet.Span `toml:"delay"`
-	Pace   fleet.Span `toml:"pace"`
-	Tokens int        `toml:"tokens"`
-	Cut    float64    `toml:"cut"`
-	Refuse float64    `toml:"refuse"`
-	Late   float64    `toml:"late"`
+	Delay  fleet.Duration `toml:"delay"`
+	Pace   fleet.Duration `toml:"pace"`
+	Tokens int            `toml:"tokens"`
+	Cut    float64        `toml:"cut"`
+	Refuse float64        `toml:"refuse"`
+	Late   float64        `toml:"late"`
 	// Crash is a text that ends the program where a request's body holds it: as soon as
 	// it begins to run, while others run beside it.
 	Crash  string `toml:"crash"`
--- a/internal/uplink/incarnation_test.go
+++ b/internal/uplink/incarnation_test.go
@@ -11,7 +11,7 @@
 )
 
 func instance(id string, born int64, leaving bool) fleet.Instance {
-	return fleet.Instance{Incarnation: fleet.Incarnation{ID: id, Born: born}, Pool: "p", Leaving: leaving}
+	return fleet.Instance{Incarnation: fleet.Incarnation{ID: id, StartMillis: born}, Pool: "p", Leaving: leaving}
 }
 
 // hear lets a router take a leader's list.
@@ -47,7 +47,7 @@
 func TestALeaderThatLagsBringsNoFormerStartBack(t *testing.T) {
 	u := newUplink(&fakeList{})
 	now := u.Clock.Now()
-	require.True(t, u.takeTargets("own reading", now, fleet.Listing{Targets: []fleet.Instance{instance("a", 2000, false)}}))
+	require.True(t, u.takeTargets("own reading", now, fleet.TargetListing{Targets: []fleet.Instance{instance("a", 2000, false)}}))
 	u.hear(t, now.Add(time.Second), 1, instance("a", 1000, false))
 	require.Equal(t, []fleet.Instance{instance("a", 2000, false)}, u.roster.Targets())
 }
--- a/internal/uplink/restart_test.go
+++ b/internal/uplink/restart_test.go
@@ -62,7 +62,7 @@
 	list := []fleet.Instance{instance("other", 1, false), instance("third", 1, false)}
 	target := instance("target", 1, d.drained && at >= d.drains && at < d.starts)
 	if at >= d.starts {
-		target.Born = d.starts.Milliseconds()
+		target.StartMillis = d.starts.Milliseconds()
 	}
 	listed := at < d.ends || at >= d.starts || !d.drained && at < d.unlisted
 	if listed {
@@ -71,7 +71,7 @@
 	for i := range list {
 		list[i].Slots = 64
 		if !d.told {
-			list[i].Born = 0
+			list[i].StartMillis = 0
 		}
 	}
 	return list
--- a/internal/uplink/take.go
+++ b/internal/uplink/take.go
@@ -144,10 +144,10 @@
 }
 
 // listing returns the list as it was read.
-func (s sentList) listing() fleet.Listing {
-	l := fleet.Listing{Targets: s.targets}
+func (s sentList) listing() fleet.TargetListing {
+	l := fleet.TargetListing{Targets: s.targets}
 	for _, id := range s.damaged {
-		l.Damaged = append(l.Damaged, fleet.Damage{ID: id})
+		l.Damaged = append(l.Damaged, fleet.DamagedEntry{ID: id})
 	}
 	return l
 }
@@ -171,21 +171,21 @@
 	return u.takeTargets("keepers", readAt, u.sent.listing())
 }
 
-func (u *Uplink) takeTargets(source string, readAt time.Time, listing fleet.Listing) bool {
+func (u *Uplink) takeTargets(source string, readAt time.Time, listing fleet.TargetListing) bool {
 	before := u.roster.Targets()
 	if !u.roster.Take(readAt, listing) {
 		return false
 	}
 	born := make(map[string]int64, len(before))
 	for _, in := range before {
-		born[in.ID] = in.Born
+		born[in.ID] = in.StartMillis
 	}
 	leaving, again := 0, 0
 	for _, in := range u.roster.Targets() {
 		if in.Leaving {
 			leaving++
 		}
-		if former, ok := born[in.ID]; ok && former != in.Born {
+		if former, ok := born[in.ID]; ok && former != in.StartMillis {
 			again++
 		}
 	}
--- a/internal/uplink/uplink.go
+++ b/internal/uplink/uplink.go
@@ -48,17 +48,17 @@
 
 // A State is what a router knows from the keepers. It is never changed.
 type State struct {
-	Table *fleet.Table
+	Table *fleet.RoutingTable
 	// KeysUntil is when accounts' keys stop counting, unless renewed.
 	KeysUntil time.Time
 	Routers   int
 	// Evacuated are the availability zones whose targets get no new work.
-	Evacuated fleet.Evacuations
+	Evacuated fleet.EvacuatedZones
 }
 
 // A TargetList is the platform's list of targets.
 type TargetList interface {
-	Read(ctx context.Context) (fleet.Listing, error)
+	Read(ctx context.Context) (fleet.TargetListing, error)
 	// Address is where it is read, for those who look for the cause of damage.
 	Address() string
 }
@@ -75,7 +75,7 @@
 	// Lease is how long after a question, answered by a leader, keys count.
 	Lease time.Duration
 	// Decode reads a configuration.
-	Decode func(text []byte) (*fleet.Table, error)
+	Decode func(text []byte) (*fleet.RoutingTable, error)
 	// List is the platform's list, read while no keeper leads; Reads is how
 	// many reads a second it takes from all nodes.
 	List  TargetList
--- a/internal/uplink/uplink_test.go
+++ b/internal/uplink/uplink_test.go
@@ -102,8 +102,8 @@
 	return data
 }
 
-func decodeNumber(text []byte) (*fleet.Table, error) {
-	table := &fleet.Table{}
+func decodeNumber(text []byte) (*fleet.RoutingTable, error) {
+	table := &fleet.RoutingTable{}
 	_, err := fmt.Sscan(string(text), &table.Number)
 	return table, err
 }
@@ -116,11 +116,11 @@
 }
 
 // Read implements TargetList.
-func (l *fakeList) Read(context.Context) (fleet.Listing, error) {
+func (l *fakeList) Read(context.Context) (fleet.TargetListing, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reads++
-	return fleet.Listing{Targets: l.list}, nil
+	return fleet.TargetListing{Targets: l.list}, nil
 }
 
 // Address implements TargetList.
--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -16,7 +16,7 @@
 	"laburnumfall/internal/fleet"
 )
 
-var somebody = fleet.Incarnation{ID: "a", Born: 1000}
+var somebody = fleet.Incarnation{ID: "a", StartMillis: 1000}
 
 // ask sends a request over a connection whose other end answers by what answer writes.
 func ask(p *Pool, answer func(w io.Writer)) (*Answer, error) {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -22,7 +22,7 @@
 	defer func() { require.NoError(t, l.Close()) }()
 	p := &Pool{Clock: clock.NewRealClock()}
 	defer p.Close()
-	former, next := fleet.Incarnation{ID: "a", Born: 1000}, fleet.Incarnation{ID: "a", Born: 2000}
+	former, next := fleet.Incarnation{ID: "a", StartMillis: 1000}, fleet.Incarnation{ID: "a", StartMillis: 2000}
 	first, err := p.Get(context.Background(), former, l.Addr().String())
 	require.NoError(t, err)
 	until := p.Clock.Now().Add(time.Minute)
--- a/internal/workload/reports_test.go
+++ b/internal/workload/reports_test.go
@@ -20,7 +20,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := scenario(t, name, 8*time.Second)
 			soon := Means(runs(t, s, 2, PolicyRouter))[0]
-			s.Reports = fleet.Span(250 * time.Millisecond)
+			s.Reports = fleet.Duration(250 * time.Millisecond)
 			late := Means(runs(t, s, 2, PolicyRouter))[0]
 			require.Less(t, soon.Late, late.Late)
 			require.Greater(t, soon.OnTime, late.OnTime)
--- a/internal/workload/request.go
+++ b/internal/workload/request.go
@@ -83,7 +83,7 @@
 
 // watch lets a caller leave once nothing has come for too long.
 func (w *world) watch(r *request) {
-	gone := r.last.Add(r.route.Patience())
+	gone := r.last.Add(r.route.AbandonAfter())
 	if until := r.until(); until.Before(gone) {
 		gone = until
 	}
@@ -91,7 +91,7 @@
 		if r.fate != pending {
 			return
 		}
-		if w.now.Before(r.last.Add(r.route.Patience())) && w.now.Before(r.until()) {
+		if w.now.Before(r.last.Add(r.route.AbandonAfter())) && w.now.Before(r.until()) {
 			w.watch(r)
 			return
 		}
@@ -173,7 +173,7 @@
 	if a.fate != pending {
 		return
 	}
-	if a.sent < a.route.Attempts {
+	if a.sent < a.route.MaxAttempts {
 		w.send(a)
 		return
 	}
--- a/internal/workload/routers.go
+++ b/internal/workload/routers.go
@@ -57,7 +57,7 @@
 		)
 		p.leaveOut(&d.Desk)
 		d.Placer.SetPools(map[string]fleet.Pool{pool: {Name: pool, Engine: &fleet.Engine{
-			Slots: w.Scenario.Engines.Slots, CopyRate: p.copyRate, Memory: w.Scenario.Engines.Memory,
+			Slots: w.Scenario.Engines.Slots, CopyRate: p.copyRate, KVCapacity: w.Scenario.Engines.Memory,
 		}}})
 		p.desks = append(p.desks, d)
 		d.Placer.SetTargets(w.now, w.list())
--- a/internal/workload/scenario.go
+++ b/internal/workload/scenario.go
@@ -19,21 +19,21 @@
 
 // A Scenario is a load and what happens under it.
 type Scenario struct {
-	Name   string     `toml:"name"`
-	Length fleet.Span `toml:"length"`
+	Name   string         `toml:"name"`
+	Length fleet.Duration `toml:"length"`
 	// Warm is how long engines get to read what is asked for often before requests
 	// count in the figures.
-	Warm fleet.Span `toml:"warm"`
+	Warm fleet.Duration `toml:"warm"`
 	// Routers are spread evenly over Zones, and so are engines.
 	Routers int `toml:"routers"`
 	Zones   int `toml:"zones"`
 	// Way is the time of a message between two zones, Near within one, and Door
 	// between a caller and a router, one way.
-	Way  fleet.Span `toml:"way"`
-	Near fleet.Span `toml:"near"`
-	Door fleet.Span `toml:"door"`
+	Way  fleet.Duration `toml:"way"`
+	Near fleet.Duration `toml:"near"`
+	Door fleet.Duration `toml:"door"`
 	// Reports is how often routers hear of each other; as often as they do if it is 0.
-	Reports fleet.Span `toml:"reports"`
+	Reports fleet.Duration `toml:"reports"`
 	// Capacity is the tokens a second that accounts share.
 	Capacity float64   `toml:"capacity"`
 	Engines  Engines   `toml:"engines"`
@@ -45,32 +45,32 @@
 
 // Engines are those of a pool.
 type Engines struct {
-	Count  int        `toml:"count"`
-	Slots  int        `toml:"slots"`
-	Queue  int        `toml:"queue"`
-	Memory int        `toml:"memory"` // tokens
-	Step   fleet.Span `toml:"step"`   // of a batch
-	Slot   fleet.Span `toml:"slot"`   // what each running request adds to a step
-	Rate   float64    `toml:"rate"`   // prompt tokens read in a millisecond
-	Chunk  int        `toml:"chunk"`  // prompt tokens read in a step
-	Copy   float64    `toml:"copy"`   // tokens copied from another engine in a millisecond
+	Count  int            `toml:"count"`
+	Slots  int            `toml:"slots"`
+	Queue  int            `toml:"queue"`
+	Memory int            `toml:"memory"` // tokens
+	Step   fleet.Duration `toml:"step"`   // of a batch
+	Slot   fleet.Duration `toml:"slot"`   // what each running request adds to a step
+	Rate   float64        `toml:"rate"`   // prompt tokens read in a millisecond
+	Chunk  int            `toml:"chunk"`  // prompt tokens read in a step
+	Copy   float64        `toml:"copy"`   // tokens copied from another engine in a millisecond
 }
 
 // A Kind is a kind of request.
 type Kind struct {
-	Name     string     `toml:"name"`
-	Rate     float64    `toml:"rate"` // a second, of all accounts
-	Aim      fleet.Span `toml:"aim"`
-	Deadline fleet.Span `toml:"deadline"`
-	Pause    fleet.Span `toml:"pause"` // the longest between two events that is on time
-	Worth    float64    `toml:"worth"`
-	Late     float64    `toml:"late"`
-	Attempts int        `toml:"attempts"` // targets that one request may be sent to
-	Retries  int        `toml:"retries"`  // of its caller after a refusal
-	Own      Size       `toml:"own"`      // tokens of its prompt
-	Output   Size       `toml:"output"`   // tokens
-	Stride   int        `toml:"stride"`   // tokens an event holds
-	Shared   []Shared   `toml:"shared"`
+	Name     string         `toml:"name"`
+	Rate     float64        `toml:"rate"` // a second, of all accounts
+	Aim      fleet.Duration `toml:"aim"`
+	Deadline fleet.Duration `toml:"deadline"`
+	Pause    fleet.Duration `toml:"pause"` // the longest between two events that is on time
+	Worth    float64        `toml:"worth"`
+	Late     float64        `toml:"late"`
+	Attempts int            `toml:"attempts"` // targets that one request may be sent to
+	Retries  int            `toml:"retries"`  // of its caller after a refusal
+	Own      Size           `toml:"own"`      // tokens of its prompt
+	Output   Size           `toml:"output"`   // tokens
+	Stride   int            `toml:"stride"`   // tokens an event holds
+	Shared   []Shared       `toml:"shared"`
 }
 
 // A Size is drawn from a log-normal distribution, and is Most at most.
@@ -99,12 +99,12 @@
 
 // A Trouble is something that happens for a while.
 type Trouble struct {
-	Kind    string     `toml:"kind"`
-	At      fleet.Span `toml:"at"`
-	For     fleet.Span `toml:"for"`
-	X       float64    `toml:"x"`
-	Share   float64    `toml:"share"`
-	Account int        `toml:"account"` // of a flood
+	Kind    string         `toml:"kind"`
+	At      fleet.Duration `toml:"at"`
+	For     fleet.Duration `toml:"for"`
+	X       float64        `toml:"x"`
+	Share   float64        `toml:"share"`
+	Account int            `toml:"account"` // of a flood
 }
 
 // A Check bounds a figure of a policy.
@@ -190,8 +190,8 @@
 // route returns the route of a kind, as routers know it.
 func (k Kind) route() *fleet.Route {
 	return &fleet.Route{
-		Name: k.Name, Kind: fleet.RouteStream, Aim: time.Duration(k.Aim), Timeout: time.Duration(k.Deadline),
-		Pause: time.Duration(k.Pause), Attempts: max(k.Attempts, 1), Cached: true,
+		Name: k.Name, Kind: fleet.RouteStream, LatencyObjective: time.Duration(k.Aim), Timeout: time.Duration(k.Deadline),
+		MaxEventGap: time.Duration(k.Pause), MaxAttempts: max(k.Attempts, 1), PrefixCached: true,
 	}
 }
 
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	s, err := ReadScenario(examples + name)
 	require.NoError(t, err)
-	s.Length = fleet.Span(length)
+	s.Length = fleet.Duration(length)
 	return s
 }
 
@@ -72,7 +72,7 @@
 	for _, name := range []string{"letters.toml", "letters-heavy.toml", "letters-grown.toml", "viewer.toml", "viewer-grown.toml"} {
 		t.Run(name, func(t *testing.T) {
 			s := scenario(t, name, 12*time.Second)
-			s.Warm = fleet.Span(5 * time.Second)
+			s.Warm = fleet.Duration(5 * time.Second)
 			list := Means(runs(t, s, 2, PolicyRandom, PolicyLeast, PolicyHash, PolicyRouter))
 			byName := make(map[string]Result)
 			for _, r := range list {
