--- a/internal/cmd/applycmd.go
+++ b/internal/cmd/applycmd.go
@@ -34,8 +34,8 @@
 	if a.Wait {
 		timeout = ctlWaitTimeout
 	}
-	params := message.Apply{Config: json.RawMessage(config.JSON()), Operator: operator(), Wait: a.Wait}
-	var applied message.Applied
+	params := message.ApplyRequest{Config: json.RawMessage(config.JSON()), Operator: operator(), Wait: a.Wait}
+	var applied message.ApplyResult
 	if err := a.ctl.call(timeout, message.MethodApply, params, &applied); err != nil {
 		return err
 	}
@@ -45,8 +45,8 @@
 	if a.ctl.JSON {
 		return a.ctl.printJSON(applied)
 	}
-	if applied.Replaced > 0 {
-		say(a.ctl.stdout, "accepted before: number %d, digest %s; nothing changed, number %d is in force\n", applied.Number, applied.Digest, applied.Replaced)
+	if applied.NewerNumber > 0 {
+		say(a.ctl.stdout, "accepted before: number %d, digest %s; nothing changed, number %d is in force\n", applied.Number, applied.Digest, applied.NewerNumber)
 		return nil
 	}
 	say(a.ctl.stdout, "accepted: number %d, digest %s\n", applied.Number, applied.Digest)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func (a *applyCmd) conflict(config fleet.Config, applied message.Applied) error {
+func (a *applyCmd) conflict(config fleet.Config, applied message.ApplyResult) error {
 	if a.ctl.JSON {
 		if err := a.ctl.printJSON(applied); err != nil {
 			return err
--- a/internal/cmd/crashing_test.go
+++ b/internal/cmd/crashing_test.go
@@ -231,13 +231,13 @@
 	require.Contains(t, out, "lfctl held")
 	code, _ = p.ctl("lift", "nothing")
 	require.Equal(t, exitPolicy, code)
-	var held message.Held
+	var held message.QuarantineResult
 	_, out = p.ctl("--json", "held")
 	require.NoError(t, json.Unmarshal([]byte(out), &held))
 	code, out = p.ctl("lift", string(held.Entries[0].Print))
 	require.Equal(t, exitDone, code, out)
 	_, out = p.ctl("--json", "held")
-	held = message.Held{}
+	held = message.QuarantineResult{}
 	require.NoError(t, json.Unmarshal([]byte(out), &held))
 	require.Empty(t, held.Entries)
 }
--- a/internal/cmd/ctlcmd.go
+++ b/internal/cmd/ctlcmd.go
@@ -181,8 +181,8 @@
 }
 
 // inForce returns the configuration in force and the history.
-func (c *ctl) inForce() (fleet.Config, message.Show, error) {
-	var s message.Show
+func (c *ctl) inForce() (fleet.Config, message.ShowResult, error) {
+	var s message.ShowResult
 	if err := c.call(ctlTimeout, message.MethodShow, struct{}{}, &s); err != nil {
 		return fleet.Config{}, s, err
 	}
--- a/internal/cmd/evacuatecmd.go
+++ b/internal/cmd/evacuatecmd.go
@@ -24,8 +24,8 @@
 
 // Execute implements flags.Commander.
 func (e *evacuateCmd) Execute([]string) error {
-	order := message.Evacuate{Zone: fleet.Zone(e.Args.Zone), End: e.End, Operator: operator()}
-	var result message.Evacuated
+	order := message.EvacuateRequest{Zone: fleet.Zone(e.Args.Zone), End: e.End, Operator: operator()}
+	var result message.EvacuateResult
 	if err := e.ctl.call(ctlTimeout, message.MethodEvacuate, order, &result); err != nil {
 		return err
 	}
--- a/internal/cmd/heldcmd.go
+++ b/internal/cmd/heldcmd.go
@@ -23,8 +23,8 @@
 
 // Execute implements flags.Commander.
 func (h *heldCmd) Execute([]string) error {
-	var held message.Held
-	if err := h.ctl.call(ctlTimeout, message.MethodHeld, struct{}{}, &held); err != nil {
+	var held message.QuarantineResult
+	if err := h.ctl.call(ctlTimeout, message.MethodListQuarantine, struct{}{}, &held); err != nil {
 		return err
 	}
 	if h.ctl.JSON {
@@ -78,8 +78,8 @@
 
 // Execute implements flags.Commander.
 func (l *liftCmd) Execute([]string) error {
-	lift := message.Lift{Print: quarantine.Print(l.Args.Print), Operator: operator()}
-	if err := l.ctl.call(ctlTimeout, message.MethodLift, lift, nil); err != nil {
+	lift := message.LiftRequest{Fingerprint: quarantine.Print(l.Args.Print), Operator: operator()}
+	if err := l.ctl.call(ctlTimeout, message.MethodLiftQuarantine, lift, nil); err != nil {
 		return err
 	}
 	say(l.ctl.stdout, "lifted: three more ends hold it back again\n")
--- a/internal/cmd/localcmd.go
+++ b/internal/cmd/localcmd.go
@@ -219,8 +219,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, localTimeout)
 	defer cancel()
-	var applied message.Applied
-	params := message.Apply{Config: json.RawMessage(config.JSON()), Operator: "lf-local", Wait: true}
+	var applied message.ApplyResult
+	params := message.ApplyRequest{Config: json.RawMessage(config.JSON()), Operator: "lf-local", Wait: true}
 	for applied.Routers < len(l.routers) {
 		err := callOne(ctx, l.keeper, link.Secret(secret), message.MethodApply, params, &applied)
 		if ctx.Err() != nil {
--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -29,12 +29,12 @@
 		return s.ctl.printJSON(status)
 	}
 	say(s.ctl.stdout, "leader %s  term %d  number %d  digest %s  claims %d\n", status.Leader, status.Term, status.Number, status.Digest, status.Claims)
-	say(s.ctl.stdout, "slots %d busy of %d  service gap %.3f\n", status.Busy, status.Slots, status.Gap)
+	say(s.ctl.stdout, "slots %d busy of %d  service gap %.3f\n", status.SlotsBusy, status.Slots, status.ServiceGap)
 	if len(status.Evacuated) > 0 {
 		say(s.ctl.stdout, "evacuated: %v\n", status.Evacuated)
 	}
-	if status.Held > 0 {
-		say(s.ctl.stdout, "%d requests are suspected or held back, since targets end under them: lfctl held\n", status.Held)
+	if status.Quarantined > 0 {
+		say(s.ctl.stdout, "%d requests are suspected or held back, since targets end under them: lfctl held\n", status.Quarantined)
 	}
 	if status.Changing {
 		say(s.ctl.stdout, "a change of the keepers is on its way: touch no other keeper until it is done\n")
@@ -42,11 +42,11 @@
 	w := tabwriter.NewWriter(s.ctl.stdout, 0, 0, 2, ' ', 0)
 	say(w, "KEEPER\tADDRESS\tVOTES\tHOLDS\n")
 	for _, k := range status.Keepers {
-		say(w, "%s\t%s\t%t\t%d of %d\n", k.Name, k.Address, k.Voter, k.Match, status.Commit)
+		say(w, "%s\t%s\t%t\t%d of %d\n", k.Name, k.Address, k.Voter, k.MatchIndex, status.CommitIndex)
 	}
 	say(w, "ROUTER\tZONE\tNUMBER\tLAG\tWAITING\tRUNNING\n")
 	for _, r := range status.Routers {
-		say(w, "%s\t%s\t%d\t%d\t%d\t%d\n", r.Name, r.Zone, r.Number, r.Lag, r.Waiting, r.Running)
+		say(w, "%s\t%s\t%d\t%d\t%d\t%d\n", r.Name, r.Zone, r.Number, r.ConfigLag, r.Waiting, r.Running)
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("print: %w", err)
--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -39,7 +39,7 @@
 	// RetryAt is when the request may succeed; zero is never.
 	RetryAt time.Time
 	// Fate is what is known of the key of a request refused for its claim.
-	Fate message.Fate
+	Fate message.RunState
 }
 
 // An AskClaim asks the keepers for the right to run a request.
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -141,7 +141,7 @@
 
 // Claimed takes the keepers' answer to a claim. Lost means that no answer came:
 // the request was not sent and now never will be, so it was not run.
-func (s *Scheduler) Claimed(now time.Time, id uint64, v message.Verdict, lost bool) {
+func (s *Scheduler) Claimed(now time.Time, id uint64, v message.ClaimResult, lost bool) {
 	p := s.requests[id]
 	if p == nil || p.phase != phaseClaiming {
 		return
@@ -165,19 +165,19 @@
 	s.pump(now)
 }
 
-func (s *Scheduler) refuseClaim(now time.Time, p *pending, v message.Verdict, lost bool) {
+func (s *Scheduler) refuseClaim(now time.Time, p *pending, v message.ClaimResult, lost bool) {
 	switch {
 	case p.gone:
 		s.refuse(p, unrun(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case lost || v.Granted:
 		s.refuse(p, s.noLease(now))
-	case v.Full:
+	case v.ClaimsFull:
 		p.attempt = 0
 		s.refuse(p, unrun(now.Add(claimsFullPause), fleet.KindCapacityExhausted, "come back later, or send it as repeatable",
 			"the keepers hold as many claims as they may"))
 	default:
 		p.attempt = 0
-		s.refuse(p, claimedRefusal(v.Fate))
+		s.refuse(p, claimedRefusal(v.State))
 	}
 }
 
@@ -186,9 +186,9 @@
 
 // claimedRefusal answers a request whose key is taken. It never says unrun:
 // what the caller asks about is the key, and that may have run.
-func claimedRefusal(fate message.Fate) *Refuse {
+func claimedRefusal(fate message.RunState) *Refuse {
 	outcome := fleet.OutcomeUnknown
-	if fate == message.FateRan {
+	if fate == message.RunStateRan {
 		outcome = fleet.OutcomeRan
 	}
 	return &Refuse{
@@ -221,7 +221,7 @@
 }
 
 func (s *Scheduler) owner() string {
-	return message.Owner(s.Name, s.Inc)
+	return message.ClaimOwner(s.Name, s.Inc)
 }
 
 // An End is what became of a request that was sent to a target.
@@ -276,9 +276,9 @@
 func (s *Scheduler) conclude(now time.Time, p *pending, e End) {
 	switch {
 	case e.Whole:
-		s.drop(p, message.FateRan)
+		s.drop(p, message.RunStateRan)
 	case e.Answered:
-		s.drop(p, message.FateUnknown)
+		s.drop(p, message.RunStateUnknown)
 	case p.gone:
 		s.refuse(p, unrun(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case s.mayRetry(now, p, e):
@@ -288,7 +288,7 @@
 	case !e.Sent:
 		s.refuse(p, unrun(now.Add(retrySoon), fleet.KindNoTarget, "come back after Retry-After", "target %s cannot be reached", p.target))
 	default:
-		s.drop(p, message.FateUnknown)
+		s.drop(p, message.RunStateUnknown)
 		s.act(Refuse{
 			ID: p.ID, Outcome: fleet.OutcomeUnknown,
 			Err: fleet.NewError(fleet.KindTargetFailed, "ask the target's operators; send a repeatable request again",
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -23,7 +23,7 @@
 // Granted takes a grant from a leader and reports whether it was put in force.
 // A late or doubled one, or one of a deposed leader, changes nothing.
 func (s *Scheduler) Granted(now time.Time, g message.Grant) bool {
-	if g.Inc != s.Inc || g.Term < s.term || g.Term == s.term && g.Seq <= s.granted {
+	if g.Incarnation != s.Inc || g.Term < s.term || g.Term == s.term && g.Seq <= s.granted {
 		return false
 	}
 	before := s.config.Number
@@ -31,20 +31,20 @@
 		return false
 	}
 	s.term, s.granted = g.Term, g.Seq
-	s.lease, s.short = g.Until, g.Short
-	if g.Echo != s.echo {
-		s.echo, s.echoedAt = g.Echo, now
+	s.lease, s.short = g.ExpiresAt, g.SlotsShort
+	if g.EchoSeq != s.echo {
+		s.echo, s.echoedAt = g.EchoSeq, now
 	}
 	reduced := s.setSlots(g.Slots)
-	s.setGone(g.Gone)
-	for _, l := range g.Levels {
-		if known, ok := s.history.usage(g.Echo, l.Account); ok {
+	s.setGone(g.LeavingTargets)
+	for _, l := range g.VirtualTimes {
+		if known, ok := s.history.usage(g.EchoSeq, l.Account); ok {
 			s.queues.Heard(l, known)
 		}
 	}
-	s.queues.SetFloor(g.Floor)
-	if g.Rulings != nil {
-		s.Guard.Heard(now, s.history.at(g.Echo), g.Term, *g.Rulings)
+	s.queues.SetFloor(g.VirtualTimeFloor)
+	if g.Restrictions != nil {
+		s.Guard.Heard(now, s.history.at(g.EchoSeq), g.Term, *g.Restrictions)
 		s.resume(now)
 	}
 	if reduced || s.config.Number != before {
@@ -128,7 +128,7 @@
 }
 
 // setSlots replaces the slots held and reports whether any were taken back.
-func (s *Scheduler) setSlots(list []message.Slot) bool {
+func (s *Scheduler) setSlots(list []message.SlotGrant) bool {
 	reduced := false
 	counts := make(map[string]int, len(list))
 	for _, l := range list {
@@ -192,16 +192,16 @@
 		usage = s.history.changedSince(s.echo, usage)
 	}
 	r := message.Report{
-		Router: s.Name, Zone: s.Zone, Inc: s.Inc, Seq: s.reports, Sent: now,
-		Term: s.term, Ack: s.granted, Number: s.config.Number,
+		Router: s.Name, Zone: s.Zone, Incarnation: s.Inc, Seq: s.reports, SentAt: now,
+		Term: s.term, AckSeq: s.granted, Number: s.config.Number,
 		Queues: s.queues.Queues(), Full: full, Usage: usage, Leaving: s.stopping, Quarantine: &held,
 	}
 	for _, t := range s.targets {
 		if t.cap > 0 || t.use > 0 {
-			r.Slots = append(r.Slots, message.Holding{Target: t.Name, Cap: t.cap, Use: t.use})
+			r.Slots = append(r.Slots, message.SlotUsage{Target: t.Name, Limit: t.cap, InUse: t.use})
 		}
 	}
-	slices.SortFunc(r.Slots, func(a, b message.Holding) int {
+	slices.SortFunc(r.Slots, func(a, b message.SlotUsage) int {
 		if a.Target < b.Target {
 			return -1
 		}
@@ -209,10 +209,10 @@
 	})
 	if full {
 		// A new leader needs to know what the levels are.
-		r.Levels = s.queues.Levels()
+		r.VirtualTimes = s.queues.Levels()
 		r.Usage = slices.Clone(usage)
 		for i := range r.Usage {
-			r.Usage[i].Counted = s.queues.Counted(usage[i].Account)
+			r.Usage[i].ServedInVirtualTime = s.queues.Counted(usage[i].Account)
 		}
 	}
 	s.act(SendReport{Report: r})
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -17,7 +17,7 @@
 // guarded returns a router whose leader rules on a request.
 func guarded(r quarantine.Ruling) *dispatch.Scheduler {
 	c := configOf([]float64{1}, []int{1, 1})
-	s := &dispatch.Scheduler{Name: "r1", Inc: 1, Guard: quarantine.Guard{Owner: message.Owner("r1", 1), Named: true}}
+	s := &dispatch.Scheduler{Name: "r1", Inc: 1, Guard: quarantine.Guard{Owner: message.ClaimOwner("r1", 1), Named: true}}
 	s.Granted(epoch, ruledGrant(c, 1, 1, r))
 	s.Take()
 	return s
@@ -25,7 +25,7 @@
 
 func ruledGrant(c fleet.Config, seq, revision uint64, r quarantine.Ruling) message.Grant {
 	g := grantOf(c, seq, 1)
-	g.Rulings = &quarantine.Rulings{Revision: revision, List: []quarantine.Ruling{r}}
+	g.Restrictions = &quarantine.Rulings{Revision: revision, List: []quarantine.Ruling{r}}
 	return g
 }
 
@@ -60,7 +60,7 @@
 	reports := find[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
 	require.Equal(t, []quarantine.Print{heldPrint}, reports[0].Report.Quarantine.Asks)
-	suspected.Holder, suspected.Until, suspected.Grant = message.Owner("r1", 1), 20*time.Second, 1
+	suspected.Holder, suspected.Until, suspected.Grant = message.ClaimOwner("r1", 1), 20*time.Second, 1
 	s.Granted(epoch.Add(20*time.Millisecond), ruledGrant(c, 2, 2, suspected))
 	sends := find[dispatch.Send](s)
 	require.Len(t, sends, 1)
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -206,21 +206,21 @@
 	s.unpark(p)
 	if p.sent {
 		r.Outcome = fleet.OutcomeUnknown
-		s.drop(p, message.FateUnknown)
+		s.drop(p, message.RunStateUnknown)
 	} else {
-		s.drop(p, message.FateUnrun)
+		s.drop(p, message.RunStateNotRun)
 	}
 	r.ID = p.ID
 	s.act(*r)
 }
 
 // drop forgets a request and settles its claim, if it has one.
-func (s *Scheduler) drop(p *pending, fate message.Fate) {
+func (s *Scheduler) drop(p *pending, fate message.RunState) {
 	delete(s.requests, p.ID)
 	if p.attempt == 0 {
 		return
 	}
-	s.act(Settle{Settlement: message.Settlement{Key: p.Claim, Owner: s.owner(), Attempt: p.attempt, Fate: fate}})
+	s.act(Settle{Settlement: message.Settlement{Key: p.Claim, Owner: s.owner(), Attempt: p.attempt, State: fate}})
 }
 
 // Stop makes the router unhealthy and answers all that waits. What runs goes on.
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -22,9 +22,9 @@
 }
 
 func grantOf(c fleet.Config, seq uint64, slots int) message.Grant {
-	g := message.Grant{Term: 1, Seq: seq, Inc: 1, Until: epoch.Add(2 * time.Second), Number: c.Number, Config: c.JSON()}
+	g := message.Grant{Term: 1, Seq: seq, Incarnation: 1, ExpiresAt: epoch.Add(2 * time.Second), Number: c.Number, Config: c.JSON()}
 	for _, t := range c.Targets {
-		g.Slots = append(g.Slots, message.Slot{Target: t.Name, Count: slots})
+		g.Slots = append(g.Slots, message.SlotGrant{Target: t.Name, Count: slots})
 	}
 	return g
 }
@@ -54,7 +54,7 @@
 	r.Claim = "key"
 	s.Arrive(epoch, r)
 	require.Len(t, find[dispatch.AskClaim](s), 1)
-	s.Claimed(epoch.Add(3*time.Second), 1, message.Verdict{Granted: true}, false)
+	s.Claimed(epoch.Add(3*time.Second), 1, message.ClaimResult{Granted: true}, false)
 	actions := s.Take()
 	var refused, settled bool
 	for _, a := range actions {
@@ -67,7 +67,7 @@
 			require.False(t, a.RetryAt.IsZero())
 		case dispatch.Settle:
 			settled = true
-			require.Equal(t, message.FateUnrun, a.Settlement.Fate)
+			require.Equal(t, message.RunStateNotRun, a.Settlement.State)
 		}
 	}
 	require.True(t, refused)
@@ -107,7 +107,7 @@
 	stale.Term = 2
 	require.False(t, s.Granted(epoch, stale), "an older configuration is never put in force")
 	other := grantOf(c.WithNumber(3), 4, 4)
-	other.Inc = 7
+	other.Incarnation = 7
 	require.False(t, s.Granted(epoch, other), "meant for a former self")
 	require.Equal(t, uint64(2), s.Number())
 }
@@ -124,7 +124,7 @@
 	for _, a := range find[dispatch.Send](s) {
 		require.Equal(t, "t01", a.Target.Name)
 	}
-	gone.Gone = []string{"t01"}
+	gone.LeavingTargets = []string{"t01"}
 	require.True(t, s.Granted(epoch, gone))
 	s.Arrive(epoch, request1(99))
 	require.Empty(t, find[dispatch.Send](s), "the platform's list takes it out too")
@@ -292,8 +292,8 @@
 	require.Len(t, find[dispatch.AskClaim](s), 1, "it is claimed without a slot while answers are slow")
 	s.Arrive(at, request1(4))
 	require.Len(t, find[dispatch.Send](s), 1, "the slot is free for others")
-	s.Claimed(at, 1, message.Verdict{Granted: true}, false)
-	s.Claimed(at, 3, message.Verdict{}, true)
+	s.Claimed(at, 1, message.ClaimResult{Granted: true}, false)
+	s.Claimed(at, 3, message.ClaimResult{}, true)
 	refusals := find[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.OutcomeNotRun, refusals[0].Outcome)
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -250,18 +250,18 @@
 	if w.claimed != nil {
 		fault = w.claimed(w)
 	}
-	answer := func(v message.Verdict, lost bool) {
+	answer := func(v message.ClaimResult, lost bool) {
 		w.input(n, s, func(s *dispatch.Scheduler) { s.Claimed(w.now, a.ID, v, lost) })
 	}
 	const patience = 500 * time.Millisecond
 	if fault.lostBefore || n.cut {
-		w.at(patience, func() { answer(message.Verdict{}, true) })
+		w.at(patience, func() { answer(message.ClaimResult{}, true) })
 		return
 	}
 	w.at(w.delay, func() {
 		v := w.do(ledger.Command{At: w.now, Claims: []message.Claim{a.Claim}}).Verdicts[0]
 		if fault.lostAfter {
-			w.at(patience, func() { answer(message.Verdict{}, true) })
+			w.at(patience, func() { answer(message.ClaimResult{}, true) })
 			return
 		}
 		w.at(w.delay, func() { answer(v, false) })
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -163,13 +163,13 @@
 }
 
 func claimBatch(conn *link.Conn, next *atomic.Uint64, batch int, h *hdrhistogram.Histogram) error {
-	var p message.Claims
+	var p message.ClaimRequest
 	for range batch {
 		n := next.Add(1)
 		p.Claims = append(p.Claims, message.Claim{Key: ledger.KeyOf("a", fmt.Sprint(n)), Owner: "r1/abc", Attempt: n})
 	}
 	start := time.Now()
-	var v message.Verdicts
+	var v message.ClaimResponse
 	if err := conn.Call(context.Background(), message.MethodClaim, p, &v); err != nil {
 		return err
 	}
@@ -187,8 +187,8 @@
 			apply := func(number uint64) time.Duration {
 				c := benchConfig(number, targets)
 				start := time.Now()
-				var a message.Applied
-				require.NoError(b, conn.Call(context.Background(), message.MethodApply, message.Apply{Config: c.JSON(), Wait: true}, &a))
+				var a message.ApplyResult
+				require.NoError(b, conn.Call(context.Background(), message.MethodApply, message.ApplyRequest{Config: c.JSON(), Wait: true}, &a))
 				require.False(b, a.Conflict)
 				return time.Since(start)
 			}
--- a/internal/keeper/control.go
+++ b/internal/keeper/control.go
@@ -34,32 +34,32 @@
 	if err != nil {
 		return err
 	}
-	p := message.Put{Number: number, Text: data}
+	p := message.PutRequest{Number: number, PackedConfig: data}
 	return c.try(ctx, func(ctx context.Context, conn *link.Conn) error {
 		if conn == nil {
 			_, err := c.keeper.core.put(ctx, p)
 			return err
 		}
-		return conn.Call(ctx, message.MethodPut, p, nil)
+		return conn.Call(ctx, message.MethodPutRoutes, p, nil)
 	})
 }
 
 // Read returns the newest configuration of routes, as it was put. It fails where
 // that is not certain.
 func (c *Control) Read(ctx context.Context) (number uint64, text []byte, err error) {
-	var d message.Document
+	var d message.RoutesDocument
 	err = c.try(ctx, func(ctx context.Context, conn *link.Conn) error {
 		var err error
 		if conn == nil {
 			d, err = c.keeper.core.read(ctx)
 			return err
 		}
-		return conn.Call(ctx, message.MethodRead, struct{}{}, &d)
+		return conn.Call(ctx, message.MethodReadRoutes, struct{}{}, &d)
 	})
 	if err != nil || d.Number == 0 {
 		return 0, nil, err
 	}
-	text, err = packed.Unpack(d.Text)
+	text, err = packed.Unpack(d.PackedConfig)
 	return d.Number, text, err
 }
 
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -83,7 +83,7 @@
 
 type claimCall struct {
 	claims []message.Claim
-	done   func([]message.Verdict, error)
+	done   func([]message.ClaimResult, error)
 }
 
 type settleCall struct {
@@ -357,7 +357,7 @@
 		if c.divider == nil || !c.node.Leads(now) {
 			return
 		}
-		key := routerKey{r.Router, r.Inc}
+		key := routerKey{r.Router, r.Incarnation}
 		c.routers[key] = conn
 		if r.Quarantine != nil {
 			c.told = append(c.told, toldReport{key, *r.Quarantine})
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -15,7 +15,7 @@
 // Evacuate begins or ends the evacuation of an availability zone. It returns once that is
 // durable. An error of another kind than [fleet.KindMalformed] means that it may or may not
 // come in force; to send the order again is safe.
-func (c *Control) Evacuate(ctx context.Context, p message.Evacuate) error {
+func (c *Control) Evacuate(ctx context.Context, p message.EvacuateRequest) error {
 	return c.try(ctx, func(ctx context.Context, conn *link.Conn) error {
 		if conn == nil {
 			_, err := c.keeper.core.evacuate(ctx, p)
@@ -25,26 +25,26 @@
 	})
 }
 
-func (c *core) evacuate(ctx context.Context, p message.Evacuate) (message.Evacuated, error) {
-	return await(ctx, c, func(now time.Time, done func(message.Evacuated, error)) { c.order(now, p, done) })
+func (c *core) evacuate(ctx context.Context, p message.EvacuateRequest) (message.EvacuateResult, error) {
+	return await(ctx, c, func(now time.Time, done func(message.EvacuateResult, error)) { c.order(now, p, done) })
 }
 
 // order proposes an operator's order. Where it changes nothing, it was sent again, and what
 // the log holds answers it: also an end of what has never begun, of a zone that is known.
-func (c *core) order(now time.Time, p message.Evacuate, done func(message.Evacuated, error)) {
+func (c *core) order(now time.Time, p message.EvacuateRequest, done func(message.EvacuateResult, error)) {
 	held := c.ledger.Evacuations()
 	switch {
 	case !c.leads(now):
-		done(message.Evacuated{}, quorum.ErrNotLeader(c.leaderAddress()))
+		done(message.EvacuateResult{}, quorum.ErrNotLeader(c.leaderAddress()))
 	case !held.Contains(p.Zone) && !c.hasZone(p.Zone):
-		done(message.Evacuated{}, fleet.NewError(fleet.KindMalformed, "name a zone that has targets", "no zone is named %q", p.Zone))
+		done(message.EvacuateResult{}, fleet.NewError(fleet.KindMalformed, "name a zone that has targets", "no zone is named %q", p.Zone))
 	case held.Contains(p.Zone) != p.End:
-		done(message.Evacuated{Zones: held.Zones}, nil)
+		done(message.EvacuateResult{Zones: held.Zones}, nil)
 	default:
 		c.log.Info("evacuation ordered", "zone", p.Zone, "end", p.End, "operator", p.Operator)
 		cmd := ledger.Command{Evacuation: &ledger.Evacuation{Zone: p.Zone, End: p.End}}
 		c.submit(now, cmd, func(_ ledger.Result, err error) {
-			done(message.Evacuated{Zones: c.ledger.Evacuations().Zones}, err)
+			done(message.EvacuateResult{Zones: c.ledger.Evacuations().Zones}, err)
 		})
 	}
 }
--- a/internal/keeper/evacuation_test.go
+++ b/internal/keeper/evacuation_test.go
@@ -12,11 +12,11 @@
 
 // order sends an operator's order to whoever leads until it is acknowledged, and reports
 // whether it was.
-func (g *tended) order(p message.Evacuate) bool {
+func (g *tended) order(p message.EvacuateRequest) bool {
 	acked := false
 	for range 400 {
 		if l := g.leader(); l != nil {
-			l.core.order(g.clock.Time, p, func(_ message.Evacuated, err error) {
+			l.core.order(g.clock.Time, p, func(_ message.EvacuateResult, err error) {
 				acked = acked || err == nil
 			})
 		}
@@ -39,7 +39,7 @@
 		require.True(t, g.settle())
 		want := map[fleet.Zone]bool{}
 		for range 6 {
-			p := message.Evacuate{Zone: zones[g.random.IntN(len(zones))], End: g.random.IntN(3) == 0}
+			p := message.EvacuateRequest{Zone: zones[g.random.IntN(len(zones))], End: g.random.IntN(3) == 0}
 			if l := g.leader(); l != nil {
 				l.core.zones = zones // keepers that start anew read them from their settings
 			}
@@ -56,8 +56,8 @@
 			for zone, evacuated := range want {
 				require.Equal(t, evacuated, held.Contains(zone), "seed %d", seed)
 			}
-			answer := g.leader().core.renew(g.clock.Time, message.Renew{Router: "new", Inc: 9})
-			require.True(t, answer.Evacuations == nil && held.Revision == 0 || answer.Evacuations.Revision == held.Revision,
+			answer := g.leader().core.renew(g.clock.Time, message.RenewRequest{Router: "new", Incarnation: 9})
+			require.True(t, answer.EvacuatedZones == nil && held.Revision == 0 || answer.EvacuatedZones.Revision == held.Revision,
 				"a router that starts is told with its first answer")
 		}
 	}
@@ -68,22 +68,22 @@
 	g := newTended(t, 1, 5)
 	require.True(t, g.settle())
 	c := g.leader().core
-	try := func(p message.Evacuate) (err error) {
-		c.order(g.clock.Time, p, func(_ message.Evacuated, e error) { err = e })
+	try := func(p message.EvacuateRequest) (err error) {
+		c.order(g.clock.Time, p, func(_ message.EvacuateResult, e error) { err = e })
 		g.run(5 * tendedStep)
 		return err
 	}
 	var refused *fleet.Error
 	for _, end := range []bool{false, true} {
-		require.ErrorAs(t, try(message.Evacuate{Zone: "nowhere", End: end}), &refused)
+		require.ErrorAs(t, try(message.EvacuateRequest{Zone: "nowhere", End: end}), &refused)
 		require.Equal(t, fleet.KindMalformed, refused.Kind)
 	}
 	require.Zero(t, c.ledger.Evacuations().Revision)
 
 	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Zone: "z"}}})
-	require.NoError(t, try(message.Evacuate{Zone: "z"}))
+	require.NoError(t, try(message.EvacuateRequest{Zone: "z"}))
 	c.setTargets(g.clock.Now(), fleet.TargetListing{})
-	require.NoError(t, try(message.Evacuate{Zone: "z"}), "it was accepted, and is never refused after that")
-	require.NoError(t, try(message.Evacuate{Zone: "z", End: true}))
+	require.NoError(t, try(message.EvacuateRequest{Zone: "z"}), "it was accepted, and is never refused after that")
+	require.NoError(t, try(message.EvacuateRequest{Zone: "z", End: true}))
 	require.False(t, slices.Contains(c.ledger.Evacuations().Zones, "z"))
 }
--- a/internal/keeper/forming.go
+++ b/internal/keeper/forming.go
@@ -113,7 +113,7 @@
 		return r, err
 	}
 	defer conn.Close()
-	return r, conn.Call(ctx, message.MethodFormed, formParams{Members: members}, &r)
+	return r, conn.Call(ctx, message.MethodFormGroup, formParams{Members: members}, &r)
 }
 
 // giveWay takes part in the group that a peer has founded: as a founder if this
--- a/internal/keeper/founding.go
+++ b/internal/keeper/founding.go
@@ -218,7 +218,7 @@
 	defer conn.Close()
 	mine := f.journalIdentity()
 	var theirs foundResult
-	if err := conn.Call(ctx, message.MethodFound, foundParams{Name: mine.Name, ID: mine.ID}, &theirs); err != nil {
+	if err := conn.Call(ctx, message.MethodFoundGroup, foundParams{Name: mine.Name, ID: mine.ID}, &theirs); err != nil {
 		f.log.Debug("founding: peer is not ready", "peer", name, "error", err)
 		return false, nil
 	}
--- a/internal/keeper/lead.go
+++ b/internal/keeper/lead.go
@@ -45,7 +45,7 @@
 	for _, a := range c.divider.Take() {
 		key := routerKey{a.Router, a.Inc}
 		if conn := c.routers[key]; conn != nil && c.node.Leads(c.clock.Now()) {
-			a.Grant.Rulings = c.rulings(now, c.reported[key])
+			a.Grant.Restrictions = c.rulings(now, c.reported[key])
 			c.carrier.grant(conn, a.Grant)
 		}
 	}
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -64,7 +64,7 @@
 	told := c.told
 	c.told = nil
 	for _, t := range told {
-		c.takeQuarantine(now, message.Owner(t.router.name, t.router.inc), t.report)
+		c.takeQuarantine(now, message.ClaimOwner(t.router.name, t.router.inc), t.report)
 		if c.registry != nil {
 			c.reported[t.router] = t.report
 		}
@@ -98,27 +98,27 @@
 }
 
 // held returns the requests under which targets have ended.
-func (c *core) held(ctx context.Context) (message.Held, error) {
-	return await(ctx, c, func(now time.Time, done func(message.Held, error)) {
+func (c *core) held(ctx context.Context) (message.QuarantineResult, error) {
+	return await(ctx, c, func(now time.Time, done func(message.QuarantineResult, error)) {
 		if !c.leads(now) {
-			done(message.Held{}, quorum.ErrNotLeader(c.leaderAddress()))
+			done(message.QuarantineResult{}, quorum.ErrNotLeader(c.leaderAddress()))
 			return
 		}
-		done(message.Held{Entries: c.ledger.Quarantine().Entries(), Now: now}, nil)
+		done(message.QuarantineResult{Entries: c.ledger.Quarantine().Entries(), Now: now}, nil)
 	})
 }
 
 // lift frees a request. It counts as done once a quorum has it.
-func (c *core) lift(ctx context.Context, p message.Lift) error {
+func (c *core) lift(ctx context.Context, p message.LiftRequest) error {
 	_, err := await(ctx, c, func(now time.Time, done func(struct{}, error)) {
 		registry, ok := c.court(now)
 		switch {
 		case !ok:
 			done(struct{}{}, quorum.ErrNotLeader(c.leaderAddress()))
-		case !registry.Lift(now, p.Print):
-			done(struct{}{}, fleet.NewError(fleet.KindPrecondition, "see lfctl held for those that are", "request %q is not held back", p.Print))
+		case !registry.Lift(now, p.Fingerprint):
+			done(struct{}{}, fleet.NewError(fleet.KindPrecondition, "see lfctl held for those that are", "request %q is not held back", p.Fingerprint))
 		default:
-			c.log.Info("quarantine lifted", "print", p.Print, "operator", p.Operator)
+			c.log.Info("quarantine lifted", "print", p.Fingerprint, "operator", p.Operator)
 			c.putQuarantine(now, func(err error) { done(struct{}{}, err) })
 		}
 	})
--- a/internal/keeper/quarantine_test.go
+++ b/internal/keeper/quarantine_test.go
@@ -20,10 +20,10 @@
 func (g *tended) tell(r quarantine.Report) []quarantine.Ruling {
 	for range 300 {
 		if l := g.leader(); l != nil {
-			answer := l.core.renew(g.clock.Time, message.Renew{Router: "r", Inc: 1, Quarantine: &r})
-			require.NotNil(g.t, answer.Rulings)
+			answer := l.core.renew(g.clock.Time, message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &r})
+			require.NotNil(g.t, answer.Restrictions)
 			g.run(5 * tendedStep) // the log has it
-			return answer.Rulings.List
+			return answer.Restrictions.List
 		}
 		g.run(tendedStep)
 	}
@@ -129,7 +129,7 @@
 	conn := &link.Conn{}
 	g.conns[conn], g.cut[key.name] = key.name, true // what it is granted goes nowhere
 	report := func(q quarantine.Report) {
-		data, err := json.Marshal(message.Report{Router: key.name, Inc: key.inc, Full: true, Quarantine: &q})
+		data, err := json.Marshal(message.Report{Router: key.name, Incarnation: key.inc, Full: true, Quarantine: &q})
 		require.NoError(t, err)
 		c.onReport(conn, data)
 		(<-c.inputs)(g.clock.Now())
@@ -174,19 +174,19 @@
 	c, ok := g.whole()
 	require.True(t, ok)
 	end := quarantine.End{Print: heldPrint, Account: "x", Target: fleet.Incarnation{ID: "a"}}
-	p := message.Renew{Router: "r", Inc: 1, Quarantine: &quarantine.Report{Ends: []quarantine.End{end}}}
+	p := message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &quarantine.Report{Ends: []quarantine.End{end}}}
 	c.submit(g.clock.Now(), ledger.Command{}, func(ledger.Result, error) {})
 	require.NoError(t, c.turn())
 	g.commitUnapplied(c)
 	require.False(t, c.node.Applied())
 	r := c.renew(g.clock.Now(), p)
 	require.False(t, r.Leads)
-	require.Nil(t, r.Rulings)
-	require.Nil(t, r.Evacuations)
-	require.Zero(t, r.Seat)
+	require.Nil(t, r.Restrictions)
+	require.Nil(t, r.EvacuatedZones)
+	require.Zero(t, r.WarmupLease)
 	require.NoError(t, c.turn())
 	r = c.renew(g.clock.Now(), p)
 	require.True(t, r.Leads)
-	require.NotNil(t, r.Rulings)
+	require.NotNil(t, r.Restrictions)
 	require.Equal(t, 1, c.registry.Ends(heldPrint))
 }
--- a/internal/keeper/rejoin.go
+++ b/internal/keeper/rejoin.go
@@ -90,13 +90,13 @@
 	}
 	defer conn.Close()
 	var result joinResult
-	err = conn.Call(ctx, message.MethodJoin, params, &result)
+	err = conn.Call(ctx, message.MethodJoinGroup, params, &result)
 	if err == nil {
 		return result.Members, nil, true
 	}
 	f.log.Debug("join: refused", "by", address, "error", err)
-	var more message.Known
-	if err := conn.Call(ctx, message.MethodKnown, struct{}{}, &more); err != nil {
+	var more message.MembersResult
+	if err := conn.Call(ctx, message.MethodMembers, struct{}{}, &more); err != nil {
 		f.log.Debug("join: no word of other keepers", "by", address, "error", err)
 		return nil, nil, false
 	}
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -48,9 +48,9 @@
 // renew answers a router. The lease of the leader is looked up right here: the
 // router counts its keys from when it asked, so that an answer that is held up
 // afterwards renews nothing for longer.
-func (c *core) renew(now time.Time, p message.Renew) message.Renewal {
-	r := message.Renewal{Term: c.node.Term()}
-	if keepers := c.addresses(); p.Members != message.Digest(keepers) {
+func (c *core) renew(now time.Time, p message.RenewRequest) message.RenewResponse {
+	r := message.RenewResponse{Term: c.node.Term()}
+	if keepers := c.addresses(); p.KeepersDigest != message.Digest(keepers) {
 		r.Keepers = keepers
 	}
 	if !c.leads(now) {
@@ -60,36 +60,36 @@
 	c.routes.see(now, p.Router)
 	c.routes.board.Report(now, p.Router, p.Demand, p.Backlog)
 	r.Leads = true
-	r.Seat = c.seats(now).Renew(now, p.Router, p.Inc, p.Seat)
-	if e := c.ledger.Evacuations(); e.Revision != p.Evacuations {
-		r.Evacuations = &e
+	r.WarmupLease = c.seats(now).Renew(now, p.Router, p.Incarnation, p.WarmupLease)
+	if e := c.ledger.Evacuations(); e.Revision != p.EvacuationRevision {
+		r.EvacuatedZones = &e
 	}
-	if p.Columns {
-		r.Loads = c.loads(now, p.Names)
+	if p.AcceptsColumns {
+		r.PackedLoads = c.loads(now, p.AccountsDigest)
 	} else {
 		r.Demand, r.Backlog, _ = c.routes.board.Sums(now)
 	}
 	r.Routers = len(c.routes.routers)
 	if p.Quarantine != nil {
-		c.takeQuarantine(now, message.Owner(p.Router, p.Inc), *p.Quarantine)
-		r.Rulings = c.rulings(now, *p.Quarantine)
+		c.takeQuarantine(now, message.ClaimOwner(p.Router, p.Incarnation), *p.Quarantine)
+		r.Restrictions = c.rulings(now, *p.Quarantine)
 	}
 	d := c.document()
 	r.Number = d.Number
 	if p.Number != d.Number {
-		r.Text = d.Text
+		r.PackedConfig = d.Text
 	}
 	if c.routes.list == 0 || c.routes.term != r.Term {
 		return r
 	}
-	r.List = c.routes.list
-	r.Age = now.Sub(c.routes.readAt)
-	if p.Term == r.Term && p.List == r.List {
+	r.ListRevision = c.routes.list
+	r.ListAge = now.Sub(c.routes.readAt)
+	if p.Term == r.Term && p.ListRevision == r.ListRevision {
 		return r
 	}
 	r.Damaged, r.Warming = c.routes.damaged, c.routes.warming.at(now)
-	if p.Columns {
-		r.Roll = c.routes.packed
+	if p.AcceptsColumns {
+		r.PackedTargets = c.routes.packed
 	} else {
 		r.Targets = c.routes.targets
 	}
@@ -123,7 +123,7 @@
 }
 
 func packSums(at time.Time, l message.Loads, names uint32) (packedSums, error) {
-	l.Names = names
+	l.AccountsDigest = names
 	named, err := packed.PackJSON(l)
 	if err != nil {
 		return packedSums{}, err
@@ -178,19 +178,19 @@
 }
 
 // at returns the targets that are cold now.
-func (w warming) at(now time.Time) []message.Warming {
-	var list []message.Warming
+func (w warming) at(now time.Time) []message.WarmingTarget {
+	var list []message.WarmingTarget
 	for target, until := range w {
 		if left := until.Sub(now); left > 0 {
-			list = append(list, message.Warming{Target: target.ID, Born: target.StartMillis, Left: left})
+			list = append(list, message.WarmingTarget{Target: target.ID, StartMillis: target.StartMillis, Left: left})
 		}
 	}
-	slices.SortFunc(list, func(a, b message.Warming) int { return cmp.Compare(a.Target, b.Target) })
+	slices.SortFunc(list, func(a, b message.WarmingTarget) int { return cmp.Compare(a.Target, b.Target) })
 	return list
 }
 
-func (c *core) renewCall(ctx context.Context, p message.Renew) (message.Renewal, error) {
-	return await(ctx, c, func(now time.Time, done func(message.Renewal, error)) { done(c.renew(now, p), nil) })
+func (c *core) renewCall(ctx context.Context, p message.RenewRequest) (message.RenewResponse, error) {
+	return await(ctx, c, func(now time.Time, done func(message.RenewResponse, error)) { done(c.renew(now, p), nil) })
 }
 
 func (r *routes) see(now time.Time, router string) {
@@ -253,7 +253,7 @@
 
 // put proposes a configuration of routes. It counts as accepted once a quorum
 // has it, whether or not a higher one is in force.
-func (c *core) put(ctx context.Context, p message.Put) (struct{}, error) {
+func (c *core) put(ctx context.Context, p message.PutRequest) (struct{}, error) {
 	return await(ctx, c, func(now time.Time, done func(struct{}, error)) {
 		if !c.leads(now) {
 			done(struct{}{}, quorum.ErrNotLeader(c.leaderAddress()))
@@ -263,26 +263,26 @@
 			done(struct{}{}, nil) // overtaken, or sent again: it changes nothing
 			return
 		}
-		cmd := ledger.Command{Document: &ledger.Document{Number: p.Number, Text: p.Text}}
+		cmd := ledger.Command{Document: &ledger.Document{Number: p.Number, Text: p.PackedConfig}}
 		c.submit(now, cmd, func(_ ledger.Result, err error) { done(struct{}{}, err) })
 	})
 }
 
 // read returns the newest configuration of routes. Only a leader whose lease
 // holds may tell: another could have accepted a later one.
-func (c *core) read(ctx context.Context) (message.Document, error) {
-	return await(ctx, c, func(now time.Time, done func(message.Document, error)) {
+func (c *core) read(ctx context.Context) (message.RoutesDocument, error) {
+	return await(ctx, c, func(now time.Time, done func(message.RoutesDocument, error)) {
 		if !c.leads(now) {
-			done(message.Document{}, quorum.ErrNotLeader(c.leaderAddress()))
+			done(message.RoutesDocument{}, quorum.ErrNotLeader(c.leaderAddress()))
 			return
 		}
 		d := c.ledger.Document()
-		done(message.Document{Number: d.Number, Text: d.Text}, nil)
+		done(message.RoutesDocument{Number: d.Number, PackedConfig: d.Text}, nil)
 	})
 }
 
-func (c *core) known(ctx context.Context) (message.Known, error) {
-	return await(ctx, c, func(_ time.Time, done func(message.Known, error)) {
-		done(message.Known{Keepers: c.addresses(), Leader: c.leaderAddress()}, nil)
+func (c *core) known(ctx context.Context) (message.MembersResult, error) {
+	return await(ctx, c, func(_ time.Time, done func(message.MembersResult, error)) {
+		done(message.MembersResult{Keepers: c.addresses(), Leader: c.leaderAddress()}, nil)
 	})
 }
--- a/internal/keeper/renew_test.go
+++ b/internal/keeper/renew_test.go
@@ -22,31 +22,31 @@
 	backlog := []message.Backlog{{Target: "b", Tokens: 4, Running: 1}}
 	demand := []message.Demand{{Account: "x", Rate: 9, Served: 8}}
 
-	before := c.renew(g.clock.Now(), message.Renew{Router: "r", Demand: demand, Backlog: backlog})
+	before := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", Demand: demand, Backlog: backlog})
 	require.Equal(t, targets, before.Targets)
 	require.Equal(t, backlog, before.Backlog)
 	require.Equal(t, demand, before.Demand)
-	require.Empty(t, before.Roll)
-	require.Empty(t, before.Loads)
+	require.Empty(t, before.PackedTargets)
+	require.Empty(t, before.PackedLoads)
 
-	now := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Demand: demand, Backlog: backlog})
+	now := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Demand: demand, Backlog: backlog})
 	require.Empty(t, now.Targets)
 	require.Empty(t, now.Backlog)
-	roll, err := packed.UnpackJSON[[]fleet.Instance](now.Roll)
+	roll, err := packed.UnpackJSON[[]fleet.Instance](now.PackedTargets)
 	require.NoError(t, err)
 	require.Equal(t, targets, roll)
-	loads, err := packed.UnpackJSON[message.Loads](now.Loads)
+	loads, err := packed.UnpackJSON[message.Loads](now.PackedLoads)
 	require.NoError(t, err)
-	require.NotZero(t, loads.Names)
-	require.Equal(t, message.Loads{Accounts: []string{"x"}, Names: loads.Names, Rates: []int{9}, Served: []int{8}, Tokens: []int{0, 4}, Running: []int{0, 1}}, loads)
+	require.NotZero(t, loads.AccountsDigest)
+	require.Equal(t, message.Loads{Accounts: []string{"x"}, AccountsDigest: loads.AccountsDigest, Rates: []int{9}, Served: []int{8}, Tokens: []int{0, 4}, Running: []int{0, 1}}, loads)
 
-	again := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: now.Term, List: now.List})
-	require.Empty(t, again.Roll, "the router holds that list")
-	require.Equal(t, now.Loads, again.Loads)
+	again := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: now.Term, ListRevision: now.ListRevision})
+	require.Empty(t, again.PackedTargets, "the router holds that list")
+	require.Equal(t, now.PackedLoads, again.PackedLoads)
 	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: targets[1:]})
-	next := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: now.Term, List: now.List})
-	require.NotEmpty(t, next.Roll)
-	require.NotEqual(t, now.Loads, next.Loads, "columns go by the list that is named")
+	next := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: now.Term, ListRevision: now.ListRevision})
+	require.NotEmpty(t, next.PackedTargets)
+	require.NotEqual(t, now.PackedLoads, next.PackedLoads, "columns go by the list that is named")
 }
 
 // Symptom: routers send nothing to a target that has just started.
@@ -55,16 +55,16 @@
 func TestANewStartIsAnotherList(t *testing.T) {
 	g, c := newLeader(t, 5)
 	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", StartMillis: 1000}, Pool: "p"}}})
-	backlog := []message.Backlog{{Target: "a", Born: 1000, Tokens: 4, Running: 1}}
-	former := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Backlog: backlog})
+	backlog := []message.Backlog{{Target: "a", StartMillis: 1000, Tokens: 4, Running: 1}}
+	former := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Backlog: backlog})
 	next := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", StartMillis: 2000}, Pool: "p"}}
 	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: next})
-	now := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: former.Term, List: former.List, Backlog: backlog})
-	require.Greater(t, now.List, former.List)
-	roll, err := packed.UnpackJSON[[]fleet.Instance](now.Roll)
+	now := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: former.Term, ListRevision: former.ListRevision, Backlog: backlog})
+	require.Greater(t, now.ListRevision, former.ListRevision)
+	roll, err := packed.UnpackJSON[[]fleet.Instance](now.PackedTargets)
 	require.NoError(t, err)
 	require.Equal(t, next, roll)
-	loads, err := packed.UnpackJSON[message.Loads](now.Loads)
+	loads, err := packed.UnpackJSON[message.Loads](now.PackedLoads)
 	require.NoError(t, err)
 	require.Equal(t, []int{0}, loads.Tokens, "the former's backlog is gone with it")
 }
@@ -76,14 +76,14 @@
 	g, c := newLeader(t, 5)
 	sound := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p"}}
 	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: sound})
-	before := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true})
+	before := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true})
 	require.Empty(t, before.Damaged)
 	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: sound, Damaged: []fleet.DamagedEntry{{ID: "a", Field: "slots"}, {Field: "type"}}})
-	now := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: before.Term, List: before.List})
-	require.Greater(t, now.List, before.List, "it is another list")
+	now := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: before.Term, ListRevision: before.ListRevision})
+	require.Greater(t, now.ListRevision, before.ListRevision, "it is another list")
 	require.Equal(t, []string{"a"}, now.Damaged)
-	require.NotEmpty(t, now.Roll)
-	again := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: now.Term, List: now.List})
+	require.NotEmpty(t, now.PackedTargets)
+	again := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: now.Term, ListRevision: now.ListRevision})
 	require.Empty(t, again.Damaged)
 }
 
@@ -97,15 +97,15 @@
 		c.setTargets(g.clock.Now(), listing)
 	}
 	cold(3 * time.Second)
-	first := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true})
-	require.Equal(t, []message.Warming{{Target: "a", Left: 3 * time.Second}}, first.Warming)
+	first := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true})
+	require.Equal(t, []message.WarmingTarget{{Target: "a", Left: 3 * time.Second}}, first.Warming)
 	cold(2800 * time.Millisecond)
-	again := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: first.Term, List: first.List})
-	require.Equal(t, first.List, again.List, "it grows warm")
+	again := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: first.Term, ListRevision: first.ListRevision})
+	require.Equal(t, first.ListRevision, again.ListRevision, "it grows warm")
 	require.Empty(t, again.Warming)
 	cold(5 * time.Second)
-	anew := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: first.Term, List: first.List})
-	require.Greater(t, anew.List, first.List, "it became cold anew")
+	anew := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: first.Term, ListRevision: first.ListRevision})
+	require.Greater(t, anew.ListRevision, first.ListRevision, "it became cold anew")
 	require.NotEmpty(t, anew.Warming)
 }
 
@@ -113,12 +113,12 @@
 // never hears of a new one.
 func TestKeepersAreToldOnChange(t *testing.T) {
 	g, c := newLeader(t, 9)
-	first := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true})
+	first := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true})
 	require.Equal(t, c.addresses(), first.Keepers, "it holds none")
 	held := message.Digest(first.Keepers)
-	require.Empty(t, c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Members: held}).Keepers)
+	require.Empty(t, c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, KeepersDigest: held}).Keepers)
 	fewer := message.Digest(first.Keepers[1:])
-	require.Equal(t, first.Keepers, c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Members: fewer}).Keepers)
+	require.Equal(t, first.Keepers, c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, KeepersDigest: fewer}).Keepers)
 }
 
 // Guards against answers that name all accounts each time, and against a router that takes the
@@ -129,21 +129,21 @@
 		g.run(time.Second) // sums are kept for a while
 		c, ok := g.whole()
 		require.True(t, ok)
-		r := message.Renew{Router: "r", Columns: true, Names: held}
+		r := message.RenewRequest{Router: "r", AcceptsColumns: true, AccountsDigest: held}
 		for i, name := range accounts {
 			r.Demand = append(r.Demand, message.Demand{Account: name, Rate: float64(10 + i), Served: 1})
 		}
-		loads, err := packed.UnpackJSON[message.Loads](c.renew(g.clock.Now(), r).Loads)
+		loads, err := packed.UnpackJSON[message.Loads](c.renew(g.clock.Now(), r).PackedLoads)
 		require.NoError(t, err)
 		return loads
 	}
 	first := ask(0, "x", "y")
 	require.Equal(t, []string{"x", "y"}, first.Accounts)
-	next := ask(first.Names, "y")
+	next := ask(first.AccountsDigest, "y")
 	require.Empty(t, next.Accounts)
-	require.Equal(t, first.Names, next.Names)
+	require.Equal(t, first.AccountsDigest, next.AccountsDigest)
 	require.Equal(t, []int{0, 10}, next.Rates, "in the order of the names")
-	more := ask(first.Names, "a", "y")
+	more := ask(first.AccountsDigest, "a", "y")
 	require.Equal(t, []string{"a", "x", "y"}, more.Accounts)
 	require.Equal(t, []int{10, 0, 11}, more.Rates)
 }
--- a/internal/keeper/serve.go
+++ b/internal/keeper/serve.go
@@ -32,44 +32,44 @@
 // Call implements link.Handler.
 func (k *Keeper) Call(ctx context.Context, _ *link.Conn, method string, params json.RawMessage) (any, error) {
 	switch method {
-	case message.MethodFound:
+	case message.MethodFoundGroup:
 		return serve(params, k.found.answer)
-	case message.MethodFormed:
+	case message.MethodFormGroup:
 		return serve(params, k.found.form)
-	case message.MethodJoin:
+	case message.MethodJoinGroup:
 		return serve(params, func(p joinParams) (joinResult, error) { return k.core.join(ctx, p) })
 	case message.MethodClaim:
-		return serve(params, func(p message.Claims) (message.Verdicts, error) { return k.core.claim(ctx, p) })
+		return serve(params, func(p message.ClaimRequest) (message.ClaimResponse, error) { return k.core.claim(ctx, p) })
 	case message.MethodSettle:
-		return serve(params, func(p message.Settlements) (struct{}, error) { return struct{}{}, k.core.settleClaims(ctx, p) })
+		return serve(params, func(p message.SettleRequest) (struct{}, error) { return struct{}{}, k.core.settleClaims(ctx, p) })
 	case message.MethodApply:
-		return serve(params, func(p message.Apply) (message.Applied, error) { return k.core.applyConfig(ctx, p) })
+		return serve(params, func(p message.ApplyRequest) (message.ApplyResult, error) { return k.core.applyConfig(ctx, p) })
 	case message.MethodRenew:
-		return serve(params, func(p message.Renew) (message.Renewal, error) {
+		return serve(params, func(p message.RenewRequest) (message.RenewResponse, error) {
 			r, err := k.core.renewCall(ctx, p)
-			r.Packs = true
+			r.AcceptsPacked = true
 			return r, err
 		})
 	case message.MethodRenewPacked:
-		return serve(params, func(p message.PackedRenew) (message.Renewal, error) {
+		return serve(params, func(p message.PackedRenewRequest) (message.RenewResponse, error) {
 			ask, err := p.Unpack()
 			if err != nil {
-				return message.Renewal{}, fleet.NewError(fleet.KindMalformed, "use a router of this version", "a renewal cannot be read: %v", err)
+				return message.RenewResponse{}, fleet.NewError(fleet.KindMalformed, "use a router of this version", "a renewal cannot be read: %v", err)
 			}
 			return k.core.renewCall(ctx, ask)
 		})
-	case message.MethodPut:
-		return serve(params, func(p message.Put) (struct{}, error) { return k.core.put(ctx, p) })
-	case message.MethodRead:
+	case message.MethodPutRoutes:
+		return serve(params, func(p message.PutRequest) (struct{}, error) { return k.core.put(ctx, p) })
+	case message.MethodReadRoutes:
 		return k.core.read(ctx)
-	case message.MethodKnown:
+	case message.MethodMembers:
 		return k.core.known(ctx)
-	case message.MethodHeld:
+	case message.MethodListQuarantine:
 		return k.core.held(ctx)
-	case message.MethodLift:
-		return serve(params, func(p message.Lift) (struct{}, error) { return struct{}{}, k.core.lift(ctx, p) })
+	case message.MethodLiftQuarantine:
+		return serve(params, func(p message.LiftRequest) (struct{}, error) { return struct{}{}, k.core.lift(ctx, p) })
 	case message.MethodEvacuate:
-		return serve(params, func(p message.Evacuate) (message.Evacuated, error) { return k.core.evacuate(ctx, p) })
+		return serve(params, func(p message.EvacuateRequest) (message.EvacuateResult, error) { return k.core.evacuate(ctx, p) })
 	case message.MethodShow:
 		return k.core.show(ctx)
 	case message.MethodStatus:
@@ -110,25 +110,25 @@
 	}
 }
 
-func (c *core) claim(ctx context.Context, p message.Claims) (message.Verdicts, error) {
-	return await(ctx, c, func(now time.Time, done func(message.Verdicts, error)) {
+func (c *core) claim(ctx context.Context, p message.ClaimRequest) (message.ClaimResponse, error) {
+	return await(ctx, c, func(now time.Time, done func(message.ClaimResponse, error)) {
 		if !c.leads(now) {
-			done(message.Verdicts{}, quorum.ErrNotLeader(c.node.LeaderID()))
+			done(message.ClaimResponse{}, quorum.ErrNotLeader(c.node.LeaderID()))
 			return
 		}
-		c.claims = append(c.claims, claimCall{claims: p.Claims, done: func(v []message.Verdict, err error) {
-			done(message.Verdicts{Verdicts: c.withLiveness(v)}, err)
+		c.claims = append(c.claims, claimCall{claims: p.Claims, done: func(v []message.ClaimResult, err error) {
+			done(message.ClaimResponse{Results: c.withLiveness(v)}, err)
 		}})
 	})
 }
 
 // withLiveness tells that a claim's fate is unknown once its router's lease
 // has lapsed: nobody will settle it.
-func (c *core) withLiveness(verdicts []message.Verdict) []message.Verdict {
-	out := make([]message.Verdict, len(verdicts))
+func (c *core) withLiveness(verdicts []message.ClaimResult) []message.ClaimResult {
+	out := make([]message.ClaimResult, len(verdicts))
 	for i, v := range verdicts {
-		if v.Fate == message.FateRunning && (c.divider == nil || !c.ownerAlive(v.Owner)) {
-			v.Fate = message.FateUnknown
+		if v.State == message.RunStateRunning && (c.divider == nil || !c.ownerAlive(v.Owner)) {
+			v.State = message.RunStateUnknown
 		}
 		v.Owner = 0
 		out[i] = v
@@ -138,11 +138,11 @@
 
 func (c *core) ownerAlive(owner uint64) bool {
 	return c.divider.AnyAlive(func(name string, inc uint64) bool {
-		return ledger.HashOwner(message.Owner(name, inc)) == owner
+		return ledger.HashOwner(message.ClaimOwner(name, inc)) == owner
 	})
 }
 
-func (c *core) settleClaims(ctx context.Context, p message.Settlements) error {
+func (c *core) settleClaims(ctx context.Context, p message.SettleRequest) error {
 	_, err := await(ctx, c, func(now time.Time, done func(struct{}, error)) {
 		if !c.leads(now) {
 			done(struct{}{}, quorum.ErrNotLeader(c.node.LeaderID()))
@@ -156,15 +156,15 @@
 }
 
 // applyConfig puts a configuration in force.
-func (c *core) applyConfig(ctx context.Context, p message.Apply) (message.Applied, error) {
+func (c *core) applyConfig(ctx context.Context, p message.ApplyRequest) (message.ApplyResult, error) {
 	var config fleet.Config
 	if err := json.Unmarshal(p.Config, &config); err != nil {
-		return message.Applied{}, fleet.NewError(fleet.KindInvalidConfig, "send a configuration", "the configuration cannot be read: %v", err)
+		return message.ApplyResult{}, fleet.NewError(fleet.KindInvalidConfig, "send a configuration", "the configuration cannot be read: %v", err)
 	}
 	if err := config.Validate(); err != nil {
-		return message.Applied{}, fleet.NewError(fleet.KindInvalidConfig, "mend the configuration", "%v", err)
+		return message.ApplyResult{}, fleet.NewError(fleet.KindInvalidConfig, "mend the configuration", "%v", err)
 	}
-	applied, err := await(ctx, c, func(now time.Time, done func(message.Applied, error)) {
+	applied, err := await(ctx, c, func(now time.Time, done func(message.ApplyResult, error)) {
 		c.submitConfig(now, config, p.Operator, done)
 	})
 	if err != nil || applied.Conflict || !p.Wait {
@@ -173,15 +173,15 @@
 	return c.waitInForce(ctx, applied)
 }
 
-func (c *core) submitConfig(now time.Time, config fleet.Config, operator string, done func(message.Applied, error)) {
+func (c *core) submitConfig(now time.Time, config fleet.Config, operator string, done func(message.ApplyResult, error)) {
 	if !c.leads(now) {
-		done(message.Applied{}, quorum.ErrNotLeader(c.node.LeaderID()))
+		done(message.ApplyResult{}, quorum.ErrNotLeader(c.node.LeaderID()))
 		return
 	}
 	cmd := ledger.Command{Apply: &ledger.Apply{Config: config.JSON(), Operator: operator}}
 	c.submit(now, cmd, func(r ledger.Result, err error) {
 		if err != nil || r.Applied == nil {
-			done(message.Applied{}, err)
+			done(message.ApplyResult{}, err)
 			return
 		}
 		done(*r.Applied, nil)
@@ -189,7 +189,7 @@
 }
 
 // waitInForce waits until every router with a lease has the configuration.
-func (c *core) waitInForce(ctx context.Context, applied message.Applied) (message.Applied, error) {
+func (c *core) waitInForce(ctx context.Context, applied message.ApplyResult) (message.ApplyResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, forceWait)
 	defer cancel()
 	for {
@@ -214,14 +214,14 @@
 
 // show returns the configuration in force. Only a leader whose lease holds may
 // tell: another could have accepted a later one.
-func (c *core) show(ctx context.Context) (message.Show, error) {
-	return await(ctx, c, func(now time.Time, done func(message.Show, error)) {
+func (c *core) show(ctx context.Context) (message.ShowResult, error) {
+	return await(ctx, c, func(now time.Time, done func(message.ShowResult, error)) {
 		if !c.leads(now) {
-			done(message.Show{}, quorum.ErrNotLeader(c.node.LeaderID()))
+			done(message.ShowResult{}, quorum.ErrNotLeader(c.node.LeaderID()))
 			return
 		}
 		_, text := c.ledger.Config()
-		done(message.Show{Config: text, History: c.ledger.History()}, nil)
+		done(message.ShowResult{Config: text, History: c.ledger.History()}, nil)
 	})
 }
 
@@ -232,15 +232,15 @@
 			return
 		}
 		s := message.Status{
-			Leader: c.node.ID, Term: c.node.Term(), Commit: c.node.Commit(),
-			Number: c.ledger.Number(), Digest: c.ledger.Digest(), Claims: c.ledger.Claims(), Held: len(c.ledger.Quarantine().Entries()),
+			Leader: c.node.ID, Term: c.node.Term(), CommitIndex: c.node.Commit(),
+			Number: c.ledger.Number(), Digest: c.ledger.Digest(), Claims: c.ledger.Claims(), Quarantined: len(c.ledger.Quarantine().Entries()),
 			Changing: c.node.Changing(), Evacuated: c.ledger.Evacuations().Zones,
-			Gap: c.divider.Gap(), Routers: c.divider.Routers(),
+			ServiceGap: c.divider.Gap(), Routers: c.divider.Routers(),
 		}
-		s.Busy, s.Slots = c.divider.Load()
+		s.SlotsBusy, s.Slots = c.divider.Load()
 		for _, m := range c.node.Members() {
 			s.Keepers = append(s.Keepers, message.KeeperStatus{
-				Name: m.Name, ID: m.ID, Address: m.Address, Voter: m.Voter, Match: c.node.Match(m.ID),
+				Name: m.Name, ID: m.ID, Address: m.Address, Voter: m.Voter, MatchIndex: c.node.Match(m.ID),
 			})
 		}
 		done(s, nil)
--- a/internal/keeper/tendedgroup_test.go
+++ b/internal/keeper/tendedgroup_test.go
@@ -72,7 +72,7 @@
 	vm     *keeperVM
 	asked  time.Time
 	at     time.Time // when it arrives
-	answer *message.Renewal
+	answer *message.RenewResponse
 }
 
 const (
@@ -221,7 +221,7 @@
 		case q.answer != nil:
 			q.router.take(q.asked, *q.answer)
 		case q.vm.awake(now):
-			a := q.vm.core.renew(now, message.Renew{Router: q.router.name, Number: q.router.number})
+			a := q.vm.core.renew(now, message.RenewRequest{Router: q.router.name, Number: q.router.number})
 			q.answer, q.at = &a, now.Add(time.Duration(g.random.IntN(80))*tendedStep)
 			later = append(later, q)
 		case q.vm.core != nil:
@@ -232,11 +232,11 @@
 }
 
 // take follows the rules of the uplink.
-func (r *leaseRouter) take(asked time.Time, a message.Renewal) {
+func (r *leaseRouter) take(asked time.Time, a message.RenewResponse) {
 	if !a.Leads {
 		return
 	}
-	if a.Number > r.number && a.Text != nil {
+	if a.Number > r.number && a.PackedConfig != nil {
 		r.number = a.Number
 	}
 	if until := asked.Add(tendedLease); r.number == a.Number && until.After(r.until) {
--- a/internal/keeper/trio_test.go
+++ b/internal/keeper/trio_test.go
@@ -143,7 +143,7 @@
 		if c == nil || g.cut[name] || c.divider == nil || !c.node.Leads(g.clock.Now()) {
 			continue
 		}
-		c.routers[routerKey{r.Router, r.Inc}] = conn
+		c.routers[routerKey{r.Router, r.Incarnation}] = conn
 		c.divider.Report(g.clock.Now(), r)
 		g.turn(name)
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	config := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: share}}}
-	c.submitConfig(g.clock.Now(), config, "op", func(a message.Applied, err error) {
+	c.submitConfig(g.clock.Now(), config, "op", func(a message.ApplyResult, err error) {
 		if err != nil || a.Conflict {
 			return
 		}
--- a/internal/keeper/vmlist_test.go
+++ b/internal/keeper/vmlist_test.go
@@ -24,7 +24,7 @@
 	c, ok := g.whole()
 	require.True(t, ok)
 	apply := func(number uint64) {
-		c.submitConfig(g.clock.Now(), vmConfig(number), "op", func(_ message.Applied, err error) { require.NoError(t, err) })
+		c.submitConfig(g.clock.Now(), vmConfig(number), "op", func(_ message.ApplyResult, err error) { require.NoError(t, err) })
 		g.run(time.Second)
 	}
 	apply(1)
--- a/internal/ledger/claim.go
+++ b/internal/ledger/claim.go
@@ -52,14 +52,14 @@
 	codeUnknown
 )
 
-var fates = [...]message.Fate{
-	codeRunning: message.FateRunning,
-	codeRan:     message.FateRan,
-	codeUnrun:   message.FateUnrun,
-	codeUnknown: message.FateUnknown,
+var fates = [...]message.RunState{
+	codeRunning: message.RunStateRunning,
+	codeRan:     message.RunStateRan,
+	codeUnrun:   message.RunStateNotRun,
+	codeUnknown: message.RunStateUnknown,
 }
 
-func codeOf(f message.Fate) fateCode {
+func codeOf(f message.RunState) fateCode {
 	for c, fate := range fates {
 		if fate == f {
 			return fateCode(c)
@@ -99,7 +99,7 @@
 // claim records a claim unless the key is taken. A claim sent again gets the
 // answer that it got before. An attempt that its owner has given up is never
 // granted, even if its claim arrives after its release.
-func (t *claimTable) claim(c message.Claim, now time.Time, limit int) message.Verdict {
+func (t *claimTable) claim(c message.Claim, now time.Time, limit int) message.ClaimResult {
 	key := parseKey(c.Key)
 	mine := claimRecord{owner: HashOwner(c.Owner), attempt: c.Attempt}
 	g, found := t.find(key)
@@ -108,26 +108,26 @@
 		same := old.owner == mine.owner && old.attempt == mine.attempt
 		switch {
 		case same && old.fate == codeRunning:
-			return message.Verdict{Granted: true}
+			return message.ClaimResult{Granted: true}
 		case old.fate != codeUnrun || same:
-			return message.Verdict{Fate: fates[old.fate], Owner: old.owner}
+			return message.ClaimResult{State: fates[old.fate], Owner: old.owner}
 		}
 		// A claim after a released one starts its retention anew.
 		delete(g.records, key)
 		t.size--
 	}
 	if t.size >= limit {
-		return message.Verdict{Full: true}
+		return message.ClaimResult{ClaimsFull: true}
 	}
 	t.put(key, mine, now)
-	return message.Verdict{Granted: true}
+	return message.ClaimResult{Granted: true}
 }
 
 // settle records the fate of a claim. Only its owner's attempt may; a release
 // that overtakes its claim is kept, so that the claim finds it.
 func (t *claimTable) settle(s message.Settlement, now time.Time) {
 	key := parseKey(s.Key)
-	mine := claimRecord{owner: HashOwner(s.Owner), attempt: s.Attempt, fate: codeOf(s.Fate)}
+	mine := claimRecord{owner: HashOwner(s.Owner), attempt: s.Attempt, fate: codeOf(s.State)}
 	g, found := t.find(key)
 	if !found {
 		if mine.fate == codeUnrun {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -60,8 +60,8 @@
 
 // A Result is what a command brought about.
 type Result struct {
-	Applied  *message.Applied
-	Verdicts []message.Verdict
+	Applied  *message.ApplyResult
+	Verdicts []message.ClaimResult
 }
 
 // A Ledger is the state. Its zero value is the state before any command. It is
@@ -75,7 +75,7 @@
 	config  fleet.Config
 	text    json.RawMessage
 	digest  string
-	history []message.Change
+	history []message.ConfigChange
 	claims  claimTable
 
 	document    Document
@@ -99,7 +99,7 @@
 }
 
 // History returns the accepted configurations, the oldest first.
-func (l *Ledger) History() []message.Change {
+func (l *Ledger) History() []message.ConfigChange {
 	return l.history
 }
 
@@ -173,45 +173,45 @@
 
 // apply puts a configuration in force if its number is above the present one.
 // The same number with the same content is the same request sent again.
-func (l *Ledger) apply(a Apply) (message.Applied, error) {
+func (l *Ledger) apply(a Apply) (message.ApplyResult, error) {
 	var c fleet.Config
 	if err := json.Unmarshal(a.Config, &c); err != nil {
-		return message.Applied{}, fmt.Errorf("decode a configuration: %w", err)
+		return message.ApplyResult{}, fmt.Errorf("decode a configuration: %w", err)
 	}
 	digest := c.Digest()
 	if c.Number <= l.config.Number {
 		return l.answerOld(c.Number, digest), nil
 	}
 	l.config, l.text, l.digest = c, a.Config, digest
-	l.history = append(l.history, message.Change{Number: c.Number, Digest: digest, Operator: a.Operator, Accepted: l.at})
+	l.history = append(l.history, message.ConfigChange{Number: c.Number, Digest: digest, Operator: a.Operator, Accepted: l.at})
 	if len(l.history) > HistoryLength {
-		l.history = append([]message.Change(nil), l.history[len(l.history)-HistoryLength:]...)
+		l.history = append([]message.ConfigChange(nil), l.history[len(l.history)-HistoryLength:]...)
 	}
-	return message.Applied{Number: c.Number, Digest: digest}, nil
+	return message.ApplyResult{Number: c.Number, Digest: digest}, nil
 }
 
 // answerOld answers for a number that is not above the present one. One that
 // was accepted with the same content counts as accepted, even if a later one
 // has replaced it since.
-func (l *Ledger) answerOld(number uint64, digest string) message.Applied {
+func (l *Ledger) answerOld(number uint64, digest string) message.ApplyResult {
 	for i := len(l.history) - 1; i >= 0; i-- {
 		if h := l.history[i]; h.Number == number && h.Digest == digest {
-			applied := message.Applied{Number: number, Digest: digest}
+			applied := message.ApplyResult{Number: number, Digest: digest}
 			if number != l.config.Number {
-				applied.Replaced = l.config.Number
+				applied.NewerNumber = l.config.Number
 			}
 			return applied
 		}
 	}
-	return message.Applied{Number: l.config.Number, Digest: l.digest, Conflict: true}
+	return message.ApplyResult{Number: l.config.Number, Digest: l.digest, Conflict: true}
 }
 
 // snapshot is the stored form of a Ledger.
 type snapshot struct {
-	At      time.Time        `json:"at"`
-	Config  json.RawMessage  `json:"config,omitempty"`
-	History []message.Change `json:"history,omitempty"`
-	Claims  []savedClaims    `json:"claims,omitempty"`
+	At      time.Time              `json:"at"`
+	Config  json.RawMessage        `json:"config,omitempty"`
+	History []message.ConfigChange `json:"history,omitempty"`
+	Claims  []savedClaims          `json:"claims,omitempty"`
 
 	Document    Document             `json:"document,omitzero"`
 	Quarantine  quarantine.SavedBook `json:"quarantine,omitzero"`
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1e9, 0)
 
-func (l *Ledger) claimOne(t require.TestingT, at time.Time, c message.Claim) message.Verdict {
+func (l *Ledger) claimOne(t require.TestingT, at time.Time, c message.Claim) message.ClaimResult {
 	r, err := l.Do(Command{At: at, Claims: []message.Claim{c}}.Encode())
 	require.NoError(t, err)
 	return r.Verdicts[0]
@@ -33,10 +33,10 @@
 func TestReleaseThatOvertakesItsClaim(t *testing.T) {
 	var l Ledger
 	key := KeyOf("a", "k")
-	l.settleOne(t, start, message.Settlement{Key: key, Owner: "r1/1", Attempt: 1, Fate: message.FateUnrun})
+	l.settleOne(t, start, message.Settlement{Key: key, Owner: "r1/1", Attempt: 1, State: message.RunStateNotRun})
 	v := l.claimOne(t, start, message.Claim{Key: key, Owner: "r1/1", Attempt: 1})
 	require.False(t, v.Granted)
-	require.Equal(t, message.FateUnrun, v.Fate)
+	require.Equal(t, message.RunStateNotRun, v.State)
 	require.True(t, l.claimOne(t, start, message.Claim{Key: key, Owner: "r2/1", Attempt: 1}).Granted)
 }
 
@@ -46,24 +46,24 @@
 	require.True(t, l.claimOne(t, start, c).Granted)
 	require.True(t, l.claimOne(t, start, c).Granted)
 	other := message.Claim{Key: c.Key, Owner: "r1/1", Attempt: 2}
-	require.Equal(t, message.FateRunning, l.claimOne(t, start, other).Fate)
-	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, Fate: message.FateRan})
-	require.Equal(t, message.FateRan, l.claimOne(t, start, c).Fate)
-	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, Fate: message.FateUnrun})
-	require.Equal(t, message.FateRan, l.claimOne(t, start, other).Fate, "what ran stays so")
+	require.Equal(t, message.RunStateRunning, l.claimOne(t, start, other).State)
+	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, State: message.RunStateRan})
+	require.Equal(t, message.RunStateRan, l.claimOne(t, start, c).State)
+	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, State: message.RunStateNotRun})
+	require.Equal(t, message.RunStateRan, l.claimOne(t, start, other).State, "what ran stays so")
 }
 
 func TestClaimsAreBoundedAndKeptForTheirTime(t *testing.T) {
 	l := Ledger{Limit: 3}
-	claim := func(at time.Time, n int) message.Verdict {
+	claim := func(at time.Time, n int) message.ClaimResult {
 		return l.claimOne(t, at, message.Claim{Key: KeyOf("a", fmt.Sprint(n)), Owner: "r1/1", Attempt: uint64(n)})
 	}
 	for n := range 3 {
 		require.True(t, claim(start, n+1).Granted)
 	}
-	require.True(t, claim(start.Add(time.Hour), 4).Full)
+	require.True(t, claim(start.Add(time.Hour), 4).ClaimsFull)
 	require.Equal(t, 3, l.Claims())
-	require.Equal(t, message.FateRunning, l.claimOne(t, start.Add(Retention), message.Claim{Key: KeyOf("a", "1"), Owner: "x"}).Fate)
+	require.Equal(t, message.RunStateRunning, l.claimOne(t, start.Add(Retention), message.Claim{Key: KeyOf("a", "1"), Owner: "x"}).State)
 	late := start.Add(Retention + generationSpan)
 	require.True(t, claim(late, 4).Granted)
 	require.Equal(t, 1, l.Claims())
@@ -77,7 +77,7 @@
 		type naive struct {
 			owner   string
 			attempt uint64
-			fate    message.Fate
+			fate    message.RunState
 		}
 		records := make(map[string]naive)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -89,15 +89,15 @@
 			switch rapid.IntRange(0, 4).Draw(t, "act") {
 			case 0, 1:
 				v := l.claimOne(t, start, message.Claim{Key: key, Owner: owner, Attempt: attempt})
-				want := !found || mine && old.fate == message.FateRunning || !mine && old.fate == message.FateUnrun
+				want := !found || mine && old.fate == message.RunStateRunning || !mine && old.fate == message.RunStateNotRun
 				require.Equal(t, want, v.Granted)
 				if want {
-					records[key] = naive{owner, attempt, message.FateRunning}
+					records[key] = naive{owner, attempt, message.RunStateRunning}
 				}
 			case 2, 3:
-				fate := rapid.SampledFrom([]message.Fate{message.FateRan, message.FateUnrun, message.FateUnknown}).Draw(t, "fate")
-				l.settleOne(t, start, message.Settlement{Key: key, Owner: owner, Attempt: attempt, Fate: fate})
-				if mine && old.fate != message.FateRan || !found && fate == message.FateUnrun {
+				fate := rapid.SampledFrom([]message.RunState{message.RunStateRan, message.RunStateNotRun, message.RunStateUnknown}).Draw(t, "fate")
+				l.settleOne(t, start, message.Settlement{Key: key, Owner: owner, Attempt: attempt, State: fate})
+				if mine && old.fate != message.RunStateRan || !found && fate == message.RunStateNotRun {
 					records[key] = naive{owner, attempt, fate}
 				}
 			default:
@@ -113,7 +113,7 @@
 
 func TestConfigurationsSentAgain(t *testing.T) {
 	var l Ledger
-	apply := func(number uint64, share float64) message.Applied {
+	apply := func(number uint64, share float64) message.ApplyResult {
 		c := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: share}}}
 		r, err := l.Do(Command{At: start, Apply: &Apply{Config: c.JSON(), Operator: "op"}}.Encode())
 		require.NoError(t, err)
@@ -123,9 +123,9 @@
 	require.False(t, apply(1, 1).Conflict, "the same again")
 	require.True(t, apply(1, 2).Conflict, "other content")
 	require.False(t, apply(3, 1).Conflict)
-	require.Zero(t, apply(3, 1).Replaced, "it is in force")
+	require.Zero(t, apply(3, 1).NewerNumber, "it is in force")
 	require.False(t, apply(1, 1).Conflict, "accepted before, and replaced since")
-	require.Equal(t, uint64(3), apply(1, 1).Replaced, "the answer says which is in force")
+	require.Equal(t, uint64(3), apply(1, 1).NewerNumber, "the answer says which is in force")
 	conflict := apply(2, 1)
 	require.True(t, conflict.Conflict)
 	require.Equal(t, uint64(3), conflict.Number)
--- a/internal/message/message_test.go
+++ b/internal/message/message_test.go
@@ -15,7 +15,7 @@
 }
 
 func FuzzReport(f *testing.F) {
-	good, err := json.Marshal(Report{Router: "r1", Seq: 3, Queues: []Queue{{Account: "a", Event: "e", Waiting: 2}}})
+	good, err := json.Marshal(Report{Router: "r1", Seq: 3, Queues: []QueueLength{{Account: "a", Event: "e", Waiting: 2}}})
 	require.NoError(f, err)
 	f.Add(good)
 	f.Add([]byte(`{"sent":"never"}`))
--- a/internal/message/packedrenew.go
+++ b/internal/message/packedrenew.go
@@ -15,24 +15,24 @@
 	`{"router":"","zone":"","inc":17,"number":1,"term":1,"list":1,"columns":true,"seat":{"number":1,"of":1,"ready":true},"demand":[{"account":"`)}
 
 // A PackedRenew is a Renew for keepers that have said that they take this form.
-type PackedRenew struct {
-	Text []byte `json:"text"`
+type PackedRenewRequest struct {
+	PackedText []byte `json:"text"`
 }
 
 // Pack returns the packed form.
-func (r Renew) Pack() (PackedRenew, error) {
+func (r RenewRequest) Pack() (PackedRenewRequest, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
-		return PackedRenew{}, fmt.Errorf("pack a renewal: %w", err)
+		return PackedRenewRequest{}, fmt.Errorf("pack a renewal: %w", err)
 	}
 	data, err := renewSample.Pack(text)
-	return PackedRenew{Text: data}, err
+	return PackedRenewRequest{PackedText: data}, err
 }
 
 // Unpack returns what was packed.
-func (p PackedRenew) Unpack() (Renew, error) {
-	var r Renew
-	text, err := renewSample.Unpack(p.Text)
+func (p PackedRenewRequest) Unpack() (RenewRequest, error) {
+	var r RenewRequest
+	text, err := renewSample.Unpack(p.PackedText)
 	if err != nil {
 		return r, err
 	}
--- a/internal/message/packedrenew_test.go
+++ b/internal/message/packedrenew_test.go
@@ -12,17 +12,17 @@
 	"laburnumfall/internal/warmup"
 )
 
-var usualRenew = Renew{
-	Router: "edge-saskatoon-hall-24", Zone: "saskatoon-hall", Inc: 1768162640001967916, Number: 2, Term: 1, List: 7, Columns: true,
-	Seat:       warmup.Seat{Number: 68, Of: 86, Ready: true},
-	Demand:     []Demand{{Account: "dele205", Rate: 22, Served: 22}, {Account: "lobo7613", Rate: 20035, Served: 19000}, {Account: "noka630", Rate: 91, Served: 91}},
-	Backlog:    []Backlog{{Target: "i-9e2dcdc56a", Born: 1768162640001, Tokens: 9000, Running: 1}, {Target: "i-77c0e2f1aa", Born: 1768162640001, Running: 2}},
-	Quarantine: &quarantine.Report{},
+var usualRenew = RenewRequest{
+	Router: "edge-saskatoon-hall-24", Zone: "saskatoon-hall", Incarnation: 1768162640001967916, Number: 2, Term: 1, ListRevision: 7, AcceptsColumns: true,
+	WarmupLease: warmup.Seat{Number: 68, Of: 86, Ready: true},
+	Demand:      []Demand{{Account: "dele205", Rate: 22, Served: 22}, {Account: "lobo7613", Rate: 20035, Served: 19000}, {Account: "noka630", Rate: 91, Served: 91}},
+	Backlog:     []Backlog{{Target: "i-9e2dcdc56a", StartMillis: 1768162640001, Tokens: 9000, Running: 1}, {Target: "i-77c0e2f1aa", StartMillis: 1768162640001, Running: 2}},
+	Quarantine:  &quarantine.Report{},
 }
 
 func TestARenewalIsPackedAndBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Renew{Router: rapid.String().Draw(t, "router"), Inc: rapid.Uint64().Draw(t, "inc"), Members: rapid.Uint32().Draw(t, "members")}
+		r := RenewRequest{Router: rapid.String().Draw(t, "router"), Incarnation: rapid.Uint64().Draw(t, "inc"), KeepersDigest: rapid.Uint32().Draw(t, "members")}
 		for _, name := range rapid.SliceOfN(rapid.StringMatching("[a-z0-9]{0,9}"), 0, 40).Draw(t, "accounts") {
 			r.Demand = append(r.Demand, Demand{Account: name, Rate: rapid.Float64Range(0, 1e7).Draw(t, "rate")})
 		}
@@ -48,7 +48,7 @@
 func TestThePackedFormOfRenewalsStays(t *testing.T) {
 	text, err := base64.StdEncoding.DecodeString(packedBefore)
 	require.NoError(t, err)
-	r, err := PackedRenew{Text: text}.Unpack()
+	r, err := PackedRenewRequest{PackedText: text}.Unpack()
 	require.NoError(t, err)
 	require.Equal(t, usualRenew, r)
 }
--- a/internal/message/renew.go
+++ b/internal/message/renew.go
@@ -10,26 +10,26 @@
 
 // A Renew is what a router that serves routes asks the keepers, a few times a
 // second: what it holds, so that the answer need only bring what is newer.
-type Renew struct {
-	Router string     `json:"router"`
-	Zone   fleet.Zone `json:"zone"`
-	Inc    uint64     `json:"inc"`
+type RenewRequest struct {
+	Router      string     `json:"router"`
+	Zone        fleet.Zone `json:"zone"`
+	Incarnation uint64     `json:"inc"`
 	// Number is the configuration that the router has in force.
 	Number uint64 `json:"number"`
 	// Term and List name the list of targets that the router holds.
-	Term uint64 `json:"term,omitempty"`
-	List uint64 `json:"list,omitempty"`
+	Term         uint64 `json:"term,omitempty"`
+	ListRevision uint64 `json:"list,omitempty"`
 	// Columns says that the router takes columns and a packed list of targets.
 	// Routers and keepers of two versions run together while either are replaced.
-	Columns bool `json:"columns,omitempty"`
+	AcceptsColumns bool `json:"columns,omitempty"`
 	// Names names the accounts of Loads that the router holds, by Digest; 0 is none.
-	Names uint32 `json:"names,omitempty"`
+	AccountsDigest uint32 `json:"names,omitempty"`
 	// Members names the list of keepers that the router holds, by Digest; 0 is none.
-	Members uint32 `json:"members,omitempty"`
+	KeepersDigest uint32 `json:"members,omitempty"`
 	// Evacuations is the revision of the evacuated zones that the router holds.
-	Evacuations uint64 `json:"evacuations,omitempty"`
+	EvacuationRevision uint64 `json:"evacuations,omitempty"`
 	// Seat is the router's lease on a part of what cold targets may get, if it has not lapsed.
-	Seat warmup.Seat `json:"seat,omitzero"`
+	WarmupLease warmup.Seat `json:"seat,omitzero"`
 	// Demand is what the accounts ask for through this router.
 	Demand []Demand `json:"demand,omitempty"`
 	// Backlog is what this router has sent to targets.
@@ -53,30 +53,30 @@
 	Target string `json:"target"`
 	// Born is the start of the target; 0 if the writer knows none, as one of the
 	// version before.
-	Born    int64 `json:"born,omitempty"`
-	Tokens  int   `json:"tokens,omitempty"`
-	Running int   `json:"running,omitempty"`
+	StartMillis int64 `json:"born,omitempty"`
+	Tokens      int   `json:"tokens,omitempty"`
+	Running     int   `json:"running,omitempty"`
 }
 
 // BacklogOf returns the backlog of a target.
-func BacklogOf(target fleet.Incarnation, tokens, running int) Backlog {
-	return Backlog{Target: target.ID, Born: target.StartMillis, Tokens: tokens, Running: running}
+func NewBacklog(target fleet.Incarnation, tokens, running int) Backlog {
+	return Backlog{Target: target.ID, StartMillis: target.StartMillis, Tokens: tokens, Running: running}
 }
 
 // Of returns whose backlog it is.
-func (b Backlog) Of() fleet.Incarnation {
-	return fleet.Incarnation{ID: b.Target, StartMillis: b.Born}
+func (b Backlog) Incarnation() fleet.Incarnation {
+	return fleet.Incarnation{ID: b.Target, StartMillis: b.StartMillis}
 }
 
 // Plus returns the sum of two backlogs of one target.
-func (b Backlog) Plus(other Backlog) Backlog {
+func (b Backlog) Add(other Backlog) Backlog {
 	b.Tokens += other.Tokens
 	b.Running += other.Running
 	return b
 }
 
 // A Renewal answers a Renew. Only that of a keeper that leads renews anything.
-type Renewal struct {
+type RenewResponse struct {
 	// Leads says that the answering keeper leads and that a quorum's promises
 	// to it held when it answered.
 	Leads bool `json:"leads,omitempty"`
@@ -85,49 +85,49 @@
 	Term   uint64 `json:"term"`
 	Number uint64 `json:"number"`
 	// Text is the configuration, packed, if the router does not hold it yet.
-	Text []byte `json:"text,omitempty"`
+	PackedConfig []byte `json:"text,omitempty"`
 	// List counts the changes of the list of targets within the term. Targets
 	// holds the list if the router does not hold it yet.
-	List    uint64           `json:"list,omitempty"`
-	Targets []fleet.Instance `json:"targets,omitempty"`
+	ListRevision uint64           `json:"list,omitempty"`
+	Targets      []fleet.Instance `json:"targets,omitempty"`
 	// Roll is the same, packed, for routers that take columns.
-	Roll []byte `json:"roll,omitempty"`
+	PackedTargets []byte `json:"roll,omitempty"`
 	// Damaged are the IDs that damaged entries of the list name. They come with Targets
 	// or Roll.
 	Damaged []string `json:"damaged,omitempty"`
 	// Warming are the targets that the list shows as cold. They come with Targets or Roll.
-	Warming []Warming `json:"warming,omitempty"`
+	Warming []WarmingTarget `json:"warming,omitempty"`
 	// Evacuations are the evacuated zones, if the router does not hold them yet.
-	Evacuations *fleet.EvacuatedZones `json:"evacuations,omitempty"`
+	EvacuatedZones *fleet.EvacuatedZones `json:"evacuations,omitempty"`
 	// Seat is leased to the router from when it asked.
-	Seat warmup.Seat `json:"seat,omitzero"`
+	WarmupLease warmup.Seat `json:"seat,omitzero"`
 	// Age is how long before this answer the list was read.
-	Age time.Duration `json:"age,omitempty"`
+	ListAge time.Duration `json:"age,omitempty"`
 	// Routers is how many routers have renewed lately.
 	Routers int `json:"routers"`
 	// Loads is what all routers report, packed Loads; Demand and Backlog are the
 	// same for routers that do not take columns.
-	Loads   []byte    `json:"loads,omitempty"`
-	Demand  []Demand  `json:"demand,omitempty"`
-	Backlog []Backlog `json:"backlog,omitempty"`
+	PackedLoads []byte    `json:"loads,omitempty"`
+	Demand      []Demand  `json:"demand,omitempty"`
+	Backlog     []Backlog `json:"backlog,omitempty"`
 	// Keepers are the addresses of all members, if the router does not hold them yet.
 	Keepers []string `json:"keepers,omitempty"`
 	// Packs says that the next question over this link may be packed.
-	Packs bool `json:"packs,omitempty"`
+	AcceptsPacked bool `json:"packs,omitempty"`
 	// Rulings are which requests are held back; nil from a keeper of the version before.
-	Rulings *quarantine.Rulings `json:"rulings,omitempty"`
+	Restrictions *quarantine.Rulings `json:"rulings,omitempty"`
 }
 
 // A Warming is a target that is cold for a time after its answer.
-type Warming struct {
-	Target string        `json:"target"`
-	Born   int64         `json:"born,omitempty"`
-	Left   time.Duration `json:"left"`
+type WarmingTarget struct {
+	Target      string        `json:"target"`
+	StartMillis int64         `json:"born,omitempty"`
+	Left        time.Duration `json:"left"`
 }
 
 // Of returns which target it is.
-func (w Warming) Of() fleet.Incarnation {
-	return fleet.Incarnation{ID: w.Target, StartMillis: w.Born}
+func (w WarmingTarget) Incarnation() fleet.Incarnation {
+	return fleet.Incarnation{ID: w.Target, StartMillis: w.StartMillis}
 }
 
 // Loads are the sums of what all routers report, by column: every router gets them
@@ -135,10 +135,10 @@
 type Loads struct {
 	// Accounts have the demands of the same places. They are left out where the router holds
 	// them. Names is their Digest, 0 from a keeper of the version before.
-	Accounts []string `json:"accounts,omitempty"`
-	Names    uint32   `json:"names,omitempty"`
-	Rates    []int    `json:"rates"`
-	Served   []int    `json:"served"`
+	Accounts       []string `json:"accounts,omitempty"`
+	AccountsDigest uint32   `json:"names,omitempty"`
+	Rates          []int    `json:"rates"`
+	Served         []int    `json:"served"`
 	// Tokens and Running are the backlogs of the targets, in the order of the list
 	// that the answer names.
 	Tokens  []int `json:"tokens"`
@@ -146,21 +146,21 @@
 }
 
 // A Put asks to put a configuration of routes in force. Text is packed.
-type Put struct {
-	Number uint64 `json:"number"`
-	Text   []byte `json:"text"`
+type PutRequest struct {
+	Number       uint64 `json:"number"`
+	PackedConfig []byte `json:"text"`
 }
 
 // A Document is the result of MethodRead: the newest configuration of routes,
 // packed.
-type Document struct {
-	Number uint64 `json:"number"`
-	Text   []byte `json:"text"`
+type RoutesDocument struct {
+	Number       uint64 `json:"number"`
+	PackedConfig []byte `json:"text"`
 }
 
 // A Known is the result of MethodKnown: the members' addresses as a keeper
 // knows them, and the leader's if it has one.
-type Known struct {
+type MembersResult struct {
 	Keepers []string `json:"keepers"`
 	Leader  string   `json:"leader,omitempty"`
 }
--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -13,7 +13,7 @@
 	list := make([]message.Backlog, 0, len(p.states))
 	for target, s := range p.states {
 		if s.pending > 0 || s.running > 0 {
-			list = append(list, message.BacklogOf(target, s.pending, s.running))
+			list = append(list, message.NewBacklog(target, s.pending, s.running))
 		}
 	}
 	slices.SortFunc(list, func(a, b message.Backlog) int { return cmp.Compare(a.Target, b.Target) })
@@ -31,8 +31,8 @@
 	}
 	for target, s := range p.states {
 		for _, b := range byID[target.ID] {
-			if b.Of().MayEqual(target) {
-				s.others = s.others.Plus(b)
+			if b.Incarnation().MayEqual(target) {
+				s.others = s.others.Add(b)
 			}
 		}
 	}
--- a/internal/placement/incarnation_test.go
+++ b/internal/placement/incarnation_test.go
@@ -91,8 +91,8 @@
 	p.SetTargets(start, born(instances(2), "i-0", 2000))
 	p.SetOthers(start, []message.Backlog{
 		{Target: "i-0", Tokens: 10, Running: 1},
-		{Target: "i-0", Born: 2000, Tokens: 5, Running: 1},
-		{Target: "i-0", Born: 1000, Tokens: 700, Running: 7},
+		{Target: "i-0", StartMillis: 2000, Tokens: 5, Running: 1},
+		{Target: "i-0", StartMillis: 1000, Tokens: 700, Running: 7},
 	})
 	s := p.states[fleet.Incarnation{ID: "i-0", StartMillis: 2000}]
 	require.Equal(t, 15, s.others.Tokens)
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -44,7 +44,7 @@
 				demand, backlog, _ := board.Sums(start)
 				loads, err := packed.PackJSON(Columns(demand, backlog, targets))
 				require.NoError(b, err)
-				data, err := json.Marshal(message.Renewal{Loads: loads})
+				data, err := json.Marshal(message.RenewResponse{PackedLoads: loads})
 				require.NoError(b, err)
 				bytes = len(data)
 			}
--- a/internal/quota/board.go
+++ b/internal/quota/board.go
@@ -73,11 +73,11 @@
 	sums := make(map[fleet.Incarnation]message.Backlog)
 	for _, r := range b.routers {
 		for _, l := range r.backlog {
-			sums[l.Of()] = l.Plus(sums[l.Of()])
+			sums[l.Incarnation()] = l.Add(sums[l.Incarnation()])
 		}
 	}
 	return slices.SortedFunc(maps.Values(sums), func(a, b message.Backlog) int {
-		return cmp.Or(cmp.Compare(a.Target, b.Target), cmp.Compare(a.Born, b.Born))
+		return cmp.Or(cmp.Compare(a.Target, b.Target), cmp.Compare(a.StartMillis, b.StartMillis))
 	})
 }
 
@@ -87,8 +87,8 @@
 	own := byTarget(mine)
 	others := make([]message.Backlog, 0, len(all))
 	for _, a := range all {
-		m := own.of(a.Of())
-		left := message.BacklogOf(a.Of(), max(a.Tokens-m.Tokens, 0), max(a.Running-m.Running, 0))
+		m := own.of(a.Incarnation())
+		left := message.NewBacklog(a.Incarnation(), max(a.Tokens-m.Tokens, 0), max(a.Running-m.Running, 0))
 		if left.Tokens > 0 || left.Running > 0 {
 			others = append(others, left)
 		}
--- a/internal/quota/incarnation_test.go
+++ b/internal/quota/incarnation_test.go
@@ -15,27 +15,27 @@
 // Cause: backlogs were summed by ID.
 func TestBacklogOfAFormerStartIsNotThatOfTheNext(t *testing.T) {
 	var b Board
-	b.Report(start, "lags", nil, []message.Backlog{{Target: "a", Born: 1000, Tokens: 90_000, Running: 60}})
-	b.Report(start, "knows", nil, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}})
+	b.Report(start, "lags", nil, []message.Backlog{{Target: "a", StartMillis: 1000, Tokens: 90_000, Running: 60}})
+	b.Report(start, "knows", nil, []message.Backlog{{Target: "a", StartMillis: 2000, Tokens: 10, Running: 1}})
 	_, sums, _ := b.Sums(start)
-	require.Equal(t, []message.Backlog{{Target: "a", Born: 1000, Tokens: 90_000, Running: 60}, {Target: "a", Born: 2000, Tokens: 10, Running: 1}}, sums)
+	require.Equal(t, []message.Backlog{{Target: "a", StartMillis: 1000, Tokens: 90_000, Running: 60}, {Target: "a", StartMillis: 2000, Tokens: 10, Running: 1}}, sums)
 	targets := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", StartMillis: 2000}}}
 	loads := Columns(nil, sums, targets)
 	require.Equal(t, []int{10}, loads.Tokens)
 	require.Equal(t, []int{1}, loads.Running)
 	_, rows := Rows(loads, targets)
-	require.Equal(t, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}}, rows)
-	require.Empty(t, Without(rows, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}}))
-	require.Equal(t, rows, Without(rows, []message.Backlog{{Target: "a", Born: 1000, Tokens: 10, Running: 1}}), "what this router sent to the former start is no part of it")
+	require.Equal(t, []message.Backlog{{Target: "a", StartMillis: 2000, Tokens: 10, Running: 1}}, rows)
+	require.Empty(t, Without(rows, []message.Backlog{{Target: "a", StartMillis: 2000, Tokens: 10, Running: 1}}))
+	require.Equal(t, rows, Without(rows, []message.Backlog{{Target: "a", StartMillis: 1000, Tokens: 10, Running: 1}}), "what this router sent to the former start is no part of it")
 }
 
 // Symptom: backlogs are lost, or counted twice, while versions are mixed.
 // Sequence: a router, or the keepers, of the version before tell no starts.
 // Cause: an unknown start is taken for another one.
 func TestBacklogsOfTheVersionBeforeCount(t *testing.T) {
-	mixed := []message.Backlog{{Target: "a", Tokens: 5}, {Target: "a", Born: 2000, Tokens: 10}}
+	mixed := []message.Backlog{{Target: "a", Tokens: 5}, {Target: "a", StartMillis: 2000, Tokens: 10}}
 	require.Equal(t, []int{15}, Columns(nil, mixed, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", StartMillis: 2000}}}).Tokens)
 	require.Equal(t, []int{15}, Columns(nil, mixed, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}}}).Tokens)
 	old := []message.Backlog{{Target: "a", Tokens: 15}} // a keeper's sum
-	require.Equal(t, []message.Backlog{{Target: "a", Tokens: 5}}, Without(old, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10}}))
+	require.Equal(t, []message.Backlog{{Target: "a", Tokens: 5}}, Without(old, []message.Backlog{{Target: "a", StartMillis: 2000, Tokens: 10}}))
 }
--- a/internal/quota/loads.go
+++ b/internal/quota/loads.go
@@ -41,7 +41,7 @@
 	if len(l.Tokens) == len(targets) && len(l.Running) == len(targets) {
 		for i, t := range targets {
 			if l.Tokens[i] > 0 || l.Running[i] > 0 {
-				backlog = append(backlog, message.BacklogOf(t.Incarnation, l.Tokens[i], l.Running[i]))
+				backlog = append(backlog, message.NewBacklog(t.Incarnation, l.Tokens[i], l.Running[i]))
 			}
 		}
 	}
@@ -58,8 +58,8 @@
 func byTarget(list []message.Backlog) backlogs {
 	b := backlogs{ids: make(map[string]message.Backlog, len(list))}
 	for _, l := range list {
-		b.ids[l.Target] = l.Plus(b.ids[l.Target])
-		if l.Born != 0 && b.runs == nil {
+		b.ids[l.Target] = l.Add(b.ids[l.Target])
+		if l.StartMillis != 0 && b.runs == nil {
 			b.runs = make(map[fleet.Incarnation]message.Backlog, len(list))
 		}
 	}
@@ -67,7 +67,7 @@
 		return b
 	}
 	for _, l := range list {
-		b.runs[l.Of()] = l.Plus(b.runs[l.Of()])
+		b.runs[l.Incarnation()] = l.Add(b.runs[l.Incarnation()])
 	}
 	return b
 }
@@ -76,9 +76,9 @@
 // that, and does not count. Where a start is not told, by a router or keeper of the
 // version before, it counts as the same.
 func (b backlogs) of(target fleet.Incarnation) message.Backlog {
-	sum := message.BacklogOf(target, 0, 0)
+	sum := message.NewBacklog(target, 0, 0)
 	if target.StartMillis == 0 || b.runs == nil {
-		return sum.Plus(b.ids[target.ID])
+		return sum.Add(b.ids[target.ID])
 	}
-	return sum.Plus(b.runs[target]).Plus(b.runs[fleet.Incarnation{ID: target.ID}])
+	return sum.Add(b.runs[target]).Add(b.runs[fleet.Incarnation{ID: target.ID}])
 }
--- a/internal/router/apply_test.go
+++ b/internal/router/apply_test.go
@@ -38,8 +38,8 @@
 			return false
 		}
 		defer conn.Close()
-		var applied message.Applied
-		err = conn.Call(ctx, message.MethodApply, message.Apply{Config: c.JSON(), Wait: true}, &applied)
+		var applied message.ApplyResult
+		err = conn.Call(ctx, message.MethodApply, message.ApplyRequest{Config: c.JSON(), Wait: true}, &applied)
 		return err == nil && applied.Routers == 1
 	}, 20*time.Second, 50*time.Millisecond)
 }
--- a/internal/router/claimer.go
+++ b/internal/router/claimer.go
@@ -46,7 +46,7 @@
 	select {
 	case c.asks <- a:
 	default:
-		go c.desk.claimed(a.ID, message.Verdict{}, true)
+		go c.desk.claimed(a.ID, message.ClaimResult{}, true)
 	}
 }
 
@@ -57,7 +57,7 @@
 	case c.settlements <- s:
 		c.open <- struct{}{}
 	default:
-		c.log.Warn("settlement lost: too many wait for the keepers", "key", s.Key, "fate", s.Fate)
+		c.log.Warn("settlement lost: too many wait for the keepers", "key", s.Key, "fate", s.State)
 	}
 }
 
@@ -96,21 +96,21 @@
 		if len(batch) == 0 {
 			return nil
 		}
-		claims := message.Claims{Claims: make([]message.Claim, len(batch))}
+		claims := message.ClaimRequest{Claims: make([]message.Claim, len(batch))}
 		for i, a := range batch {
 			claims.Claims[i] = a.Claim
 		}
-		var verdicts message.Verdicts
+		var verdicts message.ClaimResponse
 		limited, cancel := context.WithTimeout(ctx, claimPatience)
 		ok := c.callLeader(limited, message.MethodClaim, claims, &verdicts)
 		cancel()
-		lost := !ok || len(verdicts.Verdicts) != len(batch)
+		lost := !ok || len(verdicts.Results) != len(batch)
 		for i, a := range batch {
 			if lost {
-				c.desk.claimed(a.ID, message.Verdict{}, true)
+				c.desk.claimed(a.ID, message.ClaimResult{}, true)
 				continue
 			}
-			c.desk.claimed(a.ID, verdicts.Verdicts[i], false)
+			c.desk.claimed(a.ID, verdicts.Results[i], false)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 		if len(batch) == 0 {
 			return nil
 		}
-		if !c.callLeader(ctx, message.MethodSettle, message.Settlements{Settlements: batch}, nil) {
+		if !c.callLeader(ctx, message.MethodSettle, message.SettleRequest{Settlements: batch}, nil) {
 			return nil
 		}
 		for range batch {
--- a/internal/router/desk.go
+++ b/internal/router/desk.go
@@ -139,7 +139,7 @@
 	}
 }
 
-func (d *desk) claimed(id uint64, v message.Verdict, lost bool) {
+func (d *desk) claimed(id uint64, v message.ClaimResult, lost bool) {
 	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.Claimed(now, id, v, lost) }
 }
 
--- a/internal/router/meters.go
+++ b/internal/router/meters.go
@@ -76,8 +76,8 @@
 	}
 	busy, total := 0, 0
 	for _, h := range r.Slots {
-		busy += h.Use
-		total += max(h.Cap, h.Use)
+		busy += h.InUse
+		total += max(h.Limit, h.InUse)
 	}
 	m.busy.Set(float64(busy))
 	m.slots.Set(float64(total))
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -36,10 +36,10 @@
 
 // refusalBody is the body of every answer by the router itself.
 type refusalBody struct {
-	Kind    fleet.ErrorKind `json:"kind"`
-	Message string          `json:"message"`
-	Remedy  string          `json:"remedy"`
-	Fate    message.Fate    `json:"fate,omitempty"`
+	Kind    fleet.ErrorKind  `json:"kind"`
+	Message string           `json:"message"`
+	Remedy  string           `json:"remedy"`
+	Fate    message.RunState `json:"fate,omitempty"`
 }
 
 var statuses = map[fleet.ErrorKind]int{
--- a/internal/share/bench_test.go
+++ b/internal/share/bench_test.go
@@ -63,7 +63,7 @@
 	d := &Divider{Term: 1, Blank: true}
 	d.Start(now)
 	d.SetConfig(now, c, c.JSON())
-	held := make(map[string][]message.Slot)
+	held := make(map[string][]message.SlotGrant)
 	var report message.Report
 	var grant message.Grant
 	for round := range uint64(4) {
@@ -83,26 +83,26 @@
 	return d, report, grant
 }
 
-func (s scale) report(i int, round uint64, slots []message.Slot, at time.Time) message.Report {
+func (s scale) report(i int, round uint64, slots []message.SlotGrant, at time.Time) message.Report {
 	r := message.Report{
-		Router: fmt.Sprintf("router-%04d", i), Zone: fleet.Zone(fmt.Sprint(i % 7)), Inc: 1, Full: true,
-		Seq: round + 1, Sent: at, Term: 1, Ack: 100 * round, Number: 1,
+		Router: fmt.Sprintf("router-%04d", i), Zone: fleet.Zone(fmt.Sprint(i % 7)), Incarnation: 1, Full: true,
+		Seq: round + 1, SentAt: at, Term: 1, AckSeq: 100 * round, Number: 1,
 	}
 	backlogged := max(1, s.accounts/10)
 	for k := range min(busyHere, backlogged) {
 		account := (i + k) % backlogged
-		r.Queues = append(r.Queues, message.Queue{
+		r.Queues = append(r.Queues, message.QueueLength{
 			Account: fmt.Sprintf("account-%03d", account), Event: fmt.Sprintf("model-%d", account%s.models), Waiting: 5 + (i+k)%20,
 		})
 	}
 	for k := range 20 {
 		account := (i*7 + k) % s.accounts
 		r.Usage = append(r.Usage, message.Usage{
-			Account: fmt.Sprintf("account-%03d", account), Served: float64(round*100 + uint64(k)), Ended: round * 5, Charged: 40, Running: 1,
+			Account: fmt.Sprintf("account-%03d", account), Served: float64(round*100 + uint64(k)), Settled: round * 5, EstimatedCost: 40, Running: 1,
 		})
 	}
 	for _, slot := range slots {
-		r.Slots = append(r.Slots, message.Holding{Target: slot.Target, Cap: slot.Count, Use: slot.Count})
+		r.Slots = append(r.Slots, message.SlotUsage{Target: slot.Target, Limit: slot.Count, InUse: slot.Count})
 	}
 	return r
 }
--- a/internal/share/class.go
+++ b/internal/share/class.go
@@ -126,7 +126,7 @@
 	}
 	for _, name := range r.running {
 		if a := d.accounts[name]; a != nil {
-			a.charged += float64(sign) * r.usage[name].Charged
+			a.charged += float64(sign) * r.usage[name].EstimatedCost
 			a.running += sign * r.usage[name].Running
 		}
 	}
--- a/internal/share/divider.go
+++ b/internal/share/divider.go
@@ -109,10 +109,10 @@
 	number  uint64
 	leaving bool
 	known   bool // has acknowledged a grant of this term
-	queues  []message.Queue
+	queues  []message.QueueLength
 	usage   map[string]message.Usage
 	running []string // accounts of usage that run something
-	holding map[string]message.Holding
+	holding map[string]message.SlotUsage
 	slots   map[string]int // what the leader wants it to hold
 	unacked []unacked
 	idle    int
@@ -240,10 +240,10 @@
 	d.sum(r, -1)
 	for name, u := range r.usage {
 		if a := d.accounts[name]; a != nil {
-			a.level += u.Charged / a.share
+			a.level += u.EstimatedCost / a.share
 		}
-		u.Served += u.Charged
-		u.Charged, u.Running = 0, 0
+		u.Served += u.EstimatedCost
+		u.EstimatedCost, u.Running = 0, 0
 		r.usage[name] = u
 	}
 	r.queues = nil
--- a/internal/share/divider_test.go
+++ b/internal/share/divider_test.go
@@ -15,10 +15,10 @@
 	report message.Report
 }
 
-func newFakeRouter(name string, waiting int, slots ...message.Holding) *fakeRouter {
-	r := &fakeRouter{report: message.Report{Router: name, Zone: "z", Inc: 1, Full: true, Term: 1, Ack: 50, Number: 1, Slots: slots}}
+func newFakeRouter(name string, waiting int, slots ...message.SlotUsage) *fakeRouter {
+	r := &fakeRouter{report: message.Report{Router: name, Zone: "z", Incarnation: 1, Full: true, Term: 1, AckSeq: 50, Number: 1, Slots: slots}}
 	if waiting > 0 {
-		r.report.Queues = []message.Queue{{Account: "a", Event: "e", Waiting: waiting}}
+		r.report.Queues = []message.QueueLength{{Account: "a", Event: "e", Waiting: waiting}}
 	}
 	return r
 }
@@ -26,7 +26,7 @@
 // tell sends the router's report.
 func (r *fakeRouter) tell(d *Divider, now time.Time) {
 	r.report.Seq++
-	r.report.Sent = now
+	r.report.SentAt = now
 	d.Report(now, r.report)
 }
 
@@ -36,10 +36,10 @@
 		if g.Router != r.report.Router {
 			continue
 		}
-		r.report.Term, r.report.Ack = g.Grant.Term, g.Grant.Seq
+		r.report.Term, r.report.AckSeq = g.Grant.Term, g.Grant.Seq
 		r.report.Slots = nil
 		for _, s := range g.Grant.Slots {
-			r.report.Slots = append(r.report.Slots, message.Holding{Target: s.Target, Cap: s.Count})
+			r.report.Slots = append(r.report.Slots, message.SlotUsage{Target: s.Target, Limit: s.Count})
 		}
 	}
 }
@@ -47,7 +47,7 @@
 func (r *fakeRouter) holds() int {
 	n := 0
 	for _, s := range r.report.Slots {
-		n += s.Cap
+		n += s.Limit
 	}
 	return n
 }
@@ -69,8 +69,8 @@
 	d := &Divider{Term: 2}
 	d.Start(now)
 	d.SetConfig(now, c, c.JSON())
-	idle := newFakeRouter("idle", 0, message.Holding{Target: "t", Cap: 3})
-	busy := newFakeRouter("busy", 20, message.Holding{Target: "t", Cap: 3, Use: 3})
+	idle := newFakeRouter("idle", 0, message.SlotUsage{Target: "t", Limit: 3})
+	busy := newFakeRouter("busy", 20, message.SlotUsage{Target: "t", Limit: 3, InUse: 3})
 	rounds := func(step time.Duration) {
 		for range 20 {
 			now = now.Add(step)
--- a/internal/share/grant.go
+++ b/internal/share/grant.go
@@ -23,16 +23,16 @@
 	// not keep a dead router's slots.
 	r.lapses = r.heard.Add(RouterLease + lapseMargin)
 	g := message.Grant{
-		Term: d.Term, Seq: r.granted, Inc: r.key.inc, Echo: r.seq,
-		Until:  r.sent.Add(RouterLease),
-		Number: d.number,
-		Floor:  d.floor(),
-		Short:  d.short || d.hungry > 0,
-		Gone:   slices.Sorted(maps.Keys(d.gone)),
+		Term: d.Term, Seq: r.granted, Incarnation: r.key.inc, EchoSeq: r.seq,
+		ExpiresAt:        r.sent.Add(RouterLease),
+		Number:           d.number,
+		VirtualTimeFloor: d.floor(),
+		SlotsShort:       d.short || d.hungry > 0,
+		LeavingTargets:   slices.Sorted(maps.Keys(d.gone)),
 	}
 	if r.levelled != r.seq {
 		r.levelled = r.seq
-		g.Levels = d.levelsFor(r)
+		g.VirtualTimes = d.levelsFor(r)
 	}
 	if r.number != d.number && (r.sentNumber != d.number || r.sentAfter != r.seq) {
 		// Once a report: a division's grants would repeat a large one often.
@@ -41,7 +41,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.slots)) {
 		if n := r.slots[name]; n > 0 {
-			g.Slots = append(g.Slots, message.Slot{Target: name, Count: n})
+			g.Slots = append(g.Slots, message.SlotGrant{Target: name, Count: n})
 		}
 	}
 	r.unacked = append(r.unacked, unacked{seq: r.granted, slots: maps.Clone(r.slots)})
@@ -64,7 +64,7 @@
 
 // levelsFor returns the levels that a router needs now: those of the accounts
 // that wait in it, and now and then those that changed of all that it serves.
-func (d *Divider) levelsFor(r *router) []message.Level {
+func (d *Divider) levelsFor(r *router) []message.VirtualTime {
 	const refresh = 8
 	names := make([]string, 0, len(r.queues))
 	for _, q := range r.queues {
@@ -76,16 +76,16 @@
 		}
 	}
 	slices.Sort(names)
-	levels := make([]message.Level, 0, len(names))
+	levels := make([]message.VirtualTime, 0, len(names))
 	for _, name := range slices.Compact(names) {
 		a := d.accounts[name]
 		if a == nil || !a.backlogged && a.level == r.told[name] {
 			continue
 		}
 		r.told[name] = a.level
-		others := (a.charged - r.usage[name].Charged) / a.share
-		levels = append(levels, message.Level{
-			Account: name, Value: roundLevel(a.level), Others: roundLevel(max(others, 0)), Spread: r.spread(a),
+		others := (a.charged - r.usage[name].EstimatedCost) / a.share
+		levels = append(levels, message.VirtualTime{
+			Account: name, Value: roundLevel(a.level), RemoteCharge: roundLevel(max(others, 0)), FleetRatio: r.spread(a),
 		})
 	}
 	return levels
--- a/internal/share/place.go
+++ b/internal/share/place.go
@@ -74,7 +74,7 @@
 		most[name] = max(most[name], n)
 	}
 	for name, h := range r.holding {
-		most[name] = max(most[name], h.Cap, h.Use)
+		most[name] = max(most[name], h.Limit, h.InUse)
 	}
 	for _, u := range r.unacked {
 		for name, n := range u.slots {
@@ -134,7 +134,7 @@
 			have := r.slots[name]
 			less := min(n, have)
 			if idleOnly {
-				less = min(less, max(0, have-r.holding[name].Use))
+				less = min(less, max(0, have-r.holding[name].InUse))
 			}
 			n -= less
 			r.slots[name] = have - less
--- a/internal/share/queues.go
+++ b/internal/share/queues.go
@@ -270,10 +270,10 @@
 
 // Heard takes over a level. Known is the usage that the router had reported
 // when the level was computed.
-func (q *Queues) Heard(l message.Level, known message.Usage) {
+func (q *Queues) Heard(l message.VirtualTime, known message.Usage) {
 	s := q.account(l.Account)
-	s.level, s.others, s.spread, s.heard = l.Value, l.Others, l.Spread, true
-	s.base, s.counted = known.Served, known.Charged
+	s.level, s.others, s.spread, s.heard = l.Value, l.RemoteCharge, l.FleetRatio, true
+	s.base, s.counted = known.Served, known.EstimatedCost
 }
 
 // SetFloor sets the level assumed for accounts of which none was heard.
@@ -315,12 +315,12 @@
 }
 
 // Queues returns the waiting work for a report.
-func (q *Queues) Queues() []message.Queue {
-	var list []message.Queue
+func (q *Queues) Queues() []message.QueueLength {
+	var list []message.QueueLength
 	for _, s := range q.order {
 		for _, e := range s.queues {
 			if len(e.items) > 0 {
-				list = append(list, message.Queue{Account: s.account.Name, Event: e.event, Waiting: len(e.items)})
+				list = append(list, message.QueueLength{Account: s.account.Name, Event: e.event, Waiting: len(e.items)})
 			}
 		}
 	}
@@ -342,20 +342,20 @@
 			continue
 		}
 		list = append(list, message.Usage{
-			Account: name, Served: roundLevel(s.settled), Ended: s.ended,
-			Charged: roundLevel(s.charged), Running: s.running,
+			Account: name, Served: roundLevel(s.settled), Settled: s.ended,
+			EstimatedCost: roundLevel(s.charged), Running: s.running,
 		})
 	}
 	return list
 }
 
 // Levels returns the levels last heard, for a new leader.
-func (q *Queues) Levels() []message.Level {
-	var list []message.Level
+func (q *Queues) Levels() []message.VirtualTime {
+	var list []message.VirtualTime
 	for _, name := range slices.Sorted(maps.Keys(q.accounts)) {
 		s := q.accounts[name]
 		if s.heard {
-			list = append(list, message.Level{Account: name, Value: s.level})
+			list = append(list, message.VirtualTime{Account: name, Value: s.level})
 		}
 	}
 	return list
--- a/internal/share/report.go
+++ b/internal/share/report.go
@@ -10,7 +10,7 @@
 
 // Report takes a router's report.
 func (d *Divider) Report(now time.Time, m message.Report) {
-	key := routerKey{name: m.Router, inc: m.Inc}
+	key := routerKey{name: m.Router, inc: m.Incarnation}
 	r := d.routers[key]
 	if (r == nil || r.lapsed) && !m.Full {
 		return
@@ -28,7 +28,7 @@
 	d.sum(r, -1)
 	d.adoptLevels(r, m)
 	d.count(r, m)
-	r.seq, r.sent, r.heard, r.zone = m.Seq, m.Sent, now, m.Zone
+	r.seq, r.sent, r.heard, r.zone = m.Seq, m.SentAt, now, m.Zone
 	r.number, r.leaving = m.Number, m.Leaving
 	r.queues = m.Queues
 	d.sum(r, 1)
@@ -51,7 +51,7 @@
 	r := &router{
 		key:     key,
 		usage:   make(map[string]message.Usage),
-		holding: make(map[string]message.Holding),
+		holding: make(map[string]message.SlotUsage),
 		slots:   make(map[string]int),
 		credit:  make(map[string]float64),
 		told:    make(map[string]float64),
@@ -62,7 +62,7 @@
 	// What the levels that the router last heard already include is not
 	// counted again.
 	for _, u := range m.Usage {
-		r.usage[u.Account] = message.Usage{Account: u.Account, Served: u.Counted, Ended: u.Ended}
+		r.usage[u.Account] = message.Usage{Account: u.Account, Served: u.ServedInVirtualTime, Settled: u.Settled}
 	}
 	return r
 }
@@ -78,7 +78,7 @@
 		r.known = r.known || m.Term == d.Term
 		return
 	}
-	for _, l := range m.Levels {
+	for _, l := range m.VirtualTimes {
 		if a := d.accounts[l.Account]; a != nil {
 			a.level = max(a.level, l.Value)
 		}
@@ -91,7 +91,7 @@
 		old := r.usage[u.Account]
 		if a := d.accounts[u.Account]; a != nil && u.Served > old.Served {
 			a.level += (u.Served - old.Served) / a.share
-			if ended := u.Ended - old.Ended; u.Ended > old.Ended {
+			if ended := u.Settled - old.Settled; u.Settled > old.Settled {
 				mean := (u.Served - old.Served) / float64(ended)
 				a.cost += (mean - a.cost) * min(1, costGain*float64(ended))
 			}
@@ -123,7 +123,7 @@
 		d.adoptSlots(r)
 		return
 	}
-	r.unacked = slices.DeleteFunc(r.unacked, func(u unacked) bool { return u.seq <= m.Ack })
+	r.unacked = slices.DeleteFunc(r.unacked, func(u unacked) bool { return u.seq <= m.AckSeq })
 	after := make(map[string]int)
 	r.reserve(after)
 	for name, n := range before {
@@ -140,9 +140,9 @@
 	}
 	r.adopted = true
 	for name, h := range r.holding {
-		if t := d.targets[name]; t != nil && t.Live() && h.Cap > 0 {
-			r.slots[name] = h.Cap
-			t.adopted += h.Cap
+		if t := d.targets[name]; t != nil && t.Live() && h.Limit > 0 {
+			r.slots[name] = h.Limit
+			t.adopted += h.Limit
 		}
 	}
 }
@@ -153,11 +153,11 @@
 func (d *Divider) weigh(r *router) {
 	idle := 0
 	for _, h := range r.holding {
-		idle += max(0, h.Cap-h.Use)
+		idle += max(0, h.Limit-h.InUse)
 	}
 	d.idle += idle - r.idle
 	r.idle = idle
-	waits := slices.ContainsFunc(r.queues, func(q message.Queue) bool { return q.Waiting > 0 })
+	waits := slices.ContainsFunc(r.queues, func(q message.QueueLength) bool { return q.Waiting > 0 })
 	hungry := waits && idle == 0
 	if hungry && !r.hungry {
 		d.hungry++
--- a/internal/share/view.go
+++ b/internal/share/view.go
@@ -33,7 +33,7 @@
 	}
 	for _, r := range d.order {
 		for _, h := range r.holding {
-			busy += h.Use
+			busy += h.InUse
 		}
 	}
 	return busy, slots
@@ -46,7 +46,7 @@
 		if r.lapsed {
 			continue
 		}
-		s := message.RouterStatus{Name: r.key.name, Zone: r.zone, Number: r.number, Lag: d.number - min(r.number, d.number), Lease: true}
+		s := message.RouterStatus{Name: r.key.name, Zone: r.zone, Number: r.number, ConfigLag: d.number - min(r.number, d.number), HasLease: true}
 		for _, q := range r.queues {
 			s.Waiting += q.Waiting
 		}
--- a/internal/uplink/ask.go
+++ b/internal/uplink/ask.go
@@ -19,7 +19,7 @@
 	packs   bool // the question may be packed
 	asked   time.Time
 	mine    []message.Backlog // that the question reported
-	answer  message.Renewal
+	answer  message.RenewResponse
 	err     error
 }
 
@@ -66,7 +66,7 @@
 }
 
 // call asks one keeper. It touches nothing of the uplink that changes.
-func (u *Uplink) call(ctx context.Context, q reply, ask message.Renew) reply {
+func (u *Uplink) call(ctx context.Context, q reply, ask message.RenewRequest) reply {
 	if q.conn == nil {
 		q.conn, q.err = link.Dial(ctx, q.address, u.Name, u.Secret, noCalls{}, &u.count)
 		q.dialed = true
@@ -78,7 +78,7 @@
 		q.err = q.conn.Call(ctx, message.MethodRenew, ask, &q.answer)
 		return q
 	}
-	var p message.PackedRenew
+	var p message.PackedRenewRequest
 	if p, q.err = ask.Pack(); q.err == nil {
 		q.err = q.conn.Call(ctx, message.MethodRenewPacked, p, &q.answer)
 	}
@@ -103,7 +103,7 @@
 		}
 		u.links[q.address] = q.conn
 	}
-	if q.err == nil && q.answer.Packs {
+	if q.err == nil && q.answer.AcceptsPacked {
 		u.packs = q.conn
 	}
 }
--- a/internal/uplink/fuzz_test.go
+++ b/internal/uplink/fuzz_test.go
@@ -20,10 +20,10 @@
 	require.NoError(f, err)
 	loads, err := packed.PackJSON(message.Loads{Accounts: []string{"x"}, Rates: []int{-5}, Served: []int{1 << 62}, Tokens: []int{-1, 1 << 62, 3}, Running: []int{1, 2, 3}})
 	require.NoError(f, err)
-	for _, r := range []message.Renewal{
-		{Leads: true, Term: 1, Number: 3, Text: []byte("3"), List: 1, Roll: roll, Loads: loads, Damaged: []string{"a", ""}, Age: -time.Hour},
-		{Leads: true, Term: 1, Number: 2, List: 1, Targets: []fleet.Instance{instance("b", -5, false)}, Backlog: []message.Backlog{{Target: "b", Tokens: -7}}},
-		{Leads: true, List: 1, Roll: []byte{0x1f}, Loads: []byte("x"), Age: 1 << 62},
+	for _, r := range []message.RenewResponse{
+		{Leads: true, Term: 1, Number: 3, PackedConfig: []byte("3"), ListRevision: 1, PackedTargets: roll, PackedLoads: loads, Damaged: []string{"a", ""}, ListAge: -time.Hour},
+		{Leads: true, Term: 1, Number: 2, ListRevision: 1, Targets: []fleet.Instance{instance("b", -5, false)}, Backlog: []message.Backlog{{Target: "b", Tokens: -7}}},
+		{Leads: true, ListRevision: 1, PackedTargets: []byte{0x1f}, PackedLoads: []byte("x"), ListAge: 1 << 62},
 	} {
 		data, err := json.Marshal(r)
 		require.NoError(f, err)
@@ -31,7 +31,7 @@
 	}
 	f.Add([]byte(`{"leads":true,"list":1,"targets":[null,{"born":1e3}],"keepers":null}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var r message.Renewal
+		var r message.RenewResponse
 		if json.Unmarshal(data, &r) != nil {
 			return
 		}
--- a/internal/uplink/incarnation_test.go
+++ b/internal/uplink/incarnation_test.go
@@ -16,9 +16,9 @@
 
 // hear lets a router take a leader's list.
 func (u *Uplink) hear(t *testing.T, asked time.Time, list uint64, targets ...fleet.Instance) {
-	r := message.Renewal{Leads: true, Term: 1, Number: 1, List: list}
+	r := message.RenewResponse{Leads: true, Term: 1, Number: 1, ListRevision: list}
 	if targets != nil {
-		r.Roll = pack(t, targets)
+		r.PackedTargets = pack(t, targets)
 	}
 	u.take(asked, "k", nil, r)
 }
@@ -61,7 +61,7 @@
 	u.Changed = func(State, []fleet.Instance) { changes++ }
 	now := u.Clock.Now()
 	u.hear(t, now, 1, instance("a", 2000, false))
-	u.take(now.Add(time.Second), "k", nil, message.Renewal{Leads: true, Term: 2, Number: 1, List: 1, Targets: []fleet.Instance{instance("a", 0, false)}})
+	u.take(now.Add(time.Second), "k", nil, message.RenewResponse{Leads: true, Term: 2, Number: 1, ListRevision: 1, Targets: []fleet.Instance{instance("a", 0, false)}})
 	require.Equal(t, 1, changes)
 	require.Equal(t, []fleet.Instance{instance("a", 2000, false)}, u.roster.Targets())
 }
@@ -75,7 +75,7 @@
 	u.Changed = func(State, []fleet.Instance) { changes++ }
 	now := u.Clock.Now()
 	u.hear(t, now, 1, instance("a", 1000, false), instance("b", 1000, false))
-	r := message.Renewal{Leads: true, Term: 1, Number: 1, List: 2, Roll: pack(t, []fleet.Instance{instance("b", 1000, false)}), Damaged: []string{"a"}}
+	r := message.RenewResponse{Leads: true, Term: 1, Number: 1, ListRevision: 2, PackedTargets: pack(t, []fleet.Instance{instance("b", 1000, false)}), Damaged: []string{"a"}}
 	u.take(now.Add(time.Second), "k", nil, r)
 	u.hear(t, now.Add(1400*time.Millisecond), 2)
 	require.Len(t, u.roster.Targets(), 2)
--- a/internal/uplink/packed_test.go
+++ b/internal/uplink/packed_test.go
@@ -14,7 +14,7 @@
 	for name, packs := range map[string]bool{"takes them": true, "of the version before": false} {
 		t.Run(name, func(t *testing.T) {
 			k := startKeeper(t)
-			k.answer = message.Renewal{Leads: true, Term: 1, Number: 1, Text: text(t, 1), Packs: packs}
+			k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1), AcceptsPacked: packs}
 			u, _ := startUplink(t, &fakeList{}, k.address)
 			require.Eventually(t, u.has(1), 5*time.Second, time.Millisecond)
 			require.Eventually(t, func() bool {
@@ -37,13 +37,13 @@
 	u := newUplink(&fakeList{})
 	now := time.Now()
 	told := []string{"a", "b"}
-	u.take(now, "a", nil, message.Renewal{Leads: true, Keepers: told})
+	u.take(now, "a", nil, message.RenewResponse{Leads: true, Keepers: told})
 	require.Equal(t, message.Digest(told), u.members)
-	u.take(now, "a", nil, message.Renewal{Leads: true})
+	u.take(now, "a", nil, message.RenewResponse{Leads: true})
 	require.Equal(t, told, u.keepers)
 	u.learn([]string{"c"})
 	require.Zero(t, u.members)
-	u.take(now, "a", nil, message.Renewal{Leads: true, Keepers: told})
+	u.take(now, "a", nil, message.RenewResponse{Leads: true, Keepers: told})
 	require.Equal(t, told, u.keepers)
 }
 
@@ -54,15 +54,15 @@
 	var heard []message.Demand
 	u.Heard = func(_ time.Time, demand []message.Demand, _ []message.Backlog) { heard = demand }
 	take := func(l message.Loads) []message.Demand {
-		u.take(time.Now(), "a", nil, message.Renewal{Leads: true, Loads: pack(t, l)})
+		u.take(time.Now(), "a", nil, message.RenewResponse{Leads: true, PackedLoads: pack(t, l)})
 		return heard
 	}
-	whole := message.Loads{Accounts: []string{"x", "y"}, Names: 7, Rates: []int{5, 0}, Served: []int{4, 0}}
+	whole := message.Loads{Accounts: []string{"x", "y"}, AccountsDigest: 7, Rates: []int{5, 0}, Served: []int{4, 0}}
 	want := []message.Demand{{Account: "x", Rate: 5, Served: 4}}
 	require.Equal(t, want, take(whole), "who asks for nothing is left out")
 	require.EqualValues(t, 7, u.names)
-	require.Equal(t, want, take(message.Loads{Names: 7, Rates: []int{5, 0}, Served: []int{4, 0}}))
-	require.Empty(t, take(message.Loads{Names: 8, Rates: []int{5, 0}, Served: []int{4, 0}}))
+	require.Equal(t, want, take(message.Loads{AccountsDigest: 7, Rates: []int{5, 0}, Served: []int{4, 0}}))
+	require.Empty(t, take(message.Loads{AccountsDigest: 8, Rates: []int{5, 0}, Served: []int{4, 0}}))
 	require.Equal(t, want, take(message.Loads{Accounts: []string{"x"}, Rates: []int{5}, Served: []int{4}}), "of the version before")
 	require.Zero(t, u.names)
 }
--- a/internal/uplink/restart_test.go
+++ b/internal/uplink/restart_test.go
@@ -136,9 +136,9 @@
 		return
 	}
 	p.asks += quota.Period(150)
-	r := message.Renewal{Leads: true, Term: 1, Number: 1, List: p.number, Age: p.now - p.readAt}
+	r := message.RenewResponse{Leads: true, Term: 1, Number: 1, ListRevision: p.number, ListAge: p.now - p.readAt}
 	if p.uplink.list != p.number {
-		r.Roll = pack(p.t, p.list)
+		r.PackedTargets = pack(p.t, p.list)
 	}
 	p.uplink.take(p.time(), "k", nil, r)
 }
--- a/internal/uplink/round.go
+++ b/internal/uplink/round.go
@@ -45,12 +45,12 @@
 		q.conn = u.links[address]
 		q.packs = q.conn != nil && q.conn == u.packs
 	}
-	ask := message.Renew{Router: u.Name, Zone: u.Zone, Inc: u.Inc, Number: u.number(), Term: u.term, List: u.list, Columns: true, Names: u.names, Members: u.members}
+	ask := message.RenewRequest{Router: u.Name, Zone: u.Zone, Incarnation: u.Inc, Number: u.number(), Term: u.term, ListRevision: u.list, AcceptsColumns: true, AccountsDigest: u.names, KeepersDigest: u.members}
 	ask.Demand, ask.Backlog = u.Load(q.asked)
 	q.mine = ask.Backlog
-	ask.Evacuations = u.State().Evacuated.Revision
+	ask.EvacuationRevision = u.State().Evacuated.Revision
 	if u.Held != nil {
-		ask.Seat = u.Held(q.asked)
+		ask.WarmupLease = u.Held(q.asked)
 	}
 	if u.Quarantine != nil {
 		report := u.Quarantine(q.asked)
--- a/internal/uplink/search_test.go
+++ b/internal/uplink/search_test.go
@@ -21,14 +21,16 @@
 	gone := []*fakeKeeper{startKeeper(t), startKeeper(t)}
 	follower := startKeeper(t)
 	seeds := []string{old.address, gone[0].address, gone[1].address, follower.address}
-	old.answer = message.Renewal{Leads: true, Term: 1, Number: 1, Text: text(t, 1), Keepers: seeds}
+	old.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1), Keepers: seeds}
 	u, _ := startUplink(t, &fakeList{}, seeds...)
 	require.Eventually(t, u.has(1), wait, tick)
 	for _, k := range gone {
 		k.set(func(k *fakeKeeper) { k.mute = true })
 	}
-	follower.set(func(k *fakeKeeper) { k.answer = message.Renewal{Leader: next.address} })
-	next.set(func(k *fakeKeeper) { k.answer = message.Renewal{Leads: true, Term: 2, Number: 2, Text: text(t, 2)} })
+	follower.set(func(k *fakeKeeper) { k.answer = message.RenewResponse{Leader: next.address} })
+	next.set(func(k *fakeKeeper) {
+		k.answer = message.RenewResponse{Leads: true, Term: 2, Number: 2, PackedConfig: text(t, 2)}
+	})
 	old.set(func(k *fakeKeeper) { k.mute, k.asked = true, 0 })
 	require.Eventually(t, u.has(2), wait, tick)
 	old.set(func(k *fakeKeeper) {
@@ -42,8 +44,8 @@
 // Cause: the leader is asked again over the same link only.
 func TestALinkThatWentSilentIsReplacedAtOnce(t *testing.T) {
 	leader, follower := startKeeper(t), startKeeper(t)
-	leader.answer = message.Renewal{Leads: true, Term: 1, Number: 1, Text: text(t, 1)}
-	follower.answer = message.Renewal{Leader: leader.address}
+	leader.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1)}
+	follower.answer = message.RenewResponse{Leader: leader.address}
 	proxy, err := standin.StartProxy("127.0.0.1:0", leader.address)
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
@@ -53,7 +55,7 @@
 	require.Eventually(t, u.has(1), wait, tick)
 	proxy.Stall()
 	leader.set(func(k *fakeKeeper) {
-		k.answer = message.Renewal{Leads: true, Term: 1, Number: 2, Text: text(t, 2)}
+		k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 2, PackedConfig: text(t, 2)}
 	})
 	require.Eventually(t, u.has(2), wait, tick)
 	require.True(t, u.State().KeysUntil.After(u.Clock.Now()), "the lease never lapsed")
@@ -66,8 +68,8 @@
 // Cause: the members were learned from a leader's answer alone.
 func TestMembersAreLearnedFromKeepersThatKnowNoLeader(t *testing.T) {
 	seed, leader := startKeeper(t), startKeeper(t)
-	seed.answer = message.Renewal{Keepers: []string{seed.address, leader.address}}
-	leader.answer = message.Renewal{Leads: true, Term: 1, Number: 3, Text: text(t, 3), Keepers: []string{seed.address, leader.address}}
+	seed.answer = message.RenewResponse{Keepers: []string{seed.address, leader.address}}
+	leader.answer = message.RenewResponse{Leads: true, Term: 1, Number: 3, PackedConfig: text(t, 3), Keepers: []string{seed.address, leader.address}}
 	u, _ := startUplink(t, &fakeList{}, seed.address)
 	require.Eventually(t, u.has(3), wait, tick)
 }
--- a/internal/uplink/take.go
+++ b/internal/uplink/take.go
@@ -13,7 +13,7 @@
 // take puts a leader's answer in force. The lease counts from when the question
 // was sent: the leader led after that moment, so a key that it still counted
 // was not yet withdrawn then, however late the answer is read.
-func (u *Uplink) take(asked time.Time, address string, mine []message.Backlog, r message.Renewal) {
+func (u *Uplink) take(asked time.Time, address string, mine []message.Backlog, r message.RenewResponse) {
 	if u.leader != address {
 		u.Log.Info("keepers: leader found", "leader", address, "term", r.Term, "number", r.Number)
 		u.leader, u.last = address, address
@@ -33,8 +33,8 @@
 	}
 	// Before the first configuration is there to serve by: a router that has just started
 	// would send what is held back.
-	if u.Ruled != nil && r.Rulings != nil {
-		u.Ruled(u.Clock.Now(), asked, r.Term, *r.Rulings)
+	if u.Ruled != nil && r.Restrictions != nil {
+		u.Ruled(u.Clock.Now(), asked, r.Term, *r.Restrictions)
 	}
 	u.state.Store(&s)
 	u.takeSent(r)
@@ -46,11 +46,11 @@
 
 // takeTable never goes back to a lower number: a leader always has the highest,
 // so a lower one comes from an answer that was overtaken.
-func (u *Uplink) takeTable(s *State, r message.Renewal) bool {
-	if len(r.Text) == 0 || r.Number <= u.number() {
+func (u *Uplink) takeTable(s *State, r message.RenewResponse) bool {
+	if len(r.PackedConfig) == 0 || r.Number <= u.number() {
 		return false
 	}
-	text, err := packed.Unpack(r.Text)
+	text, err := packed.Unpack(r.PackedConfig)
 	if err != nil {
 		u.Log.Error("configuration cannot be unpacked: going on with the one before", "number", r.Number, "error", err)
 		return false
@@ -60,24 +60,24 @@
 		u.Log.Error("configuration cannot be read: going on with the one before", "number", r.Number, "error", err)
 		return false
 	}
-	u.Log.Info("configuration in force", "number", table.Number, "before", u.number(), "bytes", len(r.Text))
+	u.Log.Info("configuration in force", "number", table.Number, "before", u.number(), "bytes", len(r.PackedConfig))
 	s.Table = table
 	return true
 }
 
 // takeEvacuations never goes back to a lower revision, for the same reason.
-func (u *Uplink) takeEvacuations(s *State, r message.Renewal) bool {
-	if r.Evacuations == nil || r.Evacuations.Revision <= s.Evacuated.Revision {
+func (u *Uplink) takeEvacuations(s *State, r message.RenewResponse) bool {
+	if r.EvacuatedZones == nil || r.EvacuatedZones.Revision <= s.Evacuated.Revision {
 		return false
 	}
-	s.Evacuated = *r.Evacuations
+	s.Evacuated = *r.EvacuatedZones
 	u.Log.Info("evacuated zones changed", "zones", s.Evacuated.Zones, "revision", s.Evacuated.Revision)
 	return true
 }
 
-func (u *Uplink) takeWarming(asked time.Time, r message.Renewal) {
+func (u *Uplink) takeWarming(asked time.Time, r message.RenewResponse) {
 	if u.Seat != nil {
-		u.Seat(asked, r.Seat)
+		u.Seat(asked, r.WarmupLease)
 	}
 	if u.Warming == nil || len(r.Warming) == 0 {
 		return
@@ -85,32 +85,32 @@
 	now := u.Clock.Now()
 	until := make(map[fleet.Incarnation]time.Time, len(r.Warming))
 	for _, w := range r.Warming {
-		until[w.Of()] = now.Add(w.Left)
+		until[w.Incarnation()] = now.Add(w.Left)
 	}
 	u.Warming(until)
 }
 
 // takeSent keeps the list of targets that the keepers sent last: what follows refers
 // to its order, whichever list this router goes by.
-func (u *Uplink) takeSent(r message.Renewal) {
+func (u *Uplink) takeSent(r message.RenewResponse) {
 	list := r.Targets
-	if len(r.Roll) > 0 {
+	if len(r.PackedTargets) > 0 {
 		var err error
-		if list, err = packed.UnpackJSON[[]fleet.Instance](r.Roll); err != nil {
-			u.Log.Error("the list of targets cannot be unpacked: going on with the one before", "list", r.List, "error", err)
+		if list, err = packed.UnpackJSON[[]fleet.Instance](r.PackedTargets); err != nil {
+			u.Log.Error("the list of targets cannot be unpacked: going on with the one before", "list", r.ListRevision, "error", err)
 			return
 		}
 	}
-	if list != nil || len(r.Roll) > 0 {
-		u.sent = sentList{term: r.Term, number: r.List, targets: list, damaged: r.Damaged}
+	if list != nil || len(r.PackedTargets) > 0 {
+		u.sent = sentList{term: r.Term, number: r.ListRevision, targets: list, damaged: r.Damaged}
 	}
 }
 
 // takeLoads hands on what all other routers report.
-func (u *Uplink) takeLoads(mine []message.Backlog, r message.Renewal) {
+func (u *Uplink) takeLoads(mine []message.Backlog, r message.RenewResponse) {
 	demand, backlog := r.Demand, r.Backlog
-	if len(r.Loads) > 0 {
-		loads, err := packed.UnpackJSON[message.Loads](r.Loads)
+	if len(r.PackedLoads) > 0 {
+		loads, err := packed.UnpackJSON[message.Loads](r.PackedLoads)
 		if err != nil {
 			u.Log.Error("loads cannot be unpacked: going on with those before", "term", r.Term, "error", err)
 			return
@@ -130,8 +130,8 @@
 func (u *Uplink) nameAccounts(l *message.Loads) {
 	switch {
 	case len(l.Accounts) > 0:
-		u.accounts, u.names = l.Accounts, l.Names
-	case l.Names == u.names:
+		u.accounts, u.names = l.Accounts, l.AccountsDigest
+	case l.AccountsDigest == u.names:
 		l.Accounts = u.accounts
 	}
 }
@@ -152,22 +152,22 @@
 	return l
 }
 
-func (s sentList) is(r message.Renewal) bool {
-	return s.number != 0 && s.term == r.Term && s.number == r.List
+func (s sentList) is(r message.RenewResponse) bool {
+	return s.number != 0 && s.term == r.Term && s.number == r.ListRevision
 }
 
-func (u *Uplink) takeList(asked time.Time, r message.Renewal) bool {
-	if r.List == 0 {
+func (u *Uplink) takeList(asked time.Time, r message.RenewResponse) bool {
+	if r.ListRevision == 0 {
 		return false
 	}
-	readAt := asked.Add(-max(r.Age, 0))
+	readAt := asked.Add(-max(r.ListAge, 0))
 	if readAt.Before(u.roster.ReadAt()) {
 		return false // this router has read the list since
 	}
 	if !u.sent.is(r) {
 		return false // it could not be read
 	}
-	u.term, u.list = r.Term, r.List
+	u.term, u.list = r.Term, r.ListRevision
 	return u.takeTargets("keepers", readAt, u.sent.listing())
 }
 
--- a/internal/uplink/uplink_test.go
+++ b/internal/uplink/uplink_test.go
@@ -25,11 +25,11 @@
 	address string
 
 	mu     sync.Mutex
-	answer message.Renewal
+	answer message.RenewResponse
 	asked  int
-	packed int           // of these, packed
-	last   message.Renew // asked last
-	slow   time.Duration // before an answer that brings a configuration
+	packed int                  // of these, packed
+	last   message.RenewRequest // asked last
+	slow   time.Duration        // before an answer that brings a configuration
 	mute   bool
 }
 
@@ -52,23 +52,23 @@
 		return nil, ctx.Err()
 	}
 	if ask.Number == r.Number {
-		r.Text = nil
+		r.PackedConfig = nil
 	}
-	if r.Text != nil {
+	if r.PackedConfig != nil {
 		time.Sleep(slow)
 	}
 	return r, nil
 }
 
-func readRenew(method string, params json.RawMessage) (message.Renew, error) {
+func readRenew(method string, params json.RawMessage) (message.RenewRequest, error) {
 	if method == message.MethodRenewPacked {
-		var p message.PackedRenew
+		var p message.PackedRenewRequest
 		if err := json.Unmarshal(params, &p); err != nil {
-			return message.Renew{}, err
+			return message.RenewRequest{}, err
 		}
 		return p.Unpack()
 	}
-	var ask message.Renew
+	var ask message.RenewRequest
 	return ask, json.Unmarshal(params, &ask)
 }
 
@@ -193,8 +193,8 @@
 
 func TestRouterFindsTheLeaderThroughAnyKeeper(t *testing.T) {
 	follower, leader := startKeeper(t), startKeeper(t)
-	follower.answer = message.Renewal{Leader: leader.address}
-	leader.answer = message.Renewal{Leads: true, Term: 1, Number: 3, Text: text(t, 3), Routers: 2}
+	follower.answer = message.RenewResponse{Leader: leader.address}
+	leader.answer = message.RenewResponse{Leads: true, Term: 1, Number: 3, PackedConfig: text(t, 3), Routers: 2}
 	u, _ := startUplink(t, &fakeList{}, follower.address)
 	require.Eventually(t, u.has(3), wait, tick)
 	require.Equal(t, 2, u.State().Routers)
@@ -207,11 +207,11 @@
 // Cause: the answer that comes last counts.
 func TestRouterNeverGoesBack(t *testing.T) {
 	k := startKeeper(t)
-	k.answer = message.Renewal{Leads: true, Term: 2, Number: 9, Text: text(t, 9)}
+	k.answer = message.RenewResponse{Leads: true, Term: 2, Number: 9, PackedConfig: text(t, 9)}
 	u, _ := startUplink(t, &fakeList{}, k.address)
 	require.Eventually(t, u.has(9), wait, tick)
 	k.set(func(k *fakeKeeper) {
-		k.answer = message.Renewal{Leads: true, Term: 1, Number: 8, Text: text(t, 8)}
+		k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 8, PackedConfig: text(t, 8)}
 		k.asked = 0
 	})
 	require.Eventually(t, func() bool {
@@ -232,7 +232,7 @@
 func TestLeaseCountsFromTheQuestion(t *testing.T) {
 	k := startKeeper(t)
 	k.slow = 300 * time.Millisecond
-	k.answer = message.Renewal{Leads: true, Term: 1, Number: 1, Text: text(t, 1)}
+	k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1)}
 	u, _ := startUplink(t, &fakeList{}, k.address)
 	k.set(func(k *fakeKeeper) { k.asked = 0 })
 	require.Eventually(t, u.has(1), wait, time.Millisecond)
@@ -247,14 +247,16 @@
 func TestAnAnswerThatTakesLongArrives(t *testing.T) {
 	k := startKeeper(t)
 	k.slow = 2 * callTimeout
-	k.answer = message.Renewal{Leads: true, Term: 1, Number: 1}
+	k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1}
 	u, _ := startUplink(t, &fakeList{}, k.address)
 	require.Eventually(t, func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return k.asked > 0
 	}, wait, tick)
-	k.set(func(k *fakeKeeper) { k.answer = message.Renewal{Leads: true, Term: 1, Number: 5, Text: text(t, 5)} })
+	k.set(func(k *fakeKeeper) {
+		k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 5, PackedConfig: text(t, 5)}
+	})
 	require.Eventually(t, u.has(5), wait, tick)
 }
 
@@ -264,16 +266,16 @@
 func TestRouterReadsTheListItselfWithoutALeader(t *testing.T) {
 	k := startKeeper(t)
 	live := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p"}}
-	k.answer = message.Renewal{Leads: true, Term: 1, Number: 1, Text: text(t, 1), List: 1, Roll: pack(t, live)}
+	k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1), ListRevision: 1, PackedTargets: pack(t, live)}
 	list := &fakeList{list: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p", Leaving: true}}}
 	u, seen := startUplink(t, list, k.address)
 	require.Eventually(t, func() bool { return len(seen.get()) == 1 && !seen.get()[0].Leaving }, wait, tick)
 	require.Zero(t, list.reads, "one reader for all")
-	k.set(func(k *fakeKeeper) { k.answer = message.Renewal{} })
+	k.set(func(k *fakeKeeper) { k.answer = message.RenewResponse{} })
 	require.Eventually(t, func() bool { return seen.get()[0].Leaving }, wait, tick)
 	require.True(t, u.has(1)(), "it goes on with the configuration")
 	k.set(func(k *fakeKeeper) {
-		k.answer = message.Renewal{Leads: true, Term: 2, Number: 1, List: 1, Targets: live}
+		k.answer = message.RenewResponse{Leads: true, Term: 2, Number: 1, ListRevision: 1, Targets: live}
 	})
 	time.Sleep(500 * time.Millisecond)
 	require.True(t, seen.get()[0].Leaving, "a list that lags brings nothing back")
@@ -294,14 +296,14 @@
 		mutes = append(mutes, mute)
 		seeds = append(seeds, mute.address)
 	}
-	leader.answer = message.Renewal{Leads: true, Term: 1, Number: 1, Text: text(t, 1), Keepers: seeds}
+	leader.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1), Keepers: seeds}
 	u, _ := startUplink(t, &fakeList{}, seeds...)
 	require.Eventually(t, u.has(1), wait, tick)
 	for _, mute := range mutes {
 		mute.set(func(k *fakeKeeper) { k.asked = 0 })
 	}
 	leader.set(func(k *fakeKeeper) {
-		k.answer.Number, k.answer.Text = 2, text(t, 2)
+		k.answer.Number, k.answer.PackedConfig = 2, text(t, 2)
 		k.slow = 3 * callTimeout
 	})
 	require.Eventually(t, u.has(2), wait, tick)
@@ -315,11 +317,13 @@
 func TestANewLeaderIsFoundThroughAFollower(t *testing.T) {
 	old, follower, next := startKeeper(t), startKeeper(t), startKeeper(t)
 	seeds := []string{old.address, follower.address}
-	old.answer = message.Renewal{Leads: true, Term: 1, Number: 1, Text: text(t, 1)}
+	old.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1)}
 	u, _ := startUplink(t, &fakeList{}, seeds...)
 	require.Eventually(t, u.has(1), wait, tick)
-	follower.set(func(k *fakeKeeper) { k.answer = message.Renewal{Leader: next.address} })
-	next.set(func(k *fakeKeeper) { k.answer = message.Renewal{Leads: true, Term: 2, Number: 2, Text: text(t, 2)} })
+	follower.set(func(k *fakeKeeper) { k.answer = message.RenewResponse{Leader: next.address} })
+	next.set(func(k *fakeKeeper) {
+		k.answer = message.RenewResponse{Leads: true, Term: 2, Number: 2, PackedConfig: text(t, 2)}
+	})
 	old.set(func(k *fakeKeeper) { k.mute, k.asked = true, 0 })
 	require.Eventually(t, u.has(2), wait, tick)
 	old.set(func(k *fakeKeeper) { require.LessOrEqual(t, k.asked, 2, "the old one is not waited for again") })
@@ -338,12 +342,12 @@
 	u.Heard = func(_ time.Time, _ []message.Demand, backlog []message.Backlog) { heard <- backlog }
 	// The list is older than this router: it goes on without, as after a reading of
 	// its own.
-	k.answer = message.Renewal{
-		Leads: true, Term: 1, Number: 1, Text: text(t, 1), List: 3, Age: time.Hour, Roll: pack(t, list), Loads: pack(t, loads),
+	k.answer = message.RenewResponse{
+		Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1), ListRevision: 3, ListAge: time.Hour, PackedTargets: pack(t, list), PackedLoads: pack(t, loads),
 	}
 	runUplink(t, u)
 	require.Equal(t, []message.Backlog{{Target: "b", Tokens: 7, Running: 1}, {Target: "a", Running: 2}}, <-heard)
-	k.set(func(k *fakeKeeper) { k.answer.List, k.answer.Roll = 4, nil })
+	k.set(func(k *fakeKeeper) { k.answer.ListRevision, k.answer.PackedTargets = 4, nil })
 	require.Eventually(t, func() bool { return len(<-heard) == 0 }, wait, tick, "of a list that was not sent nothing is taken")
 }
 
