--- a/internal/cmd/crashing_test.go
+++ b/internal/cmd/crashing_test.go
@@ -234,7 +234,7 @@
 	var held message.QuarantineResult
 	_, out = p.ctl("--json", "held")
 	require.NoError(t, json.Unmarshal([]byte(out), &held))
-	code, out = p.ctl("lift", string(held.Entries[0].Print))
+	code, out = p.ctl("lift", string(held.Entries[0].Fingerprint))
 	require.Equal(t, exitDone, code, out)
 	_, out = p.ctl("--json", "held")
 	held = message.QuarantineResult{}
--- a/internal/cmd/heldcmd.go
+++ b/internal/cmd/heldcmd.go
@@ -33,8 +33,8 @@
 	w := tabwriter.NewWriter(h.ctl.stdout, 0, 0, 2, ' ', 0)
 	say(w, "PRINT\tACCOUNT\tROUTE\tENDS\tFIRST\tLAST\tSTATE\n")
 	for _, e := range held.Entries {
-		say(w, "%s\t%s\t%s\t%d\t%s ago\t%s ago\t%s\n", e.Print, e.Account, e.Place, len(e.Ended),
-			agoOf(held.Now, e.Ended[0].At), agoOf(held.Now, e.Last()), stateOf(held.Now, e))
+		say(w, "%s\t%s\t%s\t%d\t%s ago\t%s ago\t%s\n", e.Fingerprint, e.Account, e.Destination, len(e.TerminatedTargets),
+			agoOf(held.Now, e.TerminatedTargets[0].At), agoOf(held.Now, e.LastTermination()), stateOf(held.Now, e))
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("print: %w", err)
@@ -48,14 +48,14 @@
 
 // stateOf tells in words what becomes of a request.
 func stateOf(now time.Time, e quarantine.Entry) string {
-	r := e.Ruling(now)
-	next := r.Next.Round(time.Second)
+	r := e.Restriction(now)
+	next := r.NextRunIn.Round(time.Second)
 	switch {
-	case r.Holder != "":
-		return "one run by " + r.Holder
-	case !e.Convicted():
+	case r.PermitHolder != "":
+		return "one run by " + r.PermitHolder
+	case !e.Quarantined():
 		return "suspected: one run at a time"
-	case r.Final:
+	case r.NoTrialsLeft:
 		return fmt.Sprintf("held back, no trial left, lapses in %s", next)
 	default:
 		return fmt.Sprintf("held back, next trial in %s", next)
@@ -78,7 +78,7 @@
 
 // Execute implements flags.Commander.
 func (l *liftCmd) Execute([]string) error {
-	lift := message.LiftRequest{Fingerprint: quarantine.Print(l.Args.Print), Operator: operator()}
+	lift := message.LiftRequest{Fingerprint: quarantine.Fingerprint(l.Args.Print), Operator: operator()}
 	if err := l.ctl.call(ctlTimeout, message.MethodLiftQuarantine, lift, nil); err != nil {
 		return err
 	}
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -44,7 +44,7 @@
 	}
 	s.queues.SetFloor(g.VirtualTimeFloor)
 	if g.Restrictions != nil {
-		s.Guard.Heard(now, s.history.at(g.EchoSeq), g.Term, *g.Restrictions)
+		s.Guard.ApplyUpdate(now, s.history.at(g.EchoSeq), g.Term, *g.Restrictions)
 		s.resume(now)
 	}
 	if reduced || s.config.Number != before {
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -21,17 +21,17 @@
 // another target away from everybody, and the copies at other routers are not known here.
 func (s *Scheduler) allow(now time.Time, p *pending) bool {
 	v := s.Guard.Check(now, p.Print)
-	switch v.Do {
-	case quarantine.Run:
+	switch v.Action {
+	case quarantine.Allow:
 		p.verdict = v
-		s.Guard.Begin(v, p.Print)
+		s.Guard.MarkSent(v, p.Print)
 		return true
-	case quarantine.Wait:
+	case quarantine.AwaitPermit:
 		s.queues.Refund(p.item)
 		s.park(now, p)
-	case quarantine.Hold:
+	case quarantine.Reject:
 		s.queues.Refund(p.item)
-		s.refuse(p, heldBack(now.Add(v.Back), v.Ends))
+		s.refuse(p, heldBack(now.Add(v.RetryAfter), v.TerminationCount))
 	}
 	return false
 }
@@ -45,7 +45,7 @@
 	p.phase = phaseParked
 	p.parked = now.Add(rulingTime)
 	s.parked = append(s.parked, p.ID)
-	s.Guard.Ask(p.Print)
+	s.Guard.RequestPermit(p.Print)
 	s.wantReport(now)
 }
 
@@ -54,7 +54,7 @@
 		return
 	}
 	p.phase = phaseWaiting
-	s.Guard.Unask(p.Print)
+	s.Guard.CancelPermitRequest(p.Print)
 	s.parked = slices.DeleteFunc(s.parked, func(id uint64) bool { return id == p.ID })
 }
 
@@ -64,11 +64,11 @@
 		p := s.requests[id]
 		v := s.Guard.Check(now, p.Print)
 		switch {
-		case v.Do == quarantine.Wait && now.Before(p.parked):
-		case v.Do == quarantine.Wait:
-			s.refuse(p, heldBack(now.Add(retrySoon), v.Ends))
-		case v.Do == quarantine.Hold:
-			s.refuse(p, heldBack(now.Add(v.Back), v.Ends))
+		case v.Action == quarantine.AwaitPermit && now.Before(p.parked):
+		case v.Action == quarantine.AwaitPermit:
+			s.refuse(p, heldBack(now.Add(retrySoon), v.TerminationCount))
+		case v.Action == quarantine.Reject:
+			s.refuse(p, heldBack(now.Add(v.RetryAfter), v.TerminationCount))
 		default:
 			s.unpark(p)
 			s.requeue(now, p)
@@ -79,14 +79,14 @@
 // learn takes from the end of a run what it shows of its request.
 func (s *Scheduler) learn(now time.Time, p *pending, e End) {
 	v := p.verdict
-	p.verdict = quarantine.Verdict{}
+	p.verdict = quarantine.Decision{}
 	t := s.targets[p.target]
 	switch {
 	case e.Success:
-		s.Guard.Whole(now, p.Print)
+		s.Guard.RecordCompletion(now, p.Print)
 	case e.Cut && t != nil && !t.gone && t.Live():
-		doubt := s.Guard.Cut(now, quarantine.Sight{
-			Print: p.Print, Account: p.Account, Place: p.Event, Target: fleet.Incarnation{ID: p.target}, Began: p.began, Grant: v.Grant,
+		doubt := s.Guard.RecordInterruption(now, quarantine.Execution{
+			Fingerprint: p.Print, Account: p.Account, Destination: p.Event, Target: fleet.Incarnation{ID: p.target}, SentAt: p.began, PermitID: v.PermitID,
 		})
 		if doubt {
 			s.act(Probe{Target: t.Target})
@@ -94,7 +94,7 @@
 		}
 		s.wantReport(now)
 	default:
-		s.Guard.Over(now, v, p.Print, !e.Sent)
+		s.Guard.ReturnPermit(now, v, p.Print, !e.Sent)
 	}
 }
 
@@ -103,10 +103,10 @@
 func (s *Scheduler) Looked(now, here time.Time, name string, ended bool) {
 	target := fleet.Incarnation{ID: name}
 	if ended {
-		s.Guard.Gone(now, target)
+		s.Guard.RecordTermination(now, target)
 	} else {
-		s.Guard.Alive(now, here, target)
-		if t := s.targets[name]; t != nil && slices.Contains(s.Guard.Doubts(now), target) {
+		s.Guard.RecordAlive(now, here, target)
+		if t := s.targets[name]; t != nil && slices.Contains(s.Guard.UnconfirmedTargets(now), target) {
 			s.act(Probe{Target: t.Target}) // it has cut another one since
 		}
 	}
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -12,20 +12,20 @@
 	"laburnumfall/internal/quarantine"
 )
 
-const heldPrint quarantine.Print = "alike"
+const heldPrint quarantine.Fingerprint = "alike"
 
 // guarded returns a router whose leader rules on a request.
-func guarded(r quarantine.Ruling) *dispatch.Scheduler {
+func guarded(r quarantine.Restriction) *dispatch.Scheduler {
 	c := configOf([]float64{1}, []int{1, 1})
-	s := &dispatch.Scheduler{Name: "r1", Inc: 1, Guard: quarantine.Guard{Owner: message.ClaimOwner("r1", 1), Named: true}}
+	s := &dispatch.Scheduler{Name: "r1", Inc: 1, Guard: quarantine.Guard{Owner: message.ClaimOwner("r1", 1), IDsReused: true}}
 	s.Granted(epoch, ruledGrant(c, 1, 1, r))
 	s.Take()
 	return s
 }
 
-func ruledGrant(c fleet.Config, seq, revision uint64, r quarantine.Ruling) message.Grant {
+func ruledGrant(c fleet.Config, seq, revision uint64, r quarantine.Restriction) message.Grant {
 	g := grantOf(c, seq, 1)
-	g.Restrictions = &quarantine.Rulings{Revision: revision, List: []quarantine.Ruling{r}}
+	g.Restrictions = &quarantine.RestrictionUpdate{Revision: revision, Restrictions: []quarantine.Restriction{r}}
 	return g
 }
 
@@ -40,7 +40,7 @@
 // Cause: the ruling is not asked for when a slot is chosen.
 func TestAnEventsRequestGoesByTheLeadersRuling(t *testing.T) {
 	c := configOf([]float64{1}, []int{1, 1})
-	held := quarantine.Ruling{Print: heldPrint, Ends: 3, Next: 5 * time.Second}
+	held := quarantine.Restriction{Fingerprint: heldPrint, TerminationCount: 3, NextRunIn: 5 * time.Second}
 
 	s := guarded(held)
 	s.Arrive(epoch, alike(1))
@@ -52,15 +52,15 @@
 	s.Arrive(epoch, request1(2))
 	require.Len(t, find[dispatch.Send](s), 1, "other work goes on")
 
-	suspected := quarantine.Ruling{Print: heldPrint, Ends: 2}
+	suspected := quarantine.Restriction{Fingerprint: heldPrint, TerminationCount: 2}
 	s = guarded(suspected)
 	s.Arrive(epoch, alike(1))
 	require.Empty(t, find[dispatch.Send](s), "it waits for the leader's word")
 	s.Tick(epoch.Add(10 * time.Millisecond))
 	reports := find[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
-	require.Equal(t, []quarantine.Print{heldPrint}, reports[0].Report.Quarantine.Asks)
-	suspected.Holder, suspected.Until, suspected.Grant = message.ClaimOwner("r1", 1), 20*time.Second, 1
+	require.Equal(t, []quarantine.Fingerprint{heldPrint}, reports[0].Report.Quarantine.PermitRequests)
+	suspected.PermitHolder, suspected.PermitExpiresIn, suspected.PermitID = message.ClaimOwner("r1", 1), 20*time.Second, 1
 	s.Granted(epoch.Add(20*time.Millisecond), ruledGrant(c, 2, 2, suspected))
 	sends := find[dispatch.Send](s)
 	require.Len(t, sends, 1)
@@ -85,7 +85,7 @@
 	s.Tick(epoch.Add(300 * time.Millisecond))
 	reports = find[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
-	require.Len(t, reports[len(reports)-1].Report.Quarantine.Ends, 1)
+	require.Len(t, reports[len(reports)-1].Report.Quarantine.Terminations, 1)
 }
 
 // Symptom: a caller waits for the leader's word for ever, or finds that a stop has cut it.
@@ -102,7 +102,7 @@
 		"caller left": {func(s *dispatch.Scheduler) { s.Abandon(epoch.Add(time.Millisecond), 1) }, fleet.KindCallerLeft},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := guarded(quarantine.Ruling{Print: heldPrint, Ends: 2})
+			s := guarded(quarantine.Restriction{Fingerprint: heldPrint, TerminationCount: 2})
 			s.Arrive(epoch, alike(1))
 			require.False(t, s.Idle())
 			tt.do(s)
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -30,7 +30,7 @@
 	// Prefix is a hash of the start of the prompt, or 0.
 	Prefix uint64
 	// Print is the fingerprint of the request.
-	Print quarantine.Print
+	Print quarantine.Fingerprint
 }
 
 // phase is how far a request has come.
@@ -54,11 +54,11 @@
 	avoid   string // target of the failed try before
 	claimed bool
 	attempt uint64
-	sent    bool               // some target may have run it
-	parked  time.Time          // until when it waits for the leader's word
-	verdict quarantine.Verdict // by which it runs
-	began   time.Time          // when that run did
-	gone    bool               // the caller went away
+	sent    bool                // some target may have run it
+	parked  time.Time           // until when it waits for the leader's word
+	verdict quarantine.Decision // by which it runs
+	began   time.Time           // when that run did
+	gone    bool                // the caller went away
 }
 
 // A Scheduler holds a router's state. Set the exported fields before its use.
--- a/internal/gateway/cut.go
+++ b/internal/gateway/cut.go
@@ -9,11 +9,11 @@
 )
 
 // print returns the fingerprint of a request. It is made only where it is asked for.
-func (q *request) print() quarantine.Print {
+func (q *request) print() quarantine.Fingerprint {
 	if q.printed == "" {
-		q.printed = quarantine.Likeness{
-			Account: q.account, Method: q.r.Method, Place: q.r.Host + q.r.RequestURI, Body: q.body,
-		}.Print()
+		q.printed = quarantine.FingerprintInput{
+			Account: q.account, Method: q.r.Method, Destination: q.r.Host + q.r.RequestURI, Body: q.body,
+		}.Fingerprint()
 	}
 	return q.printed
 }
@@ -33,8 +33,8 @@
 		return // it leaves, and was expected to end
 	}
 	q.cut = true
-	doubt := g.Guard.Cut(g.Clock.Now(), quarantine.Sight{
-		Print: q.print(), Account: q.account, Place: q.route.Name, Pool: q.pool, Target: c.Target.Incarnation, Began: started, Grant: q.verdict.Grant,
+	doubt := g.Guard.RecordInterruption(g.Clock.Now(), quarantine.Execution{
+		Fingerprint: q.print(), Account: q.account, Destination: q.route.Name, Pool: q.pool, Target: c.Target.Incarnation, SentAt: started, PermitID: q.verdict.PermitID,
 	})
 	if !doubt {
 		g.wake()
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -4,5 +4,5 @@
 func (g *Gateway) Guarded() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.Guard.Doubts(g.Clock.Now()))
+	return len(g.Guard.UnconfirmedTargets(g.Clock.Now()))
 }
--- a/internal/gateway/meters.go
+++ b/internal/gateway/meters.go
@@ -105,7 +105,7 @@
 	m.addGauge("lf_held", "Requests that are held back, since targets end under them.", func() float64 {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return float64(g.Guard.Held())
+		return float64(g.Guard.QuarantinedCount())
 	})
 	m.addGauge("lf_active", "Requests in progress.", func() float64 { return float64(g.active.Load()) })
 	m.addGauge("lf_connections", "Open connections of callers.", func() float64 { return float64(g.callers.count()) })
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -27,12 +27,12 @@
 		delete(g.probing, in.Incarnation)
 		switch p {
 		case target.Ended:
-			g.Guard.Gone(g.Clock.Now(), in.Incarnation)
+			g.Guard.RecordTermination(g.Clock.Now(), in.Incarnation)
 			g.wake()
 		case target.Here:
 			now := g.Clock.Now()
-			g.Guard.Alive(now, now.Add(-target.LookSlack), in.Incarnation)
-			if slices.Contains(g.Guard.Doubts(now), in.Incarnation) {
+			g.Guard.RecordAlive(now, now.Add(-target.LookSlack), in.Incarnation)
+			if slices.Contains(g.Guard.UnconfirmedTargets(now), in.Incarnation) {
 				g.probe(in) // it has cut another one since
 			}
 		case target.Unknown: // the list of targets will tell
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -22,32 +22,32 @@
 // have ended waits for the leader's word: its next copy may take another target away from
 // everybody, and the copies at other routers are not known here.
 func (g *Gateway) holdBack(q *request) (refusal, bool) {
-	q.verdict, q.cut = quarantine.Verdict{}, false
+	q.verdict, q.cut = quarantine.Decision{}, false
 	g.mu.Lock()
 	if g.Guard.Idle() {
 		g.mu.Unlock()
 		return refusal{}, true
 	}
 	q.verdict = g.Guard.Check(g.Clock.Now(), q.print())
-	if q.verdict.Do == quarantine.Wait {
-		g.Guard.Ask(q.print())
+	if q.verdict.Action == quarantine.AwaitPermit {
+		g.Guard.RequestPermit(q.print())
 		defer g.unask(q)
 	}
-	g.Guard.Begin(q.verdict, q.print())
+	g.Guard.MarkSent(q.verdict, q.print())
 	g.mu.Unlock()
-	for end := time.Now().Add(rulingTime); q.verdict.Do == quarantine.Wait && time.Now().Before(end); {
+	for end := time.Now().Add(rulingTime); q.verdict.Action == quarantine.AwaitPermit && time.Now().Before(end); {
 		g.awaitRuling(q)
 		g.mu.Lock()
 		q.verdict = g.Guard.Check(g.Clock.Now(), q.print())
-		g.Guard.Begin(q.verdict, q.print())
+		g.Guard.MarkSent(q.verdict, q.print())
 		g.mu.Unlock()
 	}
-	if q.verdict.Do == quarantine.Run {
+	if q.verdict.Action == quarantine.Allow {
 		return refusal{}, true
 	}
-	back := max(q.verdict.Back, rulingBack)
+	back := max(q.verdict.RetryAfter, rulingBack)
 	return refusal{
-		status: http.StatusServiceUnavailable, kind: fleet.KindQuarantined, reason: fleet.ReasonQuarantined, back: back, ends: q.verdict.Ends, print: q.print(),
+		status: http.StatusServiceUnavailable, kind: fleet.KindQuarantined, reason: fleet.ReasonQuarantined, back: back, ends: q.verdict.TerminationCount, print: q.print(),
 	}, false
 }
 
@@ -73,13 +73,13 @@
 func (g *Gateway) unask(q *request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Guard.Unask(q.print())
+	g.Guard.CancelPermitRequest(q.print())
 }
 
 // giveBack ends a request's permit, if it ran under one. What a cut means is told once it is
 // known whether the target has ended.
 func (g *Gateway) giveBack(q *request, out outcome, unsent bool) {
-	if q.verdict.Grant == 0 {
+	if q.verdict.PermitID == 0 {
 		return
 	}
 	g.mu.Lock()
@@ -89,9 +89,9 @@
 	case q.cut:
 		return
 	case out.reason == fleet.ReasonNoConnection:
-		g.Guard.Unreached(now, q.verdict, q.print())
+		g.Guard.ReturnUnreachable(now, q.verdict, q.print())
 	default:
-		g.Guard.Over(now, q.verdict, q.print(), unsent)
+		g.Guard.ReturnPermit(now, q.verdict, q.print(), unsent)
 	}
 	g.wake()
 }
@@ -105,7 +105,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.Guard.Idle() {
-		g.Guard.Whole(g.Clock.Now(), q.print())
+		g.Guard.RecordCompletion(g.Clock.Now(), q.print())
 	}
 }
 
@@ -118,10 +118,10 @@
 }
 
 // Ruled takes the leader's answer to that, as it was at asked. It may be called at any time.
-func (g *Gateway) Ruled(now, asked time.Time, term uint64, r quarantine.Rulings) {
+func (g *Gateway) Ruled(now, asked time.Time, term uint64, r quarantine.RestrictionUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Guard.Heard(now, asked, term, r)
+	g.Guard.ApplyUpdate(now, asked, term, r)
 	if g.ruled != nil {
 		close(g.ruled)
 		g.ruled = nil
@@ -139,7 +139,7 @@
 // missing takes the list of targets: one that cut an exchange, did not leave, and is not
 // listed any more has ended.
 func (g *Gateway) missing(now time.Time, targets []fleet.Instance) {
-	doubts := g.Guard.Doubts(now)
+	doubts := g.Guard.UnconfirmedTargets(now)
 	if len(doubts) == 0 {
 		return
 	}
@@ -149,7 +149,7 @@
 	}
 	for _, target := range doubts {
 		if !listed[target] {
-			g.Guard.Gone(now, target)
+			g.Guard.RecordTermination(now, target)
 			g.wake()
 		}
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -17,14 +17,14 @@
 const guilty = "guilty"
 
 // print is the fingerprint of the body sent by POST to a path, without a key.
-func printOf(path, body string) quarantine.Print {
-	return quarantine.Likeness{Method: http.MethodPost, Place: "h.example" + path, Body: []byte(body)}.Print()
+func printOf(path, body string) quarantine.Fingerprint {
+	return quarantine.FingerprintInput{Method: http.MethodPost, Destination: "h.example" + path, Body: []byte(body)}.Fingerprint()
 }
 
 // rule has the leader tell the gateway of some requests.
-func (b *bed) rule(revision uint64, list ...quarantine.Ruling) {
+func (b *bed) rule(revision uint64, list ...quarantine.Restriction) {
 	now := b.gateway.Clock.Now()
-	b.gateway.Ruled(now, now, 1, quarantine.Rulings{Revision: revision, List: list})
+	b.gateway.Ruled(now, now, 1, quarantine.RestrictionUpdate{Revision: revision, Restrictions: list})
 }
 
 // ending has targets end as soon as they begin a request, for good.
@@ -51,11 +51,11 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode, text)
 	require.EqualValues(t, 2, ends.Load())
-	require.Eventually(t, func() bool { return len(b.gateway.Quarantine(b.gateway.Clock.Now()).Ends) == 2 }, 5*time.Second, 5*time.Millisecond,
+	require.Eventually(t, func() bool { return len(b.gateway.Quarantine(b.gateway.Clock.Now()).Terminations) == 2 }, 5*time.Second, 5*time.Millisecond,
 		"the leader is told of both")
-	for _, e := range b.gateway.Quarantine(b.gateway.Clock.Now()).Ends {
-		require.Equal(t, printOf("/whole/x", guilty), e.Print)
-		require.Equal(t, "whole", e.Place)
+	for _, e := range b.gateway.Quarantine(b.gateway.Clock.Now()).Terminations {
+		require.Equal(t, printOf("/whole/x", guilty), e.Fingerprint)
+		require.Equal(t, "whole", e.Destination)
 	}
 	began := time.Now()
 	resp, text, err = b.do(http.MethodPost, "/whole/x", guilty)
@@ -75,7 +75,7 @@
 	b := newBed(t)
 	b.site.Fault = func(s *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
 		s.Ran(r)
-		b.rule(1, quarantine.Ruling{Print: printOf("/whole/x", guilty), Ends: 3, Next: time.Minute})
+		b.rule(1, quarantine.Restriction{Fingerprint: printOf("/whole/x", guilty), TerminationCount: 3, NextRunIn: time.Minute})
 		b.site.Remove(s)
 		panic(http.ErrAbortHandler)
 	}
@@ -87,7 +87,7 @@
 
 func TestWhatIsHeldBackIsRefusedAtOnce(t *testing.T) {
 	b := newBed(t)
-	held := quarantine.Ruling{Print: printOf("/once/x", "mine"), Ends: 3, Next: 7 * time.Second}
+	held := quarantine.Restriction{Fingerprint: printOf("/once/x", "mine"), TerminationCount: 3, NextRunIn: 7 * time.Second}
 	b.rule(1, held)
 	resp, text, err := b.do(http.MethodPost, "/once/x", "mine")
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 	b := newBed(t)
 	p := printOf("/once/x", "mine")
 	b.gateway.Guard.Owner = "r1/1"
-	held := quarantine.Ruling{Print: p, Ends: 3}
+	held := quarantine.Restriction{Fingerprint: p, TerminationCount: 3}
 	b.rule(1, held)
 	done := make(chan int, 1)
 	go func() {
@@ -118,16 +118,16 @@
 		_ = resp.Body.Close() // only the status counts
 		done <- resp.StatusCode
 	}()
-	require.Eventually(t, func() bool { return len(b.gateway.Quarantine(b.gateway.Clock.Now()).Asks) == 1 }, 5*time.Second, time.Millisecond)
-	held.Holder, held.Until, held.Grant, held.Target = "r1/1", 20*time.Second, 1, b.targets[1].ID
+	require.Eventually(t, func() bool { return len(b.gateway.Quarantine(b.gateway.Clock.Now()).PermitRequests) == 1 }, 5*time.Second, time.Millisecond)
+	held.PermitHolder, held.PermitExpiresIn, held.PermitID, held.PermitTarget = "r1/1", 20*time.Second, 1, b.targets[1].ID
 	b.rule(2, held)
 	require.Equal(t, http.StatusOK, <-done)
 	require.Len(t, b.targets[1].Runs(), 1, "where the leader said")
 	require.Empty(t, b.targets[0].Runs())
 	report := b.gateway.Quarantine(b.gateway.Clock.Now())
-	require.Empty(t, report.Asks)
-	require.Len(t, report.Clears, 1)
-	require.Equal(t, p, report.Clears[0].Print)
+	require.Empty(t, report.PermitRequests)
+	require.Len(t, report.Completions, 1)
+	require.Equal(t, p, report.Completions[0].Fingerprint)
 }
 
 // Symptom: sound requests are suspected when targets close connections.
@@ -147,5 +147,5 @@
 		require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 		require.Eventually(t, func() bool { return b.gateway.Guarded() == 0 }, 5*time.Second, 5*time.Millisecond, "they are found alive")
 	}
-	require.Empty(t, b.gateway.Quarantine(b.gateway.Clock.Now()).Ends)
+	require.Empty(t, b.gateway.Quarantine(b.gateway.Clock.Now()).Terminations)
 }
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -36,7 +36,7 @@
 	load   float64       // part of the target's slots that is taken
 	excess float64       // of the account over others that lack service
 	ends   int           // of targets, under the request
-	print  quarantine.Print
+	print  quarantine.Fingerprint
 	err    error
 }
 
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -42,12 +42,12 @@
 	moved   int       // of these, met by another target at the address
 	ran     bool      // one of them may have run
 	tried   []fleet.Incarnation
-	after   string             // ID of the last event that the caller has
-	begun   bool               // an answer has begun
-	printed quarantine.Print   // its fingerprint, once it was asked for
-	verdict quarantine.Verdict // by which it is sent
-	cut     bool               // a target that was to stay cut the last attempt
-	first   time.Time          // when it began
+	after   string                 // ID of the last event that the caller has
+	begun   bool                   // an answer has begun
+	printed quarantine.Fingerprint // its fingerprint, once it was asked for
+	verdict quarantine.Decision    // by which it is sent
+	cut     bool                   // a target that was to stay cut the last attempt
+	first   time.Time              // when it began
 }
 
 // ServeHTTP takes one caller's request to its end.
@@ -161,7 +161,7 @@
 		g.desk = admission.NewDesk(&g.placer, &g.shares)
 	}
 	choice, no := g.desk.Decide(now, admission.Request{
-		Place: placement.Request{Pool: q.pool, Parts: q.parts, Avoid: q.tried, Only: q.verdict.Target}, Route: q.route, Account: q.account,
+		Place: placement.Request{Pool: q.pool, Parts: q.parts, Avoid: q.tried, Only: q.verdict.PermitTarget}, Route: q.route, Account: q.account,
 		Tokens: q.tokens, Until: q.until, Within: q.within, Surplus: q.surplus, Sent: q.sent > 0, Charged: q.charged,
 	})
 	if no != nil {
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -49,7 +49,7 @@
 	zones []fleet.Zone
 	// registry decides which requests are held back, while this keeper leads; reported is
 	// what routers of events told it last.
-	registry *quarantine.Registry
+	registry *quarantine.Coordinator
 	reported map[routerKey]quarantine.Report
 	told     []toldReport // in this turn
 	// autoMembers says that the leader takes out members that are gone by itself.
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -14,12 +14,12 @@
 // court returns the registry of the term, and false while this keeper may not answer for the
 // state of the group. A term begins with what the log holds; first ends and whole answers of
 // the last minute come with the routers' next reports.
-func (c *core) court(now time.Time) (*quarantine.Registry, bool) {
+func (c *core) court(now time.Time) (*quarantine.Coordinator, bool) {
 	if !c.leads(now) {
 		return nil, false
 	}
 	if c.registry == nil {
-		c.registry = &quarantine.Registry{Targets: c.takers}
+		c.registry = &quarantine.Coordinator{AvailableTargets: c.takers}
 		c.registry.Load(now, c.ledger.Quarantine().Entries())
 		c.reported = make(map[routerKey]quarantine.Report)
 	}
@@ -44,7 +44,7 @@
 	if !ok {
 		return // it is told again
 	}
-	registry.Report(now, router, r)
+	registry.HandleReport(now, router, r)
 	c.putQuarantine(now, func(error) {})
 }
 
@@ -74,11 +74,11 @@
 
 // putQuarantine puts what the registry has decided into the log.
 func (c *core) putQuarantine(now time.Time, done func(error)) {
-	entries, notes := c.registry.Take()
+	entries, notes := c.registry.TakeChanges()
 	for _, n := range notes {
 		e := n.Entry
-		c.log.Warn("quarantine", "step", n.Step, "print", e.Print, "account", e.Account, "route", e.Place, "pool", e.Pool,
-			"ends", len(e.Ended), "trials", e.Trials, "router", e.Holder, "target", e.Target, "grant", e.Grant)
+		c.log.Warn("quarantine", "step", n.Transition, "print", e.Fingerprint, "account", e.Account, "route", e.Destination, "pool", e.Pool,
+			"ends", len(e.TerminatedTargets), "trials", e.Trials, "router", e.PermitHolder, "target", e.PermitTarget, "grant", e.PermitID)
 	}
 	if len(entries) == 0 {
 		done(nil)
@@ -88,12 +88,12 @@
 }
 
 // rulings returns what a router is told.
-func (c *core) rulings(now time.Time, r quarantine.Report) *quarantine.Rulings {
+func (c *core) rulings(now time.Time, r quarantine.Report) *quarantine.RestrictionUpdate {
 	registry, ok := c.court(now)
 	if !ok {
 		return nil
 	}
-	out := registry.RulingsFor(now, r, c.ledger.Quarantine())
+	out := registry.UpdateFor(now, r, c.ledger.Quarantine())
 	return &out
 }
 
--- a/internal/keeper/quarantine_test.go
+++ b/internal/keeper/quarantine_test.go
@@ -14,16 +14,16 @@
 	"laburnumfall/internal/quarantine"
 )
 
-const heldPrint quarantine.Print = "alike"
+const heldPrint quarantine.Fingerprint = "alike"
 
 // tell has a router tell the leader of ends, or ask, and returns what it is told.
-func (g *tended) tell(r quarantine.Report) []quarantine.Ruling {
+func (g *tended) tell(r quarantine.Report) []quarantine.Restriction {
 	for range 300 {
 		if l := g.leader(); l != nil {
 			answer := l.core.renew(g.clock.Time, message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &r})
 			require.NotNil(g.t, answer.Restrictions)
 			g.run(5 * tendedStep) // the log has it
-			return answer.Restrictions.List
+			return answer.Restrictions.Restrictions
 		}
 		g.run(tendedStep)
 	}
@@ -65,19 +65,19 @@
 		g := newTended(t, seed, 5)
 		require.True(t, g.settle())
 		for _, id := range []string{"a", "b", "c"} {
-			g.tell(quarantine.Report{Ends: []quarantine.End{{Print: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}}}})
+			g.tell(quarantine.Report{Terminations: []quarantine.Termination{{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}}}})
 		}
 		grants := map[uint64]bool{}
 		for range 12 {
 			g.run(time.Duration(g.random.IntN(400)) * time.Millisecond)
 			g.strike()
 			require.True(t, g.settle(), "seed %d", seed)
-			g.tell(quarantine.Report{Asks: []quarantine.Print{heldPrint}})
+			g.tell(quarantine.Report{PermitRequests: []quarantine.Fingerprint{heldPrint}})
 			list := g.tell(quarantine.Report{})
 			require.Len(t, list, 1, "seed %d: it is known", seed)
-			require.GreaterOrEqual(t, list[0].Ends, 3)
-			if list[0].Grant > 0 {
-				grants[list[0].Grant] = true
+			require.GreaterOrEqual(t, list[0].TerminationCount, 3)
+			if list[0].PermitID > 0 {
+				grants[list[0].PermitID] = true
 			}
 			g.clock.Time = g.clock.Time.Add(20 * time.Second) // and trials fall due
 			require.True(t, g.settle(), "seed %d", seed)
@@ -134,20 +134,20 @@
 		c.onReport(conn, data)
 		(<-c.inputs)(g.clock.Now())
 	}
-	ends := func(id string) []quarantine.End {
-		return []quarantine.End{{Print: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}, Named: true}}
+	ends := func(id string) []quarantine.Termination {
+		return []quarantine.Termination{{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}, IDReused: true}}
 	}
-	report(quarantine.Report{Ends: ends("a")})
+	report(quarantine.Report{Terminations: ends("a")})
 	require.NoError(t, c.turn())
-	require.Equal(t, 1, c.registry.Ends(heldPrint))
+	require.Equal(t, 1, c.registry.TerminationCount(heldPrint))
 
 	c.submit(g.clock.Now(), ledger.Command{}, func(ledger.Result, error) {})
 	require.NoError(t, c.turn())
 	g.commitUnapplied(c)
 	require.False(t, c.node.Applied())
-	report(quarantine.Report{Ends: ends("b")})
+	report(quarantine.Report{Terminations: ends("b")})
 	require.NoError(t, c.turn())
-	require.Equal(t, 2, c.registry.Ends(heldPrint), "the grant that follows tells the router that it was heard")
+	require.Equal(t, 2, c.registry.TerminationCount(heldPrint), "the grant that follows tells the router that it was heard")
 }
 
 // commitUnapplied has followers answer the leader, which does not apply what that commits.
@@ -173,8 +173,8 @@
 	g.run(3 * time.Second)
 	c, ok := g.whole()
 	require.True(t, ok)
-	end := quarantine.End{Print: heldPrint, Account: "x", Target: fleet.Incarnation{ID: "a"}}
-	p := message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &quarantine.Report{Ends: []quarantine.End{end}}}
+	end := quarantine.Termination{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: "a"}}
+	p := message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &quarantine.Report{Terminations: []quarantine.Termination{end}}}
 	c.submit(g.clock.Now(), ledger.Command{}, func(ledger.Result, error) {})
 	require.NoError(t, c.turn())
 	g.commitUnapplied(c)
@@ -188,5 +188,5 @@
 	r = c.renew(g.clock.Now(), p)
 	require.True(t, r.Leads)
 	require.NotNil(t, r.Restrictions)
-	require.Equal(t, 1, c.registry.Ends(heldPrint))
+	require.Equal(t, 1, c.registry.TerminationCount(heldPrint))
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -79,7 +79,7 @@
 	claims  claimTable
 
 	document    Document
-	quarantine  quarantine.Book
+	quarantine  quarantine.EntryStore
 	evacuations fleet.EvacuatedZones
 }
 
@@ -115,7 +115,7 @@
 }
 
 // Quarantine returns the requests under which targets have ended.
-func (l *Ledger) Quarantine() *quarantine.Book {
+func (l *Ledger) Quarantine() *quarantine.EntryStore {
 	return &l.quarantine
 }
 
@@ -213,16 +213,16 @@
 	History []message.ConfigChange `json:"history,omitempty"`
 	Claims  []savedClaims          `json:"claims,omitempty"`
 
-	Document    Document             `json:"document,omitzero"`
-	Quarantine  quarantine.SavedBook `json:"quarantine,omitzero"`
-	Evacuations fleet.EvacuatedZones `json:"evacuations,omitzero"`
+	Document    Document                 `json:"document,omitzero"`
+	Quarantine  quarantine.EntrySnapshot `json:"quarantine,omitzero"`
+	Evacuations fleet.EvacuatedZones     `json:"evacuations,omitzero"`
 }
 
 // Snapshot returns the state in its stored form.
 func (l *Ledger) Snapshot() (json.RawMessage, error) {
 	data, err := json.Marshal(snapshot{
 		At: l.at, Config: l.text, History: l.history, Claims: l.claims.save(),
-		Document: l.document, Quarantine: l.quarantine.Save(), Evacuations: l.evacuations,
+		Document: l.document, Quarantine: l.quarantine.Snapshot(), Evacuations: l.evacuations,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("encode a snapshot: %w", err)
@@ -246,7 +246,7 @@
 	if err := fresh.claims.load(s.Claims); err != nil {
 		return err
 	}
-	fresh.quarantine.Load(s.Quarantine)
+	fresh.quarantine.Restore(s.Quarantine)
 	*l = fresh
 	return nil
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -142,7 +142,7 @@
 	// Gone are targets that the platform's list of VMs shows as leaving.
 	LeavingTargets []string `json:"gone,omitempty"`
 	// Rulings are which requests are held back.
-	Restrictions *quarantine.Rulings `json:"rulings,omitempty"`
+	Restrictions *quarantine.RestrictionUpdate `json:"rulings,omitempty"`
 }
 
 // A Slot lets a router run up to Count requests at a time on Target.
@@ -294,6 +294,6 @@
 
 // A Lift asks to free a request.
 type LiftRequest struct {
-	Fingerprint quarantine.Print `json:"print"`
-	Operator    string           `json:"operator"`
+	Fingerprint quarantine.Fingerprint `json:"print"`
+	Operator    string                 `json:"operator"`
 }
--- a/internal/message/renew.go
+++ b/internal/message/renew.go
@@ -115,7 +115,7 @@
 	// Packs says that the next question over this link may be packed.
 	AcceptsPacked bool `json:"packs,omitempty"`
 	// Rulings are which requests are held back; nil from a keeper of the version before.
-	Restrictions *quarantine.Rulings `json:"rulings,omitempty"`
+	Restrictions *quarantine.RestrictionUpdate `json:"rulings,omitempty"`
 }
 
 // A Warming is a target that is cold for a time after its answer.
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -13,31 +13,31 @@
 // what it does for a router that tells of forty ends, as when all targets of a large fleet end.
 func BenchmarkRenewal(b *testing.B) {
 	now := time.Unix(1e9, 0)
-	var book quarantine.Book
+	var book quarantine.EntryStore
 	for i := range 1024 {
-		book.Put([]quarantine.Entry{{Print: quarantine.Print(fmt.Sprint("held", i)), Account: "a", Ended: []quarantine.Ended{
+		book.Put([]quarantine.Entry{{Fingerprint: quarantine.Fingerprint(fmt.Sprint("held", i)), Account: "a", TerminatedTargets: []quarantine.TerminatedTarget{
 			{Target: fleet.Incarnation{ID: "x"}, At: now}, {Target: fleet.Incarnation{ID: "y"}, At: now},
 		}}})
 	}
-	r := quarantine.Registry{}
+	r := quarantine.Coordinator{}
 	r.Load(now, book.Entries())
 	b.Run("nothing new", func(b *testing.B) {
-		m := quarantine.Report{Held: book.Revision()}
+		m := quarantine.Report{KnownRevision: book.Revision()}
 		for b.Loop() {
-			r.Report(now, "r1", m)
-			r.RulingsFor(now, m, &book)
+			r.HandleReport(now, "r1", m)
+			r.UpdateFor(now, m, &book)
 		}
 	})
 	b.Run("40 ends", func(b *testing.B) {
 		n := 0
 		for b.Loop() {
-			m := quarantine.Report{Held: book.Revision()}
+			m := quarantine.Report{KnownRevision: book.Revision()}
 			for i := range 40 {
-				m.Ends = append(m.Ends, quarantine.End{Print: quarantine.Print(fmt.Sprint(n, "-", i)), Account: "a", Target: fleet.Incarnation{ID: fmt.Sprint(n)}})
+				m.Terminations = append(m.Terminations, quarantine.Termination{Fingerprint: quarantine.Fingerprint(fmt.Sprint(n, "-", i)), Account: "a", Target: fleet.Incarnation{ID: fmt.Sprint(n)}})
 			}
 			n++
-			r.Report(now, "r1", m)
-			r.RulingsFor(now, m, &book)
+			r.HandleReport(now, "r1", m)
+			r.UpdateFor(now, m, &book)
 		}
 	})
 }
@@ -47,7 +47,7 @@
 	now := time.Unix(1e9, 0)
 	g := quarantine.Guard{Owner: "r1"}
 	for i := range 4000 {
-		g.Cut(now, quarantine.Sight{Print: quarantine.Print(fmt.Sprint(i)), Target: fleet.Incarnation{ID: "a"}})
+		g.RecordInterruption(now, quarantine.Execution{Fingerprint: quarantine.Fingerprint(fmt.Sprint(i)), Target: fleet.Incarnation{ID: "a"}})
 	}
 	for b.Loop() {
 		g.Check(now, "another")
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -18,7 +18,7 @@
 
 // An Ended is one incarnation of a target that ended under a request, and when, by the clock
 // of the keeper that led.
-type Ended struct {
+type TerminatedTarget struct {
 	Target fleet.Incarnation `json:"target"`
 	At     time.Time         `json:"at"`
 }
@@ -26,33 +26,33 @@
 // An Entry is what the keepers' log holds of a request under which targets have ended. It is
 // never changed.
 type Entry struct {
-	Print   Print  `json:"print"`
-	Account string `json:"account,omitempty"`
-	Place   string `json:"place,omitempty"`
-	Pool    string `json:"pool,omitempty"`
+	Fingerprint Fingerprint `json:"print"`
+	Account     string      `json:"account,omitempty"`
+	Destination string      `json:"place,omitempty"`
+	Pool        string      `json:"pool,omitempty"`
 	// Ended are the incarnations that ended; none says that the entry is gone.
-	Ended []Ended `json:"ended,omitempty"`
+	TerminatedTargets []TerminatedTarget `json:"ended,omitempty"`
 	// Trials is how many runs were granted since it is held back, and Next when the next may be.
-	Trials int       `json:"trials,omitempty"`
-	Next   time.Time `json:"next,omitzero"`
+	Trials      int       `json:"trials,omitempty"`
+	NextTrialAt time.Time `json:"next,omitzero"`
 	// Holder has a permit until Until, for Target; Grant counts the permits.
-	Holder string    `json:"holder,omitempty"`
-	Until  time.Time `json:"until,omitzero"`
-	Target string    `json:"target,omitempty"`
-	Grant  uint64    `json:"grant,omitempty"`
+	PermitHolder    string    `json:"holder,omitempty"`
+	PermitExpiresAt time.Time `json:"until,omitzero"`
+	PermitTarget    string    `json:"target,omitempty"`
+	PermitID        uint64    `json:"grant,omitempty"`
 	// Revision is that of the book in which it was put.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
 // Convicted reports whether the request is held back.
-func (e Entry) Convicted() bool {
-	return len(e.Ended) >= convictEnds
+func (e Entry) Quarantined() bool {
+	return len(e.TerminatedTargets) >= convictEnds
 }
 
 // Last returns when a target ended under it last.
-func (e Entry) Last() time.Time {
+func (e Entry) LastTermination() time.Time {
 	var last time.Time
-	for _, end := range e.Ended {
+	for _, end := range e.TerminatedTargets {
 		if end.At.After(last) {
 			last = end.At
 		}
@@ -61,26 +61,26 @@
 }
 
 // Lapses returns when the entry is forgotten unless another target ends.
-func (e Entry) Lapses() time.Time {
-	if e.Convicted() {
-		return e.Last().Add(convictFor)
+func (e Entry) ExpiresAt() time.Time {
+	if e.Quarantined() {
+		return e.LastTermination().Add(convictFor)
 	}
-	return e.Last().Add(suspectFor)
+	return e.LastTermination().Add(suspectFor)
 }
 
 // Ruling returns what a router is told at a moment.
-func (e Entry) Ruling(now time.Time) Ruling {
-	r := Ruling{Print: e.Print, Ends: len(e.Ended)}
-	if e.Convicted() {
-		r.Final = e.Trials >= mostTrials
-		next := e.Next
-		if r.Final {
-			next = e.Lapses()
+func (e Entry) Restriction(now time.Time) Restriction {
+	r := Restriction{Fingerprint: e.Fingerprint, TerminationCount: len(e.TerminatedTargets)}
+	if e.Quarantined() {
+		r.NoTrialsLeft = e.Trials >= mostTrials
+		next := e.NextTrialAt
+		if r.NoTrialsLeft {
+			next = e.ExpiresAt()
 		}
-		r.Next = max(next.Sub(now), 0)
+		r.NextRunIn = max(next.Sub(now), 0)
 	}
-	if e.Holder != "" && now.Before(e.Until) {
-		r.Holder, r.Until, r.Target, r.Grant = e.Holder, e.Until.Sub(now), e.Target, e.Grant
+	if e.PermitHolder != "" && now.Before(e.PermitExpiresAt) {
+		r.PermitHolder, r.PermitExpiresIn, r.PermitTarget, r.PermitID = e.PermitHolder, e.PermitExpiresAt.Sub(now), e.PermitTarget, e.PermitID
 	}
 	return r
 }
@@ -88,32 +88,32 @@
 // A Book is the durable part: the entries in the order of their last change. It changes only
 // by commands of the keepers' log, so that what is held back stays so over any change of
 // leader and restart, and a permit is one permit. Its zero value is empty.
-type Book struct {
+type EntryStore struct {
 	revision uint64
 	// forgotten is the latest revision of what is not even remembered as gone.
 	forgotten uint64
-	entries   map[Print]Entry
+	entries   map[Fingerprint]Entry
 }
 
 // Put replaces entries. One without ends is gone.
-func (b *Book) Put(list []Entry) {
+func (b *EntryStore) Put(list []Entry) {
 	if b.entries == nil {
-		b.entries = make(map[Print]Entry)
+		b.entries = make(map[Fingerprint]Entry)
 	}
 	for _, e := range list {
 		b.revision++
 		e.Revision = b.revision
-		b.entries[e.Print] = e
+		b.entries[e.Fingerprint] = e
 	}
 	b.shrink()
 }
 
 // shrink keeps the book within its bounds. What must yield is the oldest of the account that
 // has most, so that one account cannot push out what others' requests have shown.
-func (b *Book) shrink() {
+func (b *EntryStore) shrink() {
 	live, gone := make(map[string]int), 0
 	for _, e := range b.entries {
-		if len(e.Ended) == 0 {
+		if len(e.TerminatedTargets) == 0 {
 			gone++
 			continue
 		}
@@ -121,52 +121,52 @@
 	}
 	for n := len(b.entries) - gone; n > mostEntries; n-- {
 		most := slices.MaxFunc(slices.Sorted(maps.Keys(live)), func(x, y string) int { return cmp.Compare(live[x], live[y]) })
-		b.forget(func(e Entry) bool { return len(e.Ended) > 0 && e.Account == most })
+		b.forget(func(e Entry) bool { return len(e.TerminatedTargets) > 0 && e.Account == most })
 		live[most]--
 	}
 	for ; gone > mostLifted; gone-- {
-		b.forget(func(e Entry) bool { return len(e.Ended) == 0 })
+		b.forget(func(e Entry) bool { return len(e.TerminatedTargets) == 0 })
 	}
 }
 
 // forget drops the oldest entry of some.
-func (b *Book) forget(of func(Entry) bool) {
+func (b *EntryStore) forget(of func(Entry) bool) {
 	var oldest Entry
 	for _, e := range b.entries {
 		if of(e) && (oldest.Revision == 0 || e.Revision < oldest.Revision) {
 			oldest = e
 		}
 	}
-	delete(b.entries, oldest.Print)
+	delete(b.entries, oldest.Fingerprint)
 	b.forgotten = max(b.forgotten, oldest.Revision)
 }
 
 // Revision counts the changes.
-func (b *Book) Revision() uint64 {
+func (b *EntryStore) Revision() uint64 {
 	return b.revision
 }
 
 // Entry returns the entry of a request, if there is one.
-func (b *Book) Entry(p Print) (Entry, bool) {
+func (b *EntryStore) Entry(p Fingerprint) (Entry, bool) {
 	e, ok := b.entries[p]
-	return e, ok && len(e.Ended) > 0
+	return e, ok && len(e.TerminatedTargets) > 0
 }
 
 // Entries returns all entries, the least recently changed first.
-func (b *Book) Entries() []Entry {
-	list, _ := b.Since(0)
+func (b *EntryStore) Entries() []Entry {
+	list, _ := b.ChangedSince(0)
 	return list
 }
 
 // Since returns what has changed since a revision, in order. Whole says that it is all there
 // is, as where the revision is too old or of another book.
-func (b *Book) Since(held uint64) (list []Entry, whole bool) {
+func (b *EntryStore) ChangedSince(held uint64) (list []Entry, whole bool) {
 	if held != 0 && held == b.revision {
 		return nil, false // as nearly always: every router asks several times a second
 	}
 	whole = held == 0 || held < b.forgotten || held > b.revision
 	for _, e := range b.entries {
-		if whole && len(e.Ended) > 0 || !whole && e.Revision > held {
+		if whole && len(e.TerminatedTargets) > 0 || !whole && e.Revision > held {
 			list = append(list, e)
 		}
 	}
@@ -175,15 +175,15 @@
 }
 
 // A SavedBook is the stored form of a Book.
-type SavedBook struct {
-	Revision  uint64  `json:"revision,omitempty"`
-	Forgotten uint64  `json:"forgotten,omitempty"`
-	Entries   []Entry `json:"entries,omitempty"`
+type EntrySnapshot struct {
+	Revision          uint64  `json:"revision,omitempty"`
+	ForgottenRevision uint64  `json:"forgotten,omitempty"`
+	Entries           []Entry `json:"entries,omitempty"`
 }
 
 // Save returns the stored form.
-func (b *Book) Save() SavedBook {
-	s := SavedBook{Revision: b.revision, Forgotten: b.forgotten}
+func (b *EntryStore) Snapshot() EntrySnapshot {
+	s := EntrySnapshot{Revision: b.revision, ForgottenRevision: b.forgotten}
 	for _, e := range b.entries {
 		s.Entries = append(s.Entries, e)
 	}
@@ -192,9 +192,9 @@
 }
 
 // Load replaces the book by a stored one.
-func (b *Book) Load(s SavedBook) {
-	*b = Book{revision: s.Revision, forgotten: s.Forgotten, entries: make(map[Print]Entry, len(s.Entries))}
+func (b *EntryStore) Restore(s EntrySnapshot) {
+	*b = EntryStore{revision: s.Revision, forgotten: s.ForgottenRevision, entries: make(map[Fingerprint]Entry, len(s.Entries))}
 	for _, e := range s.Entries {
-		b.entries[e.Print] = e
+		b.entries[e.Fingerprint] = e
 	}
 }
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -23,39 +23,39 @@
 )
 
 // A Decision is what may be done with a request.
-type Decision uint8
+type Action uint8
 
 // The decisions.
 const (
 	// Run means that it may be sent to a target.
-	Run Decision = iota
+	Allow Action = iota
 	// Wait means that a permit is needed, and may be granted within a report and its answer.
-	Wait
+	AwaitPermit
 	// Hold means that it is held back.
-	Hold
+	Reject
 )
 
 // A Verdict is a decision on a request.
-type Verdict struct {
-	Do Decision
+type Decision struct {
+	Action Action
 	// Ends is under how many ends it stands.
-	Ends int
+	TerminationCount int
 	// Grant names the permit under which it may run, 0 if it needs none, and Target where,
 	// "" if anywhere.
-	Grant  uint64
-	Target string
+	PermitID     uint64
+	PermitTarget string
 	// Back is when its caller may come back, if it is held.
-	Back time.Duration
+	RetryAfter time.Duration
 }
 
 // A Sight is a request that a target was running.
-type Sight struct {
-	Print                Print
-	Account, Place, Pool string
-	Target               fleet.Incarnation
+type Execution struct {
+	Fingerprint                Fingerprint
+	Account, Destination, Pool string
+	Target                     fleet.Incarnation
 	// Began is when it was sent to the target, and Grant the permit under which.
-	Began time.Time
-	Grant uint64
+	SentAt   time.Time
+	PermitID uint64
 }
 
 // A Guard is a router's part: it notes which targets end under which requests, tells the
@@ -68,21 +68,21 @@
 	// Owner names this router and its incarnation.
 	Owner string
 	// Named says that targets keep their IDs over their starts, and that nobody tells these.
-	Named bool
+	IDsReused bool
 
 	revision uint64
 	term     uint64
 	termAt   time.Time // when this router heard of the term first
-	rulings  map[Print]ruling
-	watched  map[Print]*watch
+	rulings  map[Fingerprint]ruling
+	watched  map[Fingerprint]*watch
 	gone     map[fleet.Incarnation]time.Time // ended, as far as this router knows
-	asks     map[Print]int                   // requests that wait for a permit
-	returns  []told[Return]
+	asks     map[Fingerprint]int             // requests that wait for a permit
+	returns  []told[PermitReturn]
 }
 
 // ruling is a Ruling with its times by this router's clock.
 type ruling struct {
-	Ruling
+	Restriction
 	next, until, begin time.Time
 	absent             time.Time // until when no target counts as there
 	used               bool      // a run has begun under the permit
@@ -95,10 +95,10 @@
 }
 
 // Held returns how many requests are held back.
-func (g *Guard) Held() int {
+func (g *Guard) QuarantinedCount() int {
 	n := 0
 	for _, r := range g.rulings {
-		if r.Ends >= convictEnds {
+		if r.TerminationCount >= convictEnds {
 			n++
 		}
 	}
@@ -106,67 +106,67 @@
 }
 
 // Check decides on a request that is to be sent to a target.
-func (g *Guard) Check(now time.Time, p Print) Verdict {
+func (g *Guard) Check(now time.Time, p Fingerprint) Decision {
 	r, ruled := g.rulings[p]
-	v := Verdict{Ends: max(r.Ends, g.own(now, p))}
+	v := Decision{TerminationCount: max(r.TerminationCount, g.own(now, p))}
 	switch {
-	case v.Ends < suspectEnds:
+	case v.TerminationCount < suspectEnds:
 		return v
 	case !ruled:
-		v.Do = Wait // the leader has yet to hear of it
-	case r.Holder == g.Owner && !r.used && now.Before(r.begin):
-		v.Grant, v.Target = r.Grant, r.Target
-	case r.Holder != "" && now.Before(r.until) && !r.returned:
-		v.Do, v.Back = Hold, min(max(r.until.Sub(now), leastBack), mostBack)
-	case r.Absent && now.Before(r.absent):
-		v.Do, v.Back = Hold, leastBack
-	case r.Ends >= convictEnds && (r.Final || now.Before(r.next)):
-		v.Do, v.Back = Hold, max(r.next.Sub(now), leastBack)
+		v.Action = AwaitPermit // the leader has yet to hear of it
+	case r.PermitHolder == g.Owner && !r.used && now.Before(r.begin):
+		v.PermitID, v.PermitTarget = r.PermitID, r.PermitTarget
+	case r.PermitHolder != "" && now.Before(r.until) && !r.returned:
+		v.Action, v.RetryAfter = Reject, min(max(r.until.Sub(now), leastBack), mostBack)
+	case r.PoolDown && now.Before(r.absent):
+		v.Action, v.RetryAfter = Reject, leastBack
+	case r.TerminationCount >= convictEnds && (r.NoTrialsLeft || now.Before(r.next)):
+		v.Action, v.RetryAfter = Reject, max(r.next.Sub(now), leastBack)
 	default:
-		v.Do = Wait
+		v.Action = AwaitPermit
 	}
 	return v
 }
 
 // Begin notes that a request is sent under a permit.
-func (g *Guard) Begin(v Verdict, p Print) {
-	if r, ok := g.rulings[p]; ok && v.Grant != 0 && r.Grant == v.Grant {
+func (g *Guard) MarkSent(v Decision, p Fingerprint) {
+	if r, ok := g.rulings[p]; ok && v.PermitID != 0 && r.PermitID == v.PermitID {
 		r.used = true
 		g.rulings[p] = r
 	}
 }
 
 // Over notes that a run under a permit showed nothing, and gives that back.
-func (g *Guard) Over(now time.Time, v Verdict, p Print, unsent bool) {
-	g.giveBack(now, Return{Print: p, Grant: v.Grant, Unsent: unsent})
+func (g *Guard) ReturnPermit(now time.Time, v Decision, p Fingerprint, unsent bool) {
+	g.giveBack(now, PermitReturn{Fingerprint: p, PermitID: v.PermitID, NotSent: unsent})
 }
 
 // Unreached notes that the target of a permit could not be reached, and gives that back.
-func (g *Guard) Unreached(now time.Time, v Verdict, p Print) {
-	g.giveBack(now, Return{Print: p, Grant: v.Grant, Unsent: true, Unreached: true})
+func (g *Guard) ReturnUnreachable(now time.Time, v Decision, p Fingerprint) {
+	g.giveBack(now, PermitReturn{Fingerprint: p, PermitID: v.PermitID, NotSent: true, Unreachable: true})
 }
 
-func (g *Guard) giveBack(now time.Time, b Return) {
-	if b.Grant == 0 {
+func (g *Guard) giveBack(now time.Time, b PermitReturn) {
+	if b.PermitID == 0 {
 		return
 	}
-	if r, ok := g.rulings[b.Print]; ok && r.Grant == b.Grant {
+	if r, ok := g.rulings[b.Fingerprint]; ok && r.PermitID == b.PermitID {
 		r.used, r.returned = true, true
-		g.rulings[b.Print] = r
+		g.rulings[b.Fingerprint] = r
 	}
-	g.returns = append(g.returns, told[Return]{what: b, at: now})
+	g.returns = append(g.returns, told[PermitReturn]{what: b, at: now})
 }
 
 // Ask notes that a request waits here for a permit, until Unask.
-func (g *Guard) Ask(p Print) {
+func (g *Guard) RequestPermit(p Fingerprint) {
 	if g.asks == nil {
-		g.asks = make(map[Print]int)
+		g.asks = make(map[Fingerprint]int)
 	}
 	g.asks[p]++
 }
 
 // Unask ends an Ask.
-func (g *Guard) Unask(p Print) {
+func (g *Guard) CancelPermitRequest(p Fingerprint) {
 	if g.asks[p]--; g.asks[p] <= 0 {
 		delete(g.asks, p)
 	}
@@ -176,9 +176,9 @@
 func (g *Guard) Report(now time.Time) Report {
 	g.returnUnused(now)
 	g.forget(now)
-	r := Report{Held: g.revision, Asks: slices.Sorted(maps.Keys(g.asks))}
+	r := Report{KnownRevision: g.revision, PermitRequests: slices.Sorted(maps.Keys(g.asks))}
 	for p, w := range g.watched {
-		if len(r.Ends)+len(r.Clears) >= mostTold {
+		if len(r.Terminations)+len(r.Completions) >= mostTold {
 			break // the next tells the rest
 		}
 		g.tell(now, p, w, &r)
@@ -186,7 +186,7 @@
 	for i, b := range g.returns {
 		if b.due(now, g.term) {
 			g.returns[i].sent = now
-			r.Returns = append(r.Returns, b.what)
+			r.PermitReturns = append(r.PermitReturns, b.what)
 		}
 	}
 	return r
@@ -195,14 +195,14 @@
 // returnUnused gives back permits that came too late for whoever waited.
 func (g *Guard) returnUnused(now time.Time) {
 	for p, r := range g.rulings {
-		if r.Holder == g.Owner && !r.used && !now.Before(r.begin) {
-			g.Over(now, Verdict{Grant: r.Grant}, p, true)
+		if r.PermitHolder == g.Owner && !r.used && !now.Before(r.begin) {
+			g.ReturnPermit(now, Decision{PermitID: r.PermitID}, p, true)
 		}
 	}
 }
 
 // Heard takes the answer of the leader of a term to a Report that was made at asked.
-func (g *Guard) Heard(now, asked time.Time, term uint64, r Rulings) {
+func (g *Guard) ApplyUpdate(now, asked time.Time, term uint64, r RestrictionUpdate) {
 	if term < g.term || term == g.term && r.Revision < g.revision {
 		return // overtaken by a later answer
 	}
@@ -212,31 +212,31 @@
 	if !asked.Before(g.termAt) {
 		g.noteTold(asked, term)
 	}
-	if r.Whole {
+	if r.Complete {
 		clear(g.rulings)
 	}
 	g.revision = r.Revision
 	if g.rulings == nil {
-		g.rulings = make(map[Print]ruling)
+		g.rulings = make(map[Fingerprint]ruling)
 	}
-	for _, one := range r.List {
+	for _, one := range r.Restrictions {
 		g.rule(now, asked, one)
 	}
 }
 
-func (g *Guard) rule(now, asked time.Time, one Ruling) {
-	if one.Ends < suspectEnds {
-		delete(g.rulings, one.Print)
+func (g *Guard) rule(now, asked time.Time, one Restriction) {
+	if one.TerminationCount < suspectEnds {
+		delete(g.rulings, one.Fingerprint)
 		// What this router had told by then, the leader has counted, or knows to be cleared.
-		if w := g.watched[one.Print]; w != nil {
+		if w := g.watched[one.Fingerprint]; w != nil {
 			w.ends = slices.DeleteFunc(w.ends, func(e told[seen]) bool { return e.what.sure && e.what.sureAt.Before(asked) })
 		}
 		return
 	}
-	before := g.rulings[one.Print]
-	g.rulings[one.Print] = ruling{
-		Ruling: one, next: now.Add(one.Next), until: now.Add(one.Until), begin: now.Add(min(one.Until, beginWithin)),
+	before := g.rulings[one.Fingerprint]
+	g.rulings[one.Fingerprint] = ruling{
+		Restriction: one, next: now.Add(one.NextRunIn), until: now.Add(one.PermitExpiresIn), begin: now.Add(min(one.PermitExpiresIn, beginWithin)),
 		absent: now.Add(absentFor),
-		used:   before.used && before.Grant == one.Grant, returned: before.returned && before.Grant == one.Grant,
+		used:   before.used && before.PermitID == one.PermitID, returned: before.returned && before.PermitID == one.PermitID,
 	}
 }
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -16,20 +16,20 @@
 func TestAnOvertakenAnswerChangesNothing(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	g := quarantine.Guard{Owner: "r1"}
-	held := quarantine.Ruling{Print: "p", Ends: 3, Next: time.Minute}
-	g.Heard(now, now, 2, quarantine.Rulings{Revision: 5, Whole: true, List: []quarantine.Ruling{held}})
+	held := quarantine.Restriction{Fingerprint: "p", TerminationCount: 3, NextRunIn: time.Minute}
+	g.ApplyUpdate(now, now, 2, quarantine.RestrictionUpdate{Revision: 5, Complete: true, Restrictions: []quarantine.Restriction{held}})
 	for name, old := range map[string]struct {
 		term uint64
-		r    quarantine.Rulings
+		r    quarantine.RestrictionUpdate
 	}{
-		"of this term":       {2, quarantine.Rulings{Revision: 4, Whole: true}},
-		"of the term before": {1, quarantine.Rulings{Revision: 9, Whole: true}},
+		"of this term":       {2, quarantine.RestrictionUpdate{Revision: 4, Complete: true}},
+		"of the term before": {1, quarantine.RestrictionUpdate{Revision: 9, Complete: true}},
 	} {
-		g.Heard(now.Add(time.Second), now, old.term, old.r)
-		require.Equal(t, quarantine.Hold, g.Check(now.Add(time.Second), "p").Do, name)
+		g.ApplyUpdate(now.Add(time.Second), now, old.term, old.r)
+		require.Equal(t, quarantine.Reject, g.Check(now.Add(time.Second), "p").Action, name)
 	}
-	g.Heard(now.Add(time.Second), now, 3, quarantine.Rulings{Revision: 6, Whole: true})
-	require.Equal(t, quarantine.Run, g.Check(now.Add(time.Second), "p").Do, "the next leader knows better")
+	g.ApplyUpdate(now.Add(time.Second), now, 3, quarantine.RestrictionUpdate{Revision: 6, Complete: true})
+	require.Equal(t, quarantine.Allow, g.Check(now.Add(time.Second), "p").Action, "the next leader knows better")
 }
 
 // Symptom: a request ends more targets than it may around a change of leader.
@@ -39,17 +39,17 @@
 	now := time.Unix(1e9, 0)
 	g := quarantine.Guard{Owner: "r1"}
 	target := fleet.Incarnation{ID: "a"}
-	require.True(t, g.Cut(now, quarantine.Sight{Print: "p", Target: target}))
-	require.Empty(t, g.Report(now).Ends, "it may live")
-	g.Gone(now, target)
+	require.True(t, g.RecordInterruption(now, quarantine.Execution{Fingerprint: "p", Target: target}))
+	require.Empty(t, g.Report(now).Terminations, "it may live")
+	g.RecordTermination(now, target)
 	tell := func(term uint64, answered bool) int {
 		now = now.Add(250 * time.Millisecond)
 		asked, m := now, g.Report(now)
 		now = now.Add(10 * time.Millisecond)
 		if answered {
-			g.Heard(now, asked, term, quarantine.Rulings{})
+			g.ApplyUpdate(now, asked, term, quarantine.RestrictionUpdate{})
 		}
-		return len(m.Ends)
+		return len(m.Terminations)
 	}
 	require.Equal(t, 1, tell(1, false))
 	require.Equal(t, 1, tell(1, true), "no answer, told again")
@@ -68,21 +68,21 @@
 // without incarnations that is back at once and ends again.
 func TestATargetThatIsBackAtOnceEndsTwice(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	g := quarantine.Guard{Owner: "r1", Named: true}
+	g := quarantine.Guard{Owner: "r1", IDsReused: true}
 	target := fleet.Incarnation{ID: "a"}
 	cut := func(began time.Duration) bool {
-		return g.Cut(now, quarantine.Sight{Print: "p", Target: target, Began: now.Add(-began)})
+		return g.RecordInterruption(now, quarantine.Execution{Fingerprint: "p", Target: target, SentAt: now.Add(-began)})
 	}
 	require.True(t, cut(50*time.Millisecond))
 	now = now.Add(5 * time.Millisecond)
 	require.True(t, cut(50*time.Millisecond), "another copy, at the same end")
-	g.Gone(now, target)
+	g.RecordTermination(now, target)
 	now = now.Add(5 * time.Millisecond)
 	require.False(t, cut(50*time.Millisecond), "and one more")
-	require.Len(t, g.Report(now).Ends, 1)
+	require.Len(t, g.Report(now).Terminations, 1)
 
 	now = now.Add(350 * time.Millisecond)
 	require.True(t, cut(50*time.Millisecond), "it was back when the exchange began")
-	g.Gone(now, target)
-	require.Len(t, g.Report(now).Ends, 2)
+	g.RecordTermination(now, target)
+	require.Len(t, g.Report(now).Terminations, 2)
 }
--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -10,32 +10,32 @@
 
 // A Print is the fingerprint of a request: requests of one account with one method, place
 // and body are alike and have the same. It is text, as it stands in logs and messages.
-type Print string
+type Fingerprint string
 
 // printSize is the size of a fingerprint in bytes: nobody finds two requests that share one.
 // A caller that could would have another account's requests held back for its own.
 const printSize = 16
 
 // A Likeness is what a fingerprint is made of.
-type Likeness struct {
+type FingerprintInput struct {
 	// Account is the client account, or "" where a route needs none.
 	Account string
 	Method  string
 	// Place is where the request goes, as the caller wrote it, its query included: a
 	// host and path, or an event and path.
-	Place string
-	Body  []byte
+	Destination string
+	Body        []byte
 }
 
 // Print returns the fingerprint.
-func (l Likeness) Print() Print {
+func (l FingerprintInput) Fingerprint() Fingerprint {
 	h := sha256.New()
 	// Lengths stand before texts, or one could be moved into the next.
-	for _, text := range []string{l.Account, l.Method, l.Place} {
+	for _, text := range []string{l.Account, l.Method, l.Destination} {
 		writeText(h, text)
 	}
 	_, _ = h.Write(l.Body) // a hash never fails to take bytes
-	return Print(base64.RawURLEncoding.EncodeToString(h.Sum(nil)[:printSize]))
+	return Fingerprint(base64.RawURLEncoding.EncodeToString(h.Sum(nil)[:printSize]))
 }
 
 func writeText(h hash.Hash, text string) {
--- a/internal/quarantine/print_test.go
+++ b/internal/quarantine/print_test.go
@@ -12,16 +12,16 @@
 )
 
 func TestWhatIsAlike(t *testing.T) {
-	one := quarantine.Likeness{Account: "regina", Method: "POST", Place: "h/x/1?y", Body: []byte("text")}
-	require.Equal(t, one.Print(), one.Print())
-	for name, other := range map[string]quarantine.Likeness{
-		"account": {Account: "brandon", Method: one.Method, Place: one.Place, Body: one.Body},
-		"method":  {Account: one.Account, Method: "GET", Place: one.Place, Body: one.Body},
-		"place":   {Account: one.Account, Method: one.Method, Place: "h/x/1?z", Body: one.Body},
-		"body":    {Account: one.Account, Method: one.Method, Place: one.Place, Body: []byte("texts")},
-		"moved":   {Account: one.Account, Method: one.Method, Place: one.Place + "te", Body: []byte("xt")},
+	one := quarantine.FingerprintInput{Account: "regina", Method: "POST", Destination: "h/x/1?y", Body: []byte("text")}
+	require.Equal(t, one.Fingerprint(), one.Fingerprint())
+	for name, other := range map[string]quarantine.FingerprintInput{
+		"account": {Account: "brandon", Method: one.Method, Destination: one.Destination, Body: one.Body},
+		"method":  {Account: one.Account, Method: "GET", Destination: one.Destination, Body: one.Body},
+		"place":   {Account: one.Account, Method: one.Method, Destination: "h/x/1?z", Body: one.Body},
+		"body":    {Account: one.Account, Method: one.Method, Destination: one.Destination, Body: []byte("texts")},
+		"moved":   {Account: one.Account, Method: one.Method, Destination: one.Destination + "te", Body: []byte("xt")},
 	} {
-		require.NotEqual(t, one.Print(), other.Print(), name)
+		require.NotEqual(t, one.Fingerprint(), other.Fingerprint(), name)
 	}
 }
 
@@ -33,7 +33,7 @@
 		b.Run("print/"+name, func(b *testing.B) {
 			b.SetBytes(int64(size))
 			for b.Loop() {
-				quarantine.Likeness{Account: "regina", Method: "POST", Place: "h.example/x/1", Body: body}.Print()
+				quarantine.FingerprintInput{Account: "regina", Method: "POST", Destination: "h.example/x/1", Body: body}.Fingerprint()
 			}
 		})
 		b.Run("sha256/"+name, func(b *testing.B) {
--- a/internal/quarantine/properties_test.go
+++ b/internal/quarantine/properties_test.go
@@ -45,7 +45,7 @@
 		start := w.now
 		for n, end := 0, w.now.Add(2*time.Minute); w.now.Before(end); n++ {
 			w.send(w.routers[w.random.IntN(len(w.routers))], "bad")
-			w.send(w.routers[w.random.IntN(len(w.routers))], quarantine.Print(fmt.Sprint("sound", n)))
+			w.send(w.routers[w.random.IntN(len(w.routers))], quarantine.Fingerprint(fmt.Sprint("sound", n)))
 			if restarts && w.random.IntN(40) == 0 {
 				w.lead()
 			}
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	return len(r.guard.Report(w.now).Ends) > 0 || len(r.guard.Doubts(w.now)) > 0
+	return len(r.guard.Report(w.now).Terminations) > 0 || len(r.guard.UnconfirmedTargets(w.now)) > 0
 }
 
 func (w *world) since(start time.Time, list []time.Time) []time.Duration {
@@ -131,7 +131,7 @@
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), 6, 8)
 		for n := range 400 {
 			for i := range 4 {
-				w.send(w.routers[w.random.IntN(len(w.routers))], quarantine.Print(fmt.Sprint(n, "-", i)))
+				w.send(w.routers[w.random.IntN(len(w.routers))], quarantine.Fingerprint(fmt.Sprint(n, "-", i)))
 			}
 			for p, ends := range w.ends { // and again
 				if len(ends) <= 2 && len(w.whole[p]) == 0 && w.now.Sub(ends[len(ends)-1]) < 200*time.Millisecond {
@@ -149,7 +149,7 @@
 		}
 		w.play(w.now.Add(time.Second))
 		for _, e := range w.book.Entries() {
-			require.False(t, e.Convicted(), "%s", e.Print)
+			require.False(t, e.Quarantined(), "%s", e.Fingerprint)
 		}
 	})
 }
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -34,24 +34,24 @@
 )
 
 // A Step is what has become of a request, for the log.
-type Step string
+type Transition string
 
 // The steps.
 const (
-	Suspected Step = "suspected" // its copies run one at a time
-	Convicted Step = "convicted" // it is held back
-	EndedAnew Step = "ended"     // another target ended under it
-	Granted   Step = "granted"   // one run is allowed
-	Returned  Step = "returned"  // that run showed nothing
-	Cleared   Step = "cleared"   // it was answered in whole
-	Lapsed    Step = "lapsed"    // nothing was heard of it for long
-	Lifted    Step = "lifted"    // by an operator
+	Suspected       Transition = "suspected" // its copies run one at a time
+	Quarantined     Transition = "convicted" // it is held back
+	TerminatedAgain Transition = "ended"     // another target ended under it
+	PermitGranted   Transition = "granted"   // one run is allowed
+	PermitReturned  Transition = "returned"  // that run showed nothing
+	Cleared         Transition = "cleared"   // it was answered in whole
+	Expired         Transition = "lapsed"    // nothing was heard of it for long
+	Lifted          Transition = "lifted"    // by an operator
 )
 
 // A Note is one step, for the log.
-type Note struct {
-	Step  Step
-	Entry Entry
+type TransitionRecord struct {
+	Transition Transition
+	Entry      Entry
 }
 
 // A Registry is the leader's part: it takes what all routers report, and decides. Set the
@@ -60,14 +60,14 @@
 //
 // An end counts by its incarnation, whoever reports it and however often; a whole answer wipes
 // out the ends before it. So reports may come doubled, late and in any order.
-type Registry struct {
+type Coordinator struct {
 	// Targets returns the targets of a pool that take new work, in any order.
-	Targets func(pool string) []string
+	AvailableTargets func(pool string) []string
 
-	cases map[Print]*suit
+	cases map[Fingerprint]*suit
 	gone  map[string]time.Time // targets that ended a moment ago, by ID
 	put   []Entry
-	notes []Note
+	notes []TransitionRecord
 	swept time.Time
 }
 
@@ -82,40 +82,40 @@
 }
 
 // Load takes over what the log holds.
-func (r *Registry) Load(now time.Time, entries []Entry) {
-	r.cases = make(map[Print]*suit, len(entries))
+func (r *Coordinator) Load(now time.Time, entries []Entry) {
+	r.cases = make(map[Fingerprint]*suit, len(entries))
 	r.gone = make(map[string]time.Time)
 	for _, e := range entries {
-		r.cases[e.Print] = &suit{Entry: e, heardAt: now, logged: true}
+		r.cases[e.Fingerprint] = &suit{Entry: e, heardAt: now, logged: true}
 	}
 }
 
 // Report takes a router's report.
-func (r *Registry) Report(now time.Time, router string, m Report) {
-	for _, c := range m.Clears {
+func (r *Coordinator) HandleReport(now time.Time, router string, m Report) {
+	for _, c := range m.Completions {
 		r.clear(now, c)
 	}
-	for _, e := range m.Ends {
+	for _, e := range m.Terminations {
 		r.end(now, router, e)
 	}
-	for _, b := range m.Returns {
+	for _, b := range m.PermitReturns {
 		r.giveBack(now, router, b)
 	}
-	for _, p := range m.Asks {
+	for _, p := range m.PermitRequests {
 		r.ask(now, router, p)
 	}
 	r.sweep(now)
 }
 
 // Take returns the entries to be put into the log, in order, and the steps that they make.
-func (r *Registry) Take() ([]Entry, []Note) {
+func (r *Coordinator) TakeChanges() ([]Entry, []TransitionRecord) {
 	put, notes := r.put, r.notes
 	r.put, r.notes = nil, nil
 	return put, notes
 }
 
 // Lift frees a request by an operator's word.
-func (r *Registry) Lift(now time.Time, p Print) bool {
+func (r *Coordinator) Lift(now time.Time, p Fingerprint) bool {
 	s := r.cases[p]
 	if s == nil || !s.logged {
 		return false
@@ -126,20 +126,20 @@
 }
 
 // Ends returns under how many ends a request stands.
-func (r *Registry) Ends(p Print) int {
+func (r *Coordinator) TerminationCount(p Fingerprint) int {
 	if s := r.cases[p]; s != nil {
-		return len(s.Ended)
+		return len(s.TerminatedTargets)
 	}
 	return 0
 }
 
-func (r *Registry) suit(now time.Time, p Print) *suit {
+func (r *Coordinator) suit(now time.Time, p Fingerprint) *suit {
 	s := r.cases[p]
 	if s == nil {
 		if len(r.cases) >= mostCases {
 			r.forgetOldest()
 		}
-		s = &suit{Entry: Entry{Print: p}}
+		s = &suit{Entry: Entry{Fingerprint: p}}
 		r.cases[p] = s
 	}
 	s.heardAt = now
@@ -147,107 +147,107 @@
 }
 
 // forgetOldest makes room by what was heard of least lately and is not in the log.
-func (r *Registry) forgetOldest() {
+func (r *Coordinator) forgetOldest() {
 	dropOldest(r.cases, mostCases/yieldPart, func(s *suit) (time.Time, bool) { return s.heardAt, !s.logged })
 }
 
-func (r *Registry) end(now time.Time, router string, e End) {
+func (r *Coordinator) end(now time.Time, router string, e Termination) {
 	at := now.Add(-max(e.Age, 0))
-	s := r.suit(now, e.Print)
-	if !e.Named || e.Age < sameEnd {
+	s := r.suit(now, e.Fingerprint)
+	if !e.IDReused || e.Age < sameEnd {
 		r.gone[e.Target.ID] = at
 	}
 	// Its run under a permit is over, also where another router told of this end first.
-	over := s.Holder == router && at.After(s.Until.Add(-permitFor))
+	over := s.PermitHolder == router && at.After(s.PermitExpiresAt.Add(-permitFor))
 	if over {
-		s.Holder = ""
+		s.PermitHolder = ""
 	}
 	if !at.After(s.clearedAt) || s.has(e, at) {
 		if over {
-			r.save(s, Returned)
+			r.save(s, PermitReturned)
 		}
 		return
 	}
-	s.Account, s.Place, s.Pool = e.Account, e.Place, e.Pool
-	before := len(s.Ended)
-	s.Ended = append(slices.Clone(s.Ended), Ended{Target: e.Target, At: at})
-	if len(s.Ended) > mostEnded {
-		s.Ended = s.Ended[1:]
+	s.Account, s.Destination, s.Pool = e.Account, e.Destination, e.Pool
+	before := len(s.TerminatedTargets)
+	s.TerminatedTargets = append(slices.Clone(s.TerminatedTargets), TerminatedTarget{Target: e.Target, At: at})
+	if len(s.TerminatedTargets) > mostEnded {
+		s.TerminatedTargets = s.TerminatedTargets[1:]
 	}
 	switch {
-	case before < suspectEnds && len(s.Ended) >= suspectEnds:
+	case before < suspectEnds && len(s.TerminatedTargets) >= suspectEnds:
 		r.save(s, Suspected)
-	case before < convictEnds && len(s.Ended) >= convictEnds:
-		s.Next = now.Add(firstTrial)
-		r.save(s, Convicted)
+	case before < convictEnds && len(s.TerminatedTargets) >= convictEnds:
+		s.NextTrialAt = now.Add(firstTrial)
+		r.save(s, Quarantined)
 	case s.logged:
-		r.save(s, EndedAnew)
+		r.save(s, TerminatedAgain)
 	}
 }
 
 // has reports whether an end is known.
-func (s *suit) has(e End, at time.Time) bool {
-	return slices.ContainsFunc(s.Ended, func(known Ended) bool {
-		same := !e.Named || at.Sub(known.At).Abs() < sameEnd && !s.before(known, e)
+func (s *suit) has(e Termination, at time.Time) bool {
+	return slices.ContainsFunc(s.TerminatedTargets, func(known TerminatedTarget) bool {
+		same := !e.IDReused || at.Sub(known.At).Abs() < sameEnd && !s.before(known, e)
 		return known.Target.MayEqual(e.Target) && same
 	})
 }
 
 // before reports whether a known end was before the permit under which another one ran.
-func (s *suit) before(known Ended, e End) bool {
-	return e.Grant != 0 && e.Grant == s.Grant && known.At.Before(s.Until.Add(-permitFor))
+func (s *suit) before(known TerminatedTarget, e Termination) bool {
+	return e.PermitID != 0 && e.PermitID == s.PermitID && known.At.Before(s.PermitExpiresAt.Add(-permitFor))
 }
 
-func (r *Registry) clear(now time.Time, c Clear) {
+func (r *Coordinator) clear(now time.Time, c Completion) {
 	at := now.Add(-max(c.Age, 0))
-	s := r.suit(now, c.Print)
+	s := r.suit(now, c.Fingerprint)
 	if !at.After(s.clearedAt) {
 		return
 	}
 	s.clearedAt = at
-	left := slices.DeleteFunc(slices.Clone(s.Ended), func(e Ended) bool { return !e.At.After(at) })
-	if len(left) == len(s.Ended) {
+	left := slices.DeleteFunc(slices.Clone(s.TerminatedTargets), func(e TerminatedTarget) bool { return !e.At.After(at) })
+	if len(left) == len(s.TerminatedTargets) {
 		return
 	}
-	s.Ended = left
+	s.TerminatedTargets = left
 	if !s.logged {
 		return
 	}
 	if len(left) < suspectEnds {
 		r.drop(s, Cleared)
-		s.Ended = left
+		s.TerminatedTargets = left
 		return
 	}
 	r.save(s, Cleared)
 }
 
-func (r *Registry) giveBack(now time.Time, router string, b Return) {
-	s := r.cases[b.Print]
-	if s == nil || s.Holder != router || s.Grant != b.Grant {
+func (r *Coordinator) giveBack(now time.Time, router string, b PermitReturn) {
+	s := r.cases[b.Fingerprint]
+	if s == nil || s.PermitHolder != router || s.PermitID != b.PermitID {
 		return
 	}
-	s.Holder = ""
-	if b.Unreached && s.Target != "" {
-		r.gone[s.Target] = now // nobody else may have noticed, if it ran nothing
+	s.PermitHolder = ""
+	if b.Unreachable && s.PermitTarget != "" {
+		r.gone[s.PermitTarget] = now // nobody else may have noticed, if it ran nothing
 	}
-	if b.Unsent && s.Convicted() && s.Trials > 0 {
+	if b.NotSent && s.Quarantined() && s.Trials > 0 {
 		s.Trials--
 	}
-	r.save(s, Returned)
+	r.save(s, PermitReturned)
 }
 
 // ask grants a permit, if one is free.
-func (r *Registry) ask(now time.Time, router string, p Print) {
+func (r *Coordinator) ask(now time.Time, router string, p Fingerprint) {
 	s := r.cases[p]
-	if s == nil || len(s.Ended) < suspectEnds || s.Holder != "" && now.Before(s.Until) {
+	if s == nil || len(s.TerminatedTargets) < suspectEnds || s.PermitHolder != "" && now.Before(s.PermitExpiresAt) {
 		return
 	}
-	if s.Convicted() {
-		if s.Trials >= mostTrials || now.Before(s.Next) {
+	if s.Quarantined() {
+		if s.Trials >= mostTrials || now.Before(s.NextTrialAt) {
 			return
 		}
 		s.Trials++
-		s.Next = now.Add(nextTrial)
+		s.NextTrialAt = now.Add(nextTrial)
 	}
 	target, ok := r.apart(now, s)
 	if !ok {
@@ -256,17 +256,17 @@
 		}
 		return
 	}
-	s.Grant++
-	s.Holder, s.Until, s.Target = router, now.Add(permitFor), target
-	r.save(s, Granted)
+	s.PermitID++
+	s.PermitHolder, s.PermitExpiresAt, s.PermitTarget = router, now.Add(permitFor), target
+	r.save(s, PermitGranted)
 }
 
 // apart picks a target on which no other request runs under a permit: the next end then
 // tells which of them it was. "" is any, where the targets of a pool are not known.
-func (r *Registry) apart(now time.Time, s *suit) (string, bool) {
+func (r *Coordinator) apart(now time.Time, s *suit) (string, bool) {
 	var targets []string
-	if r.Targets != nil {
-		targets = r.Targets(s.Pool)
+	if r.AvailableTargets != nil {
+		targets = r.AvailableTargets(s.Pool)
 	}
 	if len(targets) == 0 {
 		return "", true
@@ -276,11 +276,11 @@
 		taken[target] = true // the list that shows it lags
 	}
 	for _, other := range r.cases {
-		if other.Holder != "" && now.Before(other.Until) && other != s {
-			taken[other.Target] = true
+		if other.PermitHolder != "" && now.Before(other.PermitExpiresAt) && other != s {
+			taken[other.PermitTarget] = true
 		}
 	}
-	first := xxhash.Sum64String(string(s.Print)) + s.Grant
+	first := xxhash.Sum64String(string(s.Fingerprint)) + s.PermitID
 	for i := range uint64(len(targets)) {
 		if t := targets[(first+i)%uint64(len(targets))]; !taken[t] {
 			return t, true
@@ -290,30 +290,30 @@
 }
 
 // absent reports whether all targets of a pool have just ended.
-func (r *Registry) absent(pool string) bool {
-	return !slices.ContainsFunc(r.Targets(pool), func(target string) bool {
+func (r *Coordinator) absent(pool string) bool {
+	return !slices.ContainsFunc(r.AvailableTargets(pool), func(target string) bool {
 		_, gone := r.gone[target]
 		return !gone
 	})
 }
 
-func (r *Registry) save(s *suit, step Step) {
+func (r *Coordinator) save(s *suit, step Transition) {
 	s.logged = true
 	r.put = append(r.put, s.Entry)
-	r.notes = append(r.notes, Note{Step: step, Entry: s.Entry})
+	r.notes = append(r.notes, TransitionRecord{Transition: step, Entry: s.Entry})
 }
 
 // drop takes an entry out of the log. When its request was cleared is kept for a while:
 // ends before that may still be told.
-func (r *Registry) drop(s *suit, step Step) {
-	r.notes = append(r.notes, Note{Step: step, Entry: s.Entry})
-	s.Entry = Entry{Print: s.Print, Account: s.Account, Place: s.Place, Pool: s.Pool, Grant: s.Grant}
+func (r *Coordinator) drop(s *suit, step Transition) {
+	r.notes = append(r.notes, TransitionRecord{Transition: step, Entry: s.Entry})
+	s.Entry = Entry{Fingerprint: s.Fingerprint, Account: s.Account, Destination: s.Destination, Pool: s.Pool, PermitID: s.PermitID}
 	s.logged = false
-	r.put = append(r.put, Entry{Print: s.Print})
+	r.put = append(r.put, Entry{Fingerprint: s.Fingerprint})
 }
 
 // sweep forgets what has lapsed.
-func (r *Registry) sweep(now time.Time) {
+func (r *Coordinator) sweep(now time.Time) {
 	if now.Sub(r.swept) < time.Second {
 		return
 	}
@@ -323,30 +323,30 @@
 		switch {
 		case !s.logged && now.Sub(s.heardAt) > convictFor:
 			delete(r.cases, p)
-		case s.logged && !now.Before(s.Lapses()):
-			r.drop(s, Lapsed)
+		case s.logged && !now.Before(s.ExpiresAt()):
+			r.drop(s, Expired)
 		}
 	}
 }
 
 // RulingsFor returns what a router that reported is told: what the log holds beyond what it
 // holds itself, and what it asked for that the log does not hold.
-func (r *Registry) RulingsFor(now time.Time, m Report, b *Book) Rulings {
-	list, whole := b.Since(m.Held)
-	out := Rulings{Revision: b.Revision(), Whole: whole && b.Revision() > 0}
+func (r *Coordinator) UpdateFor(now time.Time, m Report, b *EntryStore) RestrictionUpdate {
+	list, whole := b.ChangedSince(m.KnownRevision)
+	out := RestrictionUpdate{Revision: b.Revision(), Complete: whole && b.Revision() > 0}
 	for _, e := range list {
-		out.List = append(out.List, e.Ruling(now))
+		out.Restrictions = append(out.Restrictions, e.Restriction(now))
 	}
-	for _, p := range m.Asks {
+	for _, p := range m.PermitRequests {
 		e, ok := b.Entry(p)
 		s := r.cases[p]
 		switch {
-		case !ok && r.Ends(p) < suspectEnds:
-			out.List = append(out.List, Ruling{Print: p, Ends: r.Ends(p)})
+		case !ok && r.TerminationCount(p) < suspectEnds:
+			out.Restrictions = append(out.Restrictions, Restriction{Fingerprint: p, TerminationCount: r.TerminationCount(p)})
 		case ok && s != nil && s.absentAt.Equal(now):
-			ruling := e.Ruling(now)
-			ruling.Absent = true
-			out.List = append(out.List, ruling)
+			ruling := e.Restriction(now)
+			ruling.PoolDown = true
+			out.Restrictions = append(out.Restrictions, ruling)
 		}
 	}
 	return out
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -19,73 +19,73 @@
 )
 
 // An End is a target's end while it ran a request: what a router tells the leader.
-type End struct {
-	Print Print `json:"print"`
+type Termination struct {
+	Fingerprint Fingerprint `json:"print"`
 	// Account and Place are whose request it is and where it goes, for operators.
-	Account string `json:"account,omitempty"`
-	Place   string `json:"place,omitempty"`
-	Pool    string `json:"pool,omitempty"`
+	Account     string `json:"account,omitempty"`
+	Destination string `json:"place,omitempty"`
+	Pool        string `json:"pool,omitempty"`
 	// Target is the incarnation that ended. Named says that its ID is a name, which it keeps
 	// over its starts, and that nobody tells these: ends apart in time are two then.
-	Target fleet.Incarnation `json:"target"`
-	Named  bool              `json:"named,omitempty"`
+	Target   fleet.Incarnation `json:"target"`
+	IDReused bool              `json:"named,omitempty"`
 	// Grant is the permit under which the request ran there, 0 if it had none.
-	Grant uint64 `json:"grant,omitempty"`
+	PermitID uint64 `json:"grant,omitempty"`
 	// Age is how long ago it ended.
 	Age time.Duration `json:"age"`
 }
 
 // A Clear is a whole answer to a request: it does not end targets.
-type Clear struct {
-	Print Print         `json:"print"`
-	Age   time.Duration `json:"age"`
+type Completion struct {
+	Fingerprint Fingerprint   `json:"print"`
+	Age         time.Duration `json:"age"`
 }
 
 // A Return gives a permit back whose run showed neither.
-type Return struct {
-	Print Print  `json:"print"`
-	Grant uint64 `json:"grant"`
+type PermitReturn struct {
+	Fingerprint Fingerprint `json:"print"`
+	PermitID    uint64      `json:"grant"`
 	// Unsent says that no target was sent the request, and Unreached that the permit's target
 	// could not be reached.
-	Unsent    bool `json:"unsent,omitempty"`
-	Unreached bool `json:"unreached,omitempty"`
+	NotSent     bool `json:"unsent,omitempty"`
+	Unreachable bool `json:"unreached,omitempty"`
 }
 
 // A Report is what a router tells the leader, with whatever else it reports. It may be lost,
 // doubled or late: ends and clears are told for a while, and again to the next leader.
 type Report struct {
 	// Held is the revision of the book whose rulings the router holds.
-	Held    uint64   `json:"held,omitempty"`
-	Ends    []End    `json:"ends,omitempty"`
-	Clears  []Clear  `json:"clears,omitempty"`
-	Returns []Return `json:"returns,omitempty"`
+	KnownRevision uint64         `json:"held,omitempty"`
+	Terminations  []Termination  `json:"ends,omitempty"`
+	Completions   []Completion   `json:"clears,omitempty"`
+	PermitReturns []PermitReturn `json:"returns,omitempty"`
 	// Asks are requests that wait here for a permit.
-	Asks []Print `json:"asks,omitempty"`
+	PermitRequests []Fingerprint `json:"asks,omitempty"`
 }
 
 // A Ruling is what the fleet holds of one request.
-type Ruling struct {
-	Print Print `json:"print"`
+type Restriction struct {
+	Fingerprint Fingerprint `json:"print"`
 	// Ends is under how many ends it stands; below two it is free.
-	Ends int `json:"ends"`
+	TerminationCount int `json:"ends"`
 	// Final says that no trial is left.
-	Final bool `json:"final,omitempty"`
+	NoTrialsLeft bool `json:"final,omitempty"`
 	// Next is when a run is granted next, or the ruling lapses.
-	Next time.Duration `json:"next,omitempty"`
+	NextRunIn time.Duration `json:"next,omitempty"`
 	// Holder is the router that may run it, or runs it, under a permit; Until is for how
 	// long, Target where, and Grant names the permit.
-	Holder string        `json:"holder,omitempty"`
-	Until  time.Duration `json:"until,omitempty"`
-	Target string        `json:"target,omitempty"`
-	Grant  uint64        `json:"grant,omitempty"`
+	PermitHolder    string        `json:"holder,omitempty"`
+	PermitExpiresIn time.Duration `json:"until,omitempty"`
+	PermitTarget    string        `json:"target,omitempty"`
+	PermitID        uint64        `json:"grant,omitempty"`
 	// Absent says that all targets of its pool have just ended.
-	Absent bool `json:"absent,omitempty"`
+	PoolDown bool `json:"absent,omitempty"`
 }
 
 // Rulings are the leader's answer to a Report.
-type Rulings struct {
+type RestrictionUpdate struct {
 	Revision uint64 `json:"revision,omitempty"`
 	// Whole says that the list holds all rulings there are; else what has changed.
-	Whole bool     `json:"whole,omitempty"`
-	List  []Ruling `json:"list,omitempty"`
+	Complete     bool          `json:"whole,omitempty"`
+	Restrictions []Restriction `json:"list,omitempty"`
 }
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -30,7 +30,7 @@
 
 // seen is an end that this router has seen. It is a doubt until it is sure.
 type seen struct {
-	Sight
+	Execution
 	sure   bool
 	sureAt time.Time
 }
@@ -57,7 +57,7 @@
 }
 
 // own counts the ends under a request that this router has seen itself.
-func (g *Guard) own(now time.Time, p Print) int {
+func (g *Guard) own(now time.Time, p Fingerprint) int {
 	w := g.watched[p]
 	if w == nil {
 		return 0
@@ -74,8 +74,8 @@
 // Cut notes that a target cut its exchange of a request, and reports whether it is to be
 // found out whether the target has ended: Gone or Alive tells then. Until then it is
 // believed: the worst that follows is that the next copy waits for the leader's word.
-func (g *Guard) Cut(now time.Time, s Sight) (doubt bool) {
-	w := g.watch(now, s.Print)
+func (g *Guard) RecordInterruption(now time.Time, s Execution) (doubt bool) {
+	w := g.watch(now, s.Fingerprint)
 	sure := g.knownGone(now, s)
 	for i, e := range w.ends {
 		if e.what.Target == s.Target && g.sameEnd(now, e.at, s) {
@@ -85,7 +85,7 @@
 			return !w.ends[i].what.sure
 		}
 	}
-	end := seen{Sight: s}
+	end := seen{Execution: s}
 	if sure {
 		end.settle(now)
 	}
@@ -99,13 +99,13 @@
 	}
 }
 
-func (g *Guard) watch(now time.Time, p Print) *watch {
+func (g *Guard) watch(now time.Time, p Fingerprint) *watch {
 	w := g.watched[p]
 	if w != nil {
 		return w
 	}
 	if g.watched == nil {
-		g.watched = make(map[Print]*watch)
+		g.watched = make(map[Fingerprint]*watch)
 	}
 	if len(g.watched) >= mostWatched {
 		g.forget(now)
@@ -137,19 +137,19 @@
 	}
 }
 
-func (g *Guard) knownGone(now time.Time, s Sight) bool {
+func (g *Guard) knownGone(now time.Time, s Execution) bool {
 	at, ok := g.gone[s.Target]
 	return ok && g.sameEnd(now, at, s)
 }
 
 // sameEnd reports whether an end of the target at a moment is the one that cut an exchange. A
 // target that is known by its name alone was back if the exchange began after that.
-func (g *Guard) sameEnd(now, at time.Time, s Sight) bool {
-	return !g.Named || now.Sub(at) < sameEnd && !at.Before(s.Began)
+func (g *Guard) sameEnd(now, at time.Time, s Execution) bool {
+	return !g.IDsReused || now.Sub(at) < sameEnd && !at.Before(s.SentAt)
 }
 
 // Gone notes that a target has ended: what it cut was its end.
-func (g *Guard) Gone(now time.Time, target fleet.Incarnation) {
+func (g *Guard) RecordTermination(now time.Time, target fleet.Incarnation) {
 	if g.gone == nil {
 		g.gone = make(map[fleet.Incarnation]time.Time)
 	}
@@ -165,14 +165,14 @@
 
 // Alive notes that a target was still there at a moment: what it cut before was no end, and a
 // permit of such a run showed nothing.
-func (g *Guard) Alive(now, at time.Time, target fleet.Incarnation) {
+func (g *Guard) RecordAlive(now, at time.Time, target fleet.Incarnation) {
 	for p, w := range g.watched {
 		before := len(w.ends)
 		w.ends = slices.DeleteFunc(w.ends, func(e told[seen]) bool {
 			return e.what.Target == target && !e.what.sure && !e.at.After(at)
 		})
-		if r := g.rulings[p]; len(w.ends) < before && r.used && r.Holder == g.Owner {
-			g.Over(now, Verdict{Grant: r.Grant}, p, false)
+		if r := g.rulings[p]; len(w.ends) < before && r.used && r.PermitHolder == g.Owner {
+			g.ReturnPermit(now, Decision{PermitID: r.PermitID}, p, false)
 		}
 		if len(w.ends) == 0 && w.cleared.at.IsZero() {
 			delete(g.watched, p)
@@ -181,7 +181,7 @@
 }
 
 // Doubts returns the targets of which it is not known whether they have ended.
-func (g *Guard) Doubts(now time.Time) []fleet.Incarnation {
+func (g *Guard) UnconfirmedTargets(now time.Time) []fleet.Incarnation {
 	seen := make(map[fleet.Incarnation]bool)
 	for _, w := range g.watched {
 		for _, e := range w.ends {
@@ -194,7 +194,7 @@
 }
 
 // Whole notes the whole answer of a target that ran a request: it does not end targets.
-func (g *Guard) Whole(now time.Time, p Print) {
+func (g *Guard) RecordCompletion(now time.Time, p Fingerprint) {
 	_, ruled := g.rulings[p]
 	w := g.watched[p]
 	if !ruled && w == nil {
@@ -206,19 +206,19 @@
 }
 
 // tell adds to a report what is due of one request.
-func (g *Guard) tell(now time.Time, p Print, w *watch, r *Report) {
+func (g *Guard) tell(now time.Time, p Fingerprint, w *watch, r *Report) {
 	if !w.cleared.at.IsZero() && w.cleared.due(now, g.term) {
 		w.cleared.sent = now
-		r.Clears = append(r.Clears, Clear{Print: p, Age: now.Sub(w.cleared.at)})
+		r.Completions = append(r.Completions, Completion{Fingerprint: p, Age: now.Sub(w.cleared.at)})
 	}
 	for i, e := range w.ends {
 		if !e.what.sure || !e.due(now, g.term) {
 			continue
 		}
 		w.ends[i].sent = now
-		r.Ends = append(r.Ends, End{
-			Print: p, Account: e.what.Account, Place: e.what.Place, Pool: e.what.Pool,
-			Target: e.what.Target, Named: g.Named, Grant: e.what.Grant, Age: now.Sub(e.at),
+		r.Terminations = append(r.Terminations, Termination{
+			Fingerprint: p, Account: e.what.Account, Destination: e.what.Destination, Pool: e.what.Pool,
+			Target: e.what.Target, IDReused: g.IDsReused, PermitID: e.what.PermitID, Age: now.Sub(e.at),
 		})
 	}
 }
@@ -251,5 +251,5 @@
 			delete(g.gone, target)
 		}
 	}
-	g.returns = slices.DeleteFunc(g.returns, func(b told[Return]) bool { return now.Sub(b.at) > memory })
+	g.returns = slices.DeleteFunc(g.returns, func(b told[PermitReturn]) bool { return now.Sub(b.at) > memory })
 }
--- a/internal/quarantine/world_test.go
+++ b/internal/quarantine/world_test.go
@@ -29,8 +29,8 @@
 	routers []*router
 	targets []*target
 	// book is the durable part: what is put is there at once, also for the next leader.
-	book     quarantine.Book
-	registry *quarantine.Registry
+	book     quarantine.EntryStore
+	registry *quarantine.Coordinator
 	term     uint64
 	agenda   []event
 	starts   int
@@ -39,10 +39,10 @@
 	late        time.Duration
 
 	// guilty ends each target that runs it.
-	guilty map[quarantine.Print]bool
-	runs   map[quarantine.Print][]time.Time
-	ends   map[quarantine.Print][]time.Time
-	whole  map[quarantine.Print][]time.Time
+	guilty map[quarantine.Fingerprint]bool
+	runs   map[quarantine.Fingerprint][]time.Time
+	ends   map[quarantine.Fingerprint][]time.Time
+	whole  map[quarantine.Fingerprint][]time.Time
 }
 
 type event struct {
@@ -54,9 +54,9 @@
 	guard    *quarantine.Guard
 	name     string
 	reported time.Time
-	waiting  map[quarantine.Print]time.Time // until when
-	cut      bool                           // off from the leader
-	serves   bool                           // it has heard of the leader since its start
+	waiting  map[quarantine.Fingerprint]time.Time // until when
+	cut      bool                                 // off from the leader
+	serves   bool                                 // it has heard of the leader since its start
 }
 
 type target struct {
@@ -68,16 +68,16 @@
 type run struct {
 	by      *router
 	guard   *quarantine.Guard
-	print   quarantine.Print
-	verdict quarantine.Verdict
+	print   quarantine.Fingerprint
+	verdict quarantine.Decision
 	on      *target
 	done    bool
 }
 
 func newWorld(seed uint64, routers, targets int) *world {
 	w := &world{
-		now: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 3)), guilty: map[quarantine.Print]bool{},
-		runs: map[quarantine.Print][]time.Time{}, ends: map[quarantine.Print][]time.Time{}, whole: map[quarantine.Print][]time.Time{},
+		now: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 3)), guilty: map[quarantine.Fingerprint]bool{},
+		runs: map[quarantine.Fingerprint][]time.Time{}, ends: map[quarantine.Fingerprint][]time.Time{}, whole: map[quarantine.Fingerprint][]time.Time{},
 	}
 	for i := range routers {
 		r := &router{name: fmt.Sprintf("r%d", i)}
@@ -96,7 +96,7 @@
 func (w *world) boot(r *router) {
 	w.starts++
 	r.guard = &quarantine.Guard{Owner: fmt.Sprintf("%s/%d", r.name, w.starts)}
-	r.waiting = map[quarantine.Print]time.Time{}
+	r.waiting = map[quarantine.Fingerprint]time.Time{}
 	r.serves = false
 }
 
@@ -108,7 +108,7 @@
 // lead begins a term with a leader that knows nothing but the book.
 func (w *world) lead() {
 	w.term++
-	w.registry = &quarantine.Registry{Targets: func(string) []string {
+	w.registry = &quarantine.Coordinator{AvailableTargets: func(string) []string {
 		var list []string
 		for _, t := range w.targets {
 			if !w.now.Before(t.back) {
@@ -117,8 +117,8 @@
 		}
 		return list
 	}}
-	var saved quarantine.Book
-	saved.Load(w.book.Save())
+	var saved quarantine.EntryStore
+	saved.Restore(w.book.Snapshot())
 	w.book = saved
 	w.registry.Load(w.now, w.book.Entries())
 }
@@ -155,7 +155,7 @@
 	for p, until := range r.waiting {
 		if w.now.After(until) {
 			delete(r.waiting, p)
-			r.guard.Unask(p)
+			r.guard.CancelPermitRequest(p)
 			continue
 		}
 		w.try(r, p)
@@ -177,16 +177,16 @@
 			continue
 		}
 		w.after(w.delay(), func() {
-			w.registry.Report(w.now, guard.Owner, m)
-			put, _ := w.registry.Take()
+			w.registry.HandleReport(w.now, guard.Owner, m)
+			put, _ := w.registry.TakeChanges()
 			w.book.Put(put)
-			answer, term := w.registry.RulingsFor(w.now, m, &w.book), w.term
+			answer, term := w.registry.UpdateFor(w.now, m, &w.book), w.term
 			if w.random.Float64() < w.loss {
 				return
 			}
 			w.after(w.delay(), func() {
 				if r.guard == guard {
-					guard.Heard(w.now, asked, term, answer)
+					guard.ApplyUpdate(w.now, asked, term, answer)
 					r.serves = true
 				}
 			})
@@ -202,41 +202,41 @@
 }
 
 // send is a caller's request through a router.
-func (w *world) send(r *router, p quarantine.Print) {
+func (w *world) send(r *router, p quarantine.Fingerprint) {
 	if _, waits := r.waiting[p]; !waits && r.serves {
 		w.try(r, p)
 	}
 }
 
-func (w *world) try(r *router, p quarantine.Print) {
+func (w *world) try(r *router, p quarantine.Fingerprint) {
 	v := r.guard.Check(w.now, p)
 	_, waits := r.waiting[p]
 	switch {
-	case v.Do == quarantine.Wait && !waits:
+	case v.Action == quarantine.AwaitPermit && !waits:
 		r.waiting[p] = w.now.Add(askTime)
-		r.guard.Ask(p)
-	case v.Do == quarantine.Wait:
+		r.guard.RequestPermit(p)
+	case v.Action == quarantine.AwaitPermit:
 	default:
 		if waits {
 			delete(r.waiting, p)
-			r.guard.Unask(p)
+			r.guard.CancelPermitRequest(p)
 		}
-		if v.Do == quarantine.Run {
+		if v.Action == quarantine.Allow {
 			w.run(r, p, v)
 		}
 	}
 }
 
-func (w *world) run(r *router, p quarantine.Print, v quarantine.Verdict) {
-	r.guard.Begin(v, p)
+func (w *world) run(r *router, p quarantine.Fingerprint, v quarantine.Decision) {
+	r.guard.MarkSent(v, p)
 	var live []*target
 	for _, t := range w.targets {
-		if t.id != "" && (v.Target == "" || v.Target == t.id) {
+		if t.id != "" && (v.PermitTarget == "" || v.PermitTarget == t.id) {
 			live = append(live, t)
 		}
 	}
 	if len(live) == 0 {
-		r.guard.Over(w.now, v, p, true)
+		r.guard.ReturnPermit(w.now, v, p, true)
 		return
 	}
 	x := &run{by: r, guard: r.guard, print: p, verdict: v, on: live[w.random.IntN(len(live))]}
@@ -251,7 +251,7 @@
 			x.done = true
 			delete(x.on.running, x)
 			w.whole[p] = append(w.whole[p], w.now)
-			x.guard.Whole(w.now, p)
+			x.guard.RecordCompletion(w.now, p)
 		}
 	})
 }
@@ -259,15 +259,15 @@
 // end ends a target: all that runs there is cut, and its routers find out.
 func (w *world) end(t *target) {
 	id := fleet.Incarnation{ID: t.id}
-	counted := map[quarantine.Print]bool{}
+	counted := map[quarantine.Fingerprint]bool{}
 	for x := range t.running {
 		x.done = true
 		if !counted[x.print] {
 			w.ends[x.print] = append(w.ends[x.print], w.now)
 			counted[x.print] = true
 		}
-		if x.guard.Cut(w.now, quarantine.Sight{Print: x.print, Account: "a", Pool: "p", Target: id}) {
-			w.after(step, func() { x.guard.Gone(w.now, id) })
+		if x.guard.RecordInterruption(w.now, quarantine.Execution{Fingerprint: x.print, Account: "a", Pool: "p", Target: id}) {
+			w.after(step, func() { x.guard.RecordTermination(w.now, id) })
 		}
 	}
 	clear(t.running)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -81,7 +81,7 @@
 	r.meters = newMeters(&r.count)
 	r.desk = newDesk(r.Clock, &dispatch.Scheduler{
 		Name: r.Settings.Name, Zone: r.Settings.Zone, Inc: inc,
-		Guard: quarantine.Guard{Owner: message.ClaimOwner(r.Settings.Name, inc), Named: true},
+		Guard: quarantine.Guard{Owner: message.ClaimOwner(r.Settings.Name, inc), IDsReused: true},
 	})
 	r.keepers = &keepers{
 		addresses: r.Settings.Keepers, name: r.Settings.Name, secret: secret,
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -121,9 +121,9 @@
 	if query := ctx.URI().QueryString(); len(query) > 0 {
 		path += "?" + string(query)
 	}
-	req.Print = quarantine.Likeness{
-		Account: account, Method: string(ctx.Method()), Place: event + "/" + path, Body: ctx.PostBody(),
-	}.Print()
+	req.Print = quarantine.FingerprintInput{
+		Account: account, Method: string(ctx.Method()), Destination: event + "/" + path, Body: ctx.PostBody(),
+	}.Fingerprint()
 	return req, "/" + path, nil
 }
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -89,7 +89,7 @@
 	u.Quarantine, u.Ruled = g.Quarantine, g.Ruled
 	u.Warming, u.Seat, u.Held = g.SetWarming, g.LeaseSeat, g.Seat
 	// Targets that configurations list keep their names, and nobody tells their starts.
-	g.Guard = quarantine.Guard{Owner: message.ClaimOwner(u.Name, u.Inc), Named: s.List == nil}
+	g.Guard = quarantine.Guard{Owner: message.ClaimOwner(u.Name, u.Inc), IDsReused: s.List == nil}
 	s.Meters.AddCounter("lf_list_damaged_total", "Damaged entries in this router's own readings of the list of targets.",
 		func() float64 { return float64(u.Damaged()) })
 }
--- a/internal/uplink/uplink.go
+++ b/internal/uplink/uplink.go
@@ -96,7 +96,7 @@
 	// held back, by the leader of a term in answer to a question of a time. Wake asks for a
 	// question at once.
 	Quarantine func(now time.Time) quarantine.Report
-	Ruled      func(now, asked time.Time, term uint64, r quarantine.Rulings)
+	Ruled      func(now, asked time.Time, term uint64, r quarantine.RestrictionUpdate)
 	Wake       <-chan struct{}
 
 	count   link.Counter
