--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -1,30 +1,31 @@
 package fleet
 
-// An AttemptEnd is how one attempt at a target ended, in the words of the line that
-// a router logs of it.
+// An AttemptResult is how one attempt at a target ended. A router logs its text.
 type AttemptResult string
 
-// The ends of attempts.
+// The results of attempts.
 const (
-	// AttemptAnswered is a whole answer, whatever its status.
+	// AttemptAnswered is a complete response, whatever its status.
 	AttemptAnswered AttemptResult = "answered"
-	// AttemptBroken is an answer that ended early.
+	// AttemptTruncated is a response that ended early.
 	AttemptTruncated AttemptResult = "broken"
-	// AttemptCallerLeft is an attempt ended because its caller left.
+	// AttemptCallerLeft is an attempt that was cancelled because the caller disconnected.
 	AttemptCallerLeft AttemptResult = "caller left"
-	// AttemptClosed is a request that was not sent: its target takes no more work.
+	// AttemptTargetClosed is a request that was not sent because the target accepts no
+	// more work.
 	AttemptTargetClosed AttemptResult = "closed"
-	// AttemptFailure is the target's own failure, not passed on.
+	// AttemptTargetFailed is a failure response of the target that is not passed on to the
+	// caller.
 	AttemptTargetFailed AttemptResult = "failure"
-	// AttemptMoved is an answer of another target, which has the address by now and did
+	// AttemptAddressReused is a response of another target that now has the address. It did
 	// not run the request.
 	AttemptAddressReused AttemptResult = "moved"
-	// AttemptNoAnswer is a request that was sent and got no answer.
+	// AttemptNoAnswer is a request that was sent and got no response.
 	AttemptNoAnswer AttemptResult = "no answer"
-	// AttemptUnreached is a target to which no connection was made.
+	// AttemptConnectFailed is a target to which no connection could be opened.
 	AttemptConnectFailed AttemptResult = "unreached"
-	// AttemptUnrun is an answer that says that the target did not run the request.
+	// AttemptNotRun is a response that says that the target did not run the request.
 	AttemptNotRun AttemptResult = "unrun"
-	// AttemptUnsigned is an answer that no target vouches for.
+	// AttemptUnsigned is a response without the signature of a target.
 	AttemptUnsigned AttemptResult = "unsigned"
 )
--- a/internal/fleet/config_test.go
+++ b/internal/fleet/config_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const goodConfig = `number = 7
+const validConfig = `number = 7
 [[account]]
 name = "regina"
 share = 3.0
@@ -29,67 +29,65 @@
 `
 
 func TestDigestIgnoresLayout(t *testing.T) {
-	a, err := ParseConfig("a.toml", []byte(goodConfig))
+	config, err := ParseConfig("a.toml", []byte(validConfig))
 	require.NoError(t, err)
-	b, err := ParseConfig("b.toml", []byte("# a comment\n"+strings.ReplaceAll(goodConfig, "\n[[", "\n\n[[")))
+	reformatted, err := ParseConfig("b.toml", []byte("# a comment\n"+strings.ReplaceAll(validConfig, "\n[[", "\n\n[[")))
 	require.NoError(t, err)
-	require.Equal(t, a.Digest(), b.Digest())
-	require.NotEqual(t, a.Digest(), a.WithNumber(8).Digest())
-	require.NotEqual(t, a.Digest(), a.WithTargetState("assistant-1", TargetLeaving).Digest())
-	require.Equal(t, TargetLive, a.Targets[0].State, "live unless it says otherwise")
+	require.Equal(t, config.Digest(), reformatted.Digest())
+	require.NotEqual(t, config.Digest(), config.WithNumber(8).Digest())
+	require.NotEqual(t, config.Digest(), config.WithTargetState("assistant-1", TargetLeaving).Digest())
+	require.Equal(t, TargetLive, config.Targets[0].State, "live is the default state")
 }
 
-func TestConfigSurvivesItsOwnTOML(t *testing.T) {
-	a, err := ParseConfig("a.toml", []byte(goodConfig))
+func TestConfigTOMLRoundTrip(t *testing.T) {
+	config, err := ParseConfig("a.toml", []byte(validConfig))
 	require.NoError(t, err)
-	text, err := a.TOML()
+	text, err := config.TOML()
 	require.NoError(t, err)
-	b, err := ParseConfig("b.toml", text)
+	decoded, err := ParseConfig("b.toml", text)
 	require.NoError(t, err)
-	require.Equal(t, a.Digest(), b.Digest())
+	require.Equal(t, config.Digest(), decoded.Digest())
 }
 
-func TestEventIsOpenBetweenItsTimes(t *testing.T) {
+func TestEventOpenBetweenStartAndEnd(t *testing.T) {
 	start := time.Date(2026, 12, 2, 17, 0, 0, 0, time.UTC)
-	e := Event{Start: start, End: start.Add(time.Hour)}
-	require.False(t, e.Open(start.Add(-time.Nanosecond)))
-	require.True(t, e.Open(start))
-	require.False(t, e.Open(start.Add(time.Hour)))
+	event := Event{Start: start, End: start.Add(time.Hour)}
+	require.False(t, event.Open(start.Add(-time.Nanosecond)))
+	require.True(t, event.Open(start))
+	require.False(t, event.Open(start.Add(time.Hour)))
 	require.True(t, Event{}.Open(start))
 }
 
-// Symptom: a configuration that was read back from the fleet and sent again, unchanged, is
-// refused as another one under the same number.
-// Sequence: an account without keys is written without that list; what is read back has it,
-// empty.
-// Cause: a list that is empty and one that is left out had different digests.
-func TestAnEmptyListIsOneThatIsLeftOut(t *testing.T) {
-	without, err := ParseConfig("a.toml", []byte("number = 1\n[[account]]\nname = \"a\"\nshare = 1\n"))
+// Guards against different digests for an omitted list and an empty list. A configuration that
+// is read back from the fleet has empty lists in place of omitted ones; sent again unchanged, it
+// would be refused as a different configuration with the same number.
+func TestDigestTreatsEmptyListAsOmitted(t *testing.T) {
+	omitted, err := ParseConfig("a.toml", []byte("number = 1\n[[account]]\nname = \"a\"\nshare = 1\n"))
 	require.NoError(t, err)
 	empty, err := ParseConfig("b.toml", []byte("number = 1\n[[account]]\nname = \"a\"\nshare = 1\nkeys = []\n"))
 	require.NoError(t, err)
-	require.Equal(t, without.Digest(), empty.Digest())
-	text, err := without.TOML()
+	require.Equal(t, omitted.Digest(), empty.Digest())
+	text, err := omitted.TOML()
 	require.NoError(t, err)
-	back, err := ParseConfig("c.toml", text)
+	decoded, err := ParseConfig("c.toml", text)
 	require.NoError(t, err)
-	require.Equal(t, without.Digest(), back.Digest())
+	require.Equal(t, omitted.Digest(), decoded.Digest())
 }
 
 func FuzzParseConfig(f *testing.F) {
-	f.Add([]byte(goodConfig))
+	f.Add([]byte(validConfig))
 	f.Add([]byte("number = 1\n[[account]]\nname = \"a\"\nshare = nan\n"))
 	f.Add([]byte("[[event"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, err := ParseConfig("fuzz.toml", data)
+		config, err := ParseConfig("fuzz.toml", data)
 		if err != nil {
 			require.NotEmpty(t, err.Error())
 			return
 		}
-		text, err := c.TOML()
+		text, err := config.TOML()
 		require.NoError(t, err)
-		again, err := ParseConfig("again.toml", text)
+		decoded, err := ParseConfig("again.toml", text)
 		require.NoError(t, err)
-		require.Equal(t, c.Digest(), again.Digest())
+		require.Equal(t, config.Digest(), decoded.Digest())
 	})
 }
--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -11,15 +11,15 @@
 type PoolSpec struct {
 	Name    string   `json:"name" toml:"name"`
 	Targets []string `json:"targets" toml:"targets"`
-	// Warm is how long a target is cold after it came, and Pace how many requests a second
-	// it takes meanwhile. What is left out says that targets are never cold.
+	// WarmupTime is how long a new target is cold, and WarmupRate is how many requests per
+	// second it gets during that time (slow start). Both are 0 if targets are never cold.
 	WarmupTime Duration `json:"warm,omitempty" toml:"warm,omitempty"`
 	WarmupRate float64  `json:"pace,omitempty" toml:"pace,omitempty"`
 }
 
-// A LimitSpec bounds what callers of routes may send, in bytes, and how long they
-// may take to send a header and stay idle. What is left out has the router's
-// defaults.
+// A LimitSpec declares limits for callers of routes: sizes in bytes, the time to send a
+// header, and the time that a connection may stay idle. The router has a default for each
+// limit that is left out.
 type LimitSpec struct {
 	MaxHeaderBytes int      `json:"header,omitempty" toml:"header,omitempty"`
 	MaxBodyBytes   int      `json:"body,omitempty" toml:"body,omitempty"`
@@ -27,7 +27,7 @@
 	IdleTimeout    Duration `json:"idle,omitempty" toml:"idle,omitempty"`
 }
 
-// A RouteSpec declares a route. What is left out has the defaults of Table.
+// A RouteSpec declares a route. [Config.RoutingTable] sets the defaults of omitted fields.
 type RouteSpec struct {
 	Name             string           `json:"name" toml:"name"`
 	Host             string           `json:"host" toml:"host"`
@@ -43,19 +43,20 @@
 	Pools            []PoolWeightSpec `json:"pools" toml:"pools"`
 }
 
-// A PoolPart is the part of a route's requests that a pool gets.
+// A PoolWeightSpec declares the relative part of a route's requests that a pool gets.
 type PoolWeightSpec struct {
 	Pool   string `json:"pool" toml:"pool"`
 	Weight int    `json:"weight" toml:"weight"`
 }
 
-// aimPart is the part of a route's timeout, as a divisor, that is its aim where
-// the configuration states none.
-const aimPart = 4
+// defaultObjectiveDivisor divides a route's timeout to get its latency objective if the
+// configuration gives none.
+const defaultObjectiveDivisor = 4
 
-// Table returns the routes of a configuration in the form that routers use.
+// RoutingTable returns the routes and pools of the configuration in the form that routers
+// use. Its error is that of [RoutingTable.WithRoutes].
 func (c Config) RoutingTable() (*RoutingTable, error) {
-	t := RoutingTable{
+	table := RoutingTable{
 		Number: c.Number, Capacity: c.Capacity, AccountCount: len(c.Accounts),
 		Limits: CallerLimits{
 			MaxHeaderBytes: c.Limits.MaxHeaderBytes, MaxBodyBytes: c.Limits.MaxBodyBytes,
@@ -63,89 +64,89 @@
 		},
 		Pools: make(map[string]Pool, len(c.Pools)), KeyOwners: make(map[string]KeyOwner),
 	}
-	for _, p := range c.Pools {
-		t.Pools[p.Name] = Pool{Name: p.Name, WarmupTime: time.Duration(p.WarmupTime), WarmupRate: p.WarmupRate}
+	for _, pool := range c.Pools {
+		table.Pools[pool.Name] = Pool{Name: pool.Name, WarmupTime: time.Duration(pool.WarmupTime), WarmupRate: pool.WarmupRate}
 	}
-	for _, a := range c.Accounts {
-		for _, key := range a.Keys {
-			t.KeyOwners[key] = KeyOwner{Account: a.Name}
+	for _, account := range c.Accounts {
+		for _, key := range account.Keys {
+			table.KeyOwners[key] = KeyOwner{Account: account.Name}
 		}
 	}
 	routes := make([]Route, 0, len(c.Routes))
-	for _, r := range c.Routes {
-		routes = append(routes, r.route())
+	for _, route := range c.Routes {
+		routes = append(routes, route.route())
 	}
-	t, err := t.WithRoutes(routes)
-	return &t, err
+	table, err := table.WithRoutes(routes)
+	return &table, err
 }
 
 func (r RouteSpec) route() Route {
-	out := Route{
+	route := Route{
 		Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: r.Kind, Resumable: r.Resumable,
 		Timeout: time.Duration(r.Timeout), LatencyObjective: time.Duration(r.LatencyObjective), MaxEventGap: time.Duration(r.MaxEventGap),
 		Priority: r.Priority, MaxAttempts: max(r.MaxAttempts, 1), Keyless: r.Keyless,
 	}
-	if out.LatencyObjective == 0 {
-		out.LatencyObjective = out.Timeout / aimPart
+	if route.LatencyObjective == 0 {
+		route.LatencyObjective = route.Timeout / defaultObjectiveDivisor
 	}
-	for _, p := range r.Pools {
-		out.Pools = append(out.Pools, PoolWeight(p))
+	for _, pool := range r.Pools {
+		route.Pools = append(route.Pools, PoolWeight(pool))
 	}
-	return out
+	return route
 }
 
-// Instances returns the targets of the configuration's pools. Gone are targets
-// on VMs that leave.
-func (c Config) Instances(gone []string) []Instance {
-	var list []Instance
-	for _, p := range c.Pools {
-		for _, t := range c.Targets {
-			if slices.Contains(p.Targets, t.Name) {
-				list = append(list, Instance{
-					Incarnation: Incarnation{ID: p.Name + "/" + t.Name}, Pool: p.Name, Address: t.Address, Zone: t.Zone, Slots: t.Slots,
-					Leaving: !t.Live() || slices.Contains(gone, t.Name),
+// Instances returns the targets of the configuration's pools. Those named by leaving are on
+// VMs that are about to stop; they are marked as leaving.
+func (c Config) Instances(leaving []string) []Instance {
+	var instances []Instance
+	for _, pool := range c.Pools {
+		for _, target := range c.Targets {
+			if slices.Contains(pool.Targets, target.Name) {
+				instances = append(instances, Instance{
+					Incarnation: Incarnation{ID: pool.Name + "/" + target.Name}, Pool: pool.Name, Address: target.Address, Zone: target.Zone, Slots: target.Slots,
+					Leaving: !target.Live() || slices.Contains(leaving, target.Name),
 				})
 			}
 		}
 	}
-	return list
+	return instances
 }
 
-func (v *validator) limits(l LimitSpec) {
-	v.check(l.MaxHeaderBytes >= 0 && l.MaxBodyBytes >= 0 && l.HeaderTimeout >= 0 && l.IdleTimeout >= 0, "limits",
-		"give bytes and times above 0, or leave them out", "a limit is negative")
+func (v *validator) limits(limits LimitSpec) {
+	v.check(limits.MaxHeaderBytes >= 0 && limits.MaxBodyBytes >= 0 && limits.HeaderTimeout >= 0 && limits.IdleTimeout >= 0, "limits",
+		"give sizes and times above 0, or leave them out", "a limit is negative")
 }
 
-func (v *validator) pool(key string, p PoolSpec, seen, targets map[string]bool) {
-	v.name(key+".name", p.Name, seen)
-	v.references(key+".targets", "target", fmt.Sprintf("pool %q", p.Name), p.Targets, targets)
-	v.check(p.WarmupTime >= 0 && p.WarmupRate >= 0 && (p.WarmupTime > 0) == (p.WarmupRate > 0), key+".warm",
-		`give both warm, as "3s", and pace, in requests a second, or leave both out`, "pool %q is cold for %v at %v a second", p.Name, time.Duration(p.WarmupTime), p.WarmupRate)
+func (v *validator) pool(key string, pool PoolSpec, seen, targetNames map[string]bool) {
+	v.name(key+".name", pool.Name, seen)
+	v.references(key+".targets", "target", fmt.Sprintf("pool %q", pool.Name), pool.Targets, targetNames)
+	v.check(pool.WarmupTime >= 0 && pool.WarmupRate >= 0 && (pool.WarmupTime > 0) == (pool.WarmupRate > 0), key+".warm",
+		`give both warm, such as "3s", and pace, in requests per second, or leave both out`, "pool %q is cold for %v at %v requests per second", pool.Name, time.Duration(pool.WarmupTime), pool.WarmupRate)
 }
 
-func (v *validator) route(key string, r RouteSpec, seen, pools map[string]bool, places map[string]string) {
-	v.name(key+".name", r.Name, seen)
-	v.check(strings.HasPrefix(r.Prefix, "/") && strings.HasSuffix(r.Prefix, "/"), key+".prefix",
-		"let it begin and end with a slash", "route %q has the prefix %q", r.Name, r.Prefix)
-	place := strings.ToLower(r.Host) + r.Prefix
-	other, taken := places[place]
-	v.check(!taken, key+".prefix", "give each route a place of its own",
-		"routes %q and %q have the same host and prefix", other, r.Name)
-	places[place] = r.Name
-	v.check(r.Host != "", key+".host", "name the host that callers send to", "route %q has no host", r.Name)
-	v.check(r.Kind == RouteIdempotent || r.Kind == RouteAtMostOnce || r.Kind == RouteStream, key+".kind",
-		`write "idempotent", "once" or "stream"`, "route %q has the kind %q", r.Name, r.Kind)
-	v.check(!r.Resumable || r.Kind == RouteStream, key+".resume", "only streams can be resumed", "route %q is no stream", r.Name)
-	v.check(r.Timeout > 0, key+".timeout", `write how long callers are kept waiting, as "10s"`, "route %q has no timeout", r.Name)
-	v.check(r.LatencyObjective >= 0 && r.MaxEventGap >= 0 && r.MaxAttempts >= 0 && r.Priority >= 0, key, "give no negative figures",
-		"route %q has a negative figure", r.Name)
-	total := 0
-	for _, p := range r.Pools {
-		v.check(pools[p.Pool], key+".pools", fmt.Sprintf("declare [[pool]] %q or take it out", p.Pool),
-			"route %q names the unknown pool %q", r.Name, p.Pool)
-		v.check(p.Weight >= 0, key+".pools", "give weights of 0 or more", "route %q has a negative weight", r.Name)
-		total += p.Weight
+func (v *validator) route(key string, route RouteSpec, seen, poolNames map[string]bool, matchRoutes map[string]string) {
+	v.name(key+".name", route.Name, seen)
+	v.check(strings.HasPrefix(route.Prefix, "/") && strings.HasSuffix(route.Prefix, "/"), key+".prefix",
+		"write a prefix that begins and ends with a slash", "route %q has the prefix %q", route.Name, route.Prefix)
+	hostAndPrefix := strings.ToLower(route.Host) + route.Prefix
+	other, taken := matchRoutes[hostAndPrefix]
+	v.check(!taken, key+".prefix", "give each route a host and prefix of its own",
+		"routes %q and %q have the same host and prefix", other, route.Name)
+	matchRoutes[hostAndPrefix] = route.Name
+	v.check(route.Host != "", key+".host", "name the host that callers send to", "route %q has no host", route.Name)
+	v.check(route.Kind == RouteIdempotent || route.Kind == RouteAtMostOnce || route.Kind == RouteStream, key+".kind",
+		`write "idempotent", "once" or "stream"`, "route %q has the kind %q", route.Name, route.Kind)
+	v.check(!route.Resumable || route.Kind == RouteStream, key+".resume", "only streams can be resumed", "route %q is not a stream", route.Name)
+	v.check(route.Timeout > 0, key+".timeout", `give the longest time that callers wait, such as "10s"`, "route %q has no timeout", route.Name)
+	v.check(route.LatencyObjective >= 0 && route.MaxEventGap >= 0 && route.MaxAttempts >= 0 && route.Priority >= 0, key, "give values of 0 or more",
+		"route %q has a negative value", route.Name)
+	totalWeight := 0
+	for _, pool := range route.Pools {
+		v.check(poolNames[pool.Pool], key+".pools", fmt.Sprintf("declare [[pool]] %q or remove it", pool.Pool),
+			"route %q names the unknown pool %q", route.Name, pool.Pool)
+		v.check(pool.Weight >= 0, key+".pools", "give weights of 0 or more", "route %q has a negative weight", route.Name)
+		totalWeight += pool.Weight
 	}
-	v.check(total > 0, key+".pools", `give at least one pool a weight, as pools = [{ pool = "a", weight = 1 }]`,
-		"the weights of route %q add up to nothing", r.Name)
+	v.check(totalWeight > 0, key+".pools", `give at least one pool a weight above 0, such as pools = [{ pool = "a", weight = 1 }]`,
+		"the weights of route %q add up to 0", route.Name)
 }
--- a/internal/fleet/declare_test.go
+++ b/internal/fleet/declare_test.go
@@ -10,7 +10,7 @@
 	"laburnumfall/internal/tomlfile"
 )
 
-const declared = `number = 3
+const configWithRoutes = `number = 3
 capacity = 5000.0
 [limits]
 body = 70000
@@ -48,33 +48,33 @@
 pools = [{ pool = "engines", weight = 3 }]
 `
 
-func TestDeclaredRoutes(t *testing.T) {
-	c, err := ParseConfig("fleet.toml", []byte(declared))
+func TestRoutingTableFromConfig(t *testing.T) {
+	config, err := ParseConfig("fleet.toml", []byte(configWithRoutes))
 	require.NoError(t, err)
-	table, err := c.RoutingTable()
+	table, err := config.RoutingTable()
 	require.NoError(t, err)
-	r, ok := table.Route("h.example", "/notes/1")
+	route, ok := table.Route("h.example", "/notes/1")
 	require.True(t, ok)
 	require.Equal(t, Route{
 		Name: "notes", Host: "h.example", Prefix: "/notes/", Kind: RouteStream, Resumable: true, Timeout: 8 * time.Second,
 		LatencyObjective: 2 * time.Second, MaxEventGap: 300 * time.Millisecond, Priority: 1, MaxAttempts: 2, Pools: []PoolWeight{{Pool: "engines", Weight: 3}},
-	}, *r)
-	require.Equal(t, KeyOwner{Account: "regina"}, table.KeyOwners[c.Accounts[0].Keys[0]])
+	}, *route)
+	require.Equal(t, KeyOwner{Account: "regina"}, table.KeyOwners[config.Accounts[0].Keys[0]])
 	require.Equal(t, 5000.0, table.Capacity)
 	require.Equal(t, CallerLimits{MaxBodyBytes: 70000, IdleTimeout: 20 * time.Second}, table.Limits)
 	require.Equal(t, []Instance{
 		{Incarnation: Incarnation{ID: "engines/a1"}, Pool: "engines", Address: "127.0.0.1:9001", Zone: "z1", Slots: 8},
 		{Incarnation: Incarnation{ID: "engines/a2"}, Pool: "engines", Address: "127.0.0.1:9002", Zone: "z2", Slots: 4, Leaving: true},
-	}, c.Instances(nil))
-	require.True(t, c.Instances([]string{"a1"})[0].Leaving)
-	text, err := c.TOML()
+	}, config.Instances(nil))
+	require.True(t, config.Instances([]string{"a1"})[0].Leaving)
+	text, err := config.TOML()
 	require.NoError(t, err)
-	again, err := ParseConfig("fleet.toml", text)
+	decoded, err := ParseConfig("fleet.toml", text)
 	require.NoError(t, err)
-	require.Equal(t, c.Digest(), again.Digest())
+	require.Equal(t, config.Digest(), decoded.Digest())
 }
 
-func TestDeclaredRoutesNameTheFault(t *testing.T) {
+func TestConfigErrorNamesKey(t *testing.T) {
 	for _, tt := range []struct{ from, to, key string }{
 		{from: `"/notes/"`, to: `"notes"`, key: "route.0.prefix"},
 		{from: `"stream"`, to: `"sometimes"`, key: "route.0.kind"},
@@ -88,8 +88,8 @@
 		{from: `capacity = 5000.0`, to: `capacity = -1.0`, key: "capacity"},
 		{from: `body = 70000`, to: `body = -1`, key: "limits"},
 	} {
-		require.Contains(t, declared, tt.from)
-		_, err := ParseConfig("fleet.toml", []byte(strings.Replace(declared, tt.from, tt.to, 1)))
+		require.Contains(t, configWithRoutes, tt.from)
+		_, err := ParseConfig("fleet.toml", []byte(strings.Replace(configWithRoutes, tt.from, tt.to, 1)))
 		var fault *tomlfile.Error
 		require.ErrorAs(t, err, &fault, tt.to)
 		require.NotEmpty(t, fault.Remedy)
--- a/internal/fleet/evacuation.go
+++ b/internal/fleet/evacuation.go
@@ -2,35 +2,36 @@
 
 import "slices"
 
-// Evacuations are the availability zones whose targets get no new work, by operators'
-// orders. A value is never changed.
+// EvacuatedZones are the availability zones whose targets get no new work, by order of an
+// operator. A value is immutable.
 type EvacuatedZones struct {
-	// Revision counts the changes. Of two values, the one with the higher is newer.
+	// Revision counts the changes. Of two values, the one with the higher revision is newer.
 	Revision uint64 `json:"revision"`
-	Zones    []Zone `json:"zones,omitempty"` // in order
+	Zones    []Zone `json:"zones,omitempty"` // sorted
 }
 
-// Has reports whether a zone is evacuated.
-func (e EvacuatedZones) Contains(z Zone) bool {
-	_, found := slices.BinarySearch(e.Zones, z)
+// Contains reports whether a zone is evacuated.
+func (z EvacuatedZones) Contains(zone Zone) bool {
+	_, found := slices.BinarySearch(z.Zones, zone)
 	return found
 }
 
-// With returns the value in which a zone is evacuated. Where it is already, nothing
-// changes, so that an order may be sent again.
-func (e EvacuatedZones) With(z Zone) EvacuatedZones {
-	at, found := slices.BinarySearch(e.Zones, z)
+// With returns a copy to which a zone is added. If it is already evacuated, the revision
+// stays the same, so an operator's order is idempotent.
+func (z EvacuatedZones) With(zone Zone) EvacuatedZones {
+	index, found := slices.BinarySearch(z.Zones, zone)
 	if found {
-		return e
+		return z
 	}
-	return EvacuatedZones{Revision: e.Revision + 1, Zones: slices.Insert(slices.Clone(e.Zones), at, z)}
+	return EvacuatedZones{Revision: z.Revision + 1, Zones: slices.Insert(slices.Clone(z.Zones), index, zone)}
 }
 
-// Without returns the value in which a zone is not evacuated.
-func (e EvacuatedZones) Without(z Zone) EvacuatedZones {
-	at, found := slices.BinarySearch(e.Zones, z)
+// Without returns a copy from which a zone is removed. If it is not evacuated, the revision
+// stays the same.
+func (z EvacuatedZones) Without(zone Zone) EvacuatedZones {
+	index, found := slices.BinarySearch(z.Zones, zone)
 	if !found {
-		return e
+		return z
 	}
-	return EvacuatedZones{Revision: e.Revision + 1, Zones: slices.Delete(slices.Clone(e.Zones), at, at+1)}
+	return EvacuatedZones{Revision: z.Revision + 1, Zones: slices.Delete(slices.Clone(z.Zones), index, index+1)}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet holds the domain types that every process of the fleet
-// shares: VMs, availability zones, client accounts, targets, events and the
-// configuration that declares them.
+// Package fleet has the domain types that all processes of the fleet share: VMs, availability
+// zones, client accounts, targets, events, routes, and the configuration that declares them.
 package fleet
 
 import (
@@ -13,7 +12,8 @@
 // A Zone is the name of an availability zone.
 type Zone string
 
-// A VM is a machine of the platform's list of VMs. Address is its IP address.
+// A VM is a machine in the platform's list of VMs. Address is its IP address. Leaving says
+// that the VM is about to stop.
 type VM struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -21,20 +21,20 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// An Account is a client account. Share is its weight against other accounts;
-// Keys are "sha256:" digests of the keys that name it.
+// An Account is a client account. Share is its weight in the fair division of capacity between
+// accounts. Keys are the "sha256:" digests of its API keys.
 type Account struct {
 	Name  string   `json:"name" toml:"name"`
 	Share float64  `json:"share" toml:"share"`
 	Keys  []string `json:"keys" toml:"keys"`
-	// Queue bounds the requests that wait in one router; 0 means DefaultQueue.
+	// QueueLimit is how many requests may wait in one router; 0 means DefaultQueueLimit.
 	QueueLimit int `json:"queue,omitempty" toml:"queue,omitempty"`
 }
 
-// DefaultQueue is how many requests of one account may wait in one router.
+// DefaultQueueLimit is how many requests of one account may wait in one router by default.
 const DefaultQueueLimit = 1024
 
-// QueueBound returns how many requests of the account may wait in one router.
+// EffectiveQueueLimit returns how many requests of the account may wait in one router.
 func (a Account) EffectiveQueueLimit() int {
 	if a.QueueLimit > 0 {
 		return a.QueueLimit
@@ -42,7 +42,7 @@
 	return DefaultQueueLimit
 }
 
-// A TargetKind tells model engines from plain services.
+// A TargetKind distinguishes model engines from plain services.
 type TargetKind string
 
 // The kinds of target.
@@ -51,7 +51,7 @@
 	TargetService TargetKind = "service"
 )
 
-// A TargetState tells whether a target takes new work.
+// A TargetState says whether a target accepts new work.
 type TargetState string
 
 // The states of a target.
@@ -60,7 +60,8 @@
 	TargetLeaving TargetState = "leaving"
 )
 
-// A Target is a back end that runs requests, Slots of them at a time.
+// A Target is a back end that runs up to Slots requests at a time. Fenced says that it rejects
+// requests with an outdated fencing token.
 type Target struct {
 	Name    string      `json:"name" toml:"name"`
 	Address string      `json:"address" toml:"address"`
@@ -71,13 +72,13 @@
 	State   TargetState `json:"state" toml:"state"`
 }
 
-// Live reports whether the target takes new work.
+// Live reports whether the target accepts new work.
 func (t Target) Live() bool {
 	return t.State == TargetLive
 }
 
-// An Event is a period in which accounts share a set of targets. A zero Start
-// or End leaves that side open.
+// An Event is a period in which accounts share a set of targets. If Start or End is zero, the
+// period has no bound on that side.
 type Event struct {
 	Name     string    `json:"name" toml:"name"`
 	Start    time.Time `json:"start,omitzero" toml:"start,omitempty"`
@@ -91,7 +92,7 @@
 	return slices.Contains(e.Accounts, account)
 }
 
-// Open reports whether the event takes requests at now.
+// Open reports whether the event accepts requests at now.
 func (e Event) Open(now time.Time) bool {
 	if !e.Start.IsZero() && now.Before(e.Start) {
 		return false
@@ -99,27 +100,27 @@
 	return e.End.IsZero() || now.Before(e.End)
 }
 
-// A Config is one whole configuration. It is never changed once parsed.
+// A Config is one complete configuration. It is immutable once parsed.
 type Config struct {
 	Number   uint64    `json:"number" toml:"number"`
 	Accounts []Account `json:"account" toml:"account,omitempty"`
 	Targets  []Target  `json:"target" toml:"target,omitempty"`
 	Events   []Event   `json:"event" toml:"event,omitempty"`
-	// Capacity is the tokens a second that the engines of all pools produce; 0
-	// if nobody states it.
+	// Capacity is the throughput of the engines of all pools in tokens per second; 0 if it is
+	// not given.
 	Capacity float64     `json:"capacity,omitempty" toml:"capacity,omitempty"`
 	Limits   LimitSpec   `json:"limits,omitzero" toml:"limits,omitempty"`
 	Pools    []PoolSpec  `json:"pool,omitempty" toml:"pool,omitempty"`
 	Routes   []RouteSpec `json:"route,omitempty" toml:"route,omitempty"`
 }
 
-// WithNumber returns a copy of the configuration under another number.
+// WithNumber returns a copy of the configuration with another number.
 func (c Config) WithNumber(number uint64) Config {
 	c.Number = number
 	return c
 }
 
-// WithTargetState returns a copy in which the named target has the state.
+// WithTargetState returns a copy of the configuration in which the named target has the state.
 func (c Config) WithTargetState(name string, state TargetState) Config {
 	c.Targets = slices.Clone(c.Targets)
 	for i := range c.Targets {
@@ -130,7 +131,7 @@
 	return c
 }
 
-// KeyDigest returns the form in which a configuration holds a caller's key.
+// KeyDigest returns the digest by which a configuration identifies a caller's API key.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return keyPrefix + hex.EncodeToString(sum[:])
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -1,18 +1,18 @@
 package fleet
 
-// An Incarnation names one run of a discovered target, from its start to its end. A
-// target may start again under its ID, on its address: it then holds nothing of what it
-// held before. What is kept about a target is therefore kept by its Incarnation, or a
-// new run would be taken for one that keeps parts of prompts, is leaving, or fails.
+// An Incarnation identifies one run of a discovered target, from its start to its end. A
+// target may restart with the same ID and address, and then has lost all its state. State
+// about targets is therefore kept by Incarnation. Otherwise a new run would be treated as one
+// that has cached prompt prefixes, is leaving, or fails.
 type Incarnation struct {
 	ID string `json:"id"`
-	// Born is the Unix millisecond of its start, by the platform's word; 0 if that
-	// tells none.
+	// StartMillis is the start time that the platform reports, in Unix milliseconds; 0 if it
+	// reports none.
 	StartMillis int64 `json:"born,omitempty"`
 }
 
-// Like reports whether two may be the same run: they have one ID, and the same start as
-// far as both are known.
+// MayEqual reports whether the two may be the same run: they have the same ID, and the same
+// start time if both start times are known.
 func (i Incarnation) MayEqual(other Incarnation) bool {
 	return i.ID == other.ID && (i.StartMillis == other.StartMillis || i.StartMillis == 0 || other.StartMillis == 0)
 }
--- a/internal/fleet/listing.go
+++ b/internal/fleet/listing.go
@@ -8,65 +8,67 @@
 	"time"
 )
 
-// A Listing is one reading of a list of targets that others write.
+// A TargetListing is the result of reading a list of targets once. Other systems write the
+// list.
 type TargetListing struct {
 	Targets []Instance
-	// Damaged are the entries that name no target to use.
+	// Damaged are the entries that do not describe a usable target.
 	Damaged []DamagedEntry
-	// Warming are the targets that say for how long they are still cold.
+	// Warming are the targets that report how much longer they are cold.
 	Warming []WarmingTarget
 }
 
-// A Warming is a target that is cold for a time after its list was read.
+// A WarmingTarget is a target that stays cold for the time Left after its list was read.
 type WarmingTarget struct {
 	Target Incarnation
 	Left   time.Duration
 }
 
-// WarmingUntil returns until when targets are cold, of a listing that was read at a moment.
+// WarmingUntil returns until when each warming target is cold, for a listing that was read at
+// readAt.
 func (l TargetListing) WarmingUntil(readAt time.Time) map[Incarnation]time.Time {
 	if len(l.Warming) == 0 {
 		return nil
 	}
 	until := make(map[Incarnation]time.Time, len(l.Warming))
-	for _, w := range l.Warming {
-		until[w.Target] = readAt.Add(w.Left)
+	for _, warming := range l.Warming {
+		until[warming.Target] = readAt.Add(warming.Left)
 	}
 	return until
 }
 
-// A Damage is an entry of a list that could not be understood.
+// A DamagedEntry is an entry of a list that could not be parsed.
 type DamagedEntry struct {
-	// ID is the target's that the entry names, or "" if even that cannot be read.
+	// ID is the ID of the target, or "" if the entry has no readable one.
 	ID string
-	// Field is what is wrong: a field's name, or that it is no entry at all.
+	// Field is the name of the invalid field, or says that the entry as a whole is invalid.
 	Field string
 }
 
-// mostNamed bounds the IDs of damaged entries that are passed on to all routers: some times
-// what a site of today has targets.
-const mostNamed = 1000
+// maxDamagedIDs bounds the IDs of damaged entries that are sent to all routers. It is several
+// times the number of targets at one site.
+const maxDamagedIDs = 1000
 
-// DamagedIDs returns the IDs that damaged entries name, each once and in order, the first
-// mostNamed of them.
+// DamagedIDs returns the sorted, distinct IDs of damaged entries, at most maxDamagedIDs of
+// them.
 func (l TargetListing) DamagedIDs() []string {
 	var ids []string
-	for _, d := range l.Damaged {
-		if d.ID != "" {
-			ids = append(ids, d.ID)
+	for _, entry := range l.Damaged {
+		if entry.ID != "" {
+			ids = append(ids, entry.ID)
 		}
 	}
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
-	return ids[:min(len(ids), mostNamed)]
+	return ids[:min(len(ids), maxDamagedIDs)]
 }
 
-// Faults counts the damaged entries by what is wrong, as text such as "id:2 slots:1". It
-// is as long as there are fields, however many entries there are.
+// DamageSummary returns the number of damaged entries by invalid field, such as
+// "id:2 slots:1". Its length depends on the number of fields, not of entries.
 func (l TargetListing) DamageSummary() string {
 	counts := make(map[string]int)
-	for _, d := range l.Damaged {
-		counts[d.Field]++
+	for _, entry := range l.Damaged {
+		counts[entry.Field]++
 	}
 	parts := make([]string, 0, len(counts))
 	for _, field := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/fleet/reason.go
+++ b/internal/fleet/reason.go
@@ -1,78 +1,80 @@
 package fleet
 
-// A Reason is why a request ended as it did, in the words of the line that a router
-// logs at its end.
+// A Reason is why a request ended as it did. A router logs its text at the end of the
+// request.
 type Reason string
 
-// The reasons. An answer that has begun and cannot go on has one of them after
-// [ReasonBrokenOff].
+// The reasons. A response that started and cannot be completed has one of them after
+// [ReasonTruncatedPrefix].
 const (
-	// ReasonAnswered is the whole answer of a target, whatever its status.
+	// ReasonAnswered is a complete response of a target, whatever its status.
 	ReasonAnswered Reason = "answered"
-	// ReasonBadBody is a body whose reading failed.
+	// ReasonBodyReadFailed is a request body that could not be read.
 	ReasonBodyReadFailed Reason = "body cannot be read"
-	// ReasonBehind is a predicted wait longer than the caller's patience.
+	// ReasonWaitTooLong is a predicted wait after which the caller would have left.
 	ReasonWaitTooLong Reason = "targets are behind"
-	// ReasonBrokenAnswer is an answer, not a stream, that ended early.
+	// ReasonAnswerTruncated is a response, not a stream, that ended early.
 	ReasonAnswerTruncated Reason = "the answer broke off"
-	// ReasonBrokenOff begins the reason of an answer that had begun.
+	// ReasonTruncatedPrefix is the prefix of the reason of a response that had started.
 	ReasonTruncatedPrefix Reason = "broken off: "
-	// ReasonBrokenStream is a stream that ended early.
+	// ReasonStreamTruncated is a stream that ended early.
 	ReasonStreamTruncated Reason = "the stream broke off"
-	// ReasonCallerLeft is a caller that closed its connection or cancelled.
+	// ReasonCallerLeft is a caller that closed its connection or cancelled the request.
 	ReasonCallerLeft Reason = "the caller left"
-	// ReasonCallerTookNone is an answer that could not be written.
+	// ReasonAnswerWriteFailed is a response that could not be written to the caller.
 	ReasonAnswerWriteFailed Reason = "the caller took no answer"
-	// ReasonCallerTookNoMore is a stream that could not be written on.
+	// ReasonStreamWriteFailed is a stream whose next part could not be written to the caller.
 	ReasonStreamWriteFailed Reason = "the caller took no more"
-	// ReasonClosed is a target that was evacuated, or became cold, on the way to it.
+	// ReasonTargetClosed is a target that was evacuated, or became cold, after it was chosen
+	// and before the request was sent.
 	ReasonTargetClosed Reason = "the target takes no more work"
-	// ReasonCrowded is surplus that a plain service would refuse.
+	// ReasonServiceOverloaded is load above the limit at which a plain service would refuse it.
 	ReasonServiceOverloaded Reason = "the service is crowded"
-	// ReasonEvacuated is a pool of which all targets lie in evacuated zones.
+	// ReasonAllEvacuated is a pool whose targets are all in evacuated zones.
 	ReasonAllEvacuated Reason = "all targets are evacuated"
-	// ReasonFailed is a target's failure after which the request goes elsewhere.
+	// ReasonTargetFailed is a target's failure after which the request is sent to another one.
 	ReasonTargetFailed Reason = "the target failed"
-	// ReasonFullMemory is no memory left for callers' bodies.
+	// ReasonBodyMemoryFull is a full memory budget for request bodies.
 	ReasonBodyMemoryFull Reason = "bodies fill the memory"
-	// ReasonHeldBack is a request that ends the targets that run it, or may.
+	// ReasonQuarantined is a request that terminates the targets that run it, or may do so.
 	ReasonQuarantined Reason = "targets end under this request"
-	// ReasonGraceOver is a request cut at the end of a stop.
+	// ReasonGraceExpired is a request that was cut when the grace period of a shutdown ended.
 	ReasonGraceExpired Reason = "cut: the grace is over"
-	// ReasonLargeBody is a body over the limit of the configuration.
+	// ReasonBodyTooLarge is a request body over the configured limit.
 	ReasonBodyTooLarge Reason = "body too large"
-	// ReasonLateBody is a body that did not come in time, or not whole.
+	// ReasonBodyIncomplete is a request body that arrived too late or not completely.
 	ReasonBodyIncomplete Reason = "the body did not come"
-	// ReasonMoved is an address that another target has by now.
+	// ReasonAddressReused is an address that now belongs to another target.
 	ReasonAddressReused Reason = "another target has the address"
-	// ReasonNoAnswer is a target that was sent the request and gave no answer.
+	// ReasonNoAnswer is a target that was sent the request and did not respond.
 	ReasonNoAnswer Reason = "the target gave no answer"
 	// ReasonNoConfig is a router that has no configuration or no targets yet.
 	ReasonNoConfig Reason = "no configuration yet"
-	// ReasonNoConnection is a target to which no connection was made.
+	// ReasonNoConnection is a target to which no connection could be opened.
 	ReasonNoConnection Reason = "no connection"
-	// ReasonNoKeys is a router whose lease on keys has lapsed.
+	// ReasonKeysUnverifiable is a router whose lease for checking callers' keys has expired.
 	ReasonKeysUnverifiable Reason = "keys cannot be checked"
-	// ReasonNoRoute is a host and path of no route.
+	// ReasonNoRoute is a host and path that match no route.
 	ReasonNoRoute Reason = "no route"
 	// ReasonNoTarget is a pool without targets.
 	ReasonNoTarget Reason = "no target"
-	// ReasonOverShare is work beyond an account's share while targets lack room.
+	// ReasonOverShare is work above an account's share while the targets lack capacity.
 	ReasonOverShare Reason = "beyond the account's share"
-	// ReasonStopping is a router on its way out.
+	// ReasonStopping is a router that is shutting down.
 	ReasonStopping Reason = "stopping"
-	// ReasonStreamStuck is a stream that no target could go on with.
+	// ReasonStreamNotResumable is a stream that no target could resume.
 	ReasonStreamNotResumable Reason = "the stream cannot go on"
-	// ReasonTimeUp is a caller's or route's time that has run out.
+	// ReasonDeadlineExceeded is a caller's or a route's deadline that has passed.
 	ReasonDeadlineExceeded Reason = "time is up"
-	// ReasonUnknownKey is a key of no account.
+	// ReasonUnknownKey is a key that belongs to no account.
 	ReasonUnknownKey Reason = "unknown key"
-	// ReasonUnreached is a row of targets to which no connection was made.
+	// ReasonNoTargetReachable is a connection failure at each target that was tried.
 	ReasonNoTargetReachable Reason = "no target can be reached"
-	// ReasonUnrun is a target that says that it did not run the request.
+	// ReasonNotRun is a target that says that it did not run the request.
 	ReasonNotRun Reason = "the target took no request"
-	// ReasonUnsigned is an answer that no target vouches for.
+	// ReasonUnsigned is a response without the signature of a target.
 	ReasonUnsigned Reason = "the answer bears no signature"
-	// ReasonWarming is a pool whose targets are cold and have what they may get.
+	// ReasonWarming is a pool whose targets are warming up and already get the work that slow
+	// start allows.
 	ReasonWarming Reason = "targets are warming up"
 )
--- a/internal/fleet/route.go
+++ b/internal/fleet/route.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// A RouteKind tells how often a request of a route may run, and how its answer
-// comes.
+// A RouteKind says how often a request of a route may run, and whether its response is a
+// stream.
 type RouteKind string
 
 // The kinds of route.
 const (
 	// RouteIdempotent requests may run more than once.
 	RouteIdempotent RouteKind = "idempotent"
-	// RouteOnce requests run at most once.
+	// RouteAtMostOnce requests run at most once.
 	RouteAtMostOnce RouteKind = "once"
-	// RouteStream requests are answered by a stream of events. They run at most
-	// once, unless the route is Resumable.
+	// RouteStream requests are answered by a stream of events. They run at most once unless
+	// the route is Resumable.
 	RouteStream RouteKind = "stream"
 )
 
@@ -26,28 +26,28 @@
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   RouteKind
-	// Resumable says that a broken stream may go on at another target, after
-	// the last event that the caller has.
+	// Resumable says that an interrupted stream may be resumed at another target, after the
+	// last event that the caller received.
 	Resumable bool
-	// Timeout is the longest that a caller is kept waiting for the whole answer.
+	// Timeout is the longest time that a caller waits for the complete response.
 	Timeout time.Duration
-	// Aim is the time within which an answer, or the first event of a stream,
-	// is of full use to the caller.
+	// LatencyObjective is the time within which a response, or the first event of a stream,
+	// has its full value for the caller.
 	LatencyObjective time.Duration
-	// Pause is the longest gap between two events of a stream that is in time.
+	// MaxEventGap is the longest gap between two events of a stream that counts as on time.
 	MaxEventGap time.Duration
-	// Rank orders routes by urgency; 0 is the most urgent.
+	// Priority orders routes by urgency; 0 is the most urgent.
 	Priority int
-	// Attempts is how many targets one request may be sent to.
+	// MaxAttempts is how many targets one request may be sent to.
 	MaxAttempts int
-	// Keyless routes need no key of an account.
+	// Keyless routes require no API key.
 	Keyless bool
-	// Cached says that targets keep parts of the route's prompts.
+	// PrefixCached says that targets cache prefixes of the route's prompts.
 	PrefixCached bool
 	Pools        []PoolWeight
 }
 
-// A PoolWeight is the part of a route's requests that goes to a pool.
+// A PoolWeight is the relative part of a route's requests that goes to a pool.
 type PoolWeight struct {
 	Pool   string
 	Weight int
@@ -58,136 +58,136 @@
 	return r.Kind == RouteIdempotent || r.Resumable
 }
 
-// Patience is how long a caller waits for the next sign of a stream before it
-// leaves: two seconds, four times the aim or eight times the pause between
-// events, whichever is longest. The figures are the platform's for its callers.
+// AbandonAfter returns how long a caller waits for the next part of a response before it
+// leaves. For a stream it is the longest of two seconds, four times the latency objective, and
+// eight times the gap between events. The platform gives these numbers for its callers.
 func (r *Route) AbandonAfter() time.Duration {
-	const least = 2 * time.Second
+	const minimum = 2 * time.Second
 	if r.Kind != RouteStream {
 		return r.Timeout
 	}
-	return max(least, 4*r.LatencyObjective, 8*r.MaxEventGap)
+	return max(minimum, 4*r.LatencyObjective, 8*r.MaxEventGap)
 }
 
-// PoolFor returns the pool for a request, drawn by the routes' weights. Draw is
-// evenly spread over all values.
-func (r *Route) PoolFor(draw uint64) string {
-	total := 0
-	for _, p := range r.Pools {
-		total += p.Weight
+// PoolFor chooses a pool for a request in proportion to the pools' weights. The number random
+// must be uniformly distributed. It returns "" if the weights add up to 0.
+func (r *Route) PoolFor(random uint64) string {
+	totalWeight := 0
+	for _, pool := range r.Pools {
+		totalWeight += pool.Weight
 	}
-	if total == 0 {
+	if totalWeight == 0 {
 		return ""
 	}
-	at := int(draw % uint64(total))
-	for _, p := range r.Pools {
-		if at < p.Weight {
-			return p.Pool
+	offset := int(random % uint64(totalWeight))
+	for _, pool := range r.Pools {
+		if offset < pool.Weight {
+			return pool.Pool
 		}
-		at -= p.Weight
+		offset -= pool.Weight
 	}
 	return ""
 }
 
-// A Pool is a set of like targets, which come and go.
+// A Pool is a set of interchangeable targets whose members change over time.
 type Pool struct {
 	Name string
-	// Health is the path that tells whether a target is healthy.
+	// HealthPath is the path of the health check.
 	HealthPath string
-	// Conns is how many connections one target takes from all routers.
+	// MaxConns is how many connections one target accepts from all routers together.
 	MaxConns int
-	// WarmFor is how long a target is cold after its start, and WarmRate how many requests
-	// a second it takes meanwhile; 0 where targets are never cold.
+	// WarmupTime is how long a target is cold after its start, and WarmupRate is how many
+	// requests per second it gets during that time. Both are 0 if targets are never cold.
 	WarmupTime time.Duration
 	WarmupRate float64
-	// Engine describes the pool's model engines; nil for a plain service.
+	// Engine describes the pool's model engines; it is nil for a plain service.
 	Engine *Engine
 }
 
-// An Engine describes model engines that batch continuously and keep parts of
-// prompts.
+// An Engine describes model engines with continuous batching and a prefix cache.
 type Engine struct {
 	Slots int
-	// CopyRate is how many tokens an engine copies from another in a millisecond;
-	// 0 if it cannot.
+	// CopyRate is how many tokens of KV cache an engine copies from another one in a
+	// millisecond; 0 if it cannot copy.
 	CopyRate float64
-	// Memory is the tokens that running requests and kept parts share.
+	// KVCapacity is the size in tokens of the KV cache, which running requests and cached
+	// prefixes share.
 	KVCapacity int
 }
 
-// CallerLimits bound what callers may send and how long they may take.
+// CallerLimits bound the sizes that callers may send and the time that they may take.
 type CallerLimits struct {
-	MaxHeaderBytes int // bytes
-	MaxBodyBytes   int // bytes
+	MaxHeaderBytes int
+	MaxBodyBytes   int
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
 }
 
-// A Holder is the account that a key names.
+// A KeyOwner is the account that an API key belongs to.
 type KeyOwner struct {
 	Account string
-	// Rank orders accounts by urgency; 0 is the most urgent, and it goes before
-	// the rank of a route.
+	// Priority orders accounts by urgency; 0 is the most urgent. It takes precedence over the
+	// priority of a route.
 	Priority int
 }
 
-// A Table is one configuration of routes, with everything that a router needs
-// to serve it. It is never changed.
+// A RoutingTable is one configuration of routes, with all that a router needs to serve it. It
+// is immutable.
 type RoutingTable struct {
 	Number uint64
 	Limits CallerLimits
 	Pools  map[string]Pool
-	// Capacity is the tokens that all engines together produce in a second: a
-	// token read counts once, a generated one twice. 0 if nobody states it.
+	// Capacity is the throughput of all engines together in tokens per second: a prompt token
+	// counts once, a generated token twice. It is 0 if it is not given.
 	Capacity float64
-	// Holders holds the accounts by the digests of their keys.
+	// KeyOwners maps the digests of API keys to their accounts.
 	KeyOwners map[string]KeyOwner
-	// Accounts is how many accounts the configuration declares.
+	// AccountCount is how many accounts the configuration declares.
 	AccountCount int
 
-	routes map[string]map[string]*Route // by host and prefix
+	routes map[string]map[string]*Route // by lower-case host, then by prefix
 }
 
-// WithRoutes returns a table that holds these routes. A route whose host and
-// prefix another one has already is refused.
+// WithRoutes returns a copy of the table with these routes. It returns an *Error of kind
+// KindInvalidConfig if two routes have the same host and prefix.
 func (t RoutingTable) WithRoutes(routes []Route) (RoutingTable, error) {
 	byHost := make(map[string]map[string]*Route)
 	for i := range routes {
-		r := &routes[i]
-		host := strings.ToLower(r.Host)
+		route := &routes[i]
+		host := strings.ToLower(route.Host)
 		if byHost[host] == nil {
 			byHost[host] = make(map[string]*Route)
 		}
-		if other := byHost[host][r.Prefix]; other != nil {
+		if other := byHost[host][route.Prefix]; other != nil {
 			return t, NewError(KindInvalidConfig, "give each route a place of its own",
-				"routes %s and %s share host %s and prefix %s", other.Name, r.Name, r.Host, r.Prefix)
+				"routes %s and %s share host %s and prefix %s", other.Name, route.Name, route.Host, route.Prefix)
 		}
-		byHost[host][r.Prefix] = r
+		byHost[host][route.Prefix] = route
 	}
 	t.routes = byHost
 	return t, nil
 }
 
-// Route returns the route of a request: of those of its host, the one with the
-// longest prefix that begins its path.
+// Route returns the route of a request: among the routes of its host, the one with the longest
+// prefix of its path.
 func (t *RoutingTable) Route(host, path string) (*Route, bool) {
-	if name, _, ok := strings.Cut(host, ":"); ok {
-		host = name
+	if hostname, _, ok := strings.Cut(host, ":"); ok {
+		host = hostname
 	}
-	prefixes := t.routes[strings.ToLower(host)]
-	for end := len(path); end > 0 && len(prefixes) > 0; end = strings.LastIndexByte(path[:end-1], '/') + 1 {
-		if path[end-1] != '/' {
+	byPrefix := t.routes[strings.ToLower(host)]
+	for prefixEnd := len(path); prefixEnd > 0 && len(byPrefix) > 0; prefixEnd = strings.LastIndexByte(path[:prefixEnd-1], '/') + 1 {
+		if path[prefixEnd-1] != '/' {
 			continue
 		}
-		if r := prefixes[path[:end]]; r != nil {
-			return r, true
+		if route := byPrefix[path[:prefixEnd]]; route != nil {
+			return route, true
 		}
 	}
 	return nil, false
 }
 
-// Holder returns the account that a key names.
+// KeyOwner returns the account that an API key belongs to.
 func (t *RoutingTable) KeyOwner(key string) (KeyOwner, bool) {
-	h, ok := t.KeyOwners[KeyDigest(key)]
-	return h, ok
+	owner, ok := t.KeyOwners[KeyDigest(key)]
+	return owner, ok
 }
