--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -30,7 +30,7 @@
 	// Prefix is a hash of the start of the prompt, or 0.
 	Prefix uint64
 	// Print is the fingerprint of the request.
-	Print quarantine.Print
+	Print quarantine.Fingerprint
 }
 
 // phase is how far a request has come.
@@ -54,11 +54,11 @@
 	avoid   string // target of the failed try before
 	claimed bool
 	attempt uint64
-	sent    bool               // some target may have run it
-	parked  time.Time          // until when it waits for the leader's word
-	verdict quarantine.Verdict // by which it runs
-	began   time.Time          // when that run did
-	gone    bool               // the caller went away
+	sent    bool                // some target may have run it
+	parked  time.Time           // until when it waits for the leader's word
+	verdict quarantine.Decision // by which it runs
+	began   time.Time           // when that run did
+	gone    bool                // the caller went away
 }
 
 // A Scheduler holds a router's state. Set the exported fields before its use.
@@ -188,10 +188,10 @@
 	p.gone = true
 	switch p.phase {
 	case phaseWaiting:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(p, unrun(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 		s.pump(now)
 	case phaseParked:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(p, unrun(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case phaseRunning:
 		s.act(Cancel{ID: id})
 	case phaseClaiming:
@@ -206,21 +206,21 @@
 	s.unpark(p)
 	if p.sent {
 		r.Outcome = fleet.OutcomeUnknown
-		s.drop(p, message.FateUnknown)
+		s.drop(p, message.RunStateUnknown)
 	} else {
-		s.drop(p, message.FateUnrun)
+		s.drop(p, message.RunStateNotRun)
 	}
 	r.ID = p.ID
 	s.act(*r)
 }
 
 // drop forgets a request and settles its claim, if it has one.
-func (s *Scheduler) drop(p *pending, fate message.Fate) {
+func (s *Scheduler) drop(p *pending, fate message.RunState) {
 	delete(s.requests, p.ID)
 	if p.attempt == 0 {
 		return
 	}
-	s.act(Settle{Settlement: message.Settlement{Key: p.Claim, Owner: s.owner(), Attempt: p.attempt, Fate: fate}})
+	s.act(Settle{Settlement: message.Settlement{Key: p.Claim, Owner: s.owner(), Attempt: p.attempt, State: fate}})
 }
 
 // Stop makes the router unhealthy and answers all that waits. What runs goes on.
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -20,19 +20,19 @@
 	go func() {
 		began := g.Clock.Now()
 		p := target.Look(in.Address)
-		g.Log.Info("target looked for after a cut", "target", in.ID, "born", in.Born, "address", in.Address, "presence", p,
+		g.Log.Info("target looked for after a cut", "target", in.ID, "born", in.StartMillis, "address", in.Address, "presence", p,
 			"took", g.Clock.Now().Sub(began).Milliseconds())
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		delete(g.probing, in.Incarnation)
 		switch p {
 		case target.Ended:
-			g.Guard.Gone(g.Clock.Now(), in.Incarnation)
+			g.Guard.RecordTermination(g.Clock.Now(), in.Incarnation)
 			g.wake()
 		case target.Here:
 			now := g.Clock.Now()
-			g.Guard.Alive(now, now.Add(-target.LookSlack), in.Incarnation)
-			if slices.Contains(g.Guard.Doubts(now), in.Incarnation) {
+			g.Guard.RecordAlive(now, now.Add(-target.LookSlack), in.Incarnation)
+			if slices.Contains(g.Guard.UnconfirmedTargets(now), in.Incarnation) {
 				g.probe(in) // it has cut another one since
 			}
 		case target.Unknown: // the list of targets will tell
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -42,12 +42,12 @@
 	moved   int       // of these, met by another target at the address
 	ran     bool      // one of them may have run
 	tried   []fleet.Incarnation
-	after   string             // ID of the last event that the caller has
-	begun   bool               // an answer has begun
-	printed quarantine.Print   // its fingerprint, once it was asked for
-	verdict quarantine.Verdict // by which it is sent
-	cut     bool               // a target that was to stay cut the last attempt
-	first   time.Time          // when it began
+	after   string                 // ID of the last event that the caller has
+	begun   bool                   // an answer has begun
+	printed quarantine.Fingerprint // its fingerprint, once it was asked for
+	verdict quarantine.Decision    // by which it is sent
+	cut     bool                   // a target that was to stay cut the last attempt
+	first   time.Time              // when it began
 }
 
 // ServeHTTP takes one caller's request to its end.
@@ -95,7 +95,7 @@
 		}
 		g.callers.settled(connOf(q.r.Context()))
 		if !now.Before(q.until) {
-			g.giveUp(q, fleet.ReasonTimeUp, nil)
+			g.giveUp(q, fleet.ReasonDeadlineExceeded, nil)
 			return
 		}
 		g.awaitNews(now)
@@ -130,7 +130,7 @@
 			}
 			unreached++
 			if unreached >= maxUnreached || g.Clock.Now().Sub(since) >= unreachedFor {
-				g.end(q, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: fleet.ReasonUnreached, back: moment, err: out.err})
+				g.end(q, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: fleet.ReasonNoTargetReachable, back: moment, err: out.err})
 				return
 			}
 		case granted:
@@ -161,7 +161,7 @@
 		g.desk = admission.NewDesk(&g.placer, &g.shares)
 	}
 	choice, no := g.desk.Decide(now, admission.Request{
-		Place: placement.Request{Pool: q.pool, Parts: q.parts, Avoid: q.tried, Only: q.verdict.Target}, Route: q.route, Account: q.account,
+		Place: placement.Request{Pool: q.pool, Parts: q.parts, Avoid: q.tried, Only: q.verdict.PermitTarget}, Route: q.route, Account: q.account,
 		Tokens: q.tokens, Until: q.until, Within: q.within, Surplus: q.surplus, Sent: q.sent > 0, Charged: q.charged,
 	})
 	if no != nil {
@@ -234,7 +234,7 @@
 // mayRepeat reports whether a request may go to one more target, and takes that
 // from the budget that all routers share.
 func (g *Gateway) mayRepeat(q *request) bool {
-	if q.tries() >= q.route.Attempts {
+	if q.tries() >= q.route.MaxAttempts {
 		return false
 	}
 	g.mu.Lock()
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -49,7 +49,7 @@
 	zones []fleet.Zone
 	// registry decides which requests are held back, while this keeper leads; reported is
 	// what routers of events told it last.
-	registry *quarantine.Registry
+	registry *quarantine.Coordinator
 	reported map[routerKey]quarantine.Report
 	told     []toldReport // in this turn
 	// autoMembers says that the leader takes out members that are gone by itself.
@@ -83,7 +83,7 @@
 
 type claimCall struct {
 	claims []message.Claim
-	done   func([]message.Verdict, error)
+	done   func([]message.ClaimResult, error)
 }
 
 type settleCall struct {
@@ -357,7 +357,7 @@
 		if c.divider == nil || !c.node.Leads(now) {
 			return
 		}
-		key := routerKey{r.Router, r.Inc}
+		key := routerKey{r.Router, r.Incarnation}
 		c.routers[key] = conn
 		if r.Quarantine != nil {
 			c.told = append(c.told, toldReport{key, *r.Quarantine})
--- a/internal/keeper/founding.go
+++ b/internal/keeper/founding.go
@@ -133,7 +133,7 @@
 	defer f.mu.Unlock()
 	id := f.journal.Identity()
 	if id.Bound == nil {
-		return foundResult{}, fleet.NewError(fleet.KindPolicy, "start it with --init, or wait for it", "keeper %s founds no group", f.settings.Name)
+		return foundResult{}, fleet.NewError(fleet.KindPrecondition, "start it with --init, or wait for it", "keeper %s founds no group", f.settings.Name)
 	}
 	if id.Bound[p.Name] == "" && !id.Founded {
 		if err := f.bind(id, p.Name, p.ID); err != nil {
@@ -218,7 +218,7 @@
 	defer conn.Close()
 	mine := f.journalIdentity()
 	var theirs foundResult
-	if err := conn.Call(ctx, message.MethodFound, foundParams{Name: mine.Name, ID: mine.ID}, &theirs); err != nil {
+	if err := conn.Call(ctx, message.MethodFoundGroup, foundParams{Name: mine.Name, ID: mine.ID}, &theirs); err != nil {
 		f.log.Debug("founding: peer is not ready", "peer", name, "error", err)
 		return false, nil
 	}
--- a/internal/keeperclient/restart_test.go
+++ b/internal/keeperclient/restart_test.go
@@ -62,7 +62,7 @@
 	list := []fleet.Instance{instance("other", 1, false), instance("third", 1, false)}
 	target := instance("target", 1, d.drained && at >= d.drains && at < d.starts)
 	if at >= d.starts {
-		target.Born = d.starts.Milliseconds()
+		target.StartMillis = d.starts.Milliseconds()
 	}
 	listed := at < d.ends || at >= d.starts || !d.drained && at < d.unlisted
 	if listed {
@@ -71,7 +71,7 @@
 	for i := range list {
 		list[i].Slots = 64
 		if !d.told {
-			list[i].Born = 0
+			list[i].StartMillis = 0
 		}
 	}
 	return list
@@ -136,9 +136,9 @@
 		return
 	}
 	p.asks += quota.Period(150)
-	r := message.Renewal{Leads: true, Term: 1, Number: 1, List: p.number, Age: p.now - p.readAt}
+	r := message.RenewResponse{Leads: true, Term: 1, Number: 1, ListRevision: p.number, ListAge: p.now - p.readAt}
 	if p.uplink.list != p.number {
-		r.Roll = pack(p.t, p.list)
+		r.PackedTargets = pack(p.t, p.list)
 	}
 	p.uplink.take(p.time(), "k", nil, r)
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -31,7 +31,7 @@
 	Secret  rpc.Secret
 	Dialect gateway.Dialect
 	// Decode reads a configuration as the keepers keep it.
-	Decode func(text []byte) (*fleet.Table, error)
+	Decode func(text []byte) (*fleet.RoutingTable, error)
 	// List is the platform's list of targets; nil where configurations list them.
 	List   keeperclient.TargetList
 	Meters *gateway.Meters
@@ -41,12 +41,12 @@
 }
 
 // DecodeConfig reads a configuration of the product's own form.
-func DecodeConfig(text []byte) (*fleet.Table, error) {
+func DecodeConfig(text []byte) (*fleet.RoutingTable, error) {
 	var c fleet.Config
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	return c.Table()
+	return c.RoutingTable()
 }
 
 // SetSeeds names the keepers that the settings tell of. It may be called at any
@@ -89,7 +89,7 @@
 	u.Quarantine, u.Ruled = g.Quarantine, g.Ruled
 	u.Warming, u.Seat, u.Held = g.SetWarming, g.LeaseSeat, g.Seat
 	// Targets that configurations list keep their names, and nobody tells their starts.
-	g.Guard = quarantine.Guard{Owner: message.Owner(u.Name, u.Inc), Named: s.List == nil}
+	g.Guard = quarantine.Guard{Owner: message.ClaimOwner(u.Name, u.Inc), IDsReused: s.List == nil}
 	s.Meters.AddCounter("lf_list_damaged_total", "Damaged entries in this router's own readings of the list of targets.",
 		func() float64 { return float64(u.Damaged()) })
 }
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -60,8 +60,8 @@
 
 // A Result is what a command brought about.
 type Result struct {
-	Applied  *message.Applied
-	Verdicts []message.Verdict
+	Applied  *message.ApplyResult
+	Verdicts []message.ClaimResult
 }
 
 // A Store is the state. Its zero value is the state before any command. It is
@@ -75,12 +75,12 @@
 	config  fleet.Config
 	text    json.RawMessage
 	digest  string
-	history []message.Change
+	history []message.ConfigChange
 	claims  claimTable
 
 	document    Document
-	quarantine  quarantine.Book
-	evacuations fleet.Evacuations
+	quarantine  quarantine.EntryStore
+	evacuations fleet.EvacuatedZones
 }
 
 // Config returns the configuration in force, in its parsed and stored forms.
@@ -99,7 +99,7 @@
 }
 
 // History returns the accepted configurations, the oldest first.
-func (l *Store) History() []message.Change {
+func (l *Store) History() []message.ConfigChange {
 	return l.history
 }
 
@@ -115,12 +115,12 @@
 }
 
 // Quarantine returns the requests under which targets have ended.
-func (l *Store) Quarantine() *quarantine.Book {
+func (l *Store) Quarantine() *quarantine.EntryStore {
 	return &l.quarantine
 }
 
 // Evacuations returns the availability zones that are evacuated.
-func (l *Store) Evacuations() fleet.Evacuations {
+func (l *Store) Evacuations() fleet.EvacuatedZones {
 	return l.evacuations
 }
 
@@ -173,56 +173,56 @@
 
 // apply puts a configuration in force if its number is above the present one.
 // The same number with the same content is the same request sent again.
-func (l *Store) apply(a Apply) (message.Applied, error) {
+func (l *Store) apply(a Apply) (message.ApplyResult, error) {
 	var c fleet.Config
 	if err := json.Unmarshal(a.Config, &c); err != nil {
-		return message.Applied{}, fmt.Errorf("decode a configuration: %w", err)
+		return message.ApplyResult{}, fmt.Errorf("decode a configuration: %w", err)
 	}
 	digest := c.Digest()
 	if c.Number <= l.config.Number {
 		return l.answerOld(c.Number, digest), nil
 	}
 	l.config, l.text, l.digest = c, a.Config, digest
-	l.history = append(l.history, message.Change{Number: c.Number, Digest: digest, Operator: a.Operator, Accepted: l.at})
+	l.history = append(l.history, message.ConfigChange{Number: c.Number, Digest: digest, Operator: a.Operator, Accepted: l.at})
 	if len(l.history) > HistoryLength {
-		l.history = append([]message.Change(nil), l.history[len(l.history)-HistoryLength:]...)
+		l.history = append([]message.ConfigChange(nil), l.history[len(l.history)-HistoryLength:]...)
 	}
-	return message.Applied{Number: c.Number, Digest: digest}, nil
+	return message.ApplyResult{Number: c.Number, Digest: digest}, nil
 }
 
 // answerOld answers for a number that is not above the present one. One that
 // was accepted with the same content counts as accepted, even if a later one
 // has replaced it since.
-func (l *Store) answerOld(number uint64, digest string) message.Applied {
+func (l *Store) answerOld(number uint64, digest string) message.ApplyResult {
 	for i := len(l.history) - 1; i >= 0; i-- {
 		if h := l.history[i]; h.Number == number && h.Digest == digest {
-			applied := message.Applied{Number: number, Digest: digest}
+			applied := message.ApplyResult{Number: number, Digest: digest}
 			if number != l.config.Number {
-				applied.Replaced = l.config.Number
+				applied.NewerNumber = l.config.Number
 			}
 			return applied
 		}
 	}
-	return message.Applied{Number: l.config.Number, Digest: l.digest, Conflict: true}
+	return message.ApplyResult{Number: l.config.Number, Digest: l.digest, Conflict: true}
 }
 
 // snapshot is the stored form of a Store.
 type snapshot struct {
-	At      time.Time        `json:"at"`
-	Config  json.RawMessage  `json:"config,omitempty"`
-	History []message.Change `json:"history,omitempty"`
-	Claims  []savedClaims    `json:"claims,omitempty"`
+	At      time.Time              `json:"at"`
+	Config  json.RawMessage        `json:"config,omitempty"`
+	History []message.ConfigChange `json:"history,omitempty"`
+	Claims  []savedClaims          `json:"claims,omitempty"`
 
-	Document    Document             `json:"document,omitzero"`
-	Quarantine  quarantine.SavedBook `json:"quarantine,omitzero"`
-	Evacuations fleet.Evacuations    `json:"evacuations,omitzero"`
+	Document    Document                 `json:"document,omitzero"`
+	Quarantine  quarantine.EntrySnapshot `json:"quarantine,omitzero"`
+	Evacuations fleet.EvacuatedZones     `json:"evacuations,omitzero"`
 }
 
 // Snapshot returns the state in its stored form.
 func (l *Store) Snapshot() (json.RawMessage, error) {
 	data, err := json.Marshal(snapshot{
 		At: l.at, Config: l.text, History: l.history, Claims: l.claims.save(),
-		Document: l.document, Quarantine: l.quarantine.Save(), Evacuations: l.evacuations,
+		Document: l.document, Quarantine: l.quarantine.Snapshot(), Evacuations: l.evacuations,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("encode a snapshot: %w", err)
@@ -246,7 +246,7 @@
 	if err := fresh.claims.load(s.Claims); err != nil {
 		return err
 	}
-	fresh.quarantine.Load(s.Quarantine)
+	fresh.quarantine.Restore(s.Quarantine)
 	*l = fresh
 	return nil
 }
