--- a/internal/journal/disk.go
+++ b/internal/journal/disk.go
@@ -23,8 +23,8 @@
 	Remove(name string) error
 	// Rename gives a file another name, replacing one of that name.
 	Rename(from, to string) error
-	// SyncNames makes created, renamed and removed names last.
-	SyncNames() error
+	// SyncDir makes created, renamed and removed names last.
+	SyncDir() error
 }
 
 // A File is an open file of a Disk.
@@ -88,8 +88,8 @@
 	return os.Rename(d.path(from), d.path(to))
 }
 
-// SyncNames implements Disk.
-func (d *RealDisk) SyncNames() error {
+// SyncDir implements Disk.
+func (d *RealDisk) SyncDir() error {
 	f, err := os.Open(d.Folder)
 	if err != nil {
 		return fmt.Errorf("open the data folder: %w", err)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -20,23 +20,23 @@
 type Identity struct {
 	Name string `json:"name"`
 	ID   string `json:"id"`
-	// Bound holds the first ID heard of each founding peer.
-	Bound   map[string]string `json:"bound,omitempty"`
-	Founded bool              `json:"founded,omitempty"`
-	// Proposed are the members of a group that this keeper has proposed to found
+	// FoundingPeerIDs holds the first ID heard of each founding peer.
+	FoundingPeerIDs map[string]string `json:"bound,omitempty"`
+	Founded         bool              `json:"founded,omitempty"`
+	// ProposedMembers are the members of a group that this keeper has proposed to found
 	// without those of its peers that it cannot reach.
-	Proposed []quorum.Member `json:"proposed,omitempty"`
-	Members  []quorum.Member `json:"members,omitempty"`
+	ProposedMembers []quorum.Member `json:"proposed,omitempty"`
+	FoundingMembers []quorum.Member `json:"members,omitempty"`
 }
 
-// A DamageError says that a file does not hold what was written to it.
-type DamageError struct {
+// A CorruptionError says that a file does not hold what was written to it.
+type CorruptionError struct {
 	File   string
 	Offset int
 }
 
 // Error returns the place of the damage and the remedy.
-func (e *DamageError) Error() string {
+func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("%s: damaged at byte %d (the disk lost promised data: empty the data folder and start without --init, so that this keeper joins as a replacement)", e.File, e.Offset)
 }
 
@@ -86,7 +86,7 @@
 	logs, snaps := sortNames(names)
 	if len(logs) == 0 {
 		if len(snaps) > 0 {
-			return true, &DamageError{File: snaps[len(snaps)-1]}
+			return true, &CorruptionError{File: snaps[len(snaps)-1]}
 		}
 		return false, nil
 	}
@@ -105,7 +105,7 @@
 	}
 	if j.identity.ID == "" {
 		if j.holds() {
-			return true, &DamageError{File: logs[len(logs)-1]}
+			return true, &CorruptionError{File: logs[len(logs)-1]}
 		}
 		// The very first batch was torn: nothing was ever promised.
 		return false, j.Disk.Remove(logs[len(logs)-1])
@@ -130,14 +130,14 @@
 	return j.identity
 }
 
-// Load returns what a Node starts from.
-func (j *Journal) Load() (quorum.State, quorum.Snapshot, []quorum.Entry) {
+// Recovered returns what a Node starts from.
+func (j *Journal) Recovered() (quorum.State, quorum.Snapshot, []quorum.Entry) {
 	return j.state, j.base, slices.Clone(j.entries)
 }
 
-// Member reports whether the log or its snapshot says that this folder's keeper
+// IsMember reports whether the log or its snapshot says that this folder's keeper
 // is a member of the group.
-func (j *Journal) Member() bool {
+func (j *Journal) IsMember() bool {
 	members := j.base.Members
 	for _, e := range j.entries {
 		if e.Kind == quorum.EntryMembers {
@@ -164,7 +164,7 @@
 	if j.broken != nil {
 		return j.broken
 	}
-	if out.Save {
+	if out.SaveState {
 		j.state = out.State
 	}
 	if out.Snapshot != nil {
@@ -172,7 +172,7 @@
 		return j.rotate(out)
 	}
 	var records []record
-	if out.Save {
+	if out.SaveState {
 		records = append(records, record{State: &j.state})
 	}
 	for i := range out.Append {
@@ -234,7 +234,7 @@
 	if err := j.Disk.Rename(name+tempSuffix, name); err != nil {
 		return j.breakWith("rename "+name, err)
 	}
-	if err := j.Disk.SyncNames(); err != nil {
+	if err := j.Disk.SyncDir(); err != nil {
 		return j.breakWith("sync names", err)
 	}
 	return nil
@@ -264,7 +264,7 @@
 	if err != nil {
 		return j.breakWith("create "+name, err)
 	}
-	if err := j.Disk.SyncNames(); err != nil {
+	if err := j.Disk.SyncDir(); err != nil {
 		return j.breakWith("sync names", err)
 	}
 	j.file = f
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -30,7 +30,7 @@
 	}
 	p.id = id
 	for i := uint64(1); i <= 30; i++ {
-		out := quorum.Output{Save: i%5 == 1, State: quorum.State{Term: i}}
+		out := quorum.Output{SaveState: i%5 == 1, State: quorum.State{Term: i}}
 		out.Append = []quorum.Entry{entry(i)}
 		switch i {
 		case 10, 20:
@@ -49,7 +49,7 @@
 }
 
 func (p *promise) note(out quorum.Output) {
-	if out.Save {
+	if out.SaveState {
 		p.state = out.State
 	}
 	if out.Snapshot != nil {
@@ -73,7 +73,7 @@
 // requireKept checks that all of p is there. More may be: what was written but
 // not acknowledged may last or not.
 func requireKept(t require.TestingT, p promise, j *Journal) {
-	state, base, entries := j.Load()
+	state, base, entries := j.Recovered()
 	require.Equal(t, p.id, j.Identity())
 	require.GreaterOrEqual(t, state.Term, p.state.Term)
 	require.GreaterOrEqual(t, base.Index, p.base.Index)
@@ -101,7 +101,7 @@
 	used, err = again.Open()
 	require.NoError(t, err)
 	require.True(t, used)
-	state, base, entries := again.Load()
+	state, base, entries := again.Recovered()
 	require.Equal(t, p.state, state)
 	require.Equal(t, p.base, base)
 	require.Equal(t, p.entries, entries)
@@ -119,7 +119,7 @@
 	require.Greater(t, whole.Ops, 60)
 	for at := 1; at <= whole.Ops; at++ {
 		for seed := range uint64(20) {
-			disk := &MockDisk{Seed: seed, FailAt: at, Fault: ErrCrash}
+			disk := &MockDisk{Seed: seed, FailFromOp: at, Fault: ErrCrash}
 			p, err := script(&Journal{Disk: disk})
 			require.Error(t, err)
 			disk.Crash()
@@ -151,27 +151,27 @@
 			disk := &MockDisk{}
 			p, err := script(&Journal{Disk: disk})
 			require.NoError(t, err)
-			disk.Flip(name, offset, uint(offset%8))
+			disk.FlipBit(name, offset, uint(offset%8))
 			again := &Journal{Disk: disk}
 			_, err = again.Open()
-			var damage *DamageError
+			var damage *CorruptionError
 			require.ErrorAs(t, err, &damage, "%s byte %d of %d: %v", name, offset, len(data), p.state)
 		}
 	}
 }
 
 func TestFullDiskAndFailedSyncBreakTheJournal(t *testing.T) {
-	for _, fault := range []error{ErrFull, ErrSync} {
+	for _, fault := range []error{ErrDiskFull, ErrSyncFailed} {
 		disk := &MockDisk{}
 		j := &Journal{Disk: disk}
 		require.NoError(t, j.SetIdentity(Identity{ID: "k1-x"}))
-		disk.FailAt, disk.Fault = disk.Ops+1, fault
+		disk.FailFromOp, disk.Fault = disk.Ops+1, fault
 		out := quorum.Output{Append: []quorum.Entry{entry(1)}}
 		err := j.Write(out)
 		var diskErr *DiskError
 		require.ErrorAs(t, err, &diskErr)
 		require.ErrorIs(t, err, fault)
-		disk.FailAt = 0
+		disk.FailFromOp = 0
 		require.ErrorIs(t, j.Write(out), fault, "a failed sync is never tried again on the same pages")
 	}
 }
@@ -189,16 +189,16 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "lost") {
 			lost = append(lost, entry(uint64(kept+i+1)))
 		}
-		disk.FailAt, disk.Fault = disk.Ops+2, ErrCrash // the sync
+		disk.FailFromOp, disk.Fault = disk.Ops+2, ErrCrash // the sync
 		require.Error(t, j.Write(quorum.Output{Append: lost}))
 		disk.Crash()
 		again := &Journal{Disk: disk}
 		_, err := again.Open()
 		require.NoError(t, err)
-		_, _, entries := again.Load()
+		_, _, entries := again.Recovered()
 		require.GreaterOrEqual(t, len(entries), kept)
 		// A second crash, after the cut, must be told from rot too.
-		disk.FailAt, disk.Fault = disk.Ops+2, ErrCrash
+		disk.FailFromOp, disk.Fault = disk.Ops+2, ErrCrash
 		next := uint64(len(entries) + 1)
 		require.Error(t, again.Write(quorum.Output{Append: []quorum.Entry{entry(next), entry(next + 1)}}))
 		disk.Crash()
@@ -246,7 +246,7 @@
 			require.NoError(t, err)
 			j := &Journal{Disk: disk}
 			_, err = j.Open()
-			var damage *DamageError
+			var damage *CorruptionError
 			require.ErrorAs(t, err, &damage)
 			names, err := disk.List()
 			require.NoError(t, err)
@@ -276,10 +276,10 @@
 		_, err = file.Write(data)
 		require.NoError(t, err)
 		require.NoError(t, file.Sync())
-		require.NoError(t, disk.SyncNames())
+		require.NoError(t, disk.SyncDir())
 		first := &Journal{Disk: disk}
 		if _, err := first.Open(); err != nil {
-			var damage *DamageError
+			var damage *CorruptionError
 			require.ErrorAs(t, err, &damage)
 			return
 		}
--- a/internal/journal/load.go
+++ b/internal/journal/load.go
@@ -16,7 +16,7 @@
 	}
 	r, _, size, ok := decodeRecord(data)
 	if !ok || size != len(data) || r.Snapshot == nil {
-		return &DamageError{File: name}
+		return &CorruptionError{File: name}
 	}
 	j.base = *r.Snapshot
 	j.number = numberOf(name)
@@ -37,7 +37,7 @@
 	for offset < len(data) {
 		r, next, size, ok := decodeRecord(data[offset:])
 		if !ok && (!last || !torn(data, offset, mark)) {
-			return &DamageError{File: name, Offset: offset}
+			return &CorruptionError{File: name, Offset: offset}
 		}
 		if !ok {
 			break
@@ -49,7 +49,7 @@
 			continue
 		}
 		if err := j.replay(batch); err != nil {
-			return &DamageError{File: name, Offset: whole}
+			return &CorruptionError{File: name, Offset: whole}
 		}
 		batch, whole = nil, offset
 		j.batch = mark.number
@@ -58,7 +58,7 @@
 	case whole == len(data):
 		return nil
 	case !last:
-		return &DamageError{File: name, Offset: whole}
+		return &CorruptionError{File: name, Offset: whole}
 	default:
 		return j.cutTail(name, whole)
 	}
--- a/internal/journal/mockdisk.go
+++ b/internal/journal/mockdisk.go
@@ -14,10 +14,10 @@
 type MockDisk struct {
 	// Seed decides what is left of unsynced writes after a crash.
 	Seed uint64
-	// FailAt is the operation, counted from 1, from which on all fail with
+	// FailFromOp is the operation, counted from 1, from which on all fail with
 	// Fault; 0 is never. It stands for a crash, a full disk or a failed sync.
-	FailAt int
-	Fault  error
+	FailFromOp int
+	Fault      error
 	// Ops counts the operations that change the disk.
 	Ops int
 
@@ -36,9 +36,9 @@
 
 // The faults that a MockDisk is usually given.
 var (
-	ErrCrash = errors.New("the machine crashed")
-	ErrFull  = fmt.Errorf("write: %w", syscall.ENOSPC)
-	ErrSync  = fmt.Errorf("sync: %w", syscall.EIO)
+	ErrCrash      = errors.New("the machine crashed")
+	ErrDiskFull   = fmt.Errorf("write: %w", syscall.ENOSPC)
+	ErrSyncFailed = fmt.Errorf("sync: %w", syscall.EIO)
 )
 
 func (d *MockDisk) step() error {
@@ -48,7 +48,7 @@
 		d.random = rand.New(rand.NewPCG(d.Seed, 1))
 	}
 	d.Ops++
-	if d.FailAt > 0 && d.Ops >= d.FailAt {
+	if d.FailFromOp > 0 && d.Ops >= d.FailFromOp {
 		return d.Fault
 	}
 	return nil
@@ -57,7 +57,7 @@
 // Crash drops what was not synced: names go back, and of unsynced bytes a
 // random part stays, some of its sectors empty.
 func (d *MockDisk) Crash() {
-	d.FailAt = 0
+	d.FailFromOp = 0
 	d.files = maps.Clone(d.durable)
 	for _, name := range slices.Sorted(maps.Keys(d.files)) {
 		d.files[name].crash(d.random)
@@ -80,8 +80,8 @@
 	f.synced = len(f.data)
 }
 
-// Flip changes one bit of a file.
-func (d *MockDisk) Flip(name string, offset int, bit uint) {
+// FlipBit changes one bit of a file.
+func (d *MockDisk) FlipBit(name string, offset int, bit uint) {
 	d.files[name].data[offset] ^= 1 << bit
 }
 
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// SyncNames implements Disk.
-func (d *MockDisk) SyncNames() error {
+// SyncDir implements Disk.
+func (d *MockDisk) SyncDir() error {
 	if err := d.step(); err != nil {
 		return err
 	}
--- a/internal/keeper/admin.go
+++ b/internal/keeper/admin.go
@@ -105,8 +105,8 @@
 	c := k.core
 	// A keeper that still founds its group answers with what it has.
 	_ = c.ask(ctx, func(now time.Time) {
-		s.ID, s.Leader, s.Leads = c.node.ID, c.node.LeaderID(), c.node.Leads(now)
-		s.Term, s.Commit = c.node.Term(), c.node.Commit()
+		s.ID, s.Leader, s.Leads = c.node.ID, c.node.LeaderID(), c.node.IsActiveLeader(now)
+		s.Term, s.Commit = c.node.Term(), c.node.CommitIndex()
 		s.Number, s.Digest = c.ledger.Number(), c.ledger.Digest()
 		s.Members = c.node.Members()
 	})
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -241,7 +241,7 @@
 				j := &journal.Journal{Disk: &journal.RealDisk{Folder: folder}}
 				_, err := j.Open()
 				require.NoError(b, err)
-				_, base, entries := j.Load()
+				_, base, entries := j.Recovered()
 				var l ledger.Ledger
 				require.NoError(b, l.Restore(base.Data))
 				for _, e := range entries {
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -138,16 +138,16 @@
 }
 
 func (c *core) start(id journal.Identity) error {
-	state, base, entries := c.journal.Load()
+	state, base, entries := c.journal.Recovered()
 	if base.Index == 0 && len(base.Members) == 0 {
-		base.Members = id.Members
+		base.Members = id.FoundingMembers
 	}
 	if len(base.Data) > 0 {
 		if err := c.ledger.Restore(base.Data); err != nil {
 			return fmt.Errorf("restore the snapshot: %w", err)
 		}
 	}
-	c.node = &quorum.Node{ID: id.ID, Saved: state, Base: base, Entries: entries}
+	c.node = &quorum.Node{ID: id.ID, SavedState: state, Snapshot: base, Entries: entries}
 	c.node.Start(c.clock.Now())
 	c.log.Info("log loaded", "id", id.ID, "term", state.Term, "snapshot", base.Index, "entries", len(entries))
 	return nil
@@ -186,27 +186,27 @@
 // settle does what the node wants done until it wants nothing more.
 func (c *core) settle() error {
 	for {
-		out := c.node.Take()
-		for _, m := range out.Early {
+		out := c.node.TakeOutput()
+		for _, m := range out.SendBeforeSync {
 			c.carrier.send(m)
 		}
-		if out.Durable() {
+		if out.NeedsSync() {
 			if err := c.write(out); err != nil {
 				return err
 			}
 			for _, e := range out.Append {
 				c.grown += len(e.Data)
 			}
-			c.node.Synced()
+			c.node.MarkDurable()
 		}
 		c.carrier.setMembers(c.node.ID, c.node.Members())
-		for _, m := range out.Late {
+		for _, m := range out.SendAfterSync {
 			c.carrier.send(m)
 		}
 		if err := c.apply(out); err != nil {
 			return err
 		}
-		if !out.Durable() && len(out.Early)+len(out.Late)+len(out.Committed) == 0 {
+		if !out.NeedsSync() && len(out.SendBeforeSync)+len(out.SendAfterSync)+len(out.Committed) == 0 {
 			return nil
 		}
 	}
@@ -214,7 +214,7 @@
 
 // slowWrite is how long a write to the log takes at least where the disk counts as slow: a
 // heartbeat and a half.
-const slowWrite = 3 * quorum.Heartbeat / 2
+const slowWrite = 3 * quorum.HeartbeatInterval / 2
 
 // write makes an output durable.
 func (c *core) write(out quorum.Output) error {
@@ -230,11 +230,11 @@
 }
 
 func (c *core) apply(out quorum.Output) error {
-	if out.Restore != nil {
-		if err := c.ledger.Restore(out.Restore.Data); err != nil {
+	if out.RestoreFrom != nil {
+		if err := c.ledger.Restore(out.RestoreFrom.Data); err != nil {
 			return fmt.Errorf("restore the leader's snapshot: %w", err)
 		}
-		c.log.Info("snapshot taken over", "index", out.Restore.Index, "number", c.ledger.Number())
+		c.log.Info("snapshot taken over", "index", out.RestoreFrom.Index, "number", c.ledger.Number())
 	}
 	for _, e := range out.Committed {
 		c.applyEntry(e)
@@ -247,7 +247,7 @@
 // that are applied only at the end of the turn: until then the ledger is older
 // than what was acknowledged.
 func (c *core) leads(now time.Time) bool {
-	return c.node.Leads(now) && c.node.Applied()
+	return c.node.IsActiveLeader(now) && c.node.AllApplied()
 }
 
 func (c *core) applyEntry(e quorum.Entry) {
@@ -300,7 +300,7 @@
 }
 
 func (c *core) deadline() time.Time {
-	next := c.node.Deadline()
+	next := c.node.NextTick()
 	if c.divider != nil && c.divider.Deadline().Before(next) {
 		next = c.divider.Deadline()
 	}
@@ -354,7 +354,7 @@
 		return
 	}
 	c.post(func(now time.Time) {
-		if c.divider == nil || !c.node.Leads(now) {
+		if c.divider == nil || !c.node.IsActiveLeader(now) {
 			return
 		}
 		key := routerKey{r.Router, r.Inc}
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -35,7 +35,7 @@
 	held := c.ledger.Evacuations()
 	switch {
 	case !c.leads(now):
-		done(message.Evacuated{}, quorum.ErrNotLeader(c.leaderAddress()))
+		done(message.Evacuated{}, quorum.NewNotLeaderError(c.leaderAddress()))
 	case !held.Has(p.Zone) && !c.hasZone(p.Zone):
 		done(message.Evacuated{}, fleet.NewError(fleet.KindMalformed, "name a zone that has targets", "no zone is named %q", p.Zone))
 	case held.Has(p.Zone) != p.End:
--- a/internal/keeper/forming.go
+++ b/internal/keeper/forming.go
@@ -66,24 +66,24 @@
 	if err != nil {
 		return id, true, err
 	}
-	for _, m := range id.Proposed {
+	for _, m := range id.ProposedMembers {
 		if m.ID == id.ID {
 			continue
 		}
-		formed, err := f.askForm(ctx, m.Address, id.Proposed)
+		formed, err := f.askForm(ctx, m.Address, id.ProposedMembers)
 		if err != nil {
 			f.log.Debug("forming: peer does not answer", "peer", m.Name, "error", err)
 			return id, false, nil
 		}
-		if !slices.Equal(formed.Members, id.Proposed) {
+		if !slices.Equal(formed.Members, id.ProposedMembers) {
 			return f.giveWay(ctx, formed.Members)
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id = f.journal.Identity()
-	id.Members, id.Founded = id.Proposed, true
-	f.log.Warn("group founded without all peers", "members", len(id.Members), "missing", len(missing))
+	id.FoundingMembers, id.Founded = id.ProposedMembers, true
+	f.log.Warn("group founded without all peers", "members", len(id.FoundingMembers), "missing", len(missing))
 	return id, true, f.journal.SetIdentity(id)
 }
 
@@ -92,15 +92,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := f.journal.Identity()
-	if len(id.Proposed) > 0 {
+	if len(id.ProposedMembers) > 0 {
 		return id, nil
 	}
 	for _, p := range f.settings.PeerList() {
 		if missing[p.Name] == "" {
-			id.Proposed = append(id.Proposed, quorum.Member{ID: id.Bound[p.Name], Name: p.Name, Address: p.Address, Voter: true})
+			id.ProposedMembers = append(id.ProposedMembers, quorum.Member{ID: id.FoundingPeerIDs[p.Name], Name: p.Name, Address: p.Address, Voter: true})
 		}
 	}
-	slices.SortFunc(id.Proposed, func(a, b quorum.Member) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(id.ProposedMembers, func(a, b quorum.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return id, f.journal.SetIdentity(id)
 }
 
@@ -121,9 +121,9 @@
 func (f *founding) giveWay(ctx context.Context, members []quorum.Member) (journal.Identity, bool, error) {
 	f.mu.Lock()
 	id := f.journal.Identity()
-	id.Proposed = nil
+	id.ProposedMembers = nil
 	if slices.ContainsFunc(members, func(m quorum.Member) bool { return m.ID == id.ID }) {
-		id.Members, id.Founded = members, true
+		id.FoundingMembers, id.Founded = members, true
 	}
 	err := f.journal.SetIdentity(id)
 	f.mu.Unlock()
@@ -141,17 +141,17 @@
 	defer f.mu.Unlock()
 	id := f.journal.Identity()
 	if id.Founded {
-		return formResult{Members: id.Members}, nil
+		return formResult{Members: id.FoundingMembers}, nil
 	}
 	mine := slices.ContainsFunc(p.Members, func(m quorum.Member) bool { return m.ID == id.ID })
-	if id.Bound == nil || !mine || len(id.Proposed) > 0 {
+	if id.FoundingPeerIDs == nil || !mine || len(id.ProposedMembers) > 0 {
 		return formResult{}, fleet.NewError(fleet.KindPolicy, "ask again, or wait for its own proposal",
 			"keeper %s takes no part in this group", f.settings.Name)
 	}
-	id.Members, id.Founded = p.Members, true
+	id.FoundingMembers, id.Founded = p.Members, true
 	if err := f.journal.SetIdentity(id); err != nil {
 		return formResult{}, err
 	}
-	f.log.Info("group founded by a peer", "members", len(id.Members), "id", id.ID)
-	return formResult{Members: id.Members}, nil
+	f.log.Info("group founded by a peer", "members", len(id.FoundingMembers), "id", id.ID)
+	return formResult{Members: id.FoundingMembers}, nil
 }
--- a/internal/keeper/founding.go
+++ b/internal/keeper/founding.go
@@ -97,12 +97,12 @@
 		return id, err
 	}
 	switch {
-	case id.Founded || f.journal.Member():
+	case id.Founded || f.journal.IsMember():
 		// A joined keeper whose log says that it is a member must not wait for a
 		// leader here: after a loss of power everywhere, its vote may be the one
 		// that a quorum lacks.
 		return id, nil
-	case id.Bound != nil:
+	case id.FoundingPeerIDs != nil:
 		return f.waitForPeers(ctx)
 	default:
 		return f.join(ctx, id)
@@ -119,7 +119,7 @@
 	}
 	id = journal.Identity{Name: f.settings.Name, ID: f.settings.Name + "-" + rand.Text()}
 	if f.init {
-		id.Bound = map[string]string{id.Name: id.ID}
+		id.FoundingPeerIDs = map[string]string{id.Name: id.ID}
 	}
 	if err := f.journal.SetIdentity(id); err != nil {
 		return id, fmt.Errorf("save the identity: %w", err)
@@ -132,24 +132,24 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := f.journal.Identity()
-	if id.Bound == nil {
+	if id.FoundingPeerIDs == nil {
 		return foundResult{}, fleet.NewError(fleet.KindPolicy, "start it with --init, or wait for it", "keeper %s founds no group", f.settings.Name)
 	}
-	if id.Bound[p.Name] == "" && !id.Founded {
+	if id.FoundingPeerIDs[p.Name] == "" && !id.Founded {
 		if err := f.bind(id, p.Name, p.ID); err != nil {
 			return foundResult{}, err
 		}
 	}
-	return foundResult{ID: id.ID, Bound: f.journal.Identity().Bound[p.Name], Founded: id.Founded}, nil
+	return foundResult{ID: id.ID, Bound: f.journal.Identity().FoundingPeerIDs[p.Name], Founded: id.Founded}, nil
 }
 
 func (f *founding) bind(id journal.Identity, name, peerID string) error {
-	bound := make(map[string]string, len(id.Bound)+1)
-	for n, v := range id.Bound {
+	bound := make(map[string]string, len(id.FoundingPeerIDs)+1)
+	for n, v := range id.FoundingPeerIDs {
 		bound[n] = v
 	}
 	bound[name] = peerID
-	id.Bound = bound
+	id.FoundingPeerIDs = bound
 	return f.journal.SetIdentity(id)
 }
 
@@ -176,7 +176,7 @@
 		}
 		// A proposal that was made stands, also once all peers are there: one may
 		// have taken part already.
-		if len(f.journalIdentity().Proposed) > 0 || f.mayForm(missing) {
+		if len(f.journalIdentity().ProposedMembers) > 0 || f.mayForm(missing) {
 			if id, done, err := f.propose(ctx, missing); done || err != nil {
 				return id, err
 			}
@@ -189,7 +189,7 @@
 }
 
 func (f *founding) waits(missing map[string]string) bool {
-	return len(missing) > 0 || len(f.journalIdentity().Proposed) > 0
+	return len(missing) > 0 || len(f.journalIdentity().ProposedMembers) > 0
 }
 
 // askMissing asks the missing peers, and strikes those off that have bound this
@@ -231,10 +231,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := f.journal.Identity()
-	if id.Bound[name] == "" {
+	if id.FoundingPeerIDs[name] == "" {
 		return true, f.bind(id, name, theirs.ID)
 	}
-	if id.Bound[name] != theirs.ID {
+	if id.FoundingPeerIDs[name] != theirs.ID {
 		return false, &BoundError{Peer: mine.Name, Name: name}
 	}
 	return true, nil
@@ -255,14 +255,14 @@
 		return id, nil
 	}
 	for _, p := range f.settings.PeerList() {
-		id.Members = append(id.Members, quorum.Member{ID: id.Bound[p.Name], Name: p.Name, Address: p.Address, Voter: true})
+		id.FoundingMembers = append(id.FoundingMembers, quorum.Member{ID: id.FoundingPeerIDs[p.Name], Name: p.Name, Address: p.Address, Voter: true})
 	}
-	slices.SortFunc(id.Members, func(a, b quorum.Member) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(id.FoundingMembers, func(a, b quorum.Member) int { return cmp.Compare(a.Name, b.Name) })
 	id.Founded = true
 	if err := f.journal.SetIdentity(id); err != nil {
 		return id, fmt.Errorf("save the identity: %w", err)
 	}
-	f.log.Info("group founded", "members", len(id.Members), "id", id.ID)
+	f.log.Info("group founded", "members", len(id.FoundingMembers), "id", id.ID)
 	return id, nil
 }
 
@@ -272,7 +272,7 @@
 	for {
 		if members, ok := f.askAll(ctx, id, nil); ok {
 			f.log.Info("joined as a learner", "id", id.ID, "members", len(members))
-			id.Members = members
+			id.FoundingMembers = members
 			return id, nil
 		}
 		if !sleep(ctx, foundPause) {
--- a/internal/keeper/histories_test.go
+++ b/internal/keeper/histories_test.go
@@ -98,7 +98,7 @@
 	case 8:
 		g.loseDisk(name)
 	case 9:
-		g.disks[name].FailAt, g.disks[name].Fault = g.disks[name].Ops+1+g.random.IntN(4), journal.ErrFull
+		g.disks[name].FailFromOp, g.disks[name].Fault = g.disks[name].Ops+1+g.random.IntN(4), journal.ErrDiskFull
 		g.run(200 * time.Millisecond)
 		g.restart(name)
 	case 10:
@@ -159,13 +159,13 @@
 	old, _ := g.byID(c.node.ID)
 	g.cut[old] = true
 	cutAt := g.clock.Now()
-	for !slices.ContainsFunc(g.names, func(n string) bool { return n != old && g.cores[n].node.Leads(g.clock.Now()) }) {
+	for !slices.ContainsFunc(g.names, func(n string) bool { return n != old && g.cores[n].node.IsActiveLeader(g.clock.Now()) }) {
 		g.run(20 * time.Millisecond)
 		g.read()
 	}
 	without := g.clock.Now().Sub(cutAt)
 	t.Logf("time without a leader: %s", without)
-	require.Less(t, without, 2*quorum.Election+quorum.Election)
+	require.Less(t, without, 2*quorum.ElectionTimeout+quorum.ElectionTimeout)
 	term := uint64(0)
 	for _, n := range g.names {
 		if n != old {
--- a/internal/keeper/instances.go
+++ b/internal/keeper/instances.go
@@ -75,6 +75,6 @@
 
 func (c *core) leading(ctx context.Context) bool {
 	leads := false
-	err := c.ask(ctx, func(now time.Time) { leads = c.node.Leads(now) })
+	err := c.ask(ctx, func(now time.Time) { leads = c.node.IsActiveLeader(now) })
 	return err == nil && leads
 }
--- a/internal/keeper/lead.go
+++ b/internal/keeper/lead.go
@@ -28,7 +28,7 @@
 		c.stepDown()
 		return
 	}
-	if !c.node.Leads(now) {
+	if !c.node.IsActiveLeader(now) {
 		return // the term may go on once a quorum answers again
 	}
 	if c.divider == nil || c.divider.Term != c.node.Term() {
@@ -44,7 +44,7 @@
 	c.keepMembers(now)
 	for _, a := range c.divider.Take() {
 		key := routerKey{a.Router, a.Inc}
-		if conn := c.routers[key]; conn != nil && c.node.Leads(c.clock.Now()) {
+		if conn := c.routers[key]; conn != nil && c.node.IsActiveLeader(c.clock.Now()) {
 			a.Grant.Rulings = c.rulings(now, c.reported[key])
 			c.carrier.grant(conn, a.Grant)
 		}
@@ -68,7 +68,7 @@
 // promote makes a learner that has caught up a voter.
 func (c *core) promote(now time.Time) {
 	for _, m := range c.node.Members() {
-		if m.Voter || c.node.Match(m.ID) < c.node.Commit() {
+		if m.Voter || c.node.MatchIndex(m.ID) < c.node.CommitIndex() {
 			continue
 		}
 		if err := c.node.Promote(now, m.ID); err == nil {
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -55,12 +55,12 @@
 	if !c.autoMembers {
 		return
 	}
-	m, ok := silentMember(now, c.node.ID, c.node.Members(), c.node.Heard)
+	m, ok := silentMember(now, c.node.ID, c.node.Members(), c.node.LastFollowerContact)
 	if !ok {
 		return
 	}
 	if err := c.node.Remove(now, m.ID); err == nil {
 		c.log.Warn("keeper removed: it answers nothing", "name", m.Name, "id", m.ID,
-			"voter", m.Voter, "silent", now.Sub(c.node.Heard(m.ID)).Milliseconds())
+			"voter", m.Voter, "silent", now.Sub(c.node.LastFollowerContact(m.ID)).Milliseconds())
 	}
 }
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -101,7 +101,7 @@
 func (c *core) held(ctx context.Context) (message.Held, error) {
 	return await(ctx, c, func(now time.Time, done func(message.Held, error)) {
 		if !c.leads(now) {
-			done(message.Held{}, quorum.ErrNotLeader(c.leaderAddress()))
+			done(message.Held{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
 		done(message.Held{Entries: c.ledger.Quarantine().Entries(), Now: now}, nil)
@@ -114,7 +114,7 @@
 		registry, ok := c.court(now)
 		switch {
 		case !ok:
-			done(struct{}{}, quorum.ErrNotLeader(c.leaderAddress()))
+			done(struct{}{}, quorum.NewNotLeaderError(c.leaderAddress()))
 		case !registry.Lift(now, p.Print):
 			done(struct{}{}, fleet.NewError(fleet.KindPolicy, "see lfctl held for those that are", "request %q is not held back", p.Print))
 		default:
--- a/internal/keeper/rejoin.go
+++ b/internal/keeper/rejoin.go
@@ -38,11 +38,11 @@
 // needsRejoin reports whether this keeper has heard no leader for long, or is no
 // member.
 func (c *core) needsRejoin(now time.Time) bool {
-	if c.node.Leads(now) {
+	if c.node.IsActiveLeader(now) {
 		return false
 	}
 	member := slices.ContainsFunc(c.node.Members(), func(m quorum.Member) bool { return m.ID == c.node.ID })
-	return !member || now.Sub(c.node.HeardLeader()) > unheard
+	return !member || now.Sub(c.node.LastLeaderContact()) > unheard
 }
 
 // askAll asks each keeper that may know the leader to take this one in, once.
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -256,7 +256,7 @@
 func (c *core) put(ctx context.Context, p message.Put) (struct{}, error) {
 	return await(ctx, c, func(now time.Time, done func(struct{}, error)) {
 		if !c.leads(now) {
-			done(struct{}{}, quorum.ErrNotLeader(c.leaderAddress()))
+			done(struct{}{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
 		if p.Number <= c.ledger.Document().Number {
@@ -273,7 +273,7 @@
 func (c *core) read(ctx context.Context) (message.Document, error) {
 	return await(ctx, c, func(now time.Time, done func(message.Document, error)) {
 		if !c.leads(now) {
-			done(message.Document{}, quorum.ErrNotLeader(c.leaderAddress()))
+			done(message.Document{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
 		d := c.ledger.Document()
--- a/internal/keeper/serve.go
+++ b/internal/keeper/serve.go
@@ -113,7 +113,7 @@
 func (c *core) claim(ctx context.Context, p message.Claims) (message.Verdicts, error) {
 	return await(ctx, c, func(now time.Time, done func(message.Verdicts, error)) {
 		if !c.leads(now) {
-			done(message.Verdicts{}, quorum.ErrNotLeader(c.node.LeaderID()))
+			done(message.Verdicts{}, quorum.NewNotLeaderError(c.node.LeaderID()))
 			return
 		}
 		c.claims = append(c.claims, claimCall{claims: p.Claims, done: func(v []message.Verdict, err error) {
@@ -145,7 +145,7 @@
 func (c *core) settleClaims(ctx context.Context, p message.Settlements) error {
 	_, err := await(ctx, c, func(now time.Time, done func(struct{}, error)) {
 		if !c.leads(now) {
-			done(struct{}{}, quorum.ErrNotLeader(c.node.LeaderID()))
+			done(struct{}{}, quorum.NewNotLeaderError(c.node.LeaderID()))
 			return
 		}
 		c.settles = append(c.settles, settleCall{settlements: p.Settlements, done: func(err error) {
@@ -175,7 +175,7 @@
 
 func (c *core) submitConfig(now time.Time, config fleet.Config, operator string, done func(message.Applied, error)) {
 	if !c.leads(now) {
-		done(message.Applied{}, quorum.ErrNotLeader(c.node.LeaderID()))
+		done(message.Applied{}, quorum.NewNotLeaderError(c.node.LeaderID()))
 		return
 	}
 	cmd := ledger.Command{Apply: &ledger.Apply{Config: config.JSON(), Operator: operator}}
@@ -217,7 +217,7 @@
 func (c *core) show(ctx context.Context) (message.Show, error) {
 	return await(ctx, c, func(now time.Time, done func(message.Show, error)) {
 		if !c.leads(now) {
-			done(message.Show{}, quorum.ErrNotLeader(c.node.LeaderID()))
+			done(message.Show{}, quorum.NewNotLeaderError(c.node.LeaderID()))
 			return
 		}
 		_, text := c.ledger.Config()
@@ -228,19 +228,19 @@
 func (c *core) status(ctx context.Context) (message.Status, error) {
 	return await(ctx, c, func(now time.Time, done func(message.Status, error)) {
 		if !c.leads(now) || c.divider == nil {
-			done(message.Status{}, quorum.ErrNotLeader(c.node.LeaderID()))
+			done(message.Status{}, quorum.NewNotLeaderError(c.node.LeaderID()))
 			return
 		}
 		s := message.Status{
-			Leader: c.node.ID, Term: c.node.Term(), Commit: c.node.Commit(),
+			Leader: c.node.ID, Term: c.node.Term(), Commit: c.node.CommitIndex(),
 			Number: c.ledger.Number(), Digest: c.ledger.Digest(), Claims: c.ledger.Claims(), Held: len(c.ledger.Quarantine().Entries()),
-			Changing: c.node.Changing(), Evacuated: c.ledger.Evacuations().Zones,
+			Changing: c.node.MembershipChangePending(), Evacuated: c.ledger.Evacuations().Zones,
 			Gap: c.divider.Gap(), Routers: c.divider.Routers(),
 		}
 		s.Busy, s.Slots = c.divider.Load()
 		for _, m := range c.node.Members() {
 			s.Keepers = append(s.Keepers, message.KeeperStatus{
-				Name: m.Name, ID: m.ID, Address: m.Address, Voter: m.Voter, Match: c.node.Match(m.ID),
+				Name: m.Name, ID: m.ID, Address: m.Address, Voter: m.Voter, Match: c.node.MatchIndex(m.ID),
 			})
 		}
 		done(s, nil)
@@ -264,7 +264,7 @@
 func (c *core) noteReplaced(now time.Time, p joinParams) {
 	for _, m := range c.node.Members() {
 		if m.Name == p.Name && m.Address == p.Address && m.ID != p.ID {
-			c.node.Replaced(now, m.ID)
+			c.node.MarkReplaced(now, m.ID)
 		}
 	}
 }
@@ -273,7 +273,7 @@
 func (c *core) takeIn(now time.Time, p joinParams) error {
 	c.noteReplaced(now, p)
 	if !c.leads(now) {
-		return quorum.ErrNotLeader(c.node.LeaderID())
+		return quorum.NewNotLeaderError(c.node.LeaderID())
 	}
 	member := false
 	for _, m := range c.node.Members() {
@@ -285,7 +285,7 @@
 			return err
 		}
 		c.log.Info("keeper removed: a replacement joins", "name", m.Name, "id", m.ID)
-		return quorum.ErrChanging
+		return quorum.ErrMembershipChangePending
 	}
 	if err := c.node.AddLearner(now, quorum.Member{ID: p.ID, Name: p.Name, Address: p.Address}); err != nil {
 		return err
--- a/internal/keeper/tendedfaults_test.go
+++ b/internal/keeper/tendedfaults_test.go
@@ -24,7 +24,7 @@
 	if power {
 		vm.disk.Crash()
 	}
-	vm.disk.FailAt = 0
+	vm.disk.FailFromOp = 0
 	g.boot(vm, nil)
 }
 
@@ -37,7 +37,7 @@
 	for _, vm := range g.vms {
 		vm.cut = 0
 		vm.frozen = time.Time{}
-		vm.disk.FailAt = 0
+		vm.disk.FailFromOp = 0
 		if vm.core == nil && !vm.gone {
 			g.restart(vm, false)
 		}
@@ -117,7 +117,7 @@
 			g.restart(l, true)
 		}
 	case 12:
-		vm.disk.FailAt, vm.disk.Fault = vm.disk.Ops+1+g.random.IntN(4), journal.ErrFull
+		vm.disk.FailFromOp, vm.disk.Fault = vm.disk.Ops+1+g.random.IntN(4), journal.ErrDiskFull
 	default:
 		r := g.routers[g.random.IntN(len(g.routers))]
 		r.cut = !r.cut
--- a/internal/keeper/tendedgroup_test.go
+++ b/internal/keeper/tendedgroup_test.go
@@ -102,7 +102,7 @@
 		members = append(members, quorum.Member{ID: vm.name + "-0", Name: vm.name, Address: vm.name, Voter: i < 3})
 	}
 	for i, vm := range g.vms {
-		g.boot(vm, &journal.Identity{Name: vm.name, ID: vm.name + "-0", Founded: true, Members: members})
+		g.boot(vm, &journal.Identity{Name: vm.name, ID: vm.name + "-0", Founded: true, FoundingMembers: members})
 		vm.joined = i < 3
 	}
 	for i := range 3 {
@@ -294,7 +294,7 @@
 // whole reports whether all VMs that are there are voters that hold everything.
 func (g *tended) whole() bool {
 	l := g.leader()
-	if l == nil || l.core.node.Changing() {
+	if l == nil || l.core.node.MembershipChangePending() {
 		return false
 	}
 	want := 0
@@ -307,7 +307,7 @@
 			return false
 		}
 		ok := slices.ContainsFunc(l.core.node.Members(), func(m quorum.Member) bool {
-			return m.ID == vm.core.node.ID && m.Voter && l.core.node.Match(m.ID) >= l.core.node.Commit()
+			return m.ID == vm.core.node.ID && m.Voter && l.core.node.MatchIndex(m.ID) >= l.core.node.CommitIndex()
 		})
 		if !ok {
 			return false
@@ -322,7 +322,7 @@
 	for _, vm := range g.vms {
 		text += fmt.Sprintf("%s cut %d gone %t joined %t", vm.name, vm.cut, vm.gone, vm.joined)
 		if c := vm.core; c != nil {
-			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.Commit(), c.ledger.Document().Number)
+			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.CommitIndex(), c.ledger.Document().Number)
 			for _, m := range c.node.Members() {
 				text += fmt.Sprintf(" %s/%t", m.ID, m.Voter)
 			}
--- a/internal/keeper/trio_test.go
+++ b/internal/keeper/trio_test.go
@@ -30,7 +30,7 @@
 	}
 	for i, name := range g.names {
 		g.disks[name] = &journal.MockDisk{Seed: seed + uint64(i)}
-		g.boot(name, &journal.Identity{Name: name, ID: name + "-0", Founded: true, Members: members})
+		g.boot(name, &journal.Identity{Name: name, ID: name + "-0", Founded: true, FoundingMembers: members})
 	}
 	for _, name := range []string{"r1", "r2"} {
 		g.startRouter(name)
@@ -140,7 +140,7 @@
 func (g *trio) report(conn *link.Conn, r message.Report) {
 	for _, name := range g.names {
 		c := g.cores[name]
-		if c == nil || g.cut[name] || c.divider == nil || !c.node.Leads(g.clock.Now()) {
+		if c == nil || g.cut[name] || c.divider == nil || !c.node.IsActiveLeader(g.clock.Now()) {
 			continue
 		}
 		c.routers[routerKey{r.Router, r.Inc}] = conn
@@ -175,7 +175,7 @@
 	leaders := 0
 	for _, name := range g.names {
 		c := g.cores[name]
-		if c == nil || !c.node.Leads(g.clock.Now()) {
+		if c == nil || !c.node.IsActiveLeader(g.clock.Now()) {
 			continue
 		}
 		leaders++
@@ -191,17 +191,17 @@
 func (g *trio) whole() (*core, bool) {
 	for _, name := range g.names {
 		c := g.cores[name]
-		if c == nil || !c.node.Leads(g.clock.Now()) {
+		if c == nil || !c.node.IsActiveLeader(g.clock.Now()) {
 			continue
 		}
-		if c.node.Changing() {
+		if c.node.MembershipChangePending() {
 			return c, false
 		}
 		for _, m := range c.node.Members() {
 			if g.cores[m.Name] == nil || g.cores[m.Name].node.ID != m.ID {
 				return c, false
 			}
-			if !m.Voter || c.node.Match(m.ID) < c.node.Commit() {
+			if !m.Voter || c.node.MatchIndex(m.ID) < c.node.CommitIndex() {
 				return c, false
 			}
 		}
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -113,7 +113,7 @@
 	for _, m := range n.Members() {
 		n.peers[m.ID] = &progress{next: n.lastIndex() + 1, since: now}
 	}
-	n.append(Entry{Kind: EntryEmpty})
-	n.deadline = now.Add(Heartbeat)
+	n.append(Entry{Kind: EntryNoOp})
+	n.deadline = now.Add(HeartbeatInterval)
 	n.broadcast(now, true)
 }
--- a/internal/quorum/heard_test.go
+++ b/internal/quorum/heard_test.go
@@ -14,15 +14,15 @@
 // Cause: a member that has not answered yet counts as silent since the election.
 func TestANewMemberIsNotSilentSinceTheElection(t *testing.T) {
 	start := time.Unix(1e9, 0)
-	n := &Node{ID: "a", Base: Snapshot{Members: []Member{{ID: "a", Name: "a", Voter: true}}}}
+	n := &Node{ID: "a", Snapshot: Snapshot{Members: []Member{{ID: "a", Name: "a", Voter: true}}}}
 	n.Start(start)
-	elected := start.Add(2 * Election)
+	elected := start.Add(2 * ElectionTimeout)
 	n.Tick(elected)
 	require.Equal(t, Leader, n.Role())
-	n.Take()
-	n.Synced()
-	n.Take()
+	n.TakeOutput()
+	n.MarkDurable()
+	n.TakeOutput()
 	later := elected.Add(time.Minute)
 	require.NoError(t, n.AddLearner(later, Member{ID: "b", Name: "b"}))
-	require.Equal(t, later, n.Heard("b"))
+	require.Equal(t, later, n.LastFollowerContact("b"))
 }
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -14,13 +14,13 @@
 }
 
 func (n *Node) membersAt(index uint64) []Member {
-	for i := index; i > n.Base.Index; i-- {
-		e := n.Entries[i-n.Base.Index-1]
+	for i := index; i > n.Snapshot.Index; i-- {
+		e := n.Entries[i-n.Snapshot.Index-1]
 		if e.Kind == EntryMembers {
 			return e.Members
 		}
 	}
-	return n.Base.Members
+	return n.Snapshot.Members
 }
 
 // AddLearner adds a member that receives the log and does not vote.
@@ -35,8 +35,8 @@
 // Promote makes a learner a voter. It must hold all that is committed, so that
 // the loss of another member right after can not lose any of it.
 func (n *Node) Promote(now time.Time, id string) error {
-	if n.Match(id) < n.commit {
-		return fleet.NewError(fleet.KindPolicy, "wait until it has caught up", "keeper %s holds %d of %d entries", id, n.Match(id), n.commit)
+	if n.MatchIndex(id) < n.commit {
+		return fleet.NewError(fleet.KindPolicy, "wait until it has caught up", "keeper %s holds %d of %d entries", id, n.MatchIndex(id), n.commit)
 	}
 	members := slices.Clone(n.Members())
 	i := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
@@ -66,11 +66,11 @@
 	return nil
 }
 
-// Changing reports whether a change of membership is on its way. Until it is
+// MembershipChangePending reports whether a change of membership is on its way. Until it is
 // committed, the loss of another member may still undo it.
-func (n *Node) Changing() bool {
+func (n *Node) MembershipChangePending() bool {
 	for i := n.commit + 1; i <= n.lastIndex(); i++ {
-		if n.Entries[i-n.Base.Index-1].Kind == EntryMembers {
+		if n.Entries[i-n.Snapshot.Index-1].Kind == EntryMembers {
 			return true
 		}
 	}
@@ -82,10 +82,10 @@
 // that share no member could form.
 func (n *Node) change(now time.Time, members []Member) error {
 	if n.role != Leader {
-		return ErrNotLeader(n.leader)
+		return NewNotLeaderError(n.leader)
 	}
-	if n.termAt(n.commit) != n.state.Term || n.Changing() {
-		return ErrChanging
+	if n.termAt(n.commit) != n.state.Term || n.MembershipChangePending() {
+		return ErrMembershipChangePending
 	}
 	n.append(Entry{Kind: EntryMembers, Members: members})
 	n.broadcast(now, true)
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -9,24 +9,24 @@
 )
 
 // The timing of a group. A follower promises its leader not to vote for
-// another within Election of the leader's last message. The leader trusts that
-// promise for Lease only, counted from when it sent the message: the margin
+// another within ElectionTimeout of the leader's last message. The leader trusts that
+// promise for LeaseDuration only, counted from when it sent the message: the margin
 // covers clocks that run at different speeds. A leader lost must be replaced
 // well within a router's lease: a router whose lease lapses gives its slots up,
 // and a new leader may give them out only once every older lease has lapsed.
 const (
-	Election  = 700 * time.Millisecond
-	Lease     = Election * 3 / 4
-	Heartbeat = 100 * time.Millisecond
+	ElectionTimeout   = 700 * time.Millisecond
+	LeaseDuration     = ElectionTimeout * 3 / 4
+	HeartbeatInterval = 100 * time.Millisecond
 	// spread is how far the members' patience differs.
-	spread = Election / 2
+	spread = ElectionTimeout / 2
 	// idleTick is after how long without a message a node wants to be told the time, and
 	// standstill for how long it was told nothing at least if its process stood still.
-	idleTick   = 2 * Heartbeat
+	idleTick   = 2 * HeartbeatInterval
 	standstill = 2 * idleTick
 	// eagerFor is for how long a leader that has restarted, or the successor of one that
 	// resigned, asks for votes at short intervals: the others may still be starting.
-	eagerFor = 2 * Election
+	eagerFor = 2 * ElectionTimeout
 )
 
 const (
@@ -39,25 +39,25 @@
 // Start, then Step and Tick with times that never go back.
 type Node struct {
 	ID string
-	// Saved is the state found on disk.
-	Saved State
-	// Base is the snapshot found on disk; its zero value means none.
-	Base Snapshot
+	// SavedState is the state found on disk.
+	SavedState State
+	// Snapshot is the snapshot found on disk; its zero value means none.
+	Snapshot Snapshot
 	// Entries are the entries found on disk, from Base.Index+1 on.
 	Entries []Entry
 
-	state    State
-	role     Role
-	leader   string
-	commit   uint64
-	applied  uint64
-	synced   uint64
-	saveFrom uint64 // first index not yet handed out to be saved; 0 if none
-	save     bool
-	snapshot *Snapshot
-	restore  *Snapshot
-	early    []Message
-	late     []Message
+	state           State
+	role            Role
+	leader          string
+	commit          uint64
+	applied         uint64
+	synced          uint64
+	saveFrom        uint64 // first index not yet handed out to be saved; 0 if none
+	save            bool
+	unsavedSnapshot *Snapshot
+	restore         *Snapshot
+	early           []Message
+	late            []Message
 
 	members  []Member  // as of the end of the log
 	heard    time.Time // last message of the term's leader
@@ -87,9 +87,9 @@
 // node that restarts may have promised one not to vote. One that was the leader
 // itself knows that it leads no more, and campaigns at once.
 func (n *Node) Start(now time.Time) {
-	n.state = n.Saved
-	n.commit = n.Base.Index
-	n.applied = n.Base.Index
+	n.state = n.SavedState
+	n.commit = n.Snapshot.Index
+	n.applied = n.Snapshot.Index
 	n.synced = n.lastIndex()
 	n.heard, n.unheard, n.seen = now, true, now
 	n.members = n.membersAt(n.lastIndex())
@@ -115,18 +115,18 @@
 	return n.state.Term
 }
 
-// Commit returns the last index known to be durable on a quorum.
-func (n *Node) Commit() uint64 {
+// CommitIndex returns the last index known to be durable on a quorum.
+func (n *Node) CommitIndex() uint64 {
 	return n.commit
 }
 
-// Applied reports whether all that is committed was taken to be applied.
-func (n *Node) Applied() bool {
+// AllApplied reports whether all that is committed was taken to be applied.
+func (n *Node) AllApplied() bool {
 	return n.applied == n.commit
 }
 
-// Match returns how far a follower is known to hold the leader's log.
-func (n *Node) Match(id string) uint64 {
+// MatchIndex returns how far a follower is known to hold the leader's log.
+func (n *Node) MatchIndex(id string) uint64 {
 	if id == n.ID {
 		return n.synced
 	}
@@ -136,9 +136,9 @@
 	return 0
 }
 
-// Heard returns when a follower last answered its leader, or when the leader
+// LastFollowerContact returns when a follower last answered its leader, or when the leader
 // first sent to it if that is later: a new one cannot have answered yet.
-func (n *Node) Heard(id string) time.Time {
+func (n *Node) LastFollowerContact(id string) time.Time {
 	p := n.peers[id]
 	if p == nil {
 		return n.elected
@@ -149,24 +149,24 @@
 	return p.since
 }
 
-// HeardLeader returns when the node last heard the leader of its term, or when
+// LastLeaderContact returns when the node last heard the leader of its term, or when
 // it started.
-func (n *Node) HeardLeader() time.Time {
+func (n *Node) LastLeaderContact() time.Time {
 	return n.heard
 }
 
-// Deadline returns when the node wants its next Tick.
-func (n *Node) Deadline() time.Time {
+// NextTick returns when the node wants its next Tick.
+func (n *Node) NextTick() time.Time {
 	if idle := n.seen.Add(idleTick); idle.Before(n.deadline) {
 		return idle
 	}
 	return n.deadline
 }
 
-// Leads reports whether the node may act as leader at now: it has committed an
+// IsActiveLeader reports whether the node may act as leader at now: it has committed an
 // entry of its term and a quorum's promises not to vote still hold. It must be
 // asked at the moment of each act, since a process may have been frozen.
-func (n *Node) Leads(now time.Time) bool {
+func (n *Node) IsActiveLeader(now time.Time) bool {
 	return n.role == Leader && n.termAt(n.commit) == n.state.Term && now.Before(n.leaseEnd(now))
 }
 
@@ -184,7 +184,7 @@
 		n.follow(now, "")
 		return
 	}
-	n.deadline = now.Add(Heartbeat)
+	n.deadline = now.Add(HeartbeatInterval)
 	n.broadcast(now, true)
 }
 
@@ -209,7 +209,7 @@
 // it was accepted, in another it was lost.
 func (n *Node) Propose(now time.Time, data ...json.RawMessage) (index, term uint64, err error) {
 	if n.role != Leader {
-		return 0, 0, ErrNotLeader(n.leader)
+		return 0, 0, NewNotLeaderError(n.leader)
 	}
 	index = n.lastIndex() + 1
 	for _, d := range data {
@@ -219,33 +219,33 @@
 	return index, n.state.Term, nil
 }
 
-// Take returns what is to be done since the last Take.
-func (n *Node) Take() Output {
+// TakeOutput returns what is to be done since the last TakeOutput.
+func (n *Node) TakeOutput() Output {
 	out := Output{
-		Early:    n.early,
-		Late:     n.late,
-		Save:     n.save,
-		State:    n.state,
-		Snapshot: n.snapshot,
-		Restore:  n.restore,
+		SendBeforeSync: n.early,
+		SendAfterSync:  n.late,
+		SaveState:      n.save,
+		State:          n.state,
+		Snapshot:       n.unsavedSnapshot,
+		RestoreFrom:    n.restore,
 	}
 	switch {
-	case n.snapshot != nil:
+	case n.unsavedSnapshot != nil:
 		out.Append = slices.Clone(n.Entries)
 	case n.saveFrom > 0:
-		out.Append = slices.Clone(n.Entries[n.saveFrom-n.Base.Index-1:])
+		out.Append = slices.Clone(n.Entries[n.saveFrom-n.Snapshot.Index-1:])
 	}
 	if n.commit > n.applied {
-		out.Committed = slices.Clone(n.Entries[n.applied-n.Base.Index : n.commit-n.Base.Index])
+		out.Committed = slices.Clone(n.Entries[n.applied-n.Snapshot.Index : n.commit-n.Snapshot.Index])
 		n.applied = n.commit
 	}
-	n.early, n.late, n.snapshot, n.restore = nil, nil, nil, nil
+	n.early, n.late, n.unsavedSnapshot, n.restore = nil, nil, nil, nil
 	n.save, n.saveFrom = false, 0
 	return out
 }
 
-// Synced tells the node that everything of the last Take is durable.
-func (n *Node) Synced() {
+// MarkDurable tells the node that everything of the last TakeOutput is durable.
+func (n *Node) MarkDurable() {
 	if n.saveFrom > 0 {
 		n.synced = n.saveFrom - 1
 	} else {
@@ -264,32 +264,32 @@
 
 // Compact replaces the log up to index by a snapshot of the state there.
 func (n *Node) Compact(index uint64, data json.RawMessage) *Snapshot {
-	if index <= n.Base.Index || index > n.applied {
+	if index <= n.Snapshot.Index || index > n.applied {
 		return nil
 	}
 	s := Snapshot{Index: index, Term: n.termAt(index), Members: n.membersAt(index), Data: data}
-	n.Entries = slices.Clone(n.Entries[index-n.Base.Index:])
-	n.Base = s
-	n.snapshot = &s
+	n.Entries = slices.Clone(n.Entries[index-n.Snapshot.Index:])
+	n.Snapshot = s
+	n.unsavedSnapshot = &s
 	return &s
 }
 
 // abandoned reports whether a quorum has been silent for so long that it may
 // elect another leader.
 func (n *Node) abandoned(now time.Time) bool {
-	silent := !now.Before(n.leaseEnd(now).Add(Election - Lease))
+	silent := !now.Before(n.leaseEnd(now).Add(ElectionTimeout - LeaseDuration))
 	if !silent {
 		n.waited = false
 	}
-	return silent && now.Sub(n.elected) > Election && now.Sub(n.woke) > Election
+	return silent && now.Sub(n.elected) > ElectionTimeout && now.Sub(n.woke) > ElectionTimeout
 }
 
 // promised reports whether the node has promised a leader not to vote.
 func (n *Node) promised(now time.Time) bool {
 	if n.role == Leader {
-		return now.Before(n.leaseEnd(now).Add(Election - Lease))
+		return now.Before(n.leaseEnd(now).Add(ElectionTimeout - LeaseDuration))
 	}
-	return !n.released && now.Before(n.heard.Add(Election))
+	return !n.released && now.Before(n.heard.Add(ElectionTimeout))
 }
 
 func (n *Node) enter(term uint64) {
@@ -312,24 +312,24 @@
 	// A hash never fails to take bytes.
 	_, _ = h.Write([]byte(n.ID + "/" + strconv.FormatUint(n.state.Term, 10) + "/" + strconv.FormatUint(n.attempt, 10)))
 	if now.Before(n.eager) {
-		return Heartbeat/2 + time.Duration(h.Sum64()%uint64(Heartbeat))
+		return HeartbeatInterval/2 + time.Duration(h.Sum64()%uint64(HeartbeatInterval))
 	}
-	return Election + time.Duration(h.Sum64()%uint64(spread))
+	return ElectionTimeout + time.Duration(h.Sum64()%uint64(spread))
 }
 
 func (n *Node) lastIndex() uint64 {
-	return n.Base.Index + uint64(len(n.Entries))
+	return n.Snapshot.Index + uint64(len(n.Entries))
 }
 
 // termAt returns the term of the entry at index, or 0 if it is not known.
 func (n *Node) termAt(index uint64) uint64 {
 	switch {
-	case index == n.Base.Index:
-		return n.Base.Term
-	case index < n.Base.Index || index > n.lastIndex():
+	case index == n.Snapshot.Index:
+		return n.Snapshot.Term
+	case index < n.Snapshot.Index || index > n.lastIndex():
 		return 0
 	default:
-		return n.Entries[index-n.Base.Index-1].Term
+		return n.Entries[index-n.Snapshot.Index-1].Term
 	}
 }
 
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -32,7 +32,7 @@
 }
 
 func (d *savedLog) write(out Output) {
-	if out.Save {
+	if out.SaveState {
 		d.state = out.State
 	}
 	if out.Snapshot != nil {
@@ -72,7 +72,7 @@
 
 func (g *group) start(id string) {
 	d := g.disks[id]
-	n := &Node{ID: id, Saved: d.state, Base: d.base, Entries: slices.Clone(d.entries)}
+	n := &Node{ID: id, SavedState: d.state, Snapshot: d.base, Entries: slices.Clone(d.entries)}
 	n.Start(g.now)
 	g.nodes[id] = n
 }
@@ -81,15 +81,15 @@
 func (g *group) settle(id string) {
 	n := g.nodes[id]
 	for {
-		out := n.Take()
-		g.wire = append(g.wire, out.Early...)
+		out := n.TakeOutput()
+		g.wire = append(g.wire, out.SendBeforeSync...)
 		g.disks[id].write(out)
-		n.Synced()
-		g.wire = append(g.wire, out.Late...)
+		n.MarkDurable()
+		g.wire = append(g.wire, out.SendAfterSync...)
 		for _, e := range out.Committed {
 			g.apply(id, e)
 		}
-		if !out.Durable() && len(out.Early)+len(out.Late)+len(out.Committed) == 0 {
+		if !out.NeedsSync() && len(out.SendBeforeSync)+len(out.SendAfterSync)+len(out.Committed) == 0 {
 			return
 		}
 	}
@@ -133,7 +133,7 @@
 func (g *group) leaders() []string {
 	var ids []string
 	for _, id := range g.ids() {
-		if n := g.nodes[id]; n != nil && n.Leads(g.now) {
+		if n := g.nodes[id]; n != nil && n.IsActiveLeader(g.now) {
 			ids = append(ids, id)
 		}
 	}
@@ -195,7 +195,7 @@
 	g.run(10 * time.Second)
 	require.Len(t, g.leaders(), 1)
 	require.Equal(t, Leader, frozen.Role())
-	require.False(t, frozen.Leads(g.now))
+	require.False(t, frozen.IsActiveLeader(g.now))
 }
 
 // Symptom: a keeper that lost its disk votes again and forgets what was
@@ -228,7 +228,7 @@
 	g.run(6 * time.Second)
 	require.Len(t, g.leaders(), 1)
 	now := g.nodes[g.leaders()[0]]
-	require.Contains(t, string(now.Entries[index-now.Base.Index-1].Data), "kept")
+	require.Contains(t, string(now.Entries[index-now.Snapshot.Index-1].Data), "kept")
 }
 
 func TestLaggingFollowerTakesSnapshot(t *testing.T) {
@@ -245,14 +245,14 @@
 	}
 	g.run(time.Second)
 	n := g.nodes[leader]
-	require.NotNil(t, n.Compact(n.Commit(), json.RawMessage(`"state"`)))
+	require.NotNil(t, n.Compact(n.CommitIndex(), json.RawMessage(`"state"`)))
 	g.settle(leader)
 	g.cut[slow] = false
 	g.run(2 * time.Second)
-	require.JSONEq(t, `"state"`, string(g.nodes[slow].Base.Data))
+	require.JSONEq(t, `"state"`, string(g.nodes[slow].Snapshot.Data))
 	index, _ := g.propose(leader, "after")
 	g.run(time.Second)
-	require.Equal(t, index, g.nodes[slow].Commit())
+	require.Equal(t, index, g.nodes[slow].CommitIndex())
 }
 
 // Any interleaving of crashes, cuts, losses, doubled and reordered messages
@@ -342,10 +342,10 @@
 	n.Step(g.now, Message{Kind: MsgVoteAck, From: "k2", To: "k1", Term: 4})
 	require.Equal(t, Leader, n.Role())
 	g.settle("k1")
-	n.Step(g.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 4, Index: 1, Sent: g.now})
-	require.Zero(t, n.Commit(), "entry 1 is of term 1")
-	n.Step(g.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 4, Index: 2, Sent: g.now})
-	require.Equal(t, uint64(2), n.Commit())
+	n.Step(g.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 4, Index: 1, SentAt: g.now})
+	require.Zero(t, n.CommitIndex(), "entry 1 is of term 1")
+	n.Step(g.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 4, Index: 2, SentAt: g.now})
+	require.Equal(t, uint64(2), n.CommitIndex())
 }
 
 // Symptom: two quorums without a member in common.
@@ -359,11 +359,11 @@
 	n := g.nodes[leader]
 	others := slices.DeleteFunc(g.ids(), func(id string) bool { return id == leader })
 	require.NoError(t, n.AddLearner(g.now, Member{ID: "new"}))
-	require.True(t, n.Changing())
-	require.ErrorIs(t, n.Remove(g.now, others[0]), ErrChanging)
+	require.True(t, n.MembershipChangePending())
+	require.ErrorIs(t, n.Remove(g.now, others[0]), ErrMembershipChangePending)
 	g.settle(leader)
 	g.run(time.Second)
-	require.False(t, n.Changing())
+	require.False(t, n.MembershipChangePending())
 	g.propose(leader, "a")
 	g.run(time.Second)
 	require.Error(t, n.Promote(g.now, "new"), "it holds nothing yet")
--- a/internal/quorum/replicate.go
+++ b/internal/quorum/replicate.go
@@ -22,7 +22,7 @@
 		p = &progress{next: n.lastIndex() + 1, since: now}
 		n.peers[id] = p
 	}
-	if p.next <= n.Base.Index {
+	if p.next <= n.Snapshot.Index {
 		n.sendSnapshot(now, id, p, heartbeat)
 		return
 	}
@@ -40,7 +40,7 @@
 	prev := p.next - 1
 	n.sendEarly(Message{
 		Kind: MsgAppend, To: id, Index: prev, LogTerm: n.termAt(prev),
-		Commit: n.commit, Entries: batch, Sent: now,
+		CommitIndex: n.commit, Entries: batch, SentAt: now,
 	})
 	p.next += uint64(len(batch))
 	return len(batch) > 0
@@ -50,7 +50,7 @@
 	if p.next > p.match+maxWindow {
 		return nil
 	}
-	rest := n.Entries[p.next-n.Base.Index-1:]
+	rest := n.Entries[p.next-n.Snapshot.Index-1:]
 	size := 0
 	count := 0
 	for _, e := range rest {
@@ -67,41 +67,41 @@
 	if !heartbeat {
 		return
 	}
-	base := n.Base
-	n.sendEarly(Message{Kind: MsgSnapshot, To: id, Index: base.Index, Commit: n.commit, Snapshot: &base, Sent: now})
+	base := n.Snapshot
+	n.sendEarly(Message{Kind: MsgSnapshot, To: id, Index: base.Index, CommitIndex: n.commit, Snapshot: &base, SentAt: now})
 	p.next = base.Index + 1
 }
 
 func (n *Node) onAppend(now time.Time, m Message) {
 	n.hear(now, m.From)
-	if m.Index < n.Base.Index {
+	if m.Index < n.Snapshot.Index {
 		m = n.skip(m)
 	}
-	if m.Index != n.Base.Index && n.termAt(m.Index) != m.LogTerm || m.Index > n.lastIndex() {
+	if m.Index != n.Snapshot.Index && n.termAt(m.Index) != m.LogTerm || m.Index > n.lastIndex() {
 		hint := min(m.Index, n.lastIndex()+1) - 1
-		n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Reject: true, Index: hint, Sent: m.Sent})
+		n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Reject: true, Index: hint, SentAt: m.SentAt})
 		return
 	}
 	for _, e := range m.Entries {
 		n.take(e)
 	}
 	match := m.Index + uint64(len(m.Entries))
-	n.commit = max(n.commit, min(m.Commit, match))
-	n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Index: match, Sent: m.Sent})
+	n.commit = max(n.commit, min(m.CommitIndex, match))
+	n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Index: match, SentAt: m.SentAt})
 }
 
 // skip drops the entries that the node's snapshot already stands for.
 func (n *Node) skip(m Message) Message {
-	drop := min(n.Base.Index-m.Index, uint64(len(m.Entries)))
+	drop := min(n.Snapshot.Index-m.Index, uint64(len(m.Entries)))
 	m.Entries = m.Entries[drop:]
 	m.Index += drop
-	if m.Index == n.Base.Index {
-		m.LogTerm = n.Base.Term
+	if m.Index == n.Snapshot.Index {
+		m.LogTerm = n.Snapshot.Term
 		return m
 	}
 	// All of it is covered: acknowledge the snapshot.
-	m.Index = n.Base.Index
-	m.LogTerm = n.Base.Term
+	m.Index = n.Snapshot.Index
+	m.LogTerm = n.Snapshot.Term
 	m.Entries = nil
 	return m
 }
@@ -113,7 +113,7 @@
 		if n.termAt(e.Index) == e.Term {
 			return
 		}
-		n.Entries = slices.Clone(n.Entries[:e.Index-n.Base.Index-1])
+		n.Entries = slices.Clone(n.Entries[:e.Index-n.Snapshot.Index-1])
 		n.synced = min(n.synced, e.Index-1)
 		n.members = n.membersAt(n.lastIndex())
 	}
@@ -143,8 +143,8 @@
 	if n.role != Leader || p == nil {
 		return
 	}
-	if m.Sent.After(p.acked) {
-		p.acked = m.Sent
+	if m.SentAt.After(p.acked) {
+		p.acked = m.SentAt
 	}
 	if m.Reject {
 		p.next = max(p.match, min(m.Index, n.lastIndex())) + 1
@@ -164,25 +164,25 @@
 		return
 	}
 	if s.Index <= n.commit {
-		n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Index: n.commit, Sent: m.Sent})
+		n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Index: n.commit, SentAt: m.SentAt})
 		return
 	}
 	if n.termAt(s.Index) == s.Term {
-		n.Entries = slices.Clone(n.Entries[s.Index-n.Base.Index:])
+		n.Entries = slices.Clone(n.Entries[s.Index-n.Snapshot.Index:])
 	} else {
 		n.Entries = nil
 	}
-	n.Base = *s
+	n.Snapshot = *s
 	n.commit = s.Index
 	n.applied = s.Index
-	n.snapshot = s
+	n.unsavedSnapshot = s
 	n.restore = s
 	n.members = n.membersAt(n.lastIndex())
 	n.saveFrom = 0
 	if len(n.Entries) > 0 {
 		n.saveFrom = s.Index + 1
 	}
-	n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Index: s.Index, Sent: m.Sent})
+	n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Index: s.Index, SentAt: m.SentAt})
 }
 
 // advance commits what a quorum of voters holds. Only an entry of the leader's
@@ -191,7 +191,7 @@
 	held := make([]uint64, 0, len(n.Members()))
 	for _, m := range n.Members() {
 		if m.Voter {
-			held = append(held, n.Match(m.ID))
+			held = append(held, n.MatchIndex(m.ID))
 		}
 	}
 	slices.Sort(held)
@@ -222,5 +222,5 @@
 		return time.Time{}
 	}
 	slices.SortFunc(acked, func(a, b time.Time) int { return a.Compare(b) })
-	return acked[(len(acked)-1)/2].Add(Lease)
+	return acked[(len(acked)-1)/2].Add(LeaseDuration)
 }
--- a/internal/quorum/resign.go
+++ b/internal/quorum/resign.go
@@ -4,7 +4,7 @@
 
 // afterSuccessor is how much time a successor has before others campaign: some round
 // trips, and a write.
-const afterSuccessor = 2 * Heartbeat
+const afterSuccessor = 2 * HeartbeatInterval
 
 // A follower promises its leader not to vote for another within [Election] of its last
 // message, and the group waits that long when the leader is gone. Where the leader
@@ -28,7 +28,7 @@
 	n.released = true
 	for _, m := range n.Members() {
 		if m.Voter && m.ID != n.ID {
-			n.sendLate(Message{Kind: MsgResign, To: m.ID, Next: next})
+			n.sendLate(Message{Kind: MsgResign, To: m.ID, Successor: next})
 		}
 	}
 }
@@ -55,13 +55,13 @@
 		return
 	}
 	n.released, n.resigned = true, m.Term
-	if m.Next == n.ID {
+	if m.Successor == n.ID {
 		n.eager = now.Add(eagerFor) // the others may hear of it later
 		n.campaign(now)
 		return
 	}
 	// The successor may hold less of the log than this one, or be gone as well.
-	if soon := now.Add(afterSuccessor + n.patience(now) - Election); soon.Before(n.deadline) {
+	if soon := now.Add(afterSuccessor + n.patience(now) - ElectionTimeout); soon.Before(n.deadline) {
 		n.deadline = soon
 	}
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// Replaced notes that the process of a member has ended: another one, on a disk of its own,
+// MarkReplaced notes that the process of a member has ended: another one, on a disk of its own,
 // serves at its address and has asked this node to join in its place. One process at a time
 // serves at an address, and it does before it asks; it asks over a connection, so after this
 // node had started.
@@ -86,7 +86,7 @@
 // out. The request cannot be a late one of a process that ran before the leader's: that
 // ended before the leader was there, and the leader was there before this node started.
 // Where a leader was heard since, this does not hold, and the promise stands.
-func (n *Node) Replaced(now time.Time, id string) {
+func (n *Node) MarkReplaced(now time.Time, id string) {
 	if !n.unheard || n.released || n.role == Leader || n.state.Leader != id {
 		return
 	}
--- a/internal/quorum/resign_test.go
+++ b/internal/quorum/resign_test.go
@@ -151,7 +151,7 @@
 		g.run(50 * time.Millisecond)
 		for _, id := range g.ids() {
 			if n := g.nodes[id]; n != nil {
-				n.Replaced(g.now, old)
+				n.MarkReplaced(g.now, old)
 				g.settle(id)
 			}
 		}
@@ -173,12 +173,12 @@
 	g.nodes[leader] = nil
 	for _, id := range g.ids() {
 		if n := g.nodes[id]; n != nil {
-			n.Replaced(g.now, leader)
+			n.MarkReplaced(g.now, leader)
 			require.True(t, n.promised(g.now), id)
 			g.settle(id)
 		}
 	}
-	require.Greater(t, g.gap(t), Election-3*Heartbeat)
+	require.Greater(t, g.gap(t), ElectionTimeout-3*HeartbeatInterval)
 }
 
 // Another member's replacement frees nobody from a promise to the leader.
@@ -192,7 +192,7 @@
 			continue
 		}
 		n := g.nodes[id]
-		n.Replaced(g.now, id)
+		n.MarkReplaced(g.now, id)
 		require.True(t, n.promised(g.now), id)
 	}
 }
--- a/internal/quorum/standstill_test.go
+++ b/internal/quorum/standstill_test.go
@@ -76,7 +76,7 @@
 				g.freeze(id, length)
 			}
 			g.play(length)
-			g.play(3 * Heartbeat)
+			g.play(3 * HeartbeatInterval)
 			require.Equal(t, leaders, g.leaders())
 			require.Equal(t, term, g.term())
 		})
--- a/internal/quorum/types.go
+++ b/internal/quorum/types.go
@@ -28,9 +28,9 @@
 // An EntryKind tells what an Entry holds.
 type EntryKind uint8
 
-// The kinds of entry. EntryEmpty opens each leader's term.
+// The kinds of entry. EntryNoOp opens each leader's term.
 const (
-	EntryEmpty EntryKind = iota
+	EntryNoOp EntryKind = iota
 	EntryData
 	EntryMembers
 )
@@ -83,14 +83,14 @@
 	Term uint64      `json:"term"`
 	// Index and LogTerm are the last place of a candidate's log, the place
 	// before Entries, or in an answer the last place known to match.
-	Index   uint64    `json:"index,omitempty"`
-	LogTerm uint64    `json:"logterm,omitempty"`
-	Commit  uint64    `json:"commit,omitempty"`
-	Entries []Entry   `json:"entries,omitempty"`
-	Reject  bool      `json:"reject,omitempty"`
-	Sent    time.Time `json:"sent,omitzero"` // leader's clock, echoed in answers
-	// Next is whom a leader that resigns wants to follow it.
-	Next string `json:"next,omitempty"`
+	Index       uint64    `json:"index,omitempty"`
+	LogTerm     uint64    `json:"logterm,omitempty"`
+	CommitIndex uint64    `json:"commit,omitempty"`
+	Entries     []Entry   `json:"entries,omitempty"`
+	Reject      bool      `json:"reject,omitempty"`
+	SentAt      time.Time `json:"sent,omitzero"` // leader's clock, echoed in answers
+	// Successor is whom a leader that resigns wants to follow it.
+	Successor string `json:"next,omitempty"`
 	// Snapshot replaces the log of a follower that is too far behind.
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
 }
@@ -106,35 +106,35 @@
 	Leader
 )
 
-// An Output is what a Node wants done, in this order: send Early, make State,
-// Snapshot and Append durable, call Synced, send Late, apply Committed.
+// An Output is what a Node wants done, in this order: send SendBeforeSync, make State,
+// Snapshot and Append durable, call MarkDurable, send SendAfterSync, apply Committed.
 type Output struct {
-	Early []Message
-	// Save says that State differs from what was saved before.
-	Save     bool
-	State    State
-	Snapshot *Snapshot
+	SendBeforeSync []Message
+	// SaveState says that State differs from what was saved before.
+	SaveState bool
+	State     State
+	Snapshot  *Snapshot
 	// Append replaces all saved entries from its first index on.
-	Append    []Entry
-	Late      []Message
-	Committed []Entry
-	// Restore is a snapshot received from the leader, to be loaded before
+	Append        []Entry
+	SendAfterSync []Message
+	Committed     []Entry
+	// RestoreFrom is a snapshot received from the leader, to be loaded before
 	// Committed is applied.
-	Restore *Snapshot
+	RestoreFrom *Snapshot
 }
 
-// Durable reports whether the output holds anything to be written.
-func (o Output) Durable() bool {
-	return o.Save || o.Snapshot != nil || len(o.Append) > 0
+// NeedsSync reports whether the output holds anything to be written.
+func (o Output) NeedsSync() bool {
+	return o.SaveState || o.Snapshot != nil || len(o.Append) > 0
 }
 
-// ErrNotLeader returns the refusal of a keeper that does not lead.
-func ErrNotLeader(leader string) error {
+// NewNotLeaderError returns the refusal of a keeper that does not lead.
+func NewNotLeaderError(leader string) error {
 	return fleet.NewError(fleet.KindNotLeader, "ask the leader, or wait for one", "leader is %q", leader)
 }
 
-// ErrChanging refuses a change of membership while another is on its way.
-var ErrChanging = fleet.NewError(fleet.KindPolicy, "wait until the change before is done",
+// ErrMembershipChangePending refuses a change of membership while another is on its way.
+var ErrMembershipChangePending = fleet.NewError(fleet.KindPolicy, "wait until the change before is done",
 	"a change of the keepers is on its way, or the leader is new")
 
 func findMember(members []Member, id string) (Member, bool) {
