--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -2,118 +2,120 @@
 
 import "time"
 
-// campaign asks the others whether they would vote, without raising the term.
-// A member that is cut off stays in its term this way, and does not depose a
-// healthy leader on its return.
-func (n *Node) campaign(now time.Time) {
-	n.attempt++
-	n.follow(now, "")
-	if me, ok := findMember(n.Members(), n.ID); !ok || !me.Voter {
+// startPreVote asks the other voters whether they would vote for this node, without raising the
+// term. A member cut off from the group thus stays in its term and does not depose a healthy
+// leader when it reconnects.
+func (n *Node) startPreVote(now time.Time) {
+	n.electionAttempt++
+	n.becomeFollower(now, "")
+	if self, ok := findMember(n.Members(), n.ID); !ok || !self.Voter {
 		return
 	}
 	n.role = PreCandidate
 	n.votes = map[string]bool{n.ID: true}
-	if n.won() {
-		n.stand(now)
+	if n.hasVoteQuorum() {
+		n.startElection(now)
 		return
 	}
-	n.askVotes(MsgPreVote, n.state.Term+1)
+	n.requestVotes(MsgPreVote, n.state.Term+1)
 }
 
-// stand asks for votes in a new term.
-func (n *Node) stand(now time.Time) {
-	n.enter(n.state.Term + 1)
+// startElection raises the term, votes for the node itself and requests the votes of the others.
+func (n *Node) startElection(now time.Time) {
+	n.enterTerm(n.state.Term + 1)
 	n.state.Vote = n.ID
 	n.role = Candidate
 	n.votes = map[string]bool{n.ID: true}
-	n.deadline = now.Add(n.patience(now))
-	if n.won() {
-		n.lead(now)
+	n.timerDeadline = now.Add(n.jitteredTimeout(now))
+	if n.hasVoteQuorum() {
+		n.becomeLeader(now)
 		return
 	}
-	n.askVotes(MsgVote, n.state.Term)
+	n.requestVotes(MsgVote, n.state.Term)
 }
 
-func (n *Node) askVotes(kind MessageKind, term uint64) {
-	last := n.lastIndex()
-	for _, m := range n.Members() {
-		if m.Voter && m.ID != n.ID {
-			n.sendLate(Message{Kind: kind, To: m.ID, Term: term, Index: last, LogTerm: n.termAt(last)})
+func (n *Node) requestVotes(kind MessageKind, term uint64) {
+	lastIndex := n.lastIndex()
+	for _, member := range n.Members() {
+		if member.Voter && member.ID != n.ID {
+			n.queueAfterSync(Message{Kind: kind, To: member.ID, Term: term, Index: lastIndex, LogTerm: n.termAt(lastIndex)})
 		}
 	}
 }
 
-func (n *Node) won() bool {
+func (n *Node) hasVoteQuorum() bool {
 	granted := 0
-	for _, m := range n.Members() {
-		if m.Voter && n.votes[m.ID] {
+	for _, member := range n.Members() {
+		if member.Voter && n.votes[member.ID] {
 			granted++
 		}
 	}
-	return granted > voters(n.Members())/2
+	return granted > countVoters(n.Members())/2
 }
 
-// current reports whether a candidate's log holds all that was committed.
-func (n *Node) current(m Message) bool {
-	last := n.lastIndex()
-	lastTerm := n.termAt(last)
-	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= last
+// logUpToDate reports whether the candidate's log is at least as up to date as this node's: its
+// last entry has a later term, or the same term and at least the same index. A candidate that
+// passes this check at a quorum holds all committed entries.
+func (n *Node) logUpToDate(candidate Message) bool {
+	lastIndex := n.lastIndex()
+	lastTerm := n.termAt(lastIndex)
+	return candidate.LogTerm > lastTerm || candidate.LogTerm == lastTerm && candidate.Index >= lastIndex
 }
 
-func (n *Node) onPreVote(now time.Time, m Message) {
-	grant := m.Term > n.state.Term && !n.promised(now) && n.current(m)
-	answer := Message{Kind: MsgPreVoteAck, To: m.From, Term: m.Term, Reject: !grant}
-	if !grant {
-		answer.Term = n.state.Term
+func (n *Node) onPreVote(now time.Time, request Message) {
+	granted := request.Term > n.state.Term && !n.leaseBlocksVote(now) && n.logUpToDate(request)
+	reply := Message{Kind: MsgPreVoteAck, To: request.From, Term: request.Term, Reject: !granted}
+	if !granted {
+		reply.Term = n.state.Term
 	}
-	n.sendLate(answer)
+	n.queueAfterSync(reply)
 }
 
-func (n *Node) onPreVoteAck(now time.Time, m Message) {
-	if n.role != PreCandidate || m.Reject || m.Term != n.state.Term+1 {
+func (n *Node) onPreVoteAck(now time.Time, reply Message) {
+	if n.role != PreCandidate || reply.Reject || reply.Term != n.state.Term+1 {
 		return
 	}
-	n.votes[m.From] = true
-	if n.won() {
-		n.stand(now)
+	n.votes[reply.From] = true
+	if n.hasVoteQuorum() {
+		n.startElection(now)
 	}
 }
 
-func (n *Node) onVote(now time.Time, m Message) {
-	free := n.state.Vote == "" || n.state.Vote == m.From
-	grant := free && !n.promised(now) && n.current(m)
-	if grant {
-		n.state.Vote = m.From
-		n.save = true
-		n.deadline = now.Add(n.patience(now))
+func (n *Node) onVote(now time.Time, request Message) {
+	canVote := n.state.Vote == "" || n.state.Vote == request.From
+	granted := canVote && !n.leaseBlocksVote(now) && n.logUpToDate(request)
+	if granted {
+		n.state.Vote = request.From
+		n.stateUnsaved = true
+		n.timerDeadline = now.Add(n.jitteredTimeout(now))
 	}
-	n.sendLate(Message{Kind: MsgVoteAck, To: m.From, Reject: !grant})
+	n.queueAfterSync(Message{Kind: MsgVoteAck, To: request.From, Reject: !granted})
 }
 
-func (n *Node) onVoteAck(now time.Time, m Message) {
-	if n.role != Candidate || m.Reject {
+func (n *Node) onVoteAck(now time.Time, reply Message) {
+	if n.role != Candidate || reply.Reject {
 		return
 	}
-	n.votes[m.From] = true
-	if n.won() {
-		n.lead(now)
+	n.votes[reply.From] = true
+	if n.hasVoteQuorum() {
+		n.becomeLeader(now)
 	}
 }
 
-// lead makes the node leader and opens its term with an empty entry: only once
-// that is committed does the leader know what is.
-func (n *Node) lead(now time.Time) {
+// becomeLeader makes the node the leader and appends a no-op entry of its term. Until that entry is
+// committed, the leader cannot tell which earlier entries are.
+func (n *Node) becomeLeader(now time.Time) {
 	n.role = Leader
 	n.leader = n.ID
 	n.state.Leader = n.ID
-	n.save = true
-	n.eager = time.Time{}
-	n.elected = now
-	n.peers = make(map[string]*progress)
-	for _, m := range n.Members() {
-		n.peers[m.ID] = &progress{next: n.lastIndex() + 1, since: now}
+	n.stateUnsaved = true
+	n.fastCampaignUntil = time.Time{}
+	n.electedAt = now
+	n.peers = make(map[string]*peerProgress)
+	for _, member := range n.Members() {
+		n.peers[member.ID] = &peerProgress{nextIndex: n.lastIndex() + 1, replicatingSince: now}
 	}
-	n.append(Entry{Kind: EntryNoOp})
-	n.deadline = now.Add(HeartbeatInterval)
+	n.appendAsLeader(Entry{Kind: EntryNoOp})
+	n.timerDeadline = now.Add(HeartbeatInterval)
 	n.broadcast(now, true)
 }
--- a/internal/quorum/members.go
+++ b/internal/quorum/members.go
@@ -7,39 +7,42 @@
 	"laburnumfall/internal/fleet"
 )
 
-// Members returns the members as of the end of the log. A change counts from
-// when it is appended, not from when it is committed.
+// Members returns the members as of the end of the log. A membership change takes effect when it is
+// appended, not when it is committed.
 func (n *Node) Members() []Member {
 	return n.members
 }
 
 func (n *Node) membersAt(index uint64) []Member {
 	for i := index; i > n.Snapshot.Index; i-- {
-		e := n.Entries[i-n.Snapshot.Index-1]
-		if e.Kind == EntryMembers {
-			return e.Members
+		entry := n.Entries[i-n.Snapshot.Index-1]
+		if entry.Kind == EntryMembers {
+			return entry.Members
 		}
 	}
 	return n.Snapshot.Members
 }
 
-// AddLearner adds a member that receives the log and does not vote.
-func (n *Node) AddLearner(now time.Time, m Member) error {
-	if _, ok := findMember(n.Members(), m.ID); ok {
+// AddLearner adds a member that receives the log but does not vote. It does nothing if the member
+// exists. It returns the errors of a membership change: the node is not the leader, or another
+// change is pending.
+func (n *Node) AddLearner(now time.Time, member Member) error {
+	if _, ok := findMember(n.Members(), member.ID); ok {
 		return nil
 	}
-	m.Voter = false
-	return n.change(now, append(slices.Clone(n.Members()), m))
+	member.Voter = false
+	return n.proposeMembers(now, append(slices.Clone(n.Members()), member))
 }
 
-// Promote makes a learner a voter. It must hold all that is committed, so that
-// the loss of another member right after can not lose any of it.
+// Promote makes a learner a voter. The learner must hold all committed entries, so that the loss of
+// another member right afterwards cannot lose any of them; otherwise Promote returns an error, as
+// it does for an unknown member.
 func (n *Node) Promote(now time.Time, id string) error {
-	if n.MatchIndex(id) < n.commit {
-		return fleet.NewError(fleet.KindPolicy, "wait until it has caught up", "keeper %s holds %d of %d entries", id, n.MatchIndex(id), n.commit)
+	if n.MatchIndex(id) < n.commitIndex {
+		return fleet.NewError(fleet.KindPolicy, "wait until it has caught up", "keeper %s holds %d of %d entries", id, n.MatchIndex(id), n.commitIndex)
 	}
 	members := slices.Clone(n.Members())
-	i := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
+	i := slices.IndexFunc(members, func(member Member) bool { return member.ID == id })
 	if i < 0 {
 		return fleet.NewError(fleet.KindPolicy, "add it first", "keeper %s is no member", id)
 	}
@@ -47,29 +50,30 @@
 		return nil
 	}
 	members[i].Voter = true
-	return n.change(now, members)
+	return n.proposeMembers(now, members)
 }
 
-// Remove takes a member out.
+// Remove removes a member. It returns an error if the member is this node or the only voter, and the
+// errors of a membership change; an unknown member is none.
 func (n *Node) Remove(now time.Time, id string) error {
 	if _, ok := findMember(n.Members(), id); !ok {
 		return nil
 	}
-	members := slices.DeleteFunc(slices.Clone(n.Members()), func(m Member) bool { return m.ID == id })
-	if id == n.ID || voters(members) == 0 {
+	members := slices.DeleteFunc(slices.Clone(n.Members()), func(member Member) bool { return member.ID == id })
+	if id == n.ID || countVoters(members) == 0 {
 		return fleet.NewError(fleet.KindPolicy, "ask after another keeper leads", "keeper %s leads", id)
 	}
-	if err := n.change(now, members); err != nil {
+	if err := n.proposeMembers(now, members); err != nil {
 		return err
 	}
-	delete(n.peers, id) // if it comes back, it starts anew
+	delete(n.peers, id) // its progress restarts if it is added again
 	return nil
 }
 
-// MembershipChangePending reports whether a change of membership is on its way. Until it is
-// committed, the loss of another member may still undo it.
+// MembershipChangePending reports whether the log holds a membership change that is not committed.
+// Until it is, the loss of another member may undo it.
 func (n *Node) MembershipChangePending() bool {
-	for i := n.commit + 1; i <= n.lastIndex(); i++ {
+	for i := n.commitIndex + 1; i <= n.lastIndex(); i++ {
 		if n.Entries[i-n.Snapshot.Index-1].Kind == EntryMembers {
 			return true
 		}
@@ -77,17 +81,17 @@
 	return false
 }
 
-// change appends a change of membership. One may be on its way at a time, and
-// the leader must have committed an entry of its term before: else two quorums
-// that share no member could form.
-func (n *Node) change(now time.Time, members []Member) error {
+// proposeMembers appends a membership change. Only one may be pending at a time, and the leader must
+// have committed an entry of its term first: otherwise two quorums without a common member could
+// form.
+func (n *Node) proposeMembers(now time.Time, members []Member) error {
 	if n.role != Leader {
 		return NewNotLeaderError(n.leader)
 	}
-	if n.termAt(n.commit) != n.state.Term || n.MembershipChangePending() {
+	if n.termAt(n.commitIndex) != n.state.Term || n.MembershipChangePending() {
 		return ErrMembershipChangePending
 	}
-	n.append(Entry{Kind: EntryMembers, Members: members})
+	n.appendAsLeader(Entry{Kind: EntryMembers, Members: members})
 	n.broadcast(now, true)
 	return nil
 }
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -8,96 +8,96 @@
 	"time"
 )
 
-// The timing of a group. A follower promises its leader not to vote for
-// another within ElectionTimeout of the leader's last message. The leader trusts that
-// promise for LeaseDuration only, counted from when it sent the message: the margin
-// covers clocks that run at different speeds. A leader lost must be replaced
-// well within a router's lease: a router whose lease lapses gives its slots up,
-// and a new leader may give them out only once every older lease has lapsed.
+// The timing of a group. A follower that hears from its leader grants it a lease: it votes for no
+// other candidate within ElectionTimeout of the leader's last message. The leader relies on the
+// lease only for LeaseDuration after it sent the message; the margin covers clocks that run at
+// different rates. A failed leader must be replaced well within a router's lease: a router whose
+// lease expires gives up its slots, and a new leader may grant them again only after all older
+// leases have expired.
 const (
 	ElectionTimeout   = 700 * time.Millisecond
 	LeaseDuration     = ElectionTimeout * 3 / 4
 	HeartbeatInterval = 100 * time.Millisecond
-	// spread is how far the members' patience differs.
-	spread = ElectionTimeout / 2
-	// idleTick is after how long without a message a node wants to be told the time, and
-	// standstill for how long it was told nothing at least if its process stood still.
-	idleTick   = 2 * HeartbeatInterval
-	standstill = 2 * idleTick
-	// eagerFor is for how long a leader that has restarted, or the successor of one that
-	// resigned, asks for votes at short intervals: the others may still be starting.
-	eagerFor = 2 * ElectionTimeout
+	// electionJitter is the maximum that jitteredTimeout adds to ElectionTimeout.
+	electionJitter = ElectionTimeout / 2
+	// idleTickInterval is the longest time without a Tick or Step that NextTick asks for. A node
+	// that got neither for stallThreshold assumes that its process was stalled.
+	idleTickInterval = 2 * HeartbeatInterval
+	stallThreshold   = 2 * idleTickInterval
+	// fastCampaignWindow is how long a restarted leader, or the successor of a leader that
+	// resigned, retries elections at short intervals: the other members may still be starting.
+	fastCampaignWindow = 2 * ElectionTimeout
 )
 
 const (
-	maxBatchEntries = 512
-	maxBatchBytes   = 1 << 20
-	maxWindow       = 4096
+	maxBatchEntries    = 512
+	maxBatchBytes      = 1 << 20
+	maxInflightEntries = 4096
 )
 
-// A Node is one member's part in the agreement. Set the exported fields, call
-// Start, then Step and Tick with times that never go back.
+// A Node is the consensus state machine of one member. Set the exported fields and call Start, then
+// call Step and Tick with times that never decrease.
 type Node struct {
 	ID string
-	// SavedState is the state found on disk.
+	// SavedState is the state loaded from disk.
 	SavedState State
-	// Snapshot is the snapshot found on disk; its zero value means none.
+	// Snapshot is the latest snapshot, at first the one loaded from disk. The zero value means none.
 	Snapshot Snapshot
-	// Entries are the entries found on disk, from Base.Index+1 on.
+	// Entries are the log entries from Snapshot.Index+1 on, at first those loaded from disk.
 	Entries []Entry
 
 	state           State
 	role            Role
 	leader          string
-	commit          uint64
-	applied         uint64
-	synced          uint64
-	saveFrom        uint64 // first index not yet handed out to be saved; 0 if none
-	save            bool
+	commitIndex     uint64
+	appliedIndex    uint64
+	durableIndex    uint64
+	unsavedFrom     uint64 // first index that no Output has returned yet; 0 if none
+	stateUnsaved    bool
 	unsavedSnapshot *Snapshot
-	restore         *Snapshot
-	early           []Message
-	late            []Message
-
-	members  []Member  // as of the end of the log
-	heard    time.Time // last message of the term's leader
-	unheard  bool      // no leader was heard since the start
-	released bool      // the leader heard last does not lead any more
-	resigned uint64    // last term whose leader has resigned
-	eager    time.Time // until when the node campaigns without patience
-	elected  time.Time
-	deadline time.Time // of the election, or the next heartbeat
-	seen     time.Time // when the node was last told anything
-	woke     time.Time // when it went on after a standstill
-	waited   bool      // for the others, since the node heard of any of them last
-	attempt  uint64
-	votes    map[string]bool
-	peers    map[string]*progress
-}
-
-// progress is what a leader knows of one follower.
-type progress struct {
-	match uint64
-	next  uint64
-	acked time.Time // newest Sent that the follower has answered
-	since time.Time // when the leader first sent to it
-}
-
-// Start makes the node a follower. It counts as having just heard a leader: a
-// node that restarts may have promised one not to vote. One that was the leader
-// itself knows that it leads no more, and campaigns at once.
+	restoreFrom     *Snapshot
+	sendBeforeSync  []Message
+	sendAfterSync   []Message
+
+	members            []Member  // as of the end of the log
+	lastLeaderContact  time.Time // last message from the term's leader, or the start
+	noLeaderSinceStart bool      // no leader has sent a message since the start
+	leaseReleased      bool      // the leader that the lease was granted to no longer leads
+	resignedTerm       uint64    // last term whose leader has resigned
+	fastCampaignUntil  time.Time // election timeouts are short until then
+	electedAt          time.Time
+	timerDeadline      time.Time // next election, or next heartbeat of a leader
+	lastInput          time.Time // last Tick or Step
+	stallEnd           time.Time // when the node resumed after its last stall
+	stallGraceUsed     bool      // a stall already extended the wait, with no contact since
+	electionAttempt    uint64
+	votes              map[string]bool
+	peers              map[string]*peerProgress
+}
+
+// peerProgress is the replication state that a leader keeps for one follower.
+type peerProgress struct {
+	matchIndex       uint64
+	nextIndex        uint64
+	lastAckedSend    time.Time // newest SentAt that the follower has acknowledged
+	replicatingSince time.Time // when the leader started to replicate to it
+}
+
+// Start makes the node a follower. The start counts as contact with the leader, since a node that
+// restarts may have granted a lease before. If the node was the leader itself, that lease is over,
+// and its election timeout is short.
 func (n *Node) Start(now time.Time) {
 	n.state = n.SavedState
-	n.commit = n.Snapshot.Index
-	n.applied = n.Snapshot.Index
-	n.synced = n.lastIndex()
-	n.heard, n.unheard, n.seen = now, true, now
+	n.commitIndex = n.Snapshot.Index
+	n.appliedIndex = n.Snapshot.Index
+	n.durableIndex = n.lastIndex()
+	n.lastLeaderContact, n.noLeaderSinceStart, n.lastInput = now, true, now
 	n.members = n.membersAt(n.lastIndex())
-	n.released = n.state.Leader == n.ID
-	if n.released {
-		n.eager = now.Add(eagerFor)
+	n.leaseReleased = n.state.Leader == n.ID
+	if n.leaseReleased {
+		n.fastCampaignUntil = now.Add(fastCampaignWindow)
 	}
-	n.follow(now, "")
+	n.becomeFollower(now, "")
 }
 
 // Role returns the node's role.
@@ -115,213 +115,218 @@
 	return n.state.Term
 }
 
-// CommitIndex returns the last index known to be durable on a quorum.
+// CommitIndex returns the last index that is known to be durable on a quorum.
 func (n *Node) CommitIndex() uint64 {
-	return n.commit
+	return n.commitIndex
 }
 
-// AllApplied reports whether all that is committed was taken to be applied.
+// AllApplied reports whether TakeOutput has returned all committed entries.
 func (n *Node) AllApplied() bool {
-	return n.applied == n.commit
+	return n.appliedIndex == n.commitIndex
 }
 
-// MatchIndex returns how far a follower is known to hold the leader's log.
+// MatchIndex returns the last index up to which a member is known to hold the leader's log, or 0 if
+// nothing is known.
 func (n *Node) MatchIndex(id string) uint64 {
 	if id == n.ID {
-		return n.synced
+		return n.durableIndex
 	}
-	if p := n.peers[id]; p != nil {
-		return p.match
+	if peer := n.peers[id]; peer != nil {
+		return peer.matchIndex
 	}
 	return 0
 }
 
-// LastFollowerContact returns when a follower last answered its leader, or when the leader
-// first sent to it if that is later: a new one cannot have answered yet.
+// LastFollowerContact returns the send time of the newest message that a follower has acknowledged,
+// or the time when the leader started to replicate to it if that is later: a new member cannot have
+// answered yet.
 func (n *Node) LastFollowerContact(id string) time.Time {
-	p := n.peers[id]
-	if p == nil {
-		return n.elected
+	peer := n.peers[id]
+	if peer == nil {
+		return n.electedAt
 	}
-	if p.acked.After(p.since) {
-		return p.acked
+	if peer.lastAckedSend.After(peer.replicatingSince) {
+		return peer.lastAckedSend
 	}
-	return p.since
+	return peer.replicatingSince
 }
 
-// LastLeaderContact returns when the node last heard the leader of its term, or when
-// it started.
+// LastLeaderContact returns when the node last received a message from a leader, or when it started.
 func (n *Node) LastLeaderContact() time.Time {
-	return n.heard
+	return n.lastLeaderContact
 }
 
-// NextTick returns when the node wants its next Tick.
+// NextTick returns when the node needs its next Tick: at its next election or heartbeat, and in any
+// case soon enough to detect a stall of the process.
 func (n *Node) NextTick() time.Time {
-	if idle := n.seen.Add(idleTick); idle.Before(n.deadline) {
-		return idle
+	if idleDeadline := n.lastInput.Add(idleTickInterval); idleDeadline.Before(n.timerDeadline) {
+		return idleDeadline
 	}
-	return n.deadline
+	return n.timerDeadline
 }
 
-// IsActiveLeader reports whether the node may act as leader at now: it has committed an
-// entry of its term and a quorum's promises not to vote still hold. It must be
-// asked at the moment of each act, since a process may have been frozen.
+// IsActiveLeader reports whether the node may act as leader at now: it has committed an entry of its
+// term, and its lease from a quorum has not expired. Check it right before each action, since the
+// process may have been suspended after an earlier check.
 func (n *Node) IsActiveLeader(now time.Time) bool {
-	return n.role == Leader && n.termAt(n.commit) == n.state.Term && now.Before(n.leaseEnd(now))
+	return n.role == Leader && n.termAt(n.commitIndex) == n.state.Term && now.Before(n.leaseEnd(now))
 }
 
-// Tick tells the node the time.
+// Tick advances the node's time to now. It starts an election or sends heartbeats when they are due.
 func (n *Node) Tick(now time.Time) {
-	n.observe(now)
-	if now.Before(n.deadline) {
+	n.detectStall(now)
+	if now.Before(n.timerDeadline) {
 		return
 	}
 	if n.role != Leader {
-		n.campaign(now)
+		n.startPreVote(now)
 		return
 	}
-	if n.abandoned(now) {
-		n.follow(now, "")
+	if n.lostQuorum(now) {
+		n.becomeFollower(now, "")
 		return
 	}
-	n.deadline = now.Add(HeartbeatInterval)
+	n.timerDeadline = now.Add(HeartbeatInterval)
 	n.broadcast(now, true)
 }
 
-// observe notes that the node is told something. After a standstill of its process the
-// silence of the others proves nothing: what they sent is yet to be read, and they may have
-// stood still as well, on the same machine. The node waits for them once more; a second
-// standstill counts only when it has heard of them in between.
-func (n *Node) observe(now time.Time) {
-	silent := now.Sub(n.seen)
-	n.seen = now
-	if silent < standstill || n.waited || voters(n.Members()) < 2 {
+// detectStall records an input and extends the election timeout if the process was stalled before
+// it. After a stall, the silence of the other members proves nothing: their messages may be unread,
+// and they may have been stalled too, on the same machine. The node waits for them once more; it
+// does so again after a second stall only if it had contact with them in between.
+func (n *Node) detectStall(now time.Time) {
+	idle := now.Sub(n.lastInput)
+	n.lastInput = now
+	if idle < stallThreshold || n.stallGraceUsed || countVoters(n.Members()) < 2 {
 		return
 	}
-	n.waited, n.woke = true, now
-	if wait := now.Add(n.patience(now)); n.role != Leader && n.deadline.Before(wait) {
-		n.deadline = wait
+	n.stallGraceUsed, n.stallEnd = true, now
+	if earliest := now.Add(n.jitteredTimeout(now)); n.role != Leader && n.timerDeadline.Before(earliest) {
+		n.timerDeadline = earliest
 	}
 }
 
-// Propose appends data to the log and returns the index of the first, and the
-// term. Each is decided once the entry at its index is committed: in that term
-// it was accepted, in another it was lost.
+// Propose appends one entry for each item of data and returns the index of the first entry and the
+// term. The outcome of each is known once an entry at its index is committed: an entry of the
+// returned term is the proposed one, and an entry of another term means that it was lost. Propose
+// returns an error if the node is not the leader.
 func (n *Node) Propose(now time.Time, data ...json.RawMessage) (index, term uint64, err error) {
 	if n.role != Leader {
 		return 0, 0, NewNotLeaderError(n.leader)
 	}
 	index = n.lastIndex() + 1
-	for _, d := range data {
-		n.append(Entry{Kind: EntryData, Data: d})
+	for _, entryData := range data {
+		n.appendAsLeader(Entry{Kind: EntryData, Data: entryData})
 	}
 	n.broadcast(now, false)
 	return index, n.state.Term, nil
 }
 
-// TakeOutput returns what is to be done since the last TakeOutput.
+// TakeOutput returns the work that has accumulated since the last TakeOutput.
 func (n *Node) TakeOutput() Output {
-	out := Output{
-		SendBeforeSync: n.early,
-		SendAfterSync:  n.late,
-		SaveState:      n.save,
+	output := Output{
+		SendBeforeSync: n.sendBeforeSync,
+		SendAfterSync:  n.sendAfterSync,
+		SaveState:      n.stateUnsaved,
 		State:          n.state,
 		Snapshot:       n.unsavedSnapshot,
-		RestoreFrom:    n.restore,
+		RestoreFrom:    n.restoreFrom,
 	}
 	switch {
 	case n.unsavedSnapshot != nil:
-		out.Append = slices.Clone(n.Entries)
-	case n.saveFrom > 0:
-		out.Append = slices.Clone(n.Entries[n.saveFrom-n.Snapshot.Index-1:])
+		output.Append = slices.Clone(n.Entries)
+	case n.unsavedFrom > 0:
+		output.Append = slices.Clone(n.Entries[n.unsavedFrom-n.Snapshot.Index-1:])
 	}
-	if n.commit > n.applied {
-		out.Committed = slices.Clone(n.Entries[n.applied-n.Snapshot.Index : n.commit-n.Snapshot.Index])
-		n.applied = n.commit
+	if n.commitIndex > n.appliedIndex {
+		output.Committed = slices.Clone(n.Entries[n.appliedIndex-n.Snapshot.Index : n.commitIndex-n.Snapshot.Index])
+		n.appliedIndex = n.commitIndex
 	}
-	n.early, n.late, n.unsavedSnapshot, n.restore = nil, nil, nil, nil
-	n.save, n.saveFrom = false, 0
-	return out
+	n.sendBeforeSync, n.sendAfterSync, n.unsavedSnapshot, n.restoreFrom = nil, nil, nil, nil
+	n.stateUnsaved, n.unsavedFrom = false, 0
+	return output
 }
 
-// MarkDurable tells the node that everything of the last TakeOutput is durable.
+// MarkDurable records that everything in the last output of TakeOutput is durable.
 func (n *Node) MarkDurable() {
-	if n.saveFrom > 0 {
-		n.synced = n.saveFrom - 1
+	if n.unsavedFrom > 0 {
+		n.durableIndex = n.unsavedFrom - 1
 	} else {
-		n.synced = n.lastIndex()
+		n.durableIndex = n.lastIndex()
 	}
 	if n.role == Leader {
-		n.advance()
+		n.advanceCommit()
 	}
 }
 
-// CompactApplied replaces the log, up to what was last taken to be applied, by
-// a snapshot of the state there.
-func (n *Node) CompactApplied(data json.RawMessage) *Snapshot {
-	return n.Compact(n.applied, data)
+// CompactApplied replaces the log, up to the last entry that TakeOutput returned to be applied, by a
+// snapshot of the state at that entry. It returns nil if there is nothing to replace.
+func (n *Node) CompactApplied(state json.RawMessage) *Snapshot {
+	return n.Compact(n.appliedIndex, state)
 }
 
-// Compact replaces the log up to index by a snapshot of the state there.
-func (n *Node) Compact(index uint64, data json.RawMessage) *Snapshot {
-	if index <= n.Snapshot.Index || index > n.applied {
+// Compact replaces the log up to index by a snapshot of the state at that entry. It returns nil if
+// the log is already compacted up to there or the entry is not applied yet.
+func (n *Node) Compact(index uint64, state json.RawMessage) *Snapshot {
+	if index <= n.Snapshot.Index || index > n.appliedIndex {
 		return nil
 	}
-	s := Snapshot{Index: index, Term: n.termAt(index), Members: n.membersAt(index), Data: data}
+	snapshot := Snapshot{Index: index, Term: n.termAt(index), Members: n.membersAt(index), Data: state}
 	n.Entries = slices.Clone(n.Entries[index-n.Snapshot.Index:])
-	n.Snapshot = s
-	n.unsavedSnapshot = &s
-	return &s
+	n.Snapshot = snapshot
+	n.unsavedSnapshot = &snapshot
+	return &snapshot
 }
 
-// abandoned reports whether a quorum has been silent for so long that it may
+// lostQuorum reports whether a leader has had no answer from a quorum for so long that the quorum may
 // elect another leader.
-func (n *Node) abandoned(now time.Time) bool {
-	silent := !now.Before(n.leaseEnd(now).Add(ElectionTimeout - LeaseDuration))
-	if !silent {
-		n.waited = false
+func (n *Node) lostQuorum(now time.Time) bool {
+	quorumSilent := !now.Before(n.leaseEnd(now).Add(ElectionTimeout - LeaseDuration))
+	if !quorumSilent {
+		n.stallGraceUsed = false
 	}
-	return silent && now.Sub(n.elected) > ElectionTimeout && now.Sub(n.woke) > ElectionTimeout
+	return quorumSilent && now.Sub(n.electedAt) > ElectionTimeout && now.Sub(n.stallEnd) > ElectionTimeout
 }
 
-// promised reports whether the node has promised a leader not to vote.
-func (n *Node) promised(now time.Time) bool {
+// leaseBlocksVote reports whether a lease of a leader still forbids the node to vote for another. A
+// leader itself does not vote while its own lease may hold.
+func (n *Node) leaseBlocksVote(now time.Time) bool {
 	if n.role == Leader {
 		return now.Before(n.leaseEnd(now).Add(ElectionTimeout - LeaseDuration))
 	}
-	return !n.released && now.Before(n.heard.Add(ElectionTimeout))
+	return !n.leaseReleased && now.Before(n.lastLeaderContact.Add(ElectionTimeout))
 }
 
-func (n *Node) enter(term uint64) {
+func (n *Node) enterTerm(term uint64) {
 	n.state = State{Term: term}
-	n.save = true
+	n.stateUnsaved = true
 }
 
-func (n *Node) follow(now time.Time, leader string) {
+func (n *Node) becomeFollower(now time.Time, leader string) {
 	n.role = Follower
 	n.leader = leader
 	n.votes = nil
 	n.peers = nil
-	n.deadline = now.Add(n.patience(now))
+	n.timerDeadline = now.Add(n.jitteredTimeout(now))
 }
 
-// patience returns how long the node waits for a leader. It differs by member
-// and attempt, so that two seldom campaign at once.
-func (n *Node) patience(now time.Time) time.Duration {
-	h := fnv.New64a()
-	// A hash never fails to take bytes.
-	_, _ = h.Write([]byte(n.ID + "/" + strconv.FormatUint(n.state.Term, 10) + "/" + strconv.FormatUint(n.attempt, 10)))
-	if now.Before(n.eager) {
-		return HeartbeatInterval/2 + time.Duration(h.Sum64()%uint64(HeartbeatInterval))
+// jitteredTimeout returns the node's election timeout. It differs by member, term and attempt, so
+// that two members seldom start an election at the same time.
+func (n *Node) jitteredTimeout(now time.Time) time.Duration {
+	hash := fnv.New64a()
+	// Write of a hash never returns an error.
+	_, _ = hash.Write([]byte(n.ID + "/" + strconv.FormatUint(n.state.Term, 10) + "/" + strconv.FormatUint(n.electionAttempt, 10)))
+	if now.Before(n.fastCampaignUntil) {
+		return HeartbeatInterval/2 + time.Duration(hash.Sum64()%uint64(HeartbeatInterval))
 	}
-	return ElectionTimeout + time.Duration(h.Sum64()%uint64(spread))
+	return ElectionTimeout + time.Duration(hash.Sum64()%uint64(electionJitter))
 }
 
 func (n *Node) lastIndex() uint64 {
 	return n.Snapshot.Index + uint64(len(n.Entries))
 }
 
-// termAt returns the term of the entry at index, or 0 if it is not known.
+// termAt returns the term of the entry at index, or 0 if the log does not hold it.
 func (n *Node) termAt(index uint64) uint64 {
 	switch {
 	case index == n.Snapshot.Index:
@@ -333,35 +338,36 @@
 	}
 }
 
-func (n *Node) append(e Entry) {
-	e.Index = n.lastIndex() + 1
-	e.Term = n.state.Term
-	n.put(e)
+// appendAsLeader appends an entry of the node's own term.
+func (n *Node) appendAsLeader(entry Entry) {
+	entry.Index = n.lastIndex() + 1
+	entry.Term = n.state.Term
+	n.appendEntry(entry)
 }
 
-func (n *Node) put(e Entry) {
-	n.Entries = append(n.Entries, e)
-	if e.Kind == EntryMembers {
-		n.members = e.Members
+func (n *Node) appendEntry(entry Entry) {
+	n.Entries = append(n.Entries, entry)
+	if entry.Kind == EntryMembers {
+		n.members = entry.Members
 	}
-	n.mark(e.Index)
+	n.markUnsaved(entry.Index)
 }
 
-func (n *Node) mark(index uint64) {
-	if n.saveFrom == 0 || index < n.saveFrom {
-		n.saveFrom = index
+func (n *Node) markUnsaved(index uint64) {
+	if n.unsavedFrom == 0 || index < n.unsavedFrom {
+		n.unsavedFrom = index
 	}
 }
 
-func (n *Node) sendEarly(m Message) {
-	m.From, m.Term = n.ID, n.state.Term
-	n.early = append(n.early, m)
+func (n *Node) queueBeforeSync(msg Message) {
+	msg.From, msg.Term = n.ID, n.state.Term
+	n.sendBeforeSync = append(n.sendBeforeSync, msg)
 }
 
-func (n *Node) sendLate(m Message) {
-	m.From = n.ID
-	if m.Term == 0 {
-		m.Term = n.state.Term
+func (n *Node) queueAfterSync(msg Message) {
+	msg.From = n.ID
+	if msg.Term == 0 {
+		msg.Term = n.state.Term
 	}
-	n.late = append(n.late, m)
+	n.sendAfterSync = append(n.sendAfterSync, msg)
 }
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -11,83 +11,83 @@
 	"pgregory.net/rapid"
 )
 
-// group is a small fake of disks, links and one clock around real Nodes.
-type group struct {
-	now   time.Time
-	nodes map[string]*Node
-	disks map[string]*savedLog
-	cut   map[string]bool
-	wire  []Message
-	// accepted maps an index to the data that some node saw committed.
-	accepted map[uint64]string
-	applied  map[string][]Entry
-	fail     func(format string, args ...any)
+// testCluster runs Nodes on fake disks, a fake network and one fake clock.
+type testCluster struct {
+	now         time.Time
+	nodes       map[string]*Node
+	disks       map[string]*fakeDisk
+	partitioned map[string]bool
+	inFlight    []Message
+	// committed maps an index to the term and data that the first node saw committed there.
+	committed map[uint64]string
+	applied   map[string][]Entry
+	fail      func(format string, args ...any)
 }
 
-// savedLog is what a node's disk holds for certain.
-type savedLog struct {
-	state   State
-	base    Snapshot
-	entries []Entry
+// fakeDisk is the durable data of a node.
+type fakeDisk struct {
+	state    State
+	snapshot Snapshot
+	entries  []Entry
 }
 
-func (d *savedLog) write(out Output) {
+func (d *fakeDisk) write(out Output) {
 	if out.SaveState {
 		d.state = out.State
 	}
 	if out.Snapshot != nil {
-		d.base = *out.Snapshot
+		d.snapshot = *out.Snapshot
 		d.entries = nil
 	}
 	if len(out.Append) > 0 {
-		d.entries = append(slices.Clone(d.entries[:out.Append[0].Index-d.base.Index-1]), out.Append...)
+		d.entries = append(slices.Clone(d.entries[:out.Append[0].Index-d.snapshot.Index-1]), out.Append...)
 	}
 }
 
-func newGroup(fail func(string, ...any), size int) *group {
-	g := &group{
-		now: time.Unix(1000, 0), nodes: map[string]*Node{}, disks: map[string]*savedLog{},
-		cut: map[string]bool{}, accepted: map[uint64]string{}, applied: map[string][]Entry{}, fail: fail,
+func newTestCluster(fail func(string, ...any), size int) *testCluster {
+	cluster := &testCluster{
+		now: time.Unix(1000, 0), nodes: map[string]*Node{}, disks: map[string]*fakeDisk{},
+		partitioned: map[string]bool{}, committed: map[uint64]string{}, applied: map[string][]Entry{}, fail: fail,
 	}
 	var members []Member
 	for i := range size {
 		id := fmt.Sprintf("k%d", i+1)
 		members = append(members, Member{ID: id, Name: id, Voter: true})
 	}
-	for _, m := range members {
-		g.disks[m.ID] = &savedLog{base: Snapshot{Members: members}}
-		g.start(m.ID)
+	for _, member := range members {
+		cluster.disks[member.ID] = &fakeDisk{snapshot: Snapshot{Members: members}}
+		cluster.startNode(member.ID)
 	}
-	return g
+	return cluster
 }
 
-func (g *group) ids() []string {
-	ids := make([]string, 0, len(g.disks))
-	for id := range g.disks {
+func (c *testCluster) ids() []string {
+	ids := make([]string, 0, len(c.disks))
+	for id := range c.disks {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-func (g *group) start(id string) {
-	d := g.disks[id]
-	n := &Node{ID: id, SavedState: d.state, Snapshot: d.base, Entries: slices.Clone(d.entries)}
-	n.Start(g.now)
-	g.nodes[id] = n
+func (c *testCluster) startNode(id string) {
+	disk := c.disks[id]
+	node := &Node{ID: id, SavedState: disk.state, Snapshot: disk.snapshot, Entries: slices.Clone(disk.entries)}
+	node.Start(c.now)
+	c.nodes[id] = node
 }
 
-// settle does what the node's outputs ask.
-func (g *group) settle(id string) {
-	n := g.nodes[id]
+// processOutput sends, writes and applies the node's outputs until there are none.
+func (c *testCluster) processOutput(id string) {
+	node := c.nodes[id]
 	for {
-		out := n.TakeOutput()
-		g.wire = append(g.wire, out.SendBeforeSync...)
-		g.disks[id].write(out)
-		n.MarkDurable()
-		g.wire = append(g.wire, out.SendAfterSync...)
-		for _, e := range out.Committed {
-			g.apply(id, e)
+		out := node.TakeOutput()
+		c.inFlight = append(c.inFlight, out.SendBeforeSync...)
+		c.disks[id].write(out)
+		node.MarkDurable()
+		c.inFlight = append(c.inFlight, out.SendAfterSync...)
+		for _, entry := range out.Committed {
+			c.apply(id, entry)
 		}
 		if !out.NeedsSync() && len(out.SendBeforeSync)+len(out.SendAfterSync)+len(out.Committed) == 0 {
 			return
@@ -95,277 +95,266 @@
 	}
 }
 
-func (g *group) apply(id string, e Entry) {
-	text := fmt.Sprintf("%d/%s", e.Term, e.Data)
-	if before, ok := g.accepted[e.Index]; ok && before != text {
-		g.fail("index %d was committed as %s and, at %s, as %s", e.Index, before, id, text)
+func (c *testCluster) apply(id string, entry Entry) {
+	committed := fmt.Sprintf("%d/%s", entry.Term, entry.Data)
+	if earlier, ok := c.committed[entry.Index]; ok && earlier != committed {
+		c.fail("index %d was committed as %s and, at %s, as %s", entry.Index, earlier, id, committed)
 	}
-	g.accepted[e.Index] = text
-	g.applied[id] = append(g.applied[id], e)
+	c.committed[entry.Index] = committed
+	c.applied[id] = append(c.applied[id], entry)
 }
 
-// deliver hands over the i-th message on the wire, or drops it.
-func (g *group) deliver(i int, drop bool) {
-	m := g.wire[i]
-	g.wire = slices.Delete(g.wire, i, i+1)
-	if drop || g.cut[m.From] || g.cut[m.To] || g.nodes[m.To] == nil {
+// deliver delivers the i-th message in flight, or drops it.
+func (c *testCluster) deliver(i int, drop bool) {
+	msg := c.inFlight[i]
+	c.inFlight = slices.Delete(c.inFlight, i, i+1)
+	if drop || c.partitioned[msg.From] || c.partitioned[msg.To] || c.nodes[msg.To] == nil {
 		return
 	}
-	g.nodes[m.To].Step(g.now, m)
-	g.settle(m.To)
+	c.nodes[msg.To].Step(c.now, msg)
+	c.processOutput(msg.To)
 }
 
-func (g *group) run(span time.Duration) {
+func (c *testCluster) run(span time.Duration) {
 	const step = 10 * time.Millisecond
-	for end := g.now.Add(span); g.now.Before(end); g.now = g.now.Add(step) {
-		for _, id := range g.ids() {
-			if n := g.nodes[id]; n != nil {
-				n.Tick(g.now)
-				g.settle(id)
+	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(step) {
+		for _, id := range c.ids() {
+			if node := c.nodes[id]; node != nil {
+				node.Tick(c.now)
+				c.processOutput(id)
 			}
 		}
-		for len(g.wire) > 0 {
-			g.deliver(0, false)
+		for len(c.inFlight) > 0 {
+			c.deliver(0, false)
 		}
 	}
 }
 
-func (g *group) leaders() []string {
+func (c *testCluster) activeLeaders() []string {
 	var ids []string
-	for _, id := range g.ids() {
-		if n := g.nodes[id]; n != nil && n.IsActiveLeader(g.now) {
+	for _, id := range c.ids() {
+		if node := c.nodes[id]; node != nil && node.IsActiveLeader(c.now) {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-func (g *group) propose(id, text string) (uint64, bool) {
+func (c *testCluster) propose(id, text string) (uint64, bool) {
 	data, _ := json.Marshal(text)
-	index, _, err := g.nodes[id].Propose(g.now, data)
-	g.settle(id)
+	index, _, err := c.nodes[id].Propose(c.now, data)
+	c.processOutput(id)
 	return index, err == nil
 }
 
-func TestGroupElectsOneLeaderAndCommits(t *testing.T) {
-	g := newGroup(t.Fatalf, 3)
-	g.run(4 * time.Second)
-	require.Len(t, g.leaders(), 1)
-	index, ok := g.propose(g.leaders()[0], "a")
+func TestClusterElectsOneLeaderAndCommits(t *testing.T) {
+	cluster := newTestCluster(t.Fatalf, 3)
+	cluster.run(4 * time.Second)
+	require.Len(t, cluster.activeLeaders(), 1)
+	index, ok := cluster.propose(cluster.activeLeaders()[0], "a")
 	require.True(t, ok)
-	g.run(time.Second)
-	require.Contains(t, g.accepted[index], `"a"`)
-	for _, id := range g.ids() {
-		require.NotEmpty(t, g.applied[id], id)
+	cluster.run(time.Second)
+	require.Contains(t, cluster.committed[index], `"a"`)
+	for _, id := range cluster.ids() {
+		require.NotEmpty(t, cluster.applied[id], id)
 	}
 }
 
-// Symptom: two keepers both grant slots.
-// Sequence: the leader is cut off without notice; the others elect another.
-// Cause: the first goes on trusting promises that have run out.
-func TestCutOffLeaderStopsBeforeAnotherStarts(t *testing.T) {
-	g := newGroup(t.Fatalf, 3)
-	g.run(4 * time.Second)
-	old := g.leaders()[0]
-	g.cut[old] = true
+// Guards against two keepers that grant slots at once: a partitioned leader that relies on its lease
+// after it has expired, while the others elect a new leader.
+func TestPartitionedLeaderStopsBeforeSuccessorStarts(t *testing.T) {
+	cluster := newTestCluster(t.Fatalf, 3)
+	cluster.run(4 * time.Second)
+	old := cluster.activeLeaders()[0]
+	cluster.partitioned[old] = true
 	for range 600 {
-		g.run(10 * time.Millisecond)
-		require.LessOrEqual(t, len(g.leaders()), 1)
+		cluster.run(10 * time.Millisecond)
+		require.LessOrEqual(t, len(cluster.activeLeaders()), 1)
 	}
-	require.NotContains(t, g.leaders(), old)
-	require.Len(t, g.leaders(), 1)
-	leader := g.leaders()[0]
-	term := g.nodes[leader].Term()
-	g.run(time.Hour / 60)
-	g.cut[old] = false
-	g.run(5 * time.Second)
-	require.Equal(t, []string{leader}, g.leaders(), "a member that returns must not depose a healthy leader")
-	require.Equal(t, term, g.nodes[leader].Term())
+	require.NotContains(t, cluster.activeLeaders(), old)
+	require.Len(t, cluster.activeLeaders(), 1)
+	leader := cluster.activeLeaders()[0]
+	term := cluster.nodes[leader].Term()
+	cluster.run(time.Hour / 60)
+	cluster.partitioned[old] = false
+	cluster.run(5 * time.Second)
+	require.Equal(t, []string{leader}, cluster.activeLeaders(), "a member that returns must not depose a healthy leader")
+	require.Equal(t, term, cluster.nodes[leader].Term())
 }
 
-// Symptom: a process that was stopped acts as leader when it wakes.
-// Sequence: the leader is frozen past its lease, then asked at once.
-// Cause: its role still says leader; only the lease tells that it may not act.
-func TestFrozenLeaderMayNotAct(t *testing.T) {
-	g := newGroup(t.Fatalf, 3)
-	g.run(4 * time.Second)
-	old := g.leaders()[0]
-	frozen := g.nodes[old]
-	g.nodes[old] = nil
-	g.run(10 * time.Second)
-	require.Len(t, g.leaders(), 1)
-	require.Equal(t, Leader, frozen.Role())
-	require.False(t, frozen.IsActiveLeader(g.now))
+// Guards against a suspended process that acts as leader when it resumes: its role is still Leader,
+// and only the expired lease shows that it must not act.
+func TestStalledLeaderLosesLease(t *testing.T) {
+	cluster := newTestCluster(t.Fatalf, 3)
+	cluster.run(4 * time.Second)
+	old := cluster.activeLeaders()[0]
+	stalledNode := cluster.nodes[old]
+	cluster.nodes[old] = nil
+	cluster.run(10 * time.Second)
+	require.Len(t, cluster.activeLeaders(), 1)
+	require.Equal(t, Leader, stalledNode.Role())
+	require.False(t, stalledNode.IsActiveLeader(cluster.now))
 }
 
-// Symptom: a keeper that lost its disk votes again and forgets what was
-// promised.
-// Sequence: a disk is lost, its keeper joins under a new ID, catches up, is
-// promoted; right after, another keeper is lost.
-// Cause: a promise is bound to the disk that held it.
-func TestSecondLossAfterRepairLosesNothing(t *testing.T) {
-	g := newGroup(t.Fatalf, 3)
-	g.run(4 * time.Second)
-	leader := g.leaders()[0]
-	index, _ := g.propose(leader, "kept")
-	g.run(time.Second)
-	lost := g.ids()[0]
+// Guards against the loss of a committed entry when one keeper loses its disk, a replacement with a
+// new ID joins and is promoted, and another keeper is lost right afterwards.
+func TestCommittedEntrySurvivesLossAfterReplacement(t *testing.T) {
+	cluster := newTestCluster(t.Fatalf, 3)
+	cluster.run(4 * time.Second)
+	leader := cluster.activeLeaders()[0]
+	index, _ := cluster.propose(leader, "kept")
+	cluster.run(time.Second)
+	lost := cluster.ids()[0]
 	if lost == leader {
-		lost = g.ids()[1]
+		lost = cluster.ids()[1]
 	}
-	delete(g.nodes, lost)
-	delete(g.disks, lost)
-	require.NoError(t, g.nodes[leader].Remove(g.now, lost))
-	g.run(time.Second)
-	g.disks["new"] = &savedLog{}
-	g.start("new")
-	require.NoError(t, g.nodes[leader].AddLearner(g.now, Member{ID: "new"}))
-	require.Error(t, g.nodes[leader].Promote(g.now, "new"), "one change at a time")
-	g.run(time.Second)
-	require.NoError(t, g.nodes[leader].Promote(g.now, "new"))
-	g.run(time.Second)
-	delete(g.nodes, leader)
-	g.run(6 * time.Second)
-	require.Len(t, g.leaders(), 1)
-	now := g.nodes[g.leaders()[0]]
-	require.Contains(t, string(now.Entries[index-now.Snapshot.Index-1].Data), "kept")
+	delete(cluster.nodes, lost)
+	delete(cluster.disks, lost)
+	require.NoError(t, cluster.nodes[leader].Remove(cluster.now, lost))
+	cluster.run(time.Second)
+	cluster.disks["new"] = &fakeDisk{}
+	cluster.startNode("new")
+	require.NoError(t, cluster.nodes[leader].AddLearner(cluster.now, Member{ID: "new"}))
+	require.Error(t, cluster.nodes[leader].Promote(cluster.now, "new"), "one change at a time")
+	cluster.run(time.Second)
+	require.NoError(t, cluster.nodes[leader].Promote(cluster.now, "new"))
+	cluster.run(time.Second)
+	delete(cluster.nodes, leader)
+	cluster.run(6 * time.Second)
+	require.Len(t, cluster.activeLeaders(), 1)
+	successor := cluster.nodes[cluster.activeLeaders()[0]]
+	require.Contains(t, string(successor.Entries[index-successor.Snapshot.Index-1].Data), "kept")
 }
 
-func TestLaggingFollowerTakesSnapshot(t *testing.T) {
-	g := newGroup(t.Fatalf, 3)
-	g.run(4 * time.Second)
-	leader := g.leaders()[0]
-	slow := g.ids()[0]
+func TestLaggingFollowerInstallsSnapshot(t *testing.T) {
+	cluster := newTestCluster(t.Fatalf, 3)
+	cluster.run(4 * time.Second)
+	leader := cluster.activeLeaders()[0]
+	slow := cluster.ids()[0]
 	if slow == leader {
-		slow = g.ids()[1]
+		slow = cluster.ids()[1]
 	}
-	g.cut[slow] = true
+	cluster.partitioned[slow] = true
 	for i := range 50 {
-		g.propose(leader, fmt.Sprint(i))
+		cluster.propose(leader, fmt.Sprint(i))
 	}
-	g.run(time.Second)
-	n := g.nodes[leader]
-	require.NotNil(t, n.Compact(n.CommitIndex(), json.RawMessage(`"state"`)))
-	g.settle(leader)
-	g.cut[slow] = false
-	g.run(2 * time.Second)
-	require.JSONEq(t, `"state"`, string(g.nodes[slow].Snapshot.Data))
-	index, _ := g.propose(leader, "after")
-	g.run(time.Second)
-	require.Equal(t, index, g.nodes[slow].CommitIndex())
+	cluster.run(time.Second)
+	leaderNode := cluster.nodes[leader]
+	require.NotNil(t, leaderNode.Compact(leaderNode.CommitIndex(), json.RawMessage(`"state"`)))
+	cluster.processOutput(leader)
+	cluster.partitioned[slow] = false
+	cluster.run(2 * time.Second)
+	require.JSONEq(t, `"state"`, string(cluster.nodes[slow].Snapshot.Data))
+	index, _ := cluster.propose(leader, "after")
+	cluster.run(time.Second)
+	require.Equal(t, index, cluster.nodes[slow].CommitIndex())
 }
 
-// Any interleaving of crashes, cuts, losses, doubled and reordered messages
-// keeps one history: what one node saw committed, no node sees otherwise.
-func TestHistoriesAgree(t *testing.T) {
+// For any interleaving of crashes, partitions, and lost, duplicated and reordered messages, all nodes
+// see the same entry committed at an index, and there is at most one active leader.
+func TestCommittedLogsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGroup(t.Fatalf, 3)
+		cluster := newTestCluster(t.Fatalf, 3)
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
-			id := rapid.SampledFrom(g.ids()).Draw(t, "node")
+			id := rapid.SampledFrom(cluster.ids()).Draw(t, "node")
 			switch rapid.IntRange(0, 12).Draw(t, "act") {
 			case 0:
-				g.cut[id] = !g.cut[id]
+				cluster.partitioned[id] = !cluster.partitioned[id]
 			case 1:
-				g.start(id)
+				cluster.startNode(id)
 			case 12:
-				g.nodes[id].Resign(g.now)
-				g.settle(id)
+				cluster.nodes[id].Resign(cluster.now)
+				cluster.processOutput(id)
 				if rapid.Bool().Draw(t, "stop") {
-					g.start(id)
+					cluster.startNode(id)
 				}
 			case 2, 3:
-				if g.nodes[id].Role() == Leader {
-					g.propose(id, fmt.Sprint(len(g.accepted)))
+				if cluster.nodes[id].Role() == Leader {
+					cluster.propose(id, fmt.Sprint(len(cluster.committed)))
 				}
 			case 4:
-				n := g.nodes[id]
-				n.Compact(n.applied, json.RawMessage(`"s"`))
-				g.settle(id)
+				node := cluster.nodes[id]
+				node.Compact(node.appliedIndex, json.RawMessage(`"s"`))
+				cluster.processOutput(id)
 			case 5:
-				if len(g.wire) > 0 {
-					i := rapid.IntRange(0, len(g.wire)-1).Draw(t, "copy")
-					g.wire = append(g.wire, g.wire[i])
+				if len(cluster.inFlight) > 0 {
+					i := rapid.IntRange(0, len(cluster.inFlight)-1).Draw(t, "copy")
+					cluster.inFlight = append(cluster.inFlight, cluster.inFlight[i])
 				}
 			case 6, 7, 8:
-				for range min(len(g.wire), 10) {
-					i := rapid.IntRange(0, len(g.wire)-1).Draw(t, "message")
-					g.deliver(i, rapid.IntRange(0, 9).Draw(t, "drop") == 0)
+				for range min(len(cluster.inFlight), 10) {
+					i := rapid.IntRange(0, len(cluster.inFlight)-1).Draw(t, "message")
+					cluster.deliver(i, rapid.IntRange(0, 9).Draw(t, "drop") == 0)
 				}
 			default:
-				g.run(time.Duration(rapid.IntRange(1, 150).Draw(t, "span")) * 10 * time.Millisecond)
+				cluster.run(time.Duration(rapid.IntRange(1, 150).Draw(t, "span")) * 10 * time.Millisecond)
 			}
-			require.LessOrEqual(t, len(g.leaders()), 1)
+			require.LessOrEqual(t, len(cluster.activeLeaders()), 1)
 		}
-		clear(g.cut)
-		g.run(6 * time.Second)
-		require.Len(t, g.leaders(), 1, "the group recovers")
+		clear(cluster.partitioned)
+		cluster.run(6 * time.Second)
+		require.Len(t, cluster.activeLeaders(), 1, "the group recovers")
 	})
 }
 
-// Symptom: two leaders in one term.
-// Sequence: a member votes, crashes, restarts, and is asked by another
-// candidate of the same term.
-// Cause: the vote was not made durable before it was answered.
-func TestVoteOutlivesRestart(t *testing.T) {
-	g := newGroup(t.Fatalf, 3)
-	g.now = g.now.Add(time.Hour)
-	ask := func(from string) Message {
-		g.nodes["k1"].Step(g.now, Message{Kind: MsgVote, From: from, To: "k1", Term: 5})
-		g.settle("k1")
-		answer := g.wire[len(g.wire)-1]
-		require.Equal(t, MsgVoteAck, answer.Kind)
-		return answer
+// Guards against two leaders in one term: a member that replies to a vote request before its vote is
+// durable can vote for another candidate of the term after a restart.
+func TestVoteSurvivesRestart(t *testing.T) {
+	cluster := newTestCluster(t.Fatalf, 3)
+	cluster.now = cluster.now.Add(time.Hour)
+	requestVote := func(from string) Message {
+		cluster.nodes["k1"].Step(cluster.now, Message{Kind: MsgVote, From: from, To: "k1", Term: 5})
+		cluster.processOutput("k1")
+		reply := cluster.inFlight[len(cluster.inFlight)-1]
+		require.Equal(t, MsgVoteAck, reply.Kind)
+		return reply
 	}
-	// The term is saved before the vote, so that the vote needs its own save.
-	g.nodes["k1"].Step(g.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 5, Reject: true})
-	g.settle("k1")
-	require.False(t, ask("k2").Reject)
-	g.start("k1")
-	g.now = g.now.Add(time.Hour)
-	require.True(t, ask("k3").Reject)
-	require.False(t, ask("k2").Reject, "the same candidate may ask again")
+	// The term is saved first, so the vote itself must be saved as well.
+	cluster.nodes["k1"].Step(cluster.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 5, Reject: true})
+	cluster.processOutput("k1")
+	require.False(t, requestVote("k2").Reject)
+	cluster.startNode("k1")
+	cluster.now = cluster.now.Add(time.Hour)
+	require.True(t, requestVote("k3").Reject)
+	require.False(t, requestVote("k2").Reject, "the same candidate may ask again")
 }
 
-// Symptom: a committed entry is overwritten.
-// Sequence: a leader replicates an entry of an earlier term to a quorum and
-// commits it by count; it crashes; a member with a later term's entry there
-// wins and overwrites it.
-// Cause: only entries of the leader's own term may be counted.
-func TestEarlierTermIsNotCommittedByCount(t *testing.T) {
-	g := newGroup(t.Fatalf, 3)
-	old := []Entry{{Index: 1, Term: 1, Kind: EntryData, Data: json.RawMessage(`"old"`)}}
-	g.disks["k1"].entries = old
-	g.disks["k1"].state = State{Term: 3}
-	g.start("k1")
-	n := g.nodes["k1"]
-	n.stand(g.now)
-	n.Step(g.now, Message{Kind: MsgVoteAck, From: "k2", To: "k1", Term: 4})
-	require.Equal(t, Leader, n.Role())
-	g.settle("k1")
-	n.Step(g.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 4, Index: 1, SentAt: g.now})
-	require.Zero(t, n.CommitIndex(), "entry 1 is of term 1")
-	n.Step(g.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 4, Index: 2, SentAt: g.now})
-	require.Equal(t, uint64(2), n.CommitIndex())
+// Guards against overwriting a committed entry: if a leader commits an entry of an earlier term by
+// counting replicas and then crashes, a member with a later entry at that index can win and
+// overwrite it. Only entries of the leader's own term may be counted.
+func TestQuorumDoesNotCommitEntryOfEarlierTerm(t *testing.T) {
+	cluster := newTestCluster(t.Fatalf, 3)
+	oldEntries := []Entry{{Index: 1, Term: 1, Kind: EntryData, Data: json.RawMessage(`"old"`)}}
+	cluster.disks["k1"].entries = oldEntries
+	cluster.disks["k1"].state = State{Term: 3}
+	cluster.startNode("k1")
+	node := cluster.nodes["k1"]
+	node.startElection(cluster.now)
+	node.Step(cluster.now, Message{Kind: MsgVoteAck, From: "k2", To: "k1", Term: 4})
+	require.Equal(t, Leader, node.Role())
+	cluster.processOutput("k1")
+	node.Step(cluster.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 4, Index: 1, SentAt: cluster.now})
+	require.Zero(t, node.CommitIndex(), "entry 1 is of term 1")
+	node.Step(cluster.now, Message{Kind: MsgAppendAck, From: "k2", To: "k1", Term: 4, Index: 2, SentAt: cluster.now})
+	require.Equal(t, uint64(2), node.CommitIndex())
 }
 
-// Symptom: two quorums without a member in common.
-// Sequence: a second change of membership is appended before the first is
-// committed, or a learner votes before it holds the log.
-// Cause: changes are only safe one at a time.
-func TestMembershipChangesWaitForEachOther(t *testing.T) {
-	g := newGroup(t.Fatalf, 3)
-	g.run(4 * time.Second)
-	leader := g.leaders()[0]
-	n := g.nodes[leader]
-	others := slices.DeleteFunc(g.ids(), func(id string) bool { return id == leader })
-	require.NoError(t, n.AddLearner(g.now, Member{ID: "new"}))
-	require.True(t, n.MembershipChangePending())
-	require.ErrorIs(t, n.Remove(g.now, others[0]), ErrMembershipChangePending)
-	g.settle(leader)
-	g.run(time.Second)
-	require.False(t, n.MembershipChangePending())
-	g.propose(leader, "a")
-	g.run(time.Second)
-	require.Error(t, n.Promote(g.now, "new"), "it holds nothing yet")
-	require.Error(t, n.Remove(g.now, leader), "a leader does not remove itself")
+// Guards against two quorums without a common member, which can form if a second membership change is
+// appended before the first is committed, or if a learner votes before it holds the log.
+func TestRefusesConcurrentMembershipChanges(t *testing.T) {
+	cluster := newTestCluster(t.Fatalf, 3)
+	cluster.run(4 * time.Second)
+	leader := cluster.activeLeaders()[0]
+	node := cluster.nodes[leader]
+	others := slices.DeleteFunc(cluster.ids(), func(id string) bool { return id == leader })
+	require.NoError(t, node.AddLearner(cluster.now, Member{ID: "new"}))
+	require.True(t, node.MembershipChangePending())
+	require.ErrorIs(t, node.Remove(cluster.now, others[0]), ErrMembershipChangePending)
+	cluster.processOutput(leader)
+	cluster.run(time.Second)
+	require.False(t, node.MembershipChangePending())
+	cluster.propose(leader, "a")
+	cluster.run(time.Second)
+	require.Error(t, node.Promote(cluster.now, "new"), "it holds nothing yet")
+	require.Error(t, node.Remove(cluster.now, leader), "a leader does not remove itself")
 }
--- a/internal/quorum/replicate.go
+++ b/internal/quorum/replicate.go
@@ -5,222 +5,224 @@
 	"time"
 )
 
-// broadcast sends each follower what it was not sent yet; a heartbeat goes out
-// even if there is nothing. A follower that lost a batch refuses the next
-// heartbeat and tells where its log ends.
+// broadcast sends each other member the entries that were not sent to it yet; a heartbeat is sent
+// even without entries. A follower that missed a batch rejects the next heartbeat and returns the
+// end of its log.
 func (n *Node) broadcast(now time.Time, heartbeat bool) {
-	for _, m := range n.Members() {
-		if m.ID != n.ID {
-			n.replicate(now, m.ID, heartbeat)
+	for _, member := range n.Members() {
+		if member.ID != n.ID {
+			n.replicate(now, member.ID, heartbeat)
 		}
 	}
 }
 
 func (n *Node) replicate(now time.Time, id string, heartbeat bool) {
-	p := n.peers[id]
-	if p == nil {
-		p = &progress{next: n.lastIndex() + 1, since: now}
-		n.peers[id] = p
+	peer := n.peers[id]
+	if peer == nil {
+		peer = &peerProgress{nextIndex: n.lastIndex() + 1, replicatingSince: now}
+		n.peers[id] = peer
 	}
-	if p.next <= n.Snapshot.Index {
-		n.sendSnapshot(now, id, p, heartbeat)
+	if peer.nextIndex <= n.Snapshot.Index {
+		n.sendSnapshot(now, id, peer, heartbeat)
 		return
 	}
-	for n.sendEntries(now, id, p, heartbeat) {
+	for n.sendEntries(now, id, peer, heartbeat) {
 		heartbeat = false
 	}
 }
 
 // sendEntries sends one batch and reports whether there may be more to send.
-func (n *Node) sendEntries(now time.Time, id string, p *progress, heartbeat bool) bool {
-	batch := n.batch(p)
+func (n *Node) sendEntries(now time.Time, id string, peer *peerProgress, heartbeat bool) bool {
+	batch := n.nextBatch(peer)
 	if len(batch) == 0 && !heartbeat {
 		return false
 	}
-	prev := p.next - 1
-	n.sendEarly(Message{
+	prev := peer.nextIndex - 1
+	n.queueBeforeSync(Message{
 		Kind: MsgAppend, To: id, Index: prev, LogTerm: n.termAt(prev),
-		CommitIndex: n.commit, Entries: batch, SentAt: now,
+		CommitIndex: n.commitIndex, Entries: batch, SentAt: now,
 	})
-	p.next += uint64(len(batch))
+	peer.nextIndex += uint64(len(batch))
 	return len(batch) > 0
 }
 
-func (n *Node) batch(p *progress) []Entry {
-	if p.next > p.match+maxWindow {
+func (n *Node) nextBatch(peer *peerProgress) []Entry {
+	if peer.nextIndex > peer.matchIndex+maxInflightEntries {
 		return nil
 	}
-	rest := n.Entries[p.next-n.Snapshot.Index-1:]
+	unsent := n.Entries[peer.nextIndex-n.Snapshot.Index-1:]
 	size := 0
 	count := 0
-	for _, e := range rest {
+	for _, entry := range unsent {
 		if count == maxBatchEntries || size > maxBatchBytes {
 			break
 		}
-		size += len(e.Data)
+		size += len(entry.Data)
 		count++
 	}
-	return slices.Clone(rest[:count])
+	return slices.Clone(unsent[:count])
 }
 
-func (n *Node) sendSnapshot(now time.Time, id string, p *progress, heartbeat bool) {
+func (n *Node) sendSnapshot(now time.Time, id string, peer *peerProgress, heartbeat bool) {
 	if !heartbeat {
 		return
 	}
-	base := n.Snapshot
-	n.sendEarly(Message{Kind: MsgSnapshot, To: id, Index: base.Index, CommitIndex: n.commit, Snapshot: &base, SentAt: now})
-	p.next = base.Index + 1
+	snapshot := n.Snapshot
+	n.queueBeforeSync(Message{Kind: MsgSnapshot, To: id, Index: snapshot.Index, CommitIndex: n.commitIndex, Snapshot: &snapshot, SentAt: now})
+	peer.nextIndex = snapshot.Index + 1
 }
 
-func (n *Node) onAppend(now time.Time, m Message) {
-	n.hear(now, m.From)
-	if m.Index < n.Snapshot.Index {
-		m = n.skip(m)
-	}
-	if m.Index != n.Snapshot.Index && n.termAt(m.Index) != m.LogTerm || m.Index > n.lastIndex() {
-		hint := min(m.Index, n.lastIndex()+1) - 1
-		n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Reject: true, Index: hint, SentAt: m.SentAt})
+func (n *Node) onAppend(now time.Time, request Message) {
+	n.onLeaderContact(now, request.From)
+	if request.Index < n.Snapshot.Index {
+		request = n.dropCompacted(request)
+	}
+	if request.Index != n.Snapshot.Index && n.termAt(request.Index) != request.LogTerm || request.Index > n.lastIndex() {
+		retryIndex := min(request.Index, n.lastIndex()+1) - 1
+		n.queueAfterSync(Message{Kind: MsgAppendAck, To: request.From, Reject: true, Index: retryIndex, SentAt: request.SentAt})
 		return
 	}
-	for _, e := range m.Entries {
-		n.take(e)
+	for _, entry := range request.Entries {
+		n.acceptEntry(entry)
 	}
-	match := m.Index + uint64(len(m.Entries))
-	n.commit = max(n.commit, min(m.CommitIndex, match))
-	n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Index: match, SentAt: m.SentAt})
+	matchIndex := request.Index + uint64(len(request.Entries))
+	n.commitIndex = max(n.commitIndex, min(request.CommitIndex, matchIndex))
+	n.queueAfterSync(Message{Kind: MsgAppendAck, To: request.From, Index: matchIndex, SentAt: request.SentAt})
 }
 
-// skip drops the entries that the node's snapshot already stands for.
-func (n *Node) skip(m Message) Message {
-	drop := min(n.Snapshot.Index-m.Index, uint64(len(m.Entries)))
-	m.Entries = m.Entries[drop:]
-	m.Index += drop
-	if m.Index == n.Snapshot.Index {
-		m.LogTerm = n.Snapshot.Term
-		return m
-	}
-	// All of it is covered: acknowledge the snapshot.
-	m.Index = n.Snapshot.Index
-	m.LogTerm = n.Snapshot.Term
-	m.Entries = nil
-	return m
+// dropCompacted returns the request without the entries that the node's snapshot covers.
+func (n *Node) dropCompacted(request Message) Message {
+	covered := min(n.Snapshot.Index-request.Index, uint64(len(request.Entries)))
+	request.Entries = request.Entries[covered:]
+	request.Index += covered
+	if request.Index == n.Snapshot.Index {
+		request.LogTerm = n.Snapshot.Term
+		return request
+	}
+	// The snapshot covers all entries: acknowledge up to its index.
+	request.Index = n.Snapshot.Index
+	request.LogTerm = n.Snapshot.Term
+	request.Entries = nil
+	return request
 }
 
-// take puts a leader's entry in its place. Entries of another term there were
-// never committed and go.
-func (n *Node) take(e Entry) {
-	if e.Index <= n.lastIndex() {
-		if n.termAt(e.Index) == e.Term {
+// acceptEntry stores a leader's entry at its index. An entry of another term there was never
+// committed; it and all entries after it are removed.
+func (n *Node) acceptEntry(entry Entry) {
+	if entry.Index <= n.lastIndex() {
+		if n.termAt(entry.Index) == entry.Term {
 			return
 		}
-		n.Entries = slices.Clone(n.Entries[:e.Index-n.Snapshot.Index-1])
-		n.synced = min(n.synced, e.Index-1)
+		n.Entries = slices.Clone(n.Entries[:entry.Index-n.Snapshot.Index-1])
+		n.durableIndex = min(n.durableIndex, entry.Index-1)
 		n.members = n.membersAt(n.lastIndex())
 	}
-	n.put(e)
+	n.appendEntry(entry)
 }
 
-func (n *Node) hear(now time.Time, leader string) {
+// onLeaderContact records a message from the leader of the term and renews the leader's lease, unless
+// the leader has resigned.
+func (n *Node) onLeaderContact(now time.Time, leader string) {
 	if n.role != Follower || n.leader != leader {
-		n.follow(now, leader)
+		n.becomeFollower(now, leader)
 	}
 	if n.state.Leader != leader {
 		n.state.Leader = leader
-		n.save = true
+		n.stateUnsaved = true
 	}
-	n.heard, n.unheard, n.waited = now, false, false
-	if n.resigned == n.state.Term {
-		return // sent before it resigned
+	n.lastLeaderContact, n.noLeaderSinceStart, n.stallGraceUsed = now, false, false
+	if n.resignedTerm == n.state.Term {
+		return // the leader sent the message before it resigned
 	}
-	n.attempt = 0
-	n.released = false
-	n.eager = time.Time{}
-	n.deadline = now.Add(n.patience(now))
+	n.electionAttempt = 0
+	n.leaseReleased = false
+	n.fastCampaignUntil = time.Time{}
+	n.timerDeadline = now.Add(n.jitteredTimeout(now))
 }
 
-func (n *Node) onAppendAck(now time.Time, m Message) {
-	p := n.peers[m.From]
-	if n.role != Leader || p == nil {
+func (n *Node) onAppendAck(now time.Time, reply Message) {
+	peer := n.peers[reply.From]
+	if n.role != Leader || peer == nil {
 		return
 	}
-	if m.SentAt.After(p.acked) {
-		p.acked = m.SentAt
+	if reply.SentAt.After(peer.lastAckedSend) {
+		peer.lastAckedSend = reply.SentAt
 	}
-	if m.Reject {
-		p.next = max(p.match, min(m.Index, n.lastIndex())) + 1
-		n.replicate(now, m.From, true)
+	if reply.Reject {
+		peer.nextIndex = max(peer.matchIndex, min(reply.Index, n.lastIndex())) + 1
+		n.replicate(now, reply.From, true)
 		return
 	}
-	p.match = max(p.match, m.Index)
-	p.next = max(p.next, p.match+1)
-	n.advance()
-	n.replicate(now, m.From, false)
+	peer.matchIndex = max(peer.matchIndex, reply.Index)
+	peer.nextIndex = max(peer.nextIndex, peer.matchIndex+1)
+	n.advanceCommit()
+	n.replicate(now, reply.From, false)
 }
 
-func (n *Node) onSnapshot(now time.Time, m Message) {
-	n.hear(now, m.From)
-	s := m.Snapshot
-	if s == nil {
+func (n *Node) onSnapshot(now time.Time, request Message) {
+	n.onLeaderContact(now, request.From)
+	snapshot := request.Snapshot
+	if snapshot == nil {
 		return
 	}
-	if s.Index <= n.commit {
-		n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Index: n.commit, SentAt: m.SentAt})
+	if snapshot.Index <= n.commitIndex {
+		n.queueAfterSync(Message{Kind: MsgAppendAck, To: request.From, Index: n.commitIndex, SentAt: request.SentAt})
 		return
 	}
-	if n.termAt(s.Index) == s.Term {
-		n.Entries = slices.Clone(n.Entries[s.Index-n.Snapshot.Index:])
+	if n.termAt(snapshot.Index) == snapshot.Term {
+		n.Entries = slices.Clone(n.Entries[snapshot.Index-n.Snapshot.Index:])
 	} else {
 		n.Entries = nil
 	}
-	n.Snapshot = *s
-	n.commit = s.Index
-	n.applied = s.Index
-	n.unsavedSnapshot = s
-	n.restore = s
+	n.Snapshot = *snapshot
+	n.commitIndex = snapshot.Index
+	n.appliedIndex = snapshot.Index
+	n.unsavedSnapshot = snapshot
+	n.restoreFrom = snapshot
 	n.members = n.membersAt(n.lastIndex())
-	n.saveFrom = 0
+	n.unsavedFrom = 0
 	if len(n.Entries) > 0 {
-		n.saveFrom = s.Index + 1
+		n.unsavedFrom = snapshot.Index + 1
 	}
-	n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Index: s.Index, SentAt: m.SentAt})
+	n.queueAfterSync(Message{Kind: MsgAppendAck, To: request.From, Index: snapshot.Index, SentAt: request.SentAt})
 }
 
-// advance commits what a quorum of voters holds. Only an entry of the leader's
-// own term is counted; those before it are committed with it.
-func (n *Node) advance() {
-	held := make([]uint64, 0, len(n.Members()))
-	for _, m := range n.Members() {
-		if m.Voter {
-			held = append(held, n.MatchIndex(m.ID))
+// advanceCommit commits the entries that a quorum of voters holds. Only an entry of the leader's own
+// term is committed by count; the entries before it are committed with it.
+func (n *Node) advanceCommit() {
+	matchIndexes := make([]uint64, 0, len(n.Members()))
+	for _, member := range n.Members() {
+		if member.Voter {
+			matchIndexes = append(matchIndexes, n.MatchIndex(member.ID))
 		}
 	}
-	slices.Sort(held)
-	if len(held) == 0 {
+	slices.Sort(matchIndexes)
+	if len(matchIndexes) == 0 {
 		return
 	}
-	index := held[(len(held)-1)/2]
-	if index > n.commit && n.termAt(index) == n.state.Term {
-		n.commit = index
+	index := matchIndexes[(len(matchIndexes)-1)/2]
+	if index > n.commitIndex && n.termAt(index) == n.state.Term {
+		n.commitIndex = index
 	}
 }
 
-// leaseEnd returns until when a quorum's promises hold.
+// leaseEnd returns when the leader's lease from a quorum of voters expires.
 func (n *Node) leaseEnd(now time.Time) time.Time {
-	acked := make([]time.Time, 0, len(n.Members()))
-	for _, m := range n.Members() {
+	ackedSends := make([]time.Time, 0, len(n.Members()))
+	for _, member := range n.Members() {
 		switch {
-		case !m.Voter:
-		case m.ID == n.ID:
-			acked = append(acked, now)
-		case n.peers[m.ID] != nil:
-			acked = append(acked, n.peers[m.ID].acked)
+		case !member.Voter:
+		case member.ID == n.ID:
+			ackedSends = append(ackedSends, now)
+		case n.peers[member.ID] != nil:
+			ackedSends = append(ackedSends, n.peers[member.ID].lastAckedSend)
 		default:
-			acked = append(acked, time.Time{})
+			ackedSends = append(ackedSends, time.Time{})
 		}
 	}
-	if len(acked) == 0 {
+	if len(ackedSends) == 0 {
 		return time.Time{}
 	}
-	slices.SortFunc(acked, func(a, b time.Time) int { return a.Compare(b) })
-	return acked[(len(acked)-1)/2].Add(LeaseDuration)
+	slices.SortFunc(ackedSends, func(a, b time.Time) int { return a.Compare(b) })
+	return ackedSends[(len(ackedSends)-1)/2].Add(LeaseDuration)
 }
--- a/internal/quorum/resign_test.go
+++ b/internal/quorum/resign_test.go
@@ -8,191 +8,184 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ledGroup returns a group of five that has a leader, and that leader.
-func ledGroup(t *testing.T) (*group, string) {
+// newClusterWithLeader returns a cluster of five members and the ID of its leader.
+func newClusterWithLeader(t *testing.T) (*testCluster, string) {
 	t.Helper()
-	g := newGroup(t.Fatalf, 5)
-	g.run(3 * time.Second)
-	require.Len(t, g.leaders(), 1)
-	return g, g.leaders()[0]
+	cluster := newTestCluster(t.Fatalf, 5)
+	cluster.run(3 * time.Second)
+	require.Len(t, cluster.activeLeaders(), 1)
+	return cluster, cluster.activeLeaders()[0]
 }
 
-// gap runs the group until it has a leader, and returns how long that took.
-func (g *group) gap(t *testing.T) time.Duration {
+// waitForLeader runs the cluster until it has an active leader and returns how long that took.
+func (c *testCluster) waitForLeader(t *testing.T) time.Duration {
 	t.Helper()
-	began := g.now
-	for len(g.leaders()) == 0 {
-		require.Less(t, g.now.Sub(began), 5*time.Second, "no leader")
-		g.run(10 * time.Millisecond)
+	start := c.now
+	for len(c.activeLeaders()) == 0 {
+		require.Less(t, c.now.Sub(start), 5*time.Second, "no leader")
+		c.run(10 * time.Millisecond)
 	}
-	return g.now.Sub(began)
+	return c.now.Sub(start)
 }
 
-// Symptom: after power is back everywhere, requests are refused for most of a second
-// more, since routers have no configuration.
-// Sequence: all keepers start at the same time.
-// Cause: each counted as having promised the old leader not to vote, and so did the
-// old leader.
-func TestALeaderThatRestartsWithAllOthersLeadsSoon(t *testing.T) {
+// Guards against most of a second without a leader, and so without a configuration for the routers,
+// when all keepers restart at the same time: each assumes a lease of the old leader, which itself
+// restarted too.
+func TestLeaderElectedSoonAfterFullRestart(t *testing.T) {
 	for _, size := range []int{3, 5, 9} {
-		g := newGroup(t.Fatalf, size)
-		g.run(3 * time.Second)
-		require.Len(t, g.leaders(), 1)
-		for _, id := range g.ids() {
-			g.start(id)
+		cluster := newTestCluster(t.Fatalf, size)
+		cluster.run(3 * time.Second)
+		require.Len(t, cluster.activeLeaders(), 1)
+		for _, id := range cluster.ids() {
+			cluster.startNode(id)
 		}
-		require.Less(t, g.gap(t), 300*time.Millisecond)
+		require.Less(t, cluster.waitForLeader(t), 300*time.Millisecond)
 	}
 }
 
-// The others start a little later than the old leader.
-func TestALeaderThatRestartsBeforeTheOthersAsksAgain(t *testing.T) {
-	g, old := ledGroup(t)
-	for _, id := range g.ids() {
-		g.nodes[id] = nil
+// Guards against a restarted leader whose first vote requests are lost because the other members
+// start later.
+func TestRestartedLeaderRetriesElectionUntilOthersStart(t *testing.T) {
+	cluster, old := newClusterWithLeader(t)
+	for _, id := range cluster.ids() {
+		cluster.nodes[id] = nil
 	}
-	g.start(old)
-	g.run(500 * time.Millisecond)
-	for _, id := range g.ids() {
+	cluster.startNode(old)
+	cluster.run(500 * time.Millisecond)
+	for _, id := range cluster.ids() {
 		if id != old {
-			g.start(id)
+			cluster.startNode(id)
 		}
 	}
-	require.Less(t, g.gap(t), 300*time.Millisecond)
+	require.Less(t, cluster.waitForLeader(t), 300*time.Millisecond)
 }
 
-// Symptom: each restart of the leader leaves the group without one for a second.
-// Sequence: the leader alone is killed and restarted after a moment.
-// Cause: the others wait for it until their promise has lapsed.
-func TestALeaderThatRestartsAloneLeadsAgainSoon(t *testing.T) {
-	g, old := ledGroup(t)
-	g.nodes[old] = nil
-	g.run(100 * time.Millisecond)
-	g.start(old)
-	require.Less(t, g.gap(t), 300*time.Millisecond)
+// Guards against a second without a leader whenever the leader is killed and restarted: without the
+// release, the others wait until its lease has expired.
+func TestLeaderElectedSoonAfterLeaderRestart(t *testing.T) {
+	cluster, old := newClusterWithLeader(t)
+	cluster.nodes[old] = nil
+	cluster.run(100 * time.Millisecond)
+	cluster.startNode(old)
+	require.Less(t, cluster.waitForLeader(t), 300*time.Millisecond)
 }
 
-// Symptom: a rolling restart leaves the group without a leader for a second.
-// Sequence: the leader is told to stop.
-// Cause: it stops like one that crashes.
-func TestALeaderThatResignsIsFollowedAtOnce(t *testing.T) {
-	g, old := ledGroup(t)
-	g.nodes[old].Resign(g.now)
-	require.Empty(t, g.leaders())
-	g.settle(old)
-	g.run(10 * time.Millisecond)
-	g.nodes[old] = nil
-	require.Less(t, g.gap(t), 100*time.Millisecond)
-	require.NotEqual(t, old, g.leaders()[0])
+// Guards against a second without a leader in a rolling restart: a leader that stops must resign
+// instead of stopping as in a crash.
+func TestSuccessorElectedAfterResignation(t *testing.T) {
+	cluster, old := newClusterWithLeader(t)
+	cluster.nodes[old].Resign(cluster.now)
+	require.Empty(t, cluster.activeLeaders())
+	cluster.processOutput(old)
+	cluster.run(10 * time.Millisecond)
+	cluster.nodes[old] = nil
+	require.Less(t, cluster.waitForLeader(t), 100*time.Millisecond)
+	require.NotEqual(t, old, cluster.activeLeaders()[0])
 }
 
-// Symptom: a rolling restart leaves the group without a leader for a second, at times.
-// Sequence: the leader's last entries arrive after its word that it resigns.
-// Cause: they renew the promise to it.
-func TestWhatALeaderSentBeforeItResignedPromisesNothing(t *testing.T) {
-	g, old := ledGroup(t)
-	_, ok := g.propose(old, "last")
+// Guards against a second without a leader in some rolling restarts: entries that the leader sent
+// before its resignation arrive after it and must not renew the lease.
+func TestLateAppendDoesNotRenewLeaseOfResignedLeader(t *testing.T) {
+	cluster, old := newClusterWithLeader(t)
+	_, ok := cluster.propose(old, "last")
 	require.True(t, ok)
-	g.nodes[old].Resign(g.now)
-	g.settle(old)
-	slices.Reverse(g.wire)
-	g.run(10 * time.Millisecond)
-	g.nodes[old] = nil
-	require.Less(t, g.gap(t), 700*time.Millisecond)
+	cluster.nodes[old].Resign(cluster.now)
+	cluster.processOutput(old)
+	slices.Reverse(cluster.inFlight)
+	cluster.run(10 * time.Millisecond)
+	cluster.nodes[old] = nil
+	require.Less(t, cluster.waitForLeader(t), 700*time.Millisecond)
 }
 
-// Symptom: two leaders at once.
-// Sequence: a request for votes of the leader, sent before it led, comes late.
-// Cause: it is taken for the leader's word that it leads no more.
-func TestALateRequestForVotesDoesNotReleaseFromTheLeader(t *testing.T) {
-	g := newGroup(t.Fatalf, 3)
-	g.run(3 * time.Second)
-	leader := g.leaders()[0]
-	for _, id := range g.ids() {
-		n := g.nodes[id]
+// Guards against two active leaders: a vote request that the leader sent before its election, or a
+// resignation of an earlier term or another member, must not release the lease.
+func TestStaleMessagesDoNotReleaseLease(t *testing.T) {
+	cluster := newTestCluster(t.Fatalf, 3)
+	cluster.run(3 * time.Second)
+	leader := cluster.activeLeaders()[0]
+	for _, id := range cluster.ids() {
+		node := cluster.nodes[id]
 		if id == leader {
 			continue
 		}
-		term := n.Term()
+		term := node.Term()
 		for _, kind := range []MessageKind{MsgPreVote, MsgVote} {
-			n.Step(g.now, Message{Kind: kind, From: leader, To: id, Term: term})
+			node.Step(cluster.now, Message{Kind: kind, From: leader, To: id, Term: term})
 		}
-		require.True(t, n.promised(g.now))
-		n.Step(g.now, Message{Kind: MsgResign, From: leader, To: id, Term: term - 1})
-		require.True(t, n.promised(g.now), "of an earlier term")
+		require.True(t, node.leaseBlocksVote(cluster.now))
+		node.Step(cluster.now, Message{Kind: MsgResign, From: leader, To: id, Term: term - 1})
+		require.True(t, node.leaseBlocksVote(cluster.now), "of an earlier term")
 		other := "k1"
 		if other == leader || other == id {
 			other = "k2"
 		}
 		if other != leader && other != id {
-			n.Step(g.now, Message{Kind: MsgResign, From: other, To: id, Term: term})
-			require.True(t, n.promised(g.now), "of another")
+			node.Step(cluster.now, Message{Kind: MsgResign, From: other, To: id, Term: term})
+			require.True(t, node.leaseBlocksVote(cluster.now), "of another")
 		}
 	}
 }
 
-// Symptom: after a loss of all power in which the leader lost its disk too, requests are
-// refused for most of a second, since routers have no configuration.
-// Sequence: all keepers start at the same time; the former leader's VM asks to join in its
-// place with an empty disk.
-// Cause: the others wait out their promise to a leader that cannot come back.
-func TestALeaderThatWasReplacedIsNotWaitedFor(t *testing.T) {
+// Guards against most of a second without a leader, and so without a configuration for the routers,
+// after all keepers lose power and the leader also loses its disk: its VM asks to join with an empty
+// disk, and the others must not wait for a leader that cannot return.
+func TestReplacedLeaderReleasesLease(t *testing.T) {
 	for _, size := range []int{3, 5, 9} {
-		g, old := ledGroup(t)
+		cluster, old := newClusterWithLeader(t)
 		if size != 5 {
-			g = newGroup(t.Fatalf, size)
-			g.run(3 * time.Second)
-			old = g.leaders()[0]
+			cluster = newTestCluster(t.Fatalf, size)
+			cluster.run(3 * time.Second)
+			old = cluster.activeLeaders()[0]
 		}
-		for _, id := range g.ids() {
-			g.start(id)
+		for _, id := range cluster.ids() {
+			cluster.startNode(id)
 		}
-		g.nodes[old] = nil
-		g.run(50 * time.Millisecond)
-		for _, id := range g.ids() {
-			if n := g.nodes[id]; n != nil {
-				n.MarkReplaced(g.now, old)
-				g.settle(id)
+		cluster.nodes[old] = nil
+		cluster.run(50 * time.Millisecond)
+		for _, id := range cluster.ids() {
+			if node := cluster.nodes[id]; node != nil {
+				node.MarkReplaced(cluster.now, old)
+				cluster.processOutput(id)
 			}
 		}
-		require.Less(t, g.gap(t), 450*time.Millisecond, "%d members", size)
+		require.Less(t, cluster.waitForLeader(t), 450*time.Millisecond, "%d members", size)
 	}
 }
 
-// What holds for a node that has just restarted does not for one that has heard a leader
-// since: a request to join that comes late must not free it from its promise.
-func TestAPromiseToALeaderThatIsHeardStands(t *testing.T) {
-	g, leader := ledGroup(t)
-	for _, id := range g.ids() {
+// Guards against two active leaders: a delayed join request releases the lease only on a node that
+// has not heard from a leader since its restart.
+func TestReplacementKeepsLeaseAfterLeaderContact(t *testing.T) {
+	cluster, leader := newClusterWithLeader(t)
+	for _, id := range cluster.ids() {
 		if id != leader {
-			g.start(id)
+			cluster.startNode(id)
 		}
 	}
-	g.run(200 * time.Millisecond)
-	require.Equal(t, []string{leader}, g.leaders())
-	g.nodes[leader] = nil
-	for _, id := range g.ids() {
-		if n := g.nodes[id]; n != nil {
-			n.MarkReplaced(g.now, leader)
-			require.True(t, n.promised(g.now), id)
-			g.settle(id)
+	cluster.run(200 * time.Millisecond)
+	require.Equal(t, []string{leader}, cluster.activeLeaders())
+	cluster.nodes[leader] = nil
+	for _, id := range cluster.ids() {
+		if node := cluster.nodes[id]; node != nil {
+			node.MarkReplaced(cluster.now, leader)
+			require.True(t, node.leaseBlocksVote(cluster.now), id)
+			cluster.processOutput(id)
 		}
 	}
-	require.Greater(t, g.gap(t), ElectionTimeout-3*HeartbeatInterval)
+	require.Greater(t, cluster.waitForLeader(t), ElectionTimeout-3*HeartbeatInterval)
 }
 
-// Another member's replacement frees nobody from a promise to the leader.
-func TestAReplacementOfAFollowerChangesNothing(t *testing.T) {
-	g, leader := ledGroup(t)
-	for _, id := range g.ids() {
-		g.start(id)
+// The replacement of a follower does not release the lease of the leader.
+func TestReplacedFollowerKeepsLease(t *testing.T) {
+	cluster, leader := newClusterWithLeader(t)
+	for _, id := range cluster.ids() {
+		cluster.startNode(id)
 	}
-	for _, id := range g.ids() {
+	for _, id := range cluster.ids() {
 		if id == leader {
 			continue
 		}
-		n := g.nodes[id]
-		n.MarkReplaced(g.now, id)
-		require.True(t, n.promised(g.now), id)
+		node := cluster.nodes[id]
+		node.MarkReplaced(cluster.now, id)
+		require.True(t, node.leaseBlocksVote(cluster.now), id)
 	}
 }
--- a/internal/quorum/step.go
+++ b/internal/quorum/step.go
@@ -2,70 +2,70 @@
 
 import "time"
 
-// Step takes a message.
-func (n *Node) Step(now time.Time, m Message) {
-	if m.To != n.ID {
+// Step handles a message that arrived at now. Messages for other nodes are ignored.
+func (n *Node) Step(now time.Time, msg Message) {
+	if msg.To != n.ID {
 		return
 	}
-	n.observe(now)
-	n.noteCandidate(m)
-	if m.Term > n.state.Term && !n.accepts(now, m) {
+	n.detectStall(now)
+	n.releaseLeaseOnCampaign(msg)
+	if msg.Term > n.state.Term && !n.handleLaterTerm(now, msg) {
 		return
 	}
-	if m.Term < n.state.Term {
-		n.refuseOld(m)
+	if msg.Term < n.state.Term {
+		n.rejectEarlierTerm(msg)
 		return
 	}
-	switch m.Kind {
+	switch msg.Kind {
 	case MsgResign:
-		n.onResign(now, m)
+		n.onResign(now, msg)
 	case MsgPreVote:
-		n.onPreVote(now, m)
+		n.onPreVote(now, msg)
 	case MsgPreVoteAck:
-		n.onPreVoteAck(now, m)
+		n.onPreVoteAck(now, msg)
 	case MsgVote:
-		n.onVote(now, m)
+		n.onVote(now, msg)
 	case MsgVoteAck:
-		n.onVoteAck(now, m)
+		n.onVoteAck(now, msg)
 	case MsgAppend:
-		n.onAppend(now, m)
+		n.onAppend(now, msg)
 	case MsgAppendAck:
-		n.onAppendAck(now, m)
+		n.onAppendAck(now, msg)
 	case MsgSnapshot:
-		n.onSnapshot(now, m)
+		n.onSnapshot(now, msg)
 	}
 }
 
-// accepts handles a message of a later term and reports whether to go on.
-func (n *Node) accepts(now time.Time, m Message) bool {
-	switch m.Kind {
+// handleLaterTerm enters the later term of a message and reports whether the message is to be
+// handled. A pre-vote request and a granted pre-vote leave the node in its term. A vote request that
+// a lease blocks is ignored.
+func (n *Node) handleLaterTerm(now time.Time, msg Message) bool {
+	switch msg.Kind {
 	case MsgPreVote:
 		return true
 	case MsgPreVoteAck:
-		if !m.Reject {
+		if !msg.Reject {
 			return true
 		}
 	case MsgVote:
-		// A member that was cut off must not depose a leader that others
-		// still hear: their promise to it holds.
-		if n.promised(now) {
+		// A member that was cut off must not depose a leader that others still hear from.
+		if n.leaseBlocksVote(now) {
 			return false
 		}
 	default:
 	}
-	n.enter(m.Term)
-	n.follow(now, "")
+	n.enterTerm(msg.Term)
+	n.becomeFollower(now, "")
 	return true
 }
 
-// refuseOld answers a message of an earlier term, so that its sender learns of
-// the later one.
-func (n *Node) refuseOld(m Message) {
-	switch m.Kind {
+// rejectEarlierTerm rejects a message of an earlier term, so that its sender learns the later term.
+func (n *Node) rejectEarlierTerm(msg Message) {
+	switch msg.Kind {
 	case MsgAppend, MsgSnapshot:
-		n.sendLate(Message{Kind: MsgAppendAck, To: m.From, Reject: true})
+		n.queueAfterSync(Message{Kind: MsgAppendAck, To: msg.From, Reject: true})
 	case MsgPreVote:
-		n.sendLate(Message{Kind: MsgPreVoteAck, To: m.From, Reject: true})
+		n.queueAfterSync(Message{Kind: MsgPreVoteAck, To: msg.From, Reject: true})
 	default:
 	}
 }
--- a/internal/quorum/types.go
+++ b/internal/quorum/types.go
@@ -1,10 +1,9 @@
-// Package quorum agrees on one log among the keepers: terms, votes, leader
-// lease, replication, snapshots and one-at-a-time changes of membership.
+// Package quorum replicates a log among the keepers by consensus: leader election, leader leases,
+// log replication, snapshots and membership changes, one at a time.
 //
-// A Node is deterministic. It takes a time and a message and leaves messages
-// and writes to be done; it has no clock, goroutine, file or socket. The
-// rules follow the published Raft algorithm (Ongaro, 2014), with pre-votes and
-// a leader lease on the monotonic clock.
+// A Node is a deterministic state machine. Its input is a time and a message, its output messages to
+// send and data to write; it has no clock, goroutine, file or socket. It follows the published Raft
+// algorithm (Ongaro, 2014), with pre-votes and a leader lease on the monotonic clock.
 package quorum
 
 import (
@@ -15,9 +14,9 @@
 	"laburnumfall/internal/fleet"
 )
 
-// A Member is one keeper of the group. ID is drawn when its data folder is
-// founded: a keeper that lost its disk comes back under another ID, so that it
-// can never vote on what its former self promised.
+// A Member is one keeper of the group. ID is generated at random with the keeper's data folder: a
+// keeper that lost its disk returns under a new ID, so that it cannot vote a second time in a term
+// whose vote it has lost.
 type Member struct {
 	ID      string `json:"id"`
 	Name    string `json:"name"`
@@ -25,17 +24,17 @@
 	Voter   bool   `json:"voter"`
 }
 
-// An EntryKind tells what an Entry holds.
+// An EntryKind is the type of an Entry's content.
 type EntryKind uint8
 
-// The kinds of entry. EntryNoOp opens each leader's term.
+// The kinds of entry. EntryNoOp is the first entry of each leader's term and has no content.
 const (
 	EntryNoOp EntryKind = iota
 	EntryData
 	EntryMembers
 )
 
-// An Entry is one place of the log. Indexes start at 1.
+// An Entry is one entry of the log. Indexes start at 1.
 type Entry struct {
 	Index   uint64          `json:"index"`
 	Term    uint64          `json:"term"`
@@ -44,15 +43,15 @@
 	Members []Member        `json:"members,omitempty"`
 }
 
-// A State is what a Node must never forget.
+// A State is the part of a Node, besides log and snapshot, that must survive a restart.
 type State struct {
 	Term uint64 `json:"term"`
 	Vote string `json:"vote,omitempty"`
-	// Leader is the leader of the term, once the node has heard it.
+	// Leader is the leader of the term, once the node has received a message from it.
 	Leader string `json:"leader,omitempty"`
 }
 
-// A Snapshot stands for all entries up to Index.
+// A Snapshot replaces all entries up to and including Index.
 type Snapshot struct {
 	Index   uint64          `json:"index"`
 	Term    uint64          `json:"term"`
@@ -60,7 +59,7 @@
 	Data    json.RawMessage `json:"data"`
 }
 
-// A MessageKind tells what a Message asks or answers.
+// A MessageKind is the type of a request or a reply.
 type MessageKind string
 
 // The kinds of message.
@@ -75,27 +74,28 @@
 	MsgResign     MessageKind = "resign"
 )
 
-// A Message goes between two Nodes. It may be lost, doubled or late.
+// A Message is sent from one Node to another. It may be lost, duplicated, delayed or reordered.
 type Message struct {
 	Kind MessageKind `json:"kind"`
 	From string      `json:"from"`
 	To   string      `json:"to"`
 	Term uint64      `json:"term"`
-	// Index and LogTerm are the last place of a candidate's log, the place
-	// before Entries, or in an answer the last place known to match.
+	// Index and LogTerm are the index and term of the last entry of a candidate's log, or of the
+	// entry before Entries. In a reply, Index is the last index known to match or, with Reject, the
+	// last one that may match.
 	Index       uint64    `json:"index,omitempty"`
 	LogTerm     uint64    `json:"logterm,omitempty"`
 	CommitIndex uint64    `json:"commit,omitempty"`
 	Entries     []Entry   `json:"entries,omitempty"`
 	Reject      bool      `json:"reject,omitempty"`
 	SentAt      time.Time `json:"sent,omitzero"` // leader's clock, echoed in answers
-	// Successor is whom a leader that resigns wants to follow it.
+	// Successor is the ID of the member that a resigning leader asks to start an election.
 	Successor string `json:"next,omitempty"`
-	// Snapshot replaces the log of a follower that is too far behind.
+	// Snapshot replaces the log of a follower whose next entry the leader has compacted.
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
 }
 
-// A Role is what a Node does in its term.
+// A Role is the part that a Node plays in its term.
 type Role uint8
 
 // The roles.
@@ -106,51 +106,56 @@
 	Leader
 )
 
-// An Output is what a Node wants done, in this order: send SendBeforeSync, make State,
-// Snapshot and Append durable, call MarkDurable, send SendAfterSync, apply Committed.
+// An Output is the work that a Node requests, to be done in this order: send SendBeforeSync; make
+// State, Snapshot and Append durable; call MarkDurable; send SendAfterSync; load RestoreFrom; apply
+// Committed.
 type Output struct {
+	// SendBeforeSync and SendAfterSync are messages to send before and after the output is durable.
 	SendBeforeSync []Message
-	// SaveState says that State differs from what was saved before.
+	// SaveState means that State has changed and must be written.
 	SaveState bool
 	State     State
 	Snapshot  *Snapshot
-	// Append replaces all saved entries from its first index on.
+	// Append replaces all entries on disk from its first index on.
 	Append        []Entry
 	SendAfterSync []Message
-	Committed     []Entry
-	// RestoreFrom is a snapshot received from the leader, to be loaded before
-	// Committed is applied.
+	// Committed are the newly committed entries.
+	Committed []Entry
+	// RestoreFrom is a snapshot received from the leader. It must be loaded before Committed is
+	// applied.
 	RestoreFrom *Snapshot
 }
 
-// NeedsSync reports whether the output holds anything to be written.
+// NeedsSync reports whether the output holds anything that must be made durable.
 func (o Output) NeedsSync() bool {
 	return o.SaveState || o.Snapshot != nil || len(o.Append) > 0
 }
 
-// NewNotLeaderError returns the refusal of a keeper that does not lead.
+// NewNotLeaderError returns the error of a request that only the leader can handle. Leader is the ID
+// of the leader, or "" if it is unknown.
 func NewNotLeaderError(leader string) error {
 	return fleet.NewError(fleet.KindNotLeader, "ask the leader, or wait for one", "leader is %q", leader)
 }
 
-// ErrMembershipChangePending refuses a change of membership while another is on its way.
+// ErrMembershipChangePending is the error of a membership change while another is pending, or while
+// the leader has committed no entry of its term.
 var ErrMembershipChangePending = fleet.NewError(fleet.KindPolicy, "wait until the change before is done",
 	"a change of the keepers is on its way, or the leader is new")
 
 func findMember(members []Member, id string) (Member, bool) {
-	i := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
+	i := slices.IndexFunc(members, func(member Member) bool { return member.ID == id })
 	if i < 0 {
 		return Member{}, false
 	}
 	return members[i], true
 }
 
-func voters(members []Member) int {
-	n := 0
-	for _, m := range members {
-		if m.Voter {
-			n++
+func countVoters(members []Member) int {
+	count := 0
+	for _, member := range members {
+		if member.Voter {
+			count++
 		}
 	}
-	return n
+	return count
 }
