--- a/internal/journal/disk.go
+++ b/internal/journal/disk.go
@@ -8,12 +8,12 @@
 	"slices"
 )
 
-// A Disk is the data folder of a keeper. What was written lasts only once it
-// is synced; a file's name lasts only once the folder is.
+// A Disk is the data folder of a keeper. Written data is durable only after the file is synced, and
+// a file's name only after the folder is synced.
 type Disk interface {
-	// Create makes an empty file, replacing one of that name.
+	// Create creates an empty file. It replaces a file of that name.
 	Create(name string) (File, error)
-	// Open opens a file to be appended to.
+	// Open opens an existing file for appending.
 	Open(name string) (File, error)
 	// List returns the names of all files, sorted.
 	List() ([]string, error)
@@ -21,9 +21,9 @@
 	Read(name string) ([]byte, error)
 	// Remove deletes a file.
 	Remove(name string) error
-	// Rename gives a file another name, replacing one of that name.
+	// Rename renames a file. It replaces a file of the new name.
 	Rename(from, to string) error
-	// SyncDir makes created, renamed and removed names last.
+	// SyncDir makes the creation, renaming and removal of files durable.
 	SyncDir() error
 }
 
@@ -34,7 +34,7 @@
 	Truncate(size int64) error
 }
 
-// A RealDisk is a Disk in a folder of the operating system.
+// A RealDisk is a Disk in a folder of the operating system's file system.
 type RealDisk struct {
 	Folder string
 }
@@ -54,15 +54,15 @@
 // List implements Disk.
 func (d *RealDisk) List() ([]string, error) {
 	if err := os.MkdirAll(d.Folder, folderMode); err != nil {
-		return nil, fmt.Errorf("make the data folder: %w", err)
+		return nil, fmt.Errorf("create the data folder: %w", err)
 	}
 	entries, err := os.ReadDir(d.Folder)
 	if err != nil {
 		return nil, fmt.Errorf("list the data folder: %w", err)
 	}
 	names := make([]string, 0, len(entries))
-	for _, e := range entries {
-		names = append(names, e.Name())
+	for _, entry := range entries {
+		names = append(names, entry.Name())
 	}
 	slices.Sort(names)
 	return names, nil
@@ -90,15 +90,15 @@
 
 // SyncDir implements Disk.
 func (d *RealDisk) SyncDir() error {
-	f, err := os.Open(d.Folder)
+	folder, err := os.Open(d.Folder)
 	if err != nil {
 		return fmt.Errorf("open the data folder: %w", err)
 	}
-	if err := f.Sync(); err != nil {
-		_ = f.Close() // the sync error tells more
+	if err := folder.Sync(); err != nil {
+		_ = folder.Close() // report the sync error, which came first
 		return fmt.Errorf("sync the data folder: %w", err)
 	}
-	return f.Close()
+	return folder.Close()
 }
 
 func (d *RealDisk) path(name string) string {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,10 +1,9 @@
-// Package journal keeps a keeper's identity, term, vote, log and snapshots in
-// checksummed files of one data folder.
+// Package journal stores a keeper's identity, term, vote, log and snapshots in checksummed files of
+// one data folder.
 //
-// The files are log-N, appended to and synced once per batch, and snap-N, which
-// is written whole and put in place by a rename. N counts up with each
-// snapshot; the highest snap-N that is whole, and the logs from log-N on, are
-// what counts.
+// The files are log-N, a write-ahead log that is synced once per batch, and snap-N, a snapshot that
+// is written to a temporary file and then renamed. N is the generation, which increases with each
+// snapshot. The state consists of the snap-N with the highest N and the logs from log-N on.
 package journal
 
 import (
@@ -15,33 +14,33 @@
 	"laburnumfall/internal/quorum"
 )
 
-// An Identity is who a data folder belongs to. Members are the founding ones;
-// they are empty in the folder of a learner.
+// An Identity identifies the keeper that owns a data folder and records how far its group has been
+// founded. FoundingMembers is empty in the folder of a learner.
 type Identity struct {
 	Name string `json:"name"`
 	ID   string `json:"id"`
-	// FoundingPeerIDs holds the first ID heard of each founding peer.
+	// FoundingPeerIDs maps the name of each founding peer to the first ID that it sent.
 	FoundingPeerIDs map[string]string `json:"bound,omitempty"`
 	Founded         bool              `json:"founded,omitempty"`
-	// ProposedMembers are the members of a group that this keeper has proposed to found
-	// without those of its peers that it cannot reach.
+	// ProposedMembers are the members of the group that this keeper has proposed to found without
+	// the peers that it cannot reach.
 	ProposedMembers []quorum.Member `json:"proposed,omitempty"`
 	FoundingMembers []quorum.Member `json:"members,omitempty"`
 }
 
-// A CorruptionError says that a file does not hold what was written to it.
+// A CorruptionError means that a file does not hold the data that was written to it.
 type CorruptionError struct {
 	File   string
 	Offset int
 }
 
-// Error returns the place of the damage and the remedy.
+// Error returns the position of the corruption and the remedy.
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s: damaged at byte %d (the disk lost promised data: empty the data folder and start without --init, so that this keeper joins as a replacement)", e.File, e.Offset)
+	return fmt.Sprintf("%s: damaged at byte %d (the disk lost acknowledged data: empty the data folder and start without --init, so that this keeper joins as a replacement)", e.File, e.Offset)
 }
 
-// A DiskError says that the disk refused a write or a sync. The keeper must
-// stop: what it wrote may or may not last.
+// A DiskError means that an operation on the disk failed. The keeper must stop: the data that it
+// wrote may or may not be durable.
 type DiskError struct {
 	Op  string
 	Err error
@@ -49,54 +48,55 @@
 
 // Error returns the failed operation and the remedy.
 func (e *DiskError) Error() string {
-	return fmt.Sprintf("%s: %v (free or mend the disk, then start the keeper again)", e.Op, e.Err)
+	return fmt.Sprintf("%s: %v (free space on the disk or repair it, then start the keeper again)", e.Op, e.Err)
 }
 
-// Unwrap returns the disk's own error.
+// Unwrap returns the underlying error of the disk.
 func (e *DiskError) Unwrap() error {
 	return e.Err
 }
 
-// A Journal is an open data folder. It is used by one goroutine.
+// A Journal is an open data folder. It is not safe for concurrent use.
 type Journal struct {
 	Disk Disk
 
-	identity Identity
-	state    quorum.State
-	base     quorum.Snapshot
-	entries  []quorum.Entry
-	number   uint64
-	file     File
-	batch    uint32 // number of the last batch in the file
-	broken   error
+	identity   Identity
+	state      quorum.State
+	snapshot   quorum.Snapshot
+	entries    []quorum.Entry
+	generation uint64
+	logFile    File
+	lastBatch  uint32 // number of the last batch in logFile
+	failure    error
 }
 
 const (
-	logPrefix  = "log-"
-	snapPrefix = "snap-"
-	tempSuffix = ".tmp"
+	logPrefix      = "log-"
+	snapshotPrefix = "snap-"
+	tempSuffix     = ".tmp"
 )
 
-// Open reads the folder. It reports whether the folder was in use before.
+// Open reads the folder and reports whether it was in use before. It returns a CorruptionError if a
+// file is corrupted, or the error of the disk.
 func (j *Journal) Open() (used bool, err error) {
 	names, err := j.Disk.List()
 	if err != nil {
 		return false, err
 	}
-	logs, snaps := sortNames(names)
+	logs, snapshots := sortFileNames(names)
 	if len(logs) == 0 {
-		if len(snaps) > 0 {
-			return true, &CorruptionError{File: snaps[len(snaps)-1]}
+		if len(snapshots) > 0 {
+			return true, &CorruptionError{File: snapshots[len(snapshots)-1]}
 		}
 		return false, nil
 	}
-	if len(snaps) > 0 {
-		if err := j.loadSnapshot(snaps[len(snaps)-1]); err != nil {
+	if len(snapshots) > 0 {
+		if err := j.loadSnapshot(snapshots[len(snapshots)-1]); err != nil {
 			return true, err
 		}
 	}
 	for i, name := range logs {
-		if numberOf(name) < j.number {
+		if fileGeneration(name) < j.generation {
 			continue
 		}
 		if err := j.loadLog(name, i == len(logs)-1); err != nil {
@@ -104,203 +104,202 @@
 		}
 	}
 	if j.identity.ID == "" {
-		if j.holds() {
+		if j.holdsData() {
 			return true, &CorruptionError{File: logs[len(logs)-1]}
 		}
-		// The very first batch was torn: nothing was ever promised.
+		// The very first batch was torn, so nothing was ever acknowledged.
 		return false, j.Disk.Remove(logs[len(logs)-1])
 	}
-	j.number = numberOf(logs[len(logs)-1])
-	j.file, err = j.Disk.Open(logs[len(logs)-1])
+	j.generation = fileGeneration(logs[len(logs)-1])
+	j.logFile, err = j.Disk.Open(logs[len(logs)-1])
 	if err != nil {
 		return true, &DiskError{Op: "open " + logs[len(logs)-1], Err: err}
 	}
 	return true, nil
 }
 
-// holds reports whether anything was read that may have been promised. Without the batch
-// that says whose it is, it would be taken for a folder that never was in use, and votes
-// and entries be forgotten.
-func (j *Journal) holds() bool {
-	return j.base.Index > 0 || len(j.entries) > 0 || j.state != quorum.State{}
+// holdsData reports whether the folder holds data that may have been acknowledged. A folder with such
+// data but without an identity must not pass for an unused one, which would lose votes and entries.
+func (j *Journal) holdsData() bool {
+	return j.snapshot.Index > 0 || len(j.entries) > 0 || j.state != quorum.State{}
 }
 
-// Identity returns who the folder belongs to.
+// Identity returns the identity of the keeper that owns the folder.
 func (j *Journal) Identity() Identity {
 	return j.identity
 }
 
-// Recovered returns what a Node starts from.
+// Recovered returns the state, the snapshot and the entries after it, from which a Node starts.
 func (j *Journal) Recovered() (quorum.State, quorum.Snapshot, []quorum.Entry) {
-	return j.state, j.base, slices.Clone(j.entries)
+	return j.state, j.snapshot, slices.Clone(j.entries)
 }
 
-// IsMember reports whether the log or its snapshot says that this folder's keeper
-// is a member of the group.
+// IsMember reports whether the keeper is a member of the group according to the log or its snapshot.
 func (j *Journal) IsMember() bool {
-	members := j.base.Members
-	for _, e := range j.entries {
-		if e.Kind == quorum.EntryMembers {
-			members = e.Members
+	members := j.snapshot.Members
+	for _, entry := range j.entries {
+		if entry.Kind == quorum.EntryMembers {
+			members = entry.Members
 		}
 	}
-	return slices.ContainsFunc(members, func(m quorum.Member) bool { return m.ID == j.identity.ID })
+	return slices.ContainsFunc(members, func(member quorum.Member) bool { return member.ID == j.identity.ID })
 }
 
 // SetIdentity makes the identity durable.
-func (j *Journal) SetIdentity(id Identity) error {
-	if j.file == nil {
-		if err := j.createLog(j.number); err != nil {
+func (j *Journal) SetIdentity(identity Identity) error {
+	if j.logFile == nil {
+		if err := j.startLog(j.generation); err != nil {
 			return err
 		}
 	}
-	j.identity = id
-	return j.write(record{Identity: &id})
+	j.identity = identity
+	return j.write(record{Identity: &identity})
 }
 
-// Write makes an output durable. After an error the journal takes nothing
-// more: a failed sync may have dropped pages that a later one would not see.
-func (j *Journal) Write(out quorum.Output) error {
-	if j.broken != nil {
-		return j.broken
+// Write makes the state, snapshot and entries of an output durable. After an error, each later Write
+// returns the same error: a failed sync may have dropped pages that a later sync would not write.
+func (j *Journal) Write(output quorum.Output) error {
+	if j.failure != nil {
+		return j.failure
 	}
-	if out.SaveState {
-		j.state = out.State
+	if output.SaveState {
+		j.state = output.State
 	}
-	if out.Snapshot != nil {
-		j.base = *out.Snapshot
-		return j.rotate(out)
+	if output.Snapshot != nil {
+		j.snapshot = *output.Snapshot
+		return j.rotate(output)
 	}
 	var records []record
-	if out.SaveState {
+	if output.SaveState {
 		records = append(records, record{State: &j.state})
 	}
-	for i := range out.Append {
-		records = append(records, record{Entry: &out.Append[i]})
+	for i := range output.Append {
+		records = append(records, record{Entry: &output.Append[i]})
 	}
 	return j.write(records...)
 }
 
 // Close closes the open file.
 func (j *Journal) Close() error {
-	if j.file == nil {
+	if j.logFile == nil {
 		return nil
 	}
-	return j.file.Close()
+	return j.logFile.Close()
 }
 
-// rotate puts a snapshot in place and starts a new log behind it. A crash at
-// any point leaves either the old snapshot with its whole log, or the new one.
-func (j *Journal) rotate(out quorum.Output) error {
-	next := j.number + 1
-	// The new log comes first: a snapshot without its log would read as damage.
-	old := j.file
-	if err := j.createLog(next); err != nil {
+// rotate writes the snapshot and starts a new log that continues it. A crash at any point leaves
+// either the old snapshot with its complete log, or the new snapshot with the new log.
+func (j *Journal) rotate(output quorum.Output) error {
+	nextGeneration := j.generation + 1
+	// The new log is written first: a snapshot without its log counts as corruption.
+	oldLog := j.logFile
+	if err := j.startLog(nextGeneration); err != nil {
 		return err
 	}
 	records := []record{{Identity: &j.identity}, {State: &j.state}}
-	for i := range out.Append {
-		records = append(records, record{Entry: &out.Append[i]})
+	for i := range output.Append {
+		records = append(records, record{Entry: &output.Append[i]})
 	}
 	if err := j.write(records...); err != nil {
 		return err
 	}
-	if err := j.putSnapshot(next); err != nil {
+	if err := j.writeSnapshot(nextGeneration); err != nil {
 		return err
 	}
-	j.number = next
-	if old != nil {
-		_ = old.Close() // all of it was synced
+	j.generation = nextGeneration
+	if oldLog != nil {
+		_ = oldLog.Close() // all its data is synced
 	}
-	return j.clean()
+	return j.removeObsolete()
 }
 
-func (j *Journal) putSnapshot(number uint64) error {
-	name := fileName(snapPrefix, number)
-	data, err := appendBatch(nil, 1, record{Snapshot: &j.base})
+func (j *Journal) writeSnapshot(generation uint64) error {
+	name := fileName(snapshotPrefix, generation)
+	data, err := appendBatch(nil, 1, record{Snapshot: &j.snapshot})
 	if err != nil {
-		return j.breakWith("encode "+name, err)
+		return j.fail("encode "+name, err)
 	}
-	f, err := j.Disk.Create(name + tempSuffix)
+	file, err := j.Disk.Create(name + tempSuffix)
 	if err != nil {
-		return j.breakWith("create "+name, err)
+		return j.fail("create "+name, err)
 	}
-	if err := writeSync(f, data); err != nil {
-		return j.breakWith("write "+name, err)
+	if err := writeSync(file, data); err != nil {
+		return j.fail("write "+name, err)
 	}
-	if err := f.Close(); err != nil {
-		return j.breakWith("close "+name, err)
+	if err := file.Close(); err != nil {
+		return j.fail("close "+name, err)
 	}
 	if err := j.Disk.Rename(name+tempSuffix, name); err != nil {
-		return j.breakWith("rename "+name, err)
+		return j.fail("rename "+name, err)
 	}
 	if err := j.Disk.SyncDir(); err != nil {
-		return j.breakWith("sync names", err)
+		return j.fail("make file names durable", err)
 	}
 	return nil
 }
 
-// clean removes what the newest snapshot replaces.
-func (j *Journal) clean() error {
+// removeObsolete removes the files that the newest snapshot replaces, and temporary files.
+func (j *Journal) removeObsolete() error {
 	names, err := j.Disk.List()
 	if err != nil {
-		return j.breakWith("list", err)
+		return j.fail("list", err)
 	}
 	for _, name := range names {
-		old := isOurs(name) && numberOf(name) < j.number
-		if !old && !strings.HasSuffix(name, tempSuffix) {
+		obsolete := isJournalFile(name) && fileGeneration(name) < j.generation
+		if !obsolete && !strings.HasSuffix(name, tempSuffix) {
 			continue
 		}
 		if err := j.Disk.Remove(name); err != nil {
-			return j.breakWith("remove "+name, err)
+			return j.fail("remove "+name, err)
 		}
 	}
 	return nil
 }
 
-func (j *Journal) createLog(number uint64) error {
-	name := fileName(logPrefix, number)
-	f, err := j.Disk.Create(name)
+func (j *Journal) startLog(generation uint64) error {
+	name := fileName(logPrefix, generation)
+	file, err := j.Disk.Create(name)
 	if err != nil {
-		return j.breakWith("create "+name, err)
+		return j.fail("create "+name, err)
 	}
 	if err := j.Disk.SyncDir(); err != nil {
-		return j.breakWith("sync names", err)
+		return j.fail("make file names durable", err)
 	}
-	j.file = f
-	j.batch = 0
+	j.logFile = file
+	j.lastBatch = 0
 	return nil
 }
 
-// write makes the records durable as one batch.
+// write appends the records to the log as one batch and syncs it.
 func (j *Journal) write(records ...record) error {
-	j.batch++
-	buf, err := appendBatch(nil, j.batch, records...)
+	j.lastBatch++
+	batch, err := appendBatch(nil, j.lastBatch, records...)
 	if err != nil {
-		return j.breakWith("encode", err)
+		return j.fail("encode", err)
 	}
-	if err := writeSync(j.file, buf); err != nil {
-		return j.breakWith("write the log", err)
+	if err := writeSync(j.logFile, batch); err != nil {
+		return j.fail("write the log", err)
 	}
 	return nil
 }
 
-func (j *Journal) breakWith(op string, err error) error {
-	j.broken = &DiskError{Op: op, Err: err}
-	return j.broken
+// fail records an error of the disk, after which the journal accepts no writes, and returns it.
+func (j *Journal) fail(op string, err error) error {
+	j.failure = &DiskError{Op: op, Err: err}
+	return j.failure
 }
 
-func writeSync(f File, data []byte) error {
-	if _, err := f.Write(data); err != nil {
+func writeSync(file File, data []byte) error {
+	if _, err := file.Write(data); err != nil {
 		return err
 	}
-	return f.Sync()
+	return file.Sync()
 }
 
-func isOurs(name string) bool {
-	return strings.HasPrefix(name, logPrefix) || strings.HasPrefix(name, snapPrefix)
+func isJournalFile(name string) bool {
+	return strings.HasPrefix(name, logPrefix) || strings.HasPrefix(name, snapshotPrefix)
 }
 
-func fileName(prefix string, number uint64) string {
-	return fmt.Sprintf("%s%016d", prefix, number)
+func fileName(prefix string, generation uint64) string {
+	return fmt.Sprintf("%s%016d", prefix, generation)
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -12,195 +12,190 @@
 	"laburnumfall/internal/quorum"
 )
 
-// promise is what a Journal has acknowledged.
-type promise struct {
-	id      Identity
-	state   quorum.State
-	base    quorum.Snapshot
-	entries []quorum.Entry
+// acknowledged is the data that a Journal has acknowledged.
+type acknowledged struct {
+	identity Identity
+	state    quorum.State
+	snapshot quorum.Snapshot
+	entries  []quorum.Entry
 }
 
-// script writes a fixed history and returns what was acknowledged before the
-// first error.
-func script(j *Journal) (promise, error) {
-	var p promise
-	id := Identity{Name: "k1", ID: "k1-x", Founded: true}
-	if err := j.SetIdentity(id); err != nil {
-		return p, err
+// writeHistory writes a fixed sequence of outputs and returns what was acknowledged before the first
+// error.
+func writeHistory(journal *Journal) (acknowledged, error) {
+	var acked acknowledged
+	identity := Identity{Name: "k1", ID: "k1-x", Founded: true}
+	if err := journal.SetIdentity(identity); err != nil {
+		return acked, err
 	}
-	p.id = id
+	acked.identity = identity
 	for i := uint64(1); i <= 30; i++ {
-		out := quorum.Output{SaveState: i%5 == 1, State: quorum.State{Term: i}}
-		out.Append = []quorum.Entry{entry(i)}
+		output := quorum.Output{SaveState: i%5 == 1, State: quorum.State{Term: i}}
+		output.Append = []quorum.Entry{entry(i)}
 		switch i {
 		case 10, 20:
-			snap := quorum.Snapshot{Index: i - 2, Term: 1, Data: json.RawMessage(fmt.Sprintf(`"at %d"`, i-2))}
-			out.Snapshot = &snap
-			out.Append = []quorum.Entry{entry(i - 1), entry(i)}
+			snapshot := quorum.Snapshot{Index: i - 2, Term: 1, Data: json.RawMessage(fmt.Sprintf(`"at %d"`, i-2))}
+			output.Snapshot = &snapshot
+			output.Append = []quorum.Entry{entry(i - 1), entry(i)}
 		case 15:
-			out.Append = []quorum.Entry{rewritten(13), rewritten(14), rewritten(15)}
+			output.Append = []quorum.Entry{entryOfLaterTerm(13), entryOfLaterTerm(14), entryOfLaterTerm(15)}
 		}
-		if err := j.Write(out); err != nil {
-			return p, err
+		if err := journal.Write(output); err != nil {
+			return acked, err
 		}
-		p.note(out)
+		acked.record(output)
 	}
-	return p, nil
+	return acked, nil
 }
 
-func (p *promise) note(out quorum.Output) {
-	if out.SaveState {
-		p.state = out.State
+func (a *acknowledged) record(output quorum.Output) {
+	if output.SaveState {
+		a.state = output.State
 	}
-	if out.Snapshot != nil {
-		p.base = *out.Snapshot
-		p.entries = nil
+	if output.Snapshot != nil {
+		a.snapshot = *output.Snapshot
+		a.entries = nil
 	}
-	place := out.Append[0].Index - p.base.Index - 1
-	p.entries = append(p.entries[:place:place], out.Append...)
+	position := output.Append[0].Index - a.snapshot.Index - 1
+	a.entries = append(a.entries[:position:position], output.Append...)
 }
 
-func entry(i uint64) quorum.Entry {
-	return quorum.Entry{Index: i, Term: 1, Kind: quorum.EntryData, Data: json.RawMessage(fmt.Sprintf(`"%s %d"`, strings.Repeat("x", 60), i))}
+func entry(index uint64) quorum.Entry {
+	return quorum.Entry{Index: index, Term: 1, Kind: quorum.EntryData, Data: json.RawMessage(fmt.Sprintf(`"%s %d"`, strings.Repeat("x", 60), index))}
 }
 
-func rewritten(i uint64) quorum.Entry {
-	e := entry(i)
-	e.Term = 9
-	return e
+func entryOfLaterTerm(index uint64) quorum.Entry {
+	laterEntry := entry(index)
+	laterEntry.Term = 9
+	return laterEntry
 }
 
-// requireKept checks that all of p is there. More may be: what was written but
-// not acknowledged may last or not.
-func requireKept(t require.TestingT, p promise, j *Journal) {
-	state, base, entries := j.Recovered()
-	require.Equal(t, p.id, j.Identity())
-	require.GreaterOrEqual(t, state.Term, p.state.Term)
-	require.GreaterOrEqual(t, base.Index, p.base.Index)
-	have := make(map[uint64]quorum.Entry)
-	for _, e := range entries {
-		have[e.Index] = e
+// requireRecovered checks that the journal recovered all acknowledged data. It may hold more, since
+// data that was written but not acknowledged may or may not be durable.
+func requireRecovered(t require.TestingT, acked acknowledged, journal *Journal) {
+	state, snapshot, entries := journal.Recovered()
+	require.Equal(t, acked.identity, journal.Identity())
+	require.GreaterOrEqual(t, state.Term, acked.state.Term)
+	require.GreaterOrEqual(t, snapshot.Index, acked.snapshot.Index)
+	byIndex := make(map[uint64]quorum.Entry)
+	for _, entry := range entries {
+		byIndex[entry.Index] = entry
 	}
-	for _, e := range p.entries {
-		if e.Index <= base.Index || entries[len(entries)-1].Term > e.Term {
-			continue // stands in the snapshot, or was being rewritten
+	for _, entry := range acked.entries {
+		if entry.Index <= snapshot.Index || entries[len(entries)-1].Term > entry.Term {
+			continue // covered by the snapshot, or being overwritten
 		}
-		require.Equal(t, e, have[e.Index])
+		require.Equal(t, entry, byIndex[entry.Index])
 	}
 }
 
-func TestReopenFindsAll(t *testing.T) {
+func TestReopenRecoversEverything(t *testing.T) {
 	disk := &MockDisk{}
-	j := &Journal{Disk: disk}
-	used, err := j.Open()
+	journal := &Journal{Disk: disk}
+	used, err := journal.Open()
 	require.NoError(t, err)
 	require.False(t, used)
-	p, err := script(j)
+	acked, err := writeHistory(journal)
 	require.NoError(t, err)
-	again := &Journal{Disk: disk}
-	used, err = again.Open()
+	reopened := &Journal{Disk: disk}
+	used, err = reopened.Open()
 	require.NoError(t, err)
 	require.True(t, used)
-	state, base, entries := again.Recovered()
-	require.Equal(t, p.state, state)
-	require.Equal(t, p.base, base)
-	require.Equal(t, p.entries, entries)
+	state, snapshot, entries := reopened.Recovered()
+	require.Equal(t, acked.state, state)
+	require.Equal(t, acked.snapshot, snapshot)
+	require.Equal(t, acked.entries, entries)
 }
 
-// Symptom: a keeper forgets an entry, a vote or a snapshot that it promised.
-// Sequence: the machine crashes at any one write, rename or sync, and what was
-// not synced is lost in part, with holes.
-// Cause: something is acknowledged, or its predecessor removed, before it is
-// durable.
-func TestCrashAtEveryOperationKeepsPromises(t *testing.T) {
-	whole := &MockDisk{}
-	_, err := script(&Journal{Disk: whole})
+// Guards against a keeper that loses an acknowledged entry, vote or snapshot: the machine crashes at
+// any write, rename or sync, and unsynced data is lost in part, with zeroed sectors in it.
+func TestCrashAtAnyOperationKeepsAcknowledgedData(t *testing.T) {
+	reference := &MockDisk{}
+	_, err := writeHistory(&Journal{Disk: reference})
 	require.NoError(t, err)
-	require.Greater(t, whole.Ops, 60)
-	for at := 1; at <= whole.Ops; at++ {
+	require.Greater(t, reference.Ops, 60)
+	for failFromOp := 1; failFromOp <= reference.Ops; failFromOp++ {
 		for seed := range uint64(20) {
-			disk := &MockDisk{Seed: seed, FailFromOp: at, Fault: ErrCrash}
-			p, err := script(&Journal{Disk: disk})
+			disk := &MockDisk{Seed: seed, FailFromOp: failFromOp, Fault: ErrCrash}
+			acked, err := writeHistory(&Journal{Disk: disk})
 			require.Error(t, err)
 			disk.Crash()
-			again := &Journal{Disk: disk}
-			_, err = again.Open()
-			require.NoError(t, err, "crash at %d, seed %d", at, seed)
-			if p.id.ID != "" {
-				requireKept(t, p, again)
+			reopened := &Journal{Disk: disk}
+			_, err = reopened.Open()
+			require.NoError(t, err, "crash at %d, seed %d", failFromOp, seed)
+			if acked.identity.ID != "" {
+				requireRecovered(t, acked, reopened)
 			}
-			require.NoError(t, again.SetIdentity(Identity{ID: "k1-x"}), "the journal goes on")
+			require.NoError(t, reopened.SetIdentity(Identity{ID: "k1-x"}), "the journal accepts writes again")
 		}
 	}
 }
 
-// Symptom: a keeper goes on after losing what it promised, and a quorum
-// forgets it.
-// Sequence: one bit of a synced file flips; the keeper restarts.
-// Cause: the damage is taken for a torn write and cut off.
-func TestAnyFlippedBitIsRefused(t *testing.T) {
-	base := &MockDisk{}
-	_, err := script(&Journal{Disk: base})
+// Guards against a quorum that loses acknowledged data: one bit of a synced file flips, and the
+// restarted keeper takes the corruption for a torn write and truncates the log there.
+func TestRefusesAnyFlippedBit(t *testing.T) {
+	pristine := &MockDisk{}
+	_, err := writeHistory(&Journal{Disk: pristine})
 	require.NoError(t, err)
-	names, err := base.List()
+	names, err := pristine.List()
 	require.NoError(t, err)
 	for _, name := range names {
-		data, err := base.Read(name)
+		data, err := pristine.Read(name)
 		require.NoError(t, err)
 		for offset := range data {
 			disk := &MockDisk{}
-			p, err := script(&Journal{Disk: disk})
+			acked, err := writeHistory(&Journal{Disk: disk})
 			require.NoError(t, err)
 			disk.FlipBit(name, offset, uint(offset%8))
-			again := &Journal{Disk: disk}
-			_, err = again.Open()
-			var damage *CorruptionError
-			require.ErrorAs(t, err, &damage, "%s byte %d of %d: %v", name, offset, len(data), p.state)
+			reopened := &Journal{Disk: disk}
+			_, err = reopened.Open()
+			var corruption *CorruptionError
+			require.ErrorAs(t, err, &corruption, "%s byte %d of %d: %v", name, offset, len(data), acked.state)
 		}
 	}
 }
 
-func TestFullDiskAndFailedSyncBreakTheJournal(t *testing.T) {
+func TestRefusesWritesAfterDiskError(t *testing.T) {
 	for _, fault := range []error{ErrDiskFull, ErrSyncFailed} {
 		disk := &MockDisk{}
-		j := &Journal{Disk: disk}
-		require.NoError(t, j.SetIdentity(Identity{ID: "k1-x"}))
+		journal := &Journal{Disk: disk}
+		require.NoError(t, journal.SetIdentity(Identity{ID: "k1-x"}))
 		disk.FailFromOp, disk.Fault = disk.Ops+1, fault
-		out := quorum.Output{Append: []quorum.Entry{entry(1)}}
-		err := j.Write(out)
+		output := quorum.Output{Append: []quorum.Entry{entry(1)}}
+		err := journal.Write(output)
 		var diskErr *DiskError
 		require.ErrorAs(t, err, &diskErr)
 		require.ErrorIs(t, err, fault)
 		disk.FailFromOp = 0
-		require.ErrorIs(t, j.Write(out), fault, "a failed sync is never tried again on the same pages")
+		require.ErrorIs(t, journal.Write(output), fault, "a failed sync is never retried on the same pages")
 	}
 }
 
-func TestTornTailOfAnyLengthIsCut(t *testing.T) {
+func TestTruncatesTornLastBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := &MockDisk{Seed: rapid.Uint64().Draw(t, "seed")}
-		j := &Journal{Disk: disk}
-		require.NoError(t, j.SetIdentity(Identity{Name: "k1", ID: "k1-x"}))
-		kept := rapid.IntRange(1, 5).Draw(t, "kept")
-		for i := range kept {
-			require.NoError(t, j.Write(quorum.Output{Append: []quorum.Entry{entry(uint64(i + 1))}}))
+		journal := &Journal{Disk: disk}
+		require.NoError(t, journal.SetIdentity(Identity{Name: "k1", ID: "k1-x"}))
+		synced := rapid.IntRange(1, 5).Draw(t, "kept")
+		for i := range synced {
+			require.NoError(t, journal.Write(quorum.Output{Append: []quorum.Entry{entry(uint64(i + 1))}}))
 		}
-		var lost []quorum.Entry
+		var unsynced []quorum.Entry
 		for i := range rapid.IntRange(1, 40).Draw(t, "lost") {
-			lost = append(lost, entry(uint64(kept+i+1)))
+			unsynced = append(unsynced, entry(uint64(synced+i+1)))
 		}
 		disk.FailFromOp, disk.Fault = disk.Ops+2, ErrCrash // the sync
-		require.Error(t, j.Write(quorum.Output{Append: lost}))
+		require.Error(t, journal.Write(quorum.Output{Append: unsynced}))
 		disk.Crash()
-		again := &Journal{Disk: disk}
-		_, err := again.Open()
+		reopened := &Journal{Disk: disk}
+		_, err := reopened.Open()
 		require.NoError(t, err)
-		_, _, entries := again.Recovered()
-		require.GreaterOrEqual(t, len(entries), kept)
-		// A second crash, after the cut, must be told from rot too.
+		_, _, entries := reopened.Recovered()
+		require.GreaterOrEqual(t, len(entries), synced)
+		// A torn write of a second crash, after the truncation, must not count as corruption either.
 		disk.FailFromOp, disk.Fault = disk.Ops+2, ErrCrash
 		next := uint64(len(entries) + 1)
-		require.Error(t, again.Write(quorum.Output{Append: []quorum.Entry{entry(next), entry(next + 1)}}))
+		require.Error(t, reopened.Write(quorum.Output{Append: []quorum.Entry{entry(next), entry(next + 1)}}))
 		disk.Crash()
 		third := &Journal{Disk: disk}
 		_, err = third.Open()
@@ -209,54 +204,54 @@
 }
 
 func FuzzRecord(f *testing.F) {
-	good, err := appendBatch(nil, 1, record{State: &quorum.State{Term: 3, Vote: "k2"}})
+	encodedBatch, err := appendBatch(nil, 1, record{State: &quorum.State{Term: 3, Vote: "k2"}})
 	require.NoError(f, err)
-	f.Add(good)
-	f.Add(good[:7])
+	f.Add(encodedBatch)
+	f.Add(encodedBatch[:7])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, _, size, ok := decodeRecord(data)
+		rec, _, size, ok := decodeRecord(data)
 		if !ok {
-			torn(data, 0, batchMark{last: true})
+			isTornWrite(data, 0, batchMark{last: true})
 			return
 		}
-		again, err := appendBatch(nil, 1, r)
+		encoded, err := appendBatch(nil, 1, rec)
 		require.NoError(t, err)
-		_, _, _, ok = decodeRecord(again)
+		_, _, _, ok = decodeRecord(encoded)
 		require.True(t, ok)
 		require.LessOrEqual(t, size, len(data))
 	})
 }
 
-// Symptom: a keeper forgets its votes and entries, and starts as one that never was.
-// Sequence: its log holds whole batches, but not the one that says whose it is.
-// Cause: a log without an identity was always taken for one whose first batch a crash cut.
-func TestALogThatNamesNobodyIsDamage(t *testing.T) {
-	for name, r := range map[string]record{
+// Guards against a keeper that loses its votes and entries and starts as a new one: its log holds
+// complete batches but not the one with its identity, and was taken for a log whose first batch was
+// torn.
+func TestRefusesLogWithoutIdentity(t *testing.T) {
+	for name, rec := range map[string]record{
 		"entry": {Entry: &quorum.Entry{Index: 1, Term: 3}},
 		"state": {State: &quorum.State{Term: 3, Vote: "k2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			data, err := appendBatch(nil, 1, r)
+			data, err := appendBatch(nil, 1, rec)
 			require.NoError(t, err)
 			disk := &MockDisk{}
 			file, err := disk.Create(logPrefix + "1")
 			require.NoError(t, err)
 			_, err = file.Write(data)
 			require.NoError(t, err)
-			j := &Journal{Disk: disk}
-			_, err = j.Open()
-			var damage *CorruptionError
-			require.ErrorAs(t, err, &damage)
+			journal := &Journal{Disk: disk}
+			_, err = journal.Open()
+			var corruption *CorruptionError
+			require.ErrorAs(t, err, &corruption)
 			names, err := disk.List()
 			require.NoError(t, err)
-			require.Equal(t, []string{logPrefix + "1"}, names, "what it holds may have been promised")
+			require.Equal(t, []string{logPrefix + "1"}, names, "its data may have been acknowledged")
 		})
 	}
 }
 
-// Whatever stands in place of the log: the folder is refused as damaged, or opens, and
-// then opens again with the same entries and takes new ones.
+// For any content of the log, the folder is refused as corrupted, or it opens, and then opens again
+// with the same entries and state.
 func FuzzOpen(f *testing.F) {
 	good, err := appendBatch(nil, 1, record{Identity: &Identity{Name: "k1", ID: "i"}}, record{State: &quorum.State{Term: 3, Vote: "k2"}})
 	require.NoError(f, err)
@@ -279,14 +274,14 @@
 		require.NoError(t, disk.SyncDir())
 		first := &Journal{Disk: disk}
 		if _, err := first.Open(); err != nil {
-			var damage *CorruptionError
-			require.ErrorAs(t, err, &damage)
+			var corruption *CorruptionError
+			require.ErrorAs(t, err, &corruption)
 			return
 		}
-		again := &Journal{Disk: disk}
-		_, err = again.Open()
+		reopened := &Journal{Disk: disk}
+		_, err = reopened.Open()
 		require.NoError(t, err)
-		require.Equal(t, first.entries, again.entries)
-		require.Equal(t, first.state, again.state)
+		require.Equal(t, first.entries, reopened.entries)
+		require.Equal(t, first.state, reopened.state)
 	})
 }
--- a/internal/journal/load.go
+++ b/internal/journal/load.go
@@ -14,67 +14,66 @@
 	if err != nil {
 		return &DiskError{Op: "read " + name, Err: err}
 	}
-	r, _, size, ok := decodeRecord(data)
-	if !ok || size != len(data) || r.Snapshot == nil {
+	rec, _, size, ok := decodeRecord(data)
+	if !ok || size != len(data) || rec.Snapshot == nil {
 		return &CorruptionError{File: name}
 	}
-	j.base = *r.Snapshot
-	j.number = numberOf(name)
+	j.snapshot = *rec.Snapshot
+	j.generation = fileGeneration(name)
 	return nil
 }
 
-// loadLog replays the whole batches of a log. Only the last one may end in a
-// batch that a crash interrupted: none of it was acknowledged, and it is cut
-// off.
-func (j *Journal) loadLog(name string, last bool) error {
+// loadLog replays the complete batches of a log. Only the last log may end in a batch that a crash
+// interrupted; none of that batch was acknowledged, and the log is truncated before it.
+func (j *Journal) loadLog(name string, isLastLog bool) error {
 	data, err := j.Disk.Read(name)
 	if err != nil {
 		return &DiskError{Op: "read " + name, Err: err}
 	}
 	var batch []record
 	mark := batchMark{last: true}
-	offset, whole := 0, 0
+	offset, batchEnd := 0, 0
 	for offset < len(data) {
-		r, next, size, ok := decodeRecord(data[offset:])
-		if !ok && (!last || !torn(data, offset, mark)) {
+		rec, nextMark, size, ok := decodeRecord(data[offset:])
+		if !ok && (!isLastLog || !isTornWrite(data, offset, mark)) {
 			return &CorruptionError{File: name, Offset: offset}
 		}
 		if !ok {
 			break
 		}
-		mark = next
+		mark = nextMark
 		offset += size
-		batch = append(batch, r)
+		batch = append(batch, rec)
 		if !mark.last {
 			continue
 		}
 		if err := j.replay(batch); err != nil {
-			return &CorruptionError{File: name, Offset: whole}
+			return &CorruptionError{File: name, Offset: batchEnd}
 		}
-		batch, whole = nil, offset
-		j.batch = mark.number
+		batch, batchEnd = nil, offset
+		j.lastBatch = mark.number
 	}
 	switch {
-	case whole == len(data):
+	case batchEnd == len(data):
 		return nil
-	case !last:
-		return &CorruptionError{File: name, Offset: whole}
+	case !isLastLog:
+		return &CorruptionError{File: name, Offset: batchEnd}
 	default:
-		return j.cutTail(name, whole)
+		return j.truncateLog(name, batchEnd)
 	}
 }
 
-var errGap = errors.New("an entry is missing")
+var errMissingEntry = errors.New("an entry is missing")
 
 func (j *Journal) replay(batch []record) error {
-	for _, r := range batch {
+	for _, rec := range batch {
 		switch {
-		case r.Identity != nil:
-			j.identity = *r.Identity
-		case r.State != nil:
-			j.state = *r.State
-		case r.Entry != nil:
-			if err := j.replayEntry(*r.Entry); err != nil {
+		case rec.Identity != nil:
+			j.identity = *rec.Identity
+		case rec.State != nil:
+			j.state = *rec.State
+		case rec.Entry != nil:
+			if err := j.replayEntry(*rec.Entry); err != nil {
 				return err
 			}
 		default:
@@ -83,53 +82,53 @@
 	return nil
 }
 
-func (j *Journal) replayEntry(e quorum.Entry) error {
-	if e.Index <= j.base.Index {
+func (j *Journal) replayEntry(entry quorum.Entry) error {
+	if entry.Index <= j.snapshot.Index {
 		return nil
 	}
-	place := e.Index - j.base.Index - 1
-	if place > uint64(len(j.entries)) {
-		return errGap
+	position := entry.Index - j.snapshot.Index - 1
+	if position > uint64(len(j.entries)) {
+		return errMissingEntry
 	}
-	j.entries = append(j.entries[:place], e)
+	j.entries = append(j.entries[:position], entry)
 	return nil
 }
 
-func (j *Journal) cutTail(name string, offset int) error {
-	f, err := j.Disk.Open(name)
+func (j *Journal) truncateLog(name string, offset int) error {
+	file, err := j.Disk.Open(name)
 	if err != nil {
 		return &DiskError{Op: "open " + name, Err: err}
 	}
-	if err := f.Truncate(int64(offset)); err != nil {
+	if err := file.Truncate(int64(offset)); err != nil {
 		return &DiskError{Op: "truncate " + name, Err: err}
 	}
-	if err := f.Sync(); err != nil {
+	if err := file.Sync(); err != nil {
 		return &DiskError{Op: "sync " + name, Err: err}
 	}
-	return f.Close()
+	return file.Close()
 }
 
-func sortNames(names []string) (logs, snaps []string) {
-	for _, n := range names {
+func sortFileNames(names []string) (logs, snapshots []string) {
+	for _, name := range names {
 		switch {
-		case strings.HasSuffix(n, tempSuffix):
-		case strings.HasPrefix(n, logPrefix):
-			logs = append(logs, n)
-		case strings.HasPrefix(n, snapPrefix):
-			snaps = append(snaps, n)
+		case strings.HasSuffix(name, tempSuffix):
+		case strings.HasPrefix(name, logPrefix):
+			logs = append(logs, name)
+		case strings.HasPrefix(name, snapshotPrefix):
+			snapshots = append(snapshots, name)
 		default:
 		}
 	}
 	slices.Sort(logs)
-	slices.Sort(snaps)
-	return logs, snaps
+	slices.Sort(snapshots)
+	return logs, snapshots
 }
 
-func numberOf(name string) uint64 {
-	var n uint64
-	digits := strings.TrimPrefix(strings.TrimPrefix(name, logPrefix), snapPrefix)
-	if _, err := fmt.Sscanf(digits, "%d", &n); err != nil {
+func fileGeneration(name string) uint64 {
+	var generation uint64
+	suffix := strings.TrimPrefix(strings.TrimPrefix(name, logPrefix), snapshotPrefix)
+	if _, err := fmt.Sscanf(suffix, "%d", &generation); err != nil {
 		return 0
 	}
-	return n
+	return generation
 }
--- a/internal/journal/mockdisk.go
+++ b/internal/journal/mockdisk.go
@@ -9,42 +9,43 @@
 	"syscall"
 )
 
-// A MockDisk is a Disk in memory that forgets what was not synced when it
-// crashes, and that fails to order.
+// A MockDisk is an in-memory Disk that loses unsynced data in a crash and can be made to fail at a
+// chosen operation.
 type MockDisk struct {
-	// Seed decides what is left of unsynced writes after a crash.
+	// Seed determines which part of unsynced writes survives a crash.
 	Seed uint64
-	// FailFromOp is the operation, counted from 1, from which on all fail with
-	// Fault; 0 is never. It stands for a crash, a full disk or a failed sync.
+	// FailFromOp is the first operation, counted from 1, that fails with Fault, as do all later
+	// ones; 0 means none. It simulates a crash, a full disk or a failed sync.
 	FailFromOp int
 	Fault      error
 	// Ops counts the operations that change the disk.
 	Ops int
 
-	files   map[string]*mockFile
-	durable map[string]*mockFile // names that last
-	random  *rand.Rand
+	files        map[string]*mockFile
+	durableFiles map[string]*mockFile // the files whose names are synced
+	random       *rand.Rand
 }
 
 var _ Disk = &MockDisk{}
 
-// mockFile is the content of a file, of which the first synced bytes last.
+// mockFile is the content of a file, of which the first syncedSize bytes are durable.
 type mockFile struct {
-	data   []byte
-	synced int
+	data       []byte
+	syncedSize int
 }
 
-// The faults that a MockDisk is usually given.
+// The errors that tests set as the Fault of a MockDisk.
 var (
-	ErrCrash      = errors.New("the machine crashed")
+	ErrCrash      = errors.New("simulated crash")
 	ErrDiskFull   = fmt.Errorf("write: %w", syscall.ENOSPC)
 	ErrSyncFailed = fmt.Errorf("sync: %w", syscall.EIO)
 )
 
-func (d *MockDisk) step() error {
+// beginOperation counts an operation and returns Fault if it is to fail.
+func (d *MockDisk) beginOperation() error {
 	if d.files == nil {
 		d.files = make(map[string]*mockFile)
-		d.durable = make(map[string]*mockFile)
+		d.durableFiles = make(map[string]*mockFile)
 		d.random = rand.New(rand.NewPCG(d.Seed, 1))
 	}
 	d.Ops++
@@ -54,30 +55,30 @@
 	return nil
 }
 
-// Crash drops what was not synced: names go back, and of unsynced bytes a
-// random part stays, some of its sectors empty.
+// Crash simulates a crash: unsynced creations, renames and removals are undone, and a random part of
+// the unsynced bytes survives, with some sectors zeroed. It clears FailFromOp.
 func (d *MockDisk) Crash() {
 	d.FailFromOp = 0
-	d.files = maps.Clone(d.durable)
+	d.files = maps.Clone(d.durableFiles)
 	for _, name := range slices.Sorted(maps.Keys(d.files)) {
 		d.files[name].crash(d.random)
 	}
 }
 
 func (f *mockFile) crash(random *rand.Rand) {
-	rest := len(f.data) - f.synced
-	if rest <= 0 {
+	unsynced := len(f.data) - f.syncedSize
+	if unsynced <= 0 {
 		return
 	}
-	f.data = f.data[:f.synced+random.IntN(rest+1)]
-	for start := f.synced; start < len(f.data); {
+	f.data = f.data[:f.syncedSize+random.IntN(unsynced+1)]
+	for start := f.syncedSize; start < len(f.data); {
 		end := min((start/sectorSize+1)*sectorSize, len(f.data))
 		if random.IntN(3) == 0 {
 			clear(f.data[start:end])
 		}
 		start = end
 	}
-	f.synced = len(f.data)
+	f.syncedSize = len(f.data)
 }
 
 // FlipBit changes one bit of a file.
@@ -87,12 +88,12 @@
 
 // Create implements Disk.
 func (d *MockDisk) Create(name string) (File, error) {
-	if err := d.step(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return nil, err
 	}
-	f := &mockFile{}
-	d.files[name] = f
-	return &mockHandle{disk: d, file: f}, nil
+	file := &mockFile{}
+	d.files[name] = file
+	return &mockHandle{disk: d, file: file}, nil
 }
 
 // List implements Disk.
@@ -102,25 +103,25 @@
 
 // Open implements Disk.
 func (d *MockDisk) Open(name string) (File, error) {
-	f, ok := d.files[name]
+	file, ok := d.files[name]
 	if !ok {
 		return nil, fmt.Errorf("open %s: %w", name, syscall.ENOENT)
 	}
-	return &mockHandle{disk: d, file: f}, nil
+	return &mockHandle{disk: d, file: file}, nil
 }
 
 // Read implements Disk.
 func (d *MockDisk) Read(name string) ([]byte, error) {
-	f, ok := d.files[name]
+	file, ok := d.files[name]
 	if !ok {
 		return nil, fmt.Errorf("read %s: %w", name, syscall.ENOENT)
 	}
-	return slices.Clone(f.data), nil
+	return slices.Clone(file.data), nil
 }
 
 // Remove implements Disk.
 func (d *MockDisk) Remove(name string) error {
-	if err := d.step(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
 	delete(d.files, name)
@@ -129,7 +130,7 @@
 
 // Rename implements Disk.
 func (d *MockDisk) Rename(from, to string) error {
-	if err := d.step(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
 	d.files[to] = d.files[from]
@@ -139,10 +140,10 @@
 
 // SyncDir implements Disk.
 func (d *MockDisk) SyncDir() error {
-	if err := d.step(); err != nil {
+	if err := d.beginOperation(); err != nil {
 		return err
 	}
-	d.durable = maps.Clone(d.files)
+	d.durableFiles = maps.Clone(d.files)
 	return nil
 }
 
@@ -159,30 +160,30 @@
 
 // Sync implements File.
 func (h *mockHandle) Sync() error {
-	if err := h.disk.step(); err != nil {
+	if err := h.disk.beginOperation(); err != nil {
 		return err
 	}
-	h.file.synced = len(h.file.data)
+	h.file.syncedSize = len(h.file.data)
 	return nil
 }
 
 // Truncate implements File.
 func (h *mockHandle) Truncate(size int64) error {
-	if err := h.disk.step(); err != nil {
+	if err := h.disk.beginOperation(); err != nil {
 		return err
 	}
 	h.file.data = h.file.data[:size]
-	h.file.synced = min(h.file.synced, int(size))
+	h.file.syncedSize = min(h.file.syncedSize, int(size))
 	return nil
 }
 
-// Write implements File. One that fails leaves a part written.
-func (h *mockHandle) Write(b []byte) (int, error) {
-	if err := h.disk.step(); err != nil {
-		n := h.disk.random.IntN(len(b) + 1)
-		h.file.data = append(h.file.data, b[:n]...)
-		return n, err
+// Write implements File. If it fails, a random part of b is written.
+func (h *mockHandle) Write(data []byte) (int, error) {
+	if err := h.disk.beginOperation(); err != nil {
+		written := h.disk.random.IntN(len(data) + 1)
+		h.file.data = append(h.file.data, data[:written]...)
+		return written, err
 	}
-	h.file.data = append(h.file.data, b...)
-	return len(b), nil
+	h.file.data = append(h.file.data, data...)
+	return len(data), nil
 }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -9,130 +9,132 @@
 	"laburnumfall/internal/quorum"
 )
 
-// A record is one unit of a journal file: a header of sixteen bytes (length of
-// the body, CRC-32C of the body, batch mark, CRC-32C of the header so far, each
-// little-endian) and a JSON body.
+// A record is one unit of a journal file: a header of 16 bytes and a JSON body. The header consists of
+// the length of the body, the CRC-32C of the body, the batch mark and the CRC-32C of these three
+// fields, each as a little-endian uint32.
 type record struct {
-	// Identity opens a file that belongs to a keeper.
+	// Identity is the first record of a log and a later record whenever the identity changes.
 	Identity *Identity     `json:"identity,omitempty"`
 	State    *quorum.State `json:"state,omitempty"`
 	Entry    *quorum.Entry `json:"entry,omitempty"`
-	// Snapshot is the whole content of a snapshot file.
+	// Snapshot is the only record of a snapshot file.
 	Snapshot *quorum.Snapshot `json:"snapshot,omitempty"`
 }
 
 const (
-	headerSize = 16
-	sectorSize = 512
-	maxRecord  = 1 << 30
+	headerSize    = 16
+	sectorSize    = 512
+	maxRecordSize = 1 << 30
 )
 
-// A batchMark says to which batch of a file a record belongs. All records of a
-// batch are written together and synced before the next batch is written.
+// A batchMark identifies the batch of a file that a record belongs to. All records of a batch are
+// written together and synced before the next batch is written.
 type batchMark struct {
 	number uint32
-	// last says that the record ends its batch.
+	// last means that the record is the last of its batch.
 	last bool
 }
 
-const lastBit = 1 << 31
+const lastInBatchBit = 1 << 31
 
 func (m batchMark) encode() uint32 {
 	if m.last {
-		return m.number | lastBit
+		return m.number | lastInBatchBit
 	}
 	return m.number
 }
 
-// next returns the number of the batch that the record behind belongs to.
-func (m batchMark) next() uint32 {
+// followingBatch returns the number of the batch that the next record belongs to.
+func (m batchMark) followingBatch() uint32 {
 	if m.last {
 		return m.number + 1
 	}
 	return m.number
 }
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// appendBatch appends the records as one batch.
-func appendBatch(buf []byte, number uint32, records ...record) ([]byte, error) {
-	for i, r := range records {
-		body, err := json.Marshal(r)
+// appendBatch appends the encoded records to dst as one batch.
+func appendBatch(dst []byte, number uint32, records ...record) ([]byte, error) {
+	for i, rec := range records {
+		body, err := json.Marshal(rec)
 		if err != nil {
 			return nil, fmt.Errorf("encode a record: %w", err)
 		}
 		mark := batchMark{number: number, last: i == len(records)-1}
 		var header [headerSize]byte
 		binary.LittleEndian.PutUint32(header[:4], uint32(len(body)))
-		binary.LittleEndian.PutUint32(header[4:8], crc32.Checksum(body, castagnoli))
+		binary.LittleEndian.PutUint32(header[4:8], crc32.Checksum(body, crcTable))
 		binary.LittleEndian.PutUint32(header[8:12], mark.encode())
-		binary.LittleEndian.PutUint32(header[12:], crc32.Checksum(header[:12], castagnoli))
-		buf = append(append(buf, header[:]...), body...)
+		binary.LittleEndian.PutUint32(header[12:], crc32.Checksum(header[:12], crcTable))
+		dst = append(append(dst, header[:]...), body...)
 	}
-	return buf, nil
+	return dst, nil
 }
 
-// decodeHeader returns the length of the body behind a whole header.
+// decodeHeader decodes the header at the start of data and returns the length of the body. It returns
+// false if the header is incomplete or corrupted.
 func decodeHeader(data []byte) (size int, mark batchMark, ok bool) {
 	if len(data) < headerSize {
 		return 0, mark, false
 	}
-	if crc32.Checksum(data[:12], castagnoli) != binary.LittleEndian.Uint32(data[12:headerSize]) {
+	if crc32.Checksum(data[:12], crcTable) != binary.LittleEndian.Uint32(data[12:headerSize]) {
 		return 0, mark, false
 	}
-	word := binary.LittleEndian.Uint32(data[8:12])
-	mark = batchMark{number: word &^ lastBit, last: word&lastBit != 0}
+	encodedMark := binary.LittleEndian.Uint32(data[8:12])
+	mark = batchMark{number: encodedMark &^ lastInBatchBit, last: encodedMark&lastInBatchBit != 0}
 	size = int(binary.LittleEndian.Uint32(data[:4]))
-	return size, mark, size <= maxRecord
+	return size, mark, size <= maxRecordSize
 }
 
-// decodeRecord reads the record at the start of data and returns its size.
-func decodeRecord(data []byte) (r record, mark batchMark, size int, ok bool) {
+// decodeRecord decodes the record at the start of data and returns its size. It returns false if the
+// record is incomplete or corrupted.
+func decodeRecord(data []byte) (rec record, mark batchMark, size int, ok bool) {
 	length, mark, ok := decodeHeader(data)
 	if !ok || headerSize+length > len(data) {
 		return record{}, mark, 0, false
 	}
 	body := data[headerSize : headerSize+length]
-	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(data[4:8]) {
+	if crc32.Checksum(body, crcTable) != binary.LittleEndian.Uint32(data[4:8]) {
 		return record{}, mark, 0, false
 	}
-	if err := json.Unmarshal(body, &r); err != nil {
+	if err := json.Unmarshal(body, &rec); err != nil {
 		return record{}, mark, 0, false
 	}
-	return r, mark, headerSize + length, true
+	return rec, mark, headerSize + length, true
 }
 
-// torn reports whether the bad record at offset is part of a batch that a crash
+// isTornWrite reports whether the invalid record at offset belongs to a batch that a crash
 // interrupted. The mark is that of the record before.
 //
-// If a record of a later batch follows, the bad one was synced, and is rot. In
-// the last batch, a crash leaves the record cut off by the end of the file, or
-// a sector that was never written. A record that is all there but for its
-// checksum is rot: what it held may have been promised and must not be dropped.
-func torn(data []byte, offset int, before batchMark) bool {
-	rest := data[offset:]
-	if laterBatch(rest, before.next()) {
+// If a record of a later batch follows, the invalid record was synced before and is corrupted. In
+// the last batch, a crash leaves a record that is cut off by the end of the file, or a sector that
+// was never written. A complete record with a wrong checksum is corrupted: its data may have been
+// acknowledged and must not be dropped.
+func isTornWrite(data []byte, offset int, before batchMark) bool {
+	tail := data[offset:]
+	if hasLaterBatch(tail, before.followingBatch()) {
 		return false
 	}
-	if len(rest) < headerSize {
+	if len(tail) < headerSize {
 		return true
 	}
-	size, _, ok := decodeHeader(rest)
+	size, _, ok := decodeHeader(tail)
 	switch {
-	case ok && headerSize+size > len(rest):
+	case ok && headerSize+size > len(tail):
 		return true
 	case ok:
-		return emptySector(data[:offset+headerSize+size], offset)
+		return hasZeroSector(data[:offset+headerSize+size], offset)
 	default:
-		return emptySector(data, offset)
+		return hasZeroSector(data, offset)
 	}
 }
 
-// emptySector reports whether some sector from offset on holds only zeros.
-func emptySector(data []byte, offset int) bool {
+// hasZeroSector reports whether the part from offset on of any sector holds only zeros.
+func hasZeroSector(data []byte, offset int) bool {
 	for start := offset; start < len(data); {
 		end := min((start/sectorSize+1)*sectorSize, len(data))
-		if zero(data[start:end]) {
+		if allZero(data[start:end]) {
 			return true
 		}
 		start = end
@@ -140,20 +142,20 @@
 	return false
 }
 
-func zero(b []byte) bool {
-	for _, c := range b {
-		if c != 0 {
+func allZero(data []byte) bool {
+	for _, value := range data {
+		if value != 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// laterBatch reports whether a whole record of a batch after number stands
-// anywhere in rest.
-func laterBatch(rest []byte, number uint32) bool {
-	for i := 1; i+headerSize < len(rest); i++ {
-		if _, mark, _, ok := decodeRecord(rest[i:]); ok && mark.number > number {
+// hasLaterBatch reports whether tail holds, at any position after its first byte, a valid record of
+// a batch after number.
+func hasLaterBatch(tail []byte, number uint32) bool {
+	for i := 1; i+headerSize < len(tail); i++ {
+		if _, mark, _, ok := decodeRecord(tail[i:]); ok && mark.number > number {
 			return true
 		}
 	}
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The timing of a group. A follower that hears from its leader grants it a lease: it votes for no
+// The timing of a group. A follower grants its leader a lease with each message from it: it votes for no
 // other candidate within ElectionTimeout of the leader's last message. The leader relies on the
 // lease only for LeaseDuration after it sent the message; the margin covers clocks that run at
 // different rates. A failed leader must be replaced well within a router's lease: a router whose
