--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// The timing of a group. A follower grants its leader a lease with each message from it: it votes for no
-// other candidate within ElectionTimeout of the leader's last message. The leader relies on the
-// lease only for LeaseDuration after it sent the message; the margin covers clocks that run at
+// The timing of a group. With each message from its leader, a follower grants it a lease: it votes
+// for no other candidate within ElectionTimeout of the leader's last message. The leader relies on
+// the lease only for LeaseDuration after it sent the message; the margin covers clocks that run at
 // different rates. A failed leader must be replaced well within a router's lease: a router whose
 // lease expires gives up its slots, and a new leader may grant them again only after all older
 // leases have expired.
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -165,18 +165,18 @@
 func TestPartitionedLeaderStopsBeforeSuccessorStarts(t *testing.T) {
 	cluster := newTestCluster(t.Fatalf, 3)
 	cluster.run(4 * time.Second)
-	old := cluster.activeLeaders()[0]
-	cluster.partitioned[old] = true
+	oldLeader := cluster.activeLeaders()[0]
+	cluster.partitioned[oldLeader] = true
 	for range 600 {
 		cluster.run(10 * time.Millisecond)
 		require.LessOrEqual(t, len(cluster.activeLeaders()), 1)
 	}
-	require.NotContains(t, cluster.activeLeaders(), old)
+	require.NotContains(t, cluster.activeLeaders(), oldLeader)
 	require.Len(t, cluster.activeLeaders(), 1)
 	leader := cluster.activeLeaders()[0]
 	term := cluster.nodes[leader].Term()
 	cluster.run(time.Hour / 60)
-	cluster.partitioned[old] = false
+	cluster.partitioned[oldLeader] = false
 	cluster.run(5 * time.Second)
 	require.Equal(t, []string{leader}, cluster.activeLeaders(), "a member that returns must not depose a healthy leader")
 	require.Equal(t, term, cluster.nodes[leader].Term())
@@ -187,9 +187,9 @@
 func TestStalledLeaderLosesLease(t *testing.T) {
 	cluster := newTestCluster(t.Fatalf, 3)
 	cluster.run(4 * time.Second)
-	old := cluster.activeLeaders()[0]
-	stalledNode := cluster.nodes[old]
-	cluster.nodes[old] = nil
+	oldLeader := cluster.activeLeaders()[0]
+	stalledNode := cluster.nodes[oldLeader]
+	cluster.nodes[oldLeader] = nil
 	cluster.run(10 * time.Second)
 	require.Len(t, cluster.activeLeaders(), 1)
 	require.Equal(t, Leader, stalledNode.Role())
@@ -230,11 +230,11 @@
 	cluster := newTestCluster(t.Fatalf, 3)
 	cluster.run(4 * time.Second)
 	leader := cluster.activeLeaders()[0]
-	slow := cluster.ids()[0]
-	if slow == leader {
-		slow = cluster.ids()[1]
+	lagging := cluster.ids()[0]
+	if lagging == leader {
+		lagging = cluster.ids()[1]
 	}
-	cluster.partitioned[slow] = true
+	cluster.partitioned[lagging] = true
 	for i := range 50 {
 		cluster.propose(leader, fmt.Sprint(i))
 	}
@@ -242,12 +242,12 @@
 	leaderNode := cluster.nodes[leader]
 	require.NotNil(t, leaderNode.Compact(leaderNode.CommitIndex(), json.RawMessage(`"state"`)))
 	cluster.processOutput(leader)
-	cluster.partitioned[slow] = false
+	cluster.partitioned[lagging] = false
 	cluster.run(2 * time.Second)
-	require.JSONEq(t, `"state"`, string(cluster.nodes[slow].Snapshot.Data))
+	require.JSONEq(t, `"state"`, string(cluster.nodes[lagging].Snapshot.Data))
 	index, _ := cluster.propose(leader, "after")
 	cluster.run(time.Second)
-	require.Equal(t, index, cluster.nodes[slow].CommitIndex())
+	require.Equal(t, index, cluster.nodes[lagging].CommitIndex())
 }
 
 // For any interleaving of crashes, partitions, and lost, duplicated and reordered messages, all nodes
--- a/internal/quorum/replicate.go
+++ b/internal/quorum/replicate.go
@@ -16,6 +16,8 @@
 	}
 }
 
+// replicate sends a member all entries that its window allows, or the snapshot if the next entry is
+// compacted.
 func (n *Node) replicate(now time.Time, id string, heartbeat bool) {
 	peer := n.peers[id]
 	if peer == nil {
@@ -37,9 +39,9 @@
 	if len(batch) == 0 && !heartbeat {
 		return false
 	}
-	prev := peer.nextIndex - 1
+	prevIndex := peer.nextIndex - 1
 	n.queueBeforeSync(Message{
-		Kind: MsgAppend, To: id, Index: prev, LogTerm: n.termAt(prev),
+		Kind: MsgAppend, To: id, Index: prevIndex, LogTerm: n.termAt(prevIndex),
 		CommitIndex: n.commitIndex, Entries: batch, SentAt: now,
 	})
 	peer.nextIndex += uint64(len(batch))
@@ -63,6 +65,7 @@
 	return slices.Clone(unsent[:count])
 }
 
+// sendSnapshot sends the snapshot to a follower if a heartbeat is to be sent.
 func (n *Node) sendSnapshot(now time.Time, id string, peer *peerProgress, heartbeat bool) {
 	if !heartbeat {
 		return
--- a/internal/quorum/resign_test.go
+++ b/internal/quorum/resign_test.go
@@ -46,54 +46,54 @@
 // Guards against a restarted leader whose first vote requests are lost because the other members
 // start later.
 func TestRestartedLeaderRetriesElectionUntilOthersStart(t *testing.T) {
-	cluster, old := newClusterWithLeader(t)
+	cluster, oldLeader := newClusterWithLeader(t)
 	for _, id := range cluster.ids() {
 		cluster.nodes[id] = nil
 	}
-	cluster.startNode(old)
+	cluster.startNode(oldLeader)
 	cluster.run(500 * time.Millisecond)
 	for _, id := range cluster.ids() {
-		if id != old {
+		if id != oldLeader {
 			cluster.startNode(id)
 		}
 	}
 	require.Less(t, cluster.waitForLeader(t), 300*time.Millisecond)
 }
 
-// Guards against a second without a leader whenever the leader is killed and restarted: without the
-// release, the others wait until its lease has expired.
+// Guards against a second without a leader whenever the leader is killed and restarted: the other
+// members must not wait until its old lease has expired.
 func TestLeaderElectedSoonAfterLeaderRestart(t *testing.T) {
-	cluster, old := newClusterWithLeader(t)
-	cluster.nodes[old] = nil
+	cluster, oldLeader := newClusterWithLeader(t)
+	cluster.nodes[oldLeader] = nil
 	cluster.run(100 * time.Millisecond)
-	cluster.startNode(old)
+	cluster.startNode(oldLeader)
 	require.Less(t, cluster.waitForLeader(t), 300*time.Millisecond)
 }
 
 // Guards against a second without a leader in a rolling restart: a leader that stops must resign
 // instead of stopping as in a crash.
 func TestSuccessorElectedAfterResignation(t *testing.T) {
-	cluster, old := newClusterWithLeader(t)
-	cluster.nodes[old].Resign(cluster.now)
+	cluster, oldLeader := newClusterWithLeader(t)
+	cluster.nodes[oldLeader].Resign(cluster.now)
 	require.Empty(t, cluster.activeLeaders())
-	cluster.processOutput(old)
+	cluster.processOutput(oldLeader)
 	cluster.run(10 * time.Millisecond)
-	cluster.nodes[old] = nil
+	cluster.nodes[oldLeader] = nil
 	require.Less(t, cluster.waitForLeader(t), 100*time.Millisecond)
-	require.NotEqual(t, old, cluster.activeLeaders()[0])
+	require.NotEqual(t, oldLeader, cluster.activeLeaders()[0])
 }
 
 // Guards against a second without a leader in some rolling restarts: entries that the leader sent
 // before its resignation arrive after it and must not renew the lease.
 func TestLateAppendDoesNotRenewLeaseOfResignedLeader(t *testing.T) {
-	cluster, old := newClusterWithLeader(t)
-	_, ok := cluster.propose(old, "last")
+	cluster, oldLeader := newClusterWithLeader(t)
+	_, ok := cluster.propose(oldLeader, "last")
 	require.True(t, ok)
-	cluster.nodes[old].Resign(cluster.now)
-	cluster.processOutput(old)
+	cluster.nodes[oldLeader].Resign(cluster.now)
+	cluster.processOutput(oldLeader)
 	slices.Reverse(cluster.inFlight)
 	cluster.run(10 * time.Millisecond)
-	cluster.nodes[old] = nil
+	cluster.nodes[oldLeader] = nil
 	require.Less(t, cluster.waitForLeader(t), 700*time.Millisecond)
 }
 
@@ -114,14 +114,14 @@
 		}
 		require.True(t, node.leaseBlocksVote(cluster.now))
 		node.Step(cluster.now, Message{Kind: MsgResign, From: leader, To: id, Term: term - 1})
-		require.True(t, node.leaseBlocksVote(cluster.now), "of an earlier term")
+		require.True(t, node.leaseBlocksVote(cluster.now), "resignation of an earlier term")
 		other := "k1"
 		if other == leader || other == id {
 			other = "k2"
 		}
 		if other != leader && other != id {
 			node.Step(cluster.now, Message{Kind: MsgResign, From: other, To: id, Term: term})
-			require.True(t, node.leaseBlocksVote(cluster.now), "of another")
+			require.True(t, node.leaseBlocksVote(cluster.now), "resignation of another member")
 		}
 	}
 }
@@ -131,20 +131,20 @@
 // disk, and the others must not wait for a leader that cannot return.
 func TestReplacedLeaderReleasesLease(t *testing.T) {
 	for _, size := range []int{3, 5, 9} {
-		cluster, old := newClusterWithLeader(t)
+		cluster, oldLeader := newClusterWithLeader(t)
 		if size != 5 {
 			cluster = newTestCluster(t.Fatalf, size)
 			cluster.run(3 * time.Second)
-			old = cluster.activeLeaders()[0]
+			oldLeader = cluster.activeLeaders()[0]
 		}
 		for _, id := range cluster.ids() {
 			cluster.startNode(id)
 		}
-		cluster.nodes[old] = nil
+		cluster.nodes[oldLeader] = nil
 		cluster.run(50 * time.Millisecond)
 		for _, id := range cluster.ids() {
 			if node := cluster.nodes[id]; node != nil {
-				node.MarkReplaced(cluster.now, old)
+				node.MarkReplaced(cluster.now, oldLeader)
 				cluster.processOutput(id)
 			}
 		}
@@ -174,7 +174,7 @@
 	require.Greater(t, cluster.waitForLeader(t), ElectionTimeout-3*HeartbeatInterval)
 }
 
-// The replacement of a follower does not release the lease of the leader.
+// Guards against two active leaders: only the replacement of the leader itself releases its lease.
 func TestReplacedFollowerKeepsLease(t *testing.T) {
 	cluster, leader := newClusterWithLeader(t)
 	for _, id := range cluster.ids() {
--- a/internal/quorum/stall_test.go
+++ b/internal/quorum/stall_test.go
@@ -27,7 +27,7 @@
 	c.stalledUntil[id] = c.now.Add(length)
 }
 
-func (c *stallCluster) stalled(id string) bool {
+func (c *stallCluster) isStalled(id string) bool {
 	return c.now.Before(c.stalledUntil[id])
 }
 
@@ -35,7 +35,7 @@
 	const step = 10 * time.Millisecond
 	for end := c.now.Add(length); c.now.Before(end); c.now = c.now.Add(step) {
 		for _, id := range c.ids() {
-			if c.stalled(id) {
+			if c.isStalled(id) {
 				continue
 			}
 			c.nodes[id].Tick(c.now)
@@ -95,7 +95,7 @@
 			}
 			stalledCount := 0
 			for _, other := range cluster.ids() {
-				if cluster.stalled(other) {
+				if cluster.isStalled(other) {
 					stalledCount++
 				}
 			}
@@ -114,7 +114,7 @@
 func TestStalledLeaderCostsAtMostOneTerm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newStallCluster(t.Fatalf, 5)
-		before := cluster.highestTerm()
+		initialTerm := cluster.highestTerm()
 		stalls := rapid.IntRange(1, 8).Draw(t, "stalls")
 		for range stalls {
 			leaders := cluster.activeLeaders()
@@ -123,7 +123,7 @@
 			cluster.stall(leaders[0], length)
 			cluster.runWithStalls(length + 2*time.Second)
 		}
-		require.LessOrEqual(t, cluster.highestTerm(), before+uint64(stalls))
+		require.LessOrEqual(t, cluster.highestTerm(), initialTerm+uint64(stalls))
 		require.Len(t, cluster.activeLeaders(), 1)
 	})
 }
--- a/internal/quorum/types.go
+++ b/internal/quorum/types.go
@@ -88,7 +88,7 @@
 	CommitIndex uint64    `json:"commit,omitempty"`
 	Entries     []Entry   `json:"entries,omitempty"`
 	Reject      bool      `json:"reject,omitempty"`
-	SentAt      time.Time `json:"sent,omitzero"` // leader's clock, echoed in answers
+	SentAt      time.Time `json:"sent,omitzero"` // leader's clock, echoed in replies
 	// Successor is the ID of the member that a resigning leader asks to start an election.
 	Successor string `json:"next,omitempty"`
 	// Snapshot replaces the log of a follower whose next entry the leader has compacted.
@@ -138,7 +138,7 @@
 }
 
 // ErrMembershipChangePending is the error of a membership change while another is pending, or while
-// the leader has committed no entry of its term.
+// the leader has not yet committed an entry of its term.
 var ErrMembershipChangePending = fleet.NewError(fleet.KindPolicy, "wait until the change before is done",
 	"a change of the keepers is on its way, or the leader is new")
 
