--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -35,7 +35,7 @@
 	held := c.ledger.Evacuations()
 	switch {
 	case !c.leads(now):
-		done(message.EvacuateResult{}, quorum.ErrNotLeader(c.leaderAddress()))
+		done(message.EvacuateResult{}, quorum.NewNotLeaderError(c.leaderAddress()))
 	case !held.Contains(p.Zone) && !c.hasZone(p.Zone):
 		done(message.EvacuateResult{}, fleet.NewError(fleet.KindMalformed, "name a zone that has targets", "no zone is named %q", p.Zone))
 	case held.Contains(p.Zone) != p.End:
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -101,7 +101,7 @@
 func (c *core) held(ctx context.Context) (message.QuarantineResult, error) {
 	return await(ctx, c, func(now time.Time, done func(message.QuarantineResult, error)) {
 		if !c.leads(now) {
-			done(message.QuarantineResult{}, quorum.ErrNotLeader(c.leaderAddress()))
+			done(message.QuarantineResult{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
 		done(message.QuarantineResult{Entries: c.ledger.Quarantine().Entries(), Now: now}, nil)
@@ -114,7 +114,7 @@
 		registry, ok := c.court(now)
 		switch {
 		case !ok:
-			done(struct{}{}, quorum.ErrNotLeader(c.leaderAddress()))
+			done(struct{}{}, quorum.NewNotLeaderError(c.leaderAddress()))
 		case !registry.Lift(now, p.Fingerprint):
 			done(struct{}{}, fleet.NewError(fleet.KindPrecondition, "see lfctl held for those that are", "request %q is not held back", p.Fingerprint))
 		default:
