--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -15,8 +15,8 @@
 var start = time.Unix(1e9, 0)
 
 // desk returns the decisions of a router before one engine of a number of slots.
-func desk(slots int) Desk {
-	d := NewDesk(&placement.Placer{Routers: 1}, &quota.Shares{Capacity: 1000})
+func desk(slots int) Controller {
+	d := NewController(&placement.Placer{Routers: 1}, &quota.Shares{Capacity: 1000})
 	d.Placer.SetPools(map[string]fleet.Pool{"p": {Engine: &fleet.Engine{}}})
 	d.Placer.SetTargets(start, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p", Slots: slots}})
 	return d
@@ -26,13 +26,13 @@
 
 func request(tokens int) Request {
 	return Request{
-		Place: placement.Request{Pool: "p", Parts: []placement.Part{{ID: 1, Tokens: tokens}}}, Route: route, Account: "x",
-		Tokens: float64(tokens), Until: start.Add(route.Timeout),
+		Placement: placement.Request{Pool: "p", Parts: []placement.PromptPart{{ID: 1, Tokens: tokens}}}, Route: route, Account: "x",
+		Cost: float64(tokens), Deadline: start.Add(route.Timeout),
 	}
 }
 
 func TestWhatIsRefusedAndWhenItMayComeBack(t *testing.T) {
-	within := func(r Request) Request { r.Within = true; return r }
+	within := func(r Request) Request { r.WithinShare = true; return r }
 	for name, c := range map[string]struct {
 		before int // tokens that wait at the engine
 		with   Request
@@ -43,10 +43,10 @@
 		"room":                       {0, request(100), "", 0, 0},
 		"within its share, late":     {45000, within(request(100)), "", 0, 0},
 		"within, but would leave":    {120000, within(request(100)), fleet.ReasonBehind, time.Second, 5 * time.Second},
-		"beyond its share, no room":  {30000, request(100), fleet.ReasonOverShare, Soon, route.Aim / backPart},
-		"beyond, but was sent":       {30000, func() Request { r := request(100); r.Sent = true; return r }(), "", 0, 0},
-		"surplus of a plain service": {0, func() Request { r := request(0); r.Surplus = true; return r }(), fleet.ReasonCrowded, Moment, Moment},
-		"no target":                  {0, func() Request { r := request(1); r.Place.Pool = "q"; return r }(), fleet.ReasonNoTarget, Moment, Moment},
+		"beyond its share, no room":  {30000, request(100), fleet.ReasonOverShare, MinRetryAfter, route.Aim / backPart},
+		"beyond, but was sent":       {30000, func() Request { r := request(100); r.SentBefore = true; return r }(), "", 0, 0},
+		"surplus of a plain service": {0, func() Request { r := request(0); r.Throttled = true; return r }(), fleet.ReasonCrowded, NoCapacityRetryAfter, NoCapacityRetryAfter},
+		"no target":                  {0, func() Request { r := request(1); r.Placement.Pool = "q"; return r }(), fleet.ReasonNoTarget, NoCapacityRetryAfter, NoCapacityRetryAfter},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := desk(64)
@@ -63,8 +63,8 @@
 			}
 			require.NotNil(t, no)
 			require.Equal(t, c.want, no.Reason)
-			require.GreaterOrEqual(t, no.Back, c.least)
-			require.LessOrEqual(t, no.Back, c.most)
+			require.GreaterOrEqual(t, no.RetryAfter, c.least)
+			require.LessOrEqual(t, no.RetryAfter, c.most)
 		})
 	}
 }
@@ -76,22 +76,22 @@
 // Cause: the time to come back looked at the account's share alone.
 func TestARefusedCallerMayComeBackInTime(t *testing.T) {
 	d := desk(64)
-	_, no := d.Decide(start, func() Request { r := request(30000); r.Within = true; return r }())
+	_, no := d.Decide(start, func() Request { r := request(30000); r.WithinShare = true; return r }())
 	require.Nil(t, no)
-	d.Shares.Ask(start, "x", 5000)
+	d.Shares.CountRequest(start, "x", 5000)
 	d.Shares.Spend(start, "x", 5000)
-	require.Greater(t, d.Shares.Wait(start, "x"), route.Aim)
+	require.Greater(t, d.Shares.RefillTime(start, "x"), route.Aim)
 	_, no = d.Decide(start, request(100))
 	require.Equal(t, fleet.ReasonOverShare, no.Reason)
-	require.LessOrEqual(t, no.Back, route.Aim/backPart)
+	require.LessOrEqual(t, no.RetryAfter, route.Aim/backPart)
 }
 
 // roomOf returns whether the rule of room lets an account's request in by its wait and the
 // target's load.
 func roomOf(s *quota.Shares, route *fleet.Route) func(account string, wait time.Duration, load float64) bool {
-	rule := Room{Scales: []Scale{Yield{}, Reach{}}}
+	rule := Headroom{Scales: []HeadroomScale{ShrinkByExcess{}, GrowByDeficit{}}}
 	return func(account string, wait time.Duration, load float64) bool {
-		return rule.Lets(start, s, Request{Route: route, Account: account}, &placement.Choice{Wait: wait, Load: load})
+		return rule.Admits(start, s, Request{Route: route, Account: account}, &placement.Choice{PredictedTTFB: wait, Load: load})
 	}
 }
 
@@ -107,10 +107,10 @@
 	demand := func(served float64) []message.Demand {
 		return []message.Demand{{Account: "well", Rate: 5000, Served: 900}, {Account: "ill", Rate: 900, Served: served}}
 	}
-	shares.SetFleet(demand(880))
+	shares.SetFleetDemand(demand(880))
 	require.True(t, room("ill", 450*time.Millisecond, 0.5))
 	require.False(t, room("ill", 700*time.Millisecond, 0.5), "both have the same: half of the aim")
-	shares.SetFleet(demand(400))
+	shares.SetFleetDemand(demand(400))
 	require.True(t, room("ill", 900*time.Millisecond, 0.5), "the other one has twice as much")
 	require.False(t, room("ill", 1100*time.Millisecond, 0.5), "never beyond the aim")
 	require.False(t, room("well", 450*time.Millisecond, 0.5))
@@ -124,13 +124,13 @@
 func TestAnAccountBetweenTwoOthersIsHeldAgainstBoth(t *testing.T) {
 	shares := &quota.Shares{Capacity: 1000}
 	room := roomOf(shares, &fleet.Route{Aim: time.Second})
-	shares.SetFleet([]message.Demand{
+	shares.SetFleetDemand([]message.Demand{
 		{Account: "well", Rate: 5000, Served: 900}, {Account: "middle", Rate: 5000, Served: 400}, {Account: "ill", Rate: 640, Served: 250},
 	})
 	require.True(t, room("middle", 490*time.Millisecond, 0.7), "1.6 times what one has, less than half of another")
 	require.False(t, room("well", 100*time.Millisecond, 0.2))
 	require.True(t, room("ill", 990*time.Millisecond, 0.7))
-	shares.SetFleet([]message.Demand{
+	shares.SetFleetDemand([]message.Demand{
 		{Account: "well", Rate: 5000, Served: 500}, {Account: "middle", Rate: 5000, Served: 400}, {Account: "ill", Rate: 640, Served: 250},
 	})
 	require.False(t, room("middle", 490*time.Millisecond, 0.4), "nobody has much more: it yields to who lacks")
@@ -146,7 +146,7 @@
 	const stood = 9 * time.Second
 	plain := &fleet.Route{Kind: fleet.RouteIdempotent, Aim: 500 * time.Millisecond, Timeout: 2 * time.Second, Attempts: 1}
 	ask := func(now time.Time) Request {
-		return Request{Place: placement.Request{Pool: "p"}, Route: plain, Account: "x", Until: now.Add(plain.Timeout), Within: true}
+		return Request{Placement: placement.Request{Pool: "p"}, Route: plain, Account: "x", Deadline: now.Add(plain.Timeout), WithinShare: true}
 	}
 	d := desk(8)
 	var running []*placement.Choice
@@ -157,12 +157,12 @@
 	}
 	woken := start.Add(stood)
 	for _, c := range running {
-		d.Placer.First(woken, c)
-		d.Placer.Ended(woken, c, placement.Served)
+		d.Placer.RecordFirstByte(woken, c)
+		d.Placer.EndAttempt(woken, c, placement.Served)
 	}
 	c, no := d.Decide(woken, ask(woken))
 	require.Nil(t, no)
-	require.Less(t, c.Wait, plain.Aim, "one standstill is not how long it takes")
+	require.Less(t, c.PredictedTTFB, plain.Aim, "one standstill is not how long it takes")
 
 	// A service that is slow indeed is believed, and tried again once nobody knows any more.
 	const step, work = 100 * time.Millisecond, 4 * time.Second
@@ -172,8 +172,8 @@
 	for range 1000 {
 		now = now.Add(step)
 		if c := sent[now.Add(-work)]; c != nil {
-			d.Placer.First(now, c)
-			d.Placer.Ended(now, c, placement.Served)
+			d.Placer.RecordFirstByte(now, c)
+			d.Placer.EndAttempt(now, c, placement.Served)
 		}
 		if c, slow = d.Decide(now, ask(now)); slow != nil {
 			break
--- a/internal/admission/back.go
+++ b/internal/admission/back.go
@@ -10,14 +10,14 @@
 // beyond its account's share may come back.
 const backPart = 4
 
-// InTime lets a caller come back once its account has something saved up again, but early
+// LatencyAwareRetry lets a caller come back once its account has something saved up again, but early
 // enough for an answer that is in time: engines may have room long before. A caller that
 // is sent back for as long as its aim is always late.
-type InTime struct{}
+type LatencyAwareRetry struct{}
 
-var _ Return = InTime{}
+var _ RetryPolicy = LatencyAwareRetry{}
 
-// Back implements Return.
-func (InTime) Back(now time.Time, s *quota.Shares, r Request) time.Duration {
-	return max(min(s.Wait(now, r.Account), r.Route.Aim/backPart), Soon)
+// RetryAfter implements RetryPolicy.
+func (LatencyAwareRetry) RetryAfter(now time.Time, s *quota.Shares, r Request) time.Duration {
+	return max(min(s.RefillTime(now, r.Account), r.Route.Aim/backPart), MinRetryAfter)
 }
--- a/internal/admission/back_test.go
+++ b/internal/admission/back_test.go
@@ -17,15 +17,15 @@
 func TestARefusedCallerOfAShortAimIsNotLateByComingBack(t *testing.T) {
 	for _, aim := range []time.Duration{200 * time.Millisecond, 300 * time.Millisecond, 400 * time.Millisecond, time.Second} {
 		d := desk(64)
-		_, no := d.Decide(start, func() Request { r := request(30000); r.Within = true; return r }())
+		_, no := d.Decide(start, func() Request { r := request(30000); r.WithinShare = true; return r }())
 		require.Nil(t, no)
-		d.Shares.Ask(start, "x", 5000)
+		d.Shares.CountRequest(start, "x", 5000)
 		d.Shares.Spend(start, "x", 5000)
 		r := request(100)
 		r.Route = &fleet.Route{Kind: fleet.RouteStream, Aim: aim, Timeout: 10 * time.Second, Pause: 300 * time.Millisecond, Attempts: 1, Cached: true}
 		_, no = d.Decide(start, r)
 		require.Equal(t, fleet.ReasonOverShare, no.Reason)
-		require.LessOrEqual(t, no.Back, aim/2, "half of the aim is left for the answer")
-		require.Positive(t, no.Back)
+		require.LessOrEqual(t, no.RetryAfter, aim/2, "half of the aim is left for the answer")
+		require.Positive(t, no.RetryAfter)
 	}
 }
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -16,24 +16,24 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, targets := range []int{9, 165} {
 		b.Run(fmt.Sprintf("%d targets", targets), func(b *testing.B) {
-			d := NewDesk(&placement.Placer{Routers: 8}, &quota.Shares{Capacity: 1000})
+			d := NewController(&placement.Placer{Routers: 8}, &quota.Shares{Capacity: 1000})
 			d.Placer.SetPools(map[string]fleet.Pool{"p": {Engine: &fleet.Engine{CopyRate: 500}}})
 			list := make([]fleet.Instance, targets)
 			for i := range list {
 				list[i] = fleet.Instance{Incarnation: fleet.Incarnation{ID: fmt.Sprint("t", i)}, Pool: "p", Slots: 64}
 			}
 			d.Placer.SetTargets(start, list)
-			d.Shares.SetFleet([]message.Demand{{Account: "x", Rate: 9000, Served: 900}, {Account: "other", Rate: 900, Served: 300}})
+			d.Shares.SetFleetDemand([]message.Demand{{Account: "x", Rate: 9000, Served: 900}, {Account: "other", Rate: 900, Served: 300}})
 			r := request(100)
-			r.Place.Parts = []placement.Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 100}}
+			r.Placement.Parts = []placement.PromptPart{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 100}}
 			now := start
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				r.Until = now.Add(route.Timeout)
+				r.Deadline = now.Add(route.Timeout)
 				if c, no := d.Decide(now, r); no == nil {
-					d.Placer.First(now, c)
-					d.Placer.Ended(now, c, placement.Left)
+					d.Placer.RecordFirstByte(now, c)
+					d.Placer.EndAttempt(now, c, placement.Canceled)
 				}
 			}
 		})
--- a/internal/admission/brief_test.go
+++ b/internal/admission/brief_test.go
@@ -19,12 +19,12 @@
 // for nobody.
 func TestWhatWouldBeginAtOnceIsLetInWhateverItsAccountHas(t *testing.T) {
 	d := desk(64)
-	d.Shares.SetFleet([]message.Demand{{Account: "x", Rate: 9000, Served: 900}, {Account: "other", Rate: 900, Served: 300}})
+	d.Shares.SetFleetDemand([]message.Demand{{Account: "x", Rate: 9000, Served: 900}, {Account: "other", Rate: 900, Served: 300}})
 	d.Shares.Spend(start, "x", 5000)
 	for range 64*3/4 + 1 {
 		c, no := d.Decide(start, request(20))
 		require.Nil(t, no, "slots are free, and nothing waits")
-		d.Placer.First(start, c)
+		d.Placer.RecordFirstByte(start, c)
 	}
 	c, no := d.Decide(start, request(20))
 	require.NotNil(t, no, "the rest of the slots is for what is within its share: %+v", c)
@@ -33,7 +33,7 @@
 
 func TestBriefIsAPartOfTheAim(t *testing.T) {
 	for wait, want := range map[time.Duration]bool{0: true, 100 * time.Millisecond: true, 101 * time.Millisecond: false} {
-		require.Equal(t, want, Brief{}.Lets(start, nil, Request{Route: route}, &placement.Choice{Wait: wait, Load: roomLoad}), wait)
+		require.Equal(t, want, ShortWait{}.Admits(start, nil, Request{Route: route}, &placement.Choice{PredictedTTFB: wait, Load: roomLoad}), wait)
 	}
-	require.False(t, Brief{}.Lets(start, nil, Request{Route: route}, &placement.Choice{Load: roomLoad + 0.01}))
+	require.False(t, ShortWait{}.Admits(start, nil, Request{Route: route}, &placement.Choice{Load: roomLoad + 0.01}))
 }
--- a/internal/admission/room.go
+++ b/internal/admission/room.go
@@ -27,63 +27,63 @@
 	beginPart = 4
 )
 
-// A Scale makes room smaller or larger for an account. It takes and returns the part of
+// A HeadroomScale makes room smaller or larger for an account. It takes and returns the part of
 // the room that the account finds.
-type Scale interface {
+type HeadroomScale interface {
 	Scale(now time.Time, s *quota.Shares, account string, part float64) float64
 }
 
-// Room lets work in where nobody would be late for it: its first byte is predicted well
+// Headroom lets work in where nobody would be late for it: its first byte is predicted well
 // within its aim, and slots are free. Without it, accounts would get no more than their
 // shares of the stated rate, however idle the engines.
 //
 // Where the request's size is owed a chance, reading its own part does not count, if it
 // begins nearly at once: it takes as long wherever and whenever it runs.
-type Room struct {
-	Scales []Scale
+type Headroom struct {
+	Scales []HeadroomScale
 }
 
-var _ Rule = Room{}
+var _ Rule = Headroom{}
 
-// Lets implements Rule.
-func (m Room) Lets(now time.Time, s *quota.Shares, r Request, c *placement.Choice) bool {
+// Admits implements Rule.
+func (m Headroom) Admits(now time.Time, s *quota.Shares, r Request, c *placement.Choice) bool {
 	part := 1.0
 	for _, scale := range m.Scales {
 		part = scale.Scale(now, s, r.Account, part)
 	}
 	room := time.Duration(float64(r.Route.Aim/roomPart) * part)
-	wait := c.Wait
-	if begins := c.Wait - c.Own; r.owed && begins <= room/beginPart {
+	wait := c.PredictedTTFB
+	if begins := c.PredictedTTFB - c.OwnPrefillTime; r.owed && begins <= room/beginPart {
 		wait = begins
 	}
 	return wait <= room && c.Load <= roomLoad*part
 }
 
-// Yield leaves an account less room the more it is served than others that lack service.
+// ShrinkByExcess leaves an account less room the more it is served than others that lack service.
 // Without it, accounts whose prompts happen to be kept, or short, fill whatever room there
 // is, and others, whose prompts must be read, get under half of what these get.
-type Yield struct{}
+type ShrinkByExcess struct{}
 
-var _ Scale = Yield{}
+var _ HeadroomScale = ShrinkByExcess{}
 
-// Scale implements Scale.
-func (Yield) Scale(now time.Time, s *quota.Shares, account string, part float64) float64 {
-	if excess := s.Excess(now, account); excess > roomExcess {
+// Scale implements HeadroomScale.
+func (ShrinkByExcess) Scale(now time.Time, s *quota.Shares, account string, part float64) float64 {
+	if excess := s.ExcessRatio(now, account); excess > roomExcess {
 		part *= (roomExcess / excess) * (roomExcess / excess)
 	}
 	return part
 }
 
-// Reach gives an account more room, up to the whole aim, the more another one is served
-// than it. It comes after Yield: an account that stands between two others is held against
+// GrowByDeficit gives an account more room, up to the whole aim, the more another one is served
+// than it. It comes after ShrinkByExcess: an account that stands between two others is held against
 // both.
-type Reach struct{}
+type GrowByDeficit struct{}
 
-var _ Scale = Reach{}
+var _ HeadroomScale = GrowByDeficit{}
 
-// Scale implements Scale.
-func (Reach) Scale(now time.Time, s *quota.Shares, account string, part float64) float64 {
-	if deficit := s.Deficit(now, account); deficit > roomExcess {
+// Scale implements HeadroomScale.
+func (GrowByDeficit) Scale(now time.Time, s *quota.Shares, account string, part float64) float64 {
+	if deficit := s.DeficitRatio(now, account); deficit > roomExcess {
 		part = min(part*(deficit/roomExcess)*(deficit/roomExcess), roomPart)
 	}
 	return part
--- a/internal/admission/sizes.go
+++ b/internal/admission/sizes.go
@@ -23,13 +23,13 @@
 	sizeClasses = 3
 )
 
-// Sizes keeps the size of a request from deciding whether it is served. Reading its own
+// SizeFairness keeps the size of a request from deciding whether it is served. Reading its own
 // part takes a large prompt longer than what counts as room, however idle the engines
 // are: nearly all that is refused would be large, and would be again when it comes back.
 //
 // It counts, by route and size, how many requests are owed the chance that others have.
 // Its zero value is empty; a nil one owes nothing.
-type Sizes struct {
+type SizeFairness struct {
 	routes map[string]*routeSizes
 }
 
@@ -46,11 +46,11 @@
 }
 
 // ask counts a request.
-func (s *Sizes) ask(r Request) sized {
-	if s == nil || len(r.Place.Parts) == 0 || r.Sent {
+func (s *SizeFairness) ask(r Request) sized {
+	if s == nil || len(r.Placement.Parts) == 0 || r.SentBefore {
 		return sized{}
 	}
-	own := r.Place.Own()
+	own := r.Placement.OwnTokens()
 	if s.routes == nil || len(s.routes) > mostRoutes {
 		s.routes = make(map[string]*routeSizes)
 	}
--- a/internal/admission/sizes_test.go
+++ b/internal/admission/sizes_test.go
@@ -27,15 +27,15 @@
 		now = now.Add(200 * time.Millisecond)
 		asked[own]++
 		r := request(own)
-		r.Until = now.Add(route.Timeout)
+		r.Deadline = now.Add(route.Timeout)
 		choice, no := d.Decide(now, r)
 		if no != nil {
 			require.Equal(t, fleet.ReasonOverShare, no.Reason)
 			continue
 		}
 		sent[own]++
-		d.Placer.First(now, choice)
-		d.Placer.Ended(now, choice, placement.Left)
+		d.Placer.RecordFirstByte(now, choice)
+		d.Placer.EndAttempt(now, choice, placement.Canceled)
 	}
 	require.Equal(t, asked[1000], sent[1000])
 	all := float64(sent[1000]+sent[50000]) / float64(asked[1000]+asked[50000])
@@ -48,7 +48,7 @@
 	d := desk(64)
 	fill := func() *placement.Choice {
 		r := request(7000)
-		r.Within = true
+		r.WithinShare = true
 		choice, no := d.Decide(start, r)
 		require.Nil(t, no)
 		return choice
@@ -58,20 +58,20 @@
 		_, no := d.Decide(start, request(50000))
 		require.NotNil(t, no)
 	}
-	d.Placer.First(start, before)
+	d.Placer.RecordFirstByte(start, before)
 	sent := 0
 	for range 10 {
 		choice, no := d.Decide(start, request(50000))
 		if no == nil {
 			sent++
-			d.Placer.First(start, choice)
+			d.Placer.RecordFirstByte(start, choice)
 		}
 	}
 	require.LessOrEqual(t, sent, mostOwed+1)
 }
 
 func TestSizesAreBounded(t *testing.T) {
-	var s Sizes
+	var s SizeFairness
 	for i := range 3 * mostRoutes {
 		r := request(100)
 		r.Route = &fleet.Route{Name: time.Duration(i).String()}
--- a/internal/dispatch/breaker.go
+++ b/internal/dispatch/breaker.go
@@ -34,7 +34,7 @@
 }
 
 func (b *breaker) probing() bool {
-	return b.failures >= breakAfter || b.limit.On()
+	return b.failures >= breakAfter || b.limit.Active()
 }
 
 // start is told that a request goes to the target.
@@ -45,7 +45,7 @@
 }
 
 func (b *breaker) begin() {
-	b.limit.Trusted = trusted
+	b.limit.TrustedConcurrency = trusted
 	b.limit.Begin()
 }
 
@@ -71,7 +71,7 @@
 func (b *breaker) succeed(first time.Duration) {
 	b.failures = 0
 	b.mean += time.Duration(paceGain * float64(first-b.mean))
-	b.limit.Served()
+	b.limit.RecordSuccess()
 }
 
 // pace is the target's mean time to the first byte.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -39,14 +39,14 @@
 type Job struct {
 	ID uint64
 	// Parts are the prompt. All but the last may be shared with other requests.
-	Parts []placement.Part
+	Parts []placement.PromptPart
 	// Output is how many tokens are generated.
 	Output int
 	// From is the engine from which parts that are lacking are copied, or nil.
 	From *Engine
 }
 
-func (j Job) shared() []placement.Part {
+func (j Job) shared() []placement.PromptPart {
 	return j.Parts[:max(len(j.Parts)-1, 0)]
 }
 
@@ -310,7 +310,7 @@
 	return lost
 }
 
-func tokens(parts []placement.Part) int {
+func tokens(parts []placement.PromptPart) int {
 	sum := 0
 	for _, p := range parts {
 		sum += p.Tokens
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -16,8 +16,8 @@
 	Slots: 2, Queue: 2, Memory: 10000, Step: 10 * time.Millisecond, PerSlot: time.Millisecond, ReadRate: 100, Chunk: 1000, CopyRate: 1000,
 }
 
-func prompt(own int, shared ...placement.Part) []placement.Part {
-	return append(shared, placement.Part{ID: 1, Tokens: own})
+func prompt(own int, shared ...placement.PromptPart) []placement.PromptPart {
+	return append(shared, placement.PromptPart{ID: 1, Tokens: own})
 }
 
 // play runs an engine until nothing runs, and returns all events.
@@ -75,7 +75,7 @@
 
 func TestSharedPartsAreReadOnce(t *testing.T) {
 	e := &Engine{Spec: small}
-	part := placement.Part{ID: 9, Tokens: 3000}
+	part := placement.PromptPart{ID: 9, Tokens: 3000}
 	e.Offer(start, Job{ID: 1, Parts: prompt(100, part), Output: 1})
 	play(t, e)
 	require.Equal(t, 3100, e.Counts().Read)
@@ -84,13 +84,13 @@
 	require.Equal(t, 3200, e.Counts().Read)
 	require.Zero(t, e.Counts().Again)
 	require.Equal(t, 3000, e.Holds(prompt(1, part)))
-	require.Zero(t, e.Holds(prompt(1, placement.Part{ID: 8, Tokens: 1}, part)), "a part counts only after those before it")
+	require.Zero(t, e.Holds(prompt(1, placement.PromptPart{ID: 8, Tokens: 1}, part)), "a part counts only after those before it")
 }
 
 func TestTheLeastRecentlyUsedPartsYield(t *testing.T) {
 	e := &Engine{Spec: small}
-	old, other, last := placement.Part{ID: 11, Tokens: 4000}, placement.Part{ID: 12, Tokens: 4000}, placement.Part{ID: 13, Tokens: 4000}
-	for i, p := range []placement.Part{old, other, last} {
+	old, other, last := placement.PromptPart{ID: 11, Tokens: 4000}, placement.PromptPart{ID: 12, Tokens: 4000}, placement.PromptPart{ID: 13, Tokens: 4000}
+	for i, p := range []placement.PromptPart{old, other, last} {
 		e.Offer(start.Add(time.Duration(i)*10*time.Second), Job{ID: uint64(i + 1), Parts: prompt(10, p), Output: 1})
 		play(t, e)
 	}
@@ -131,7 +131,7 @@
 
 func TestPartsAreCopiedInsteadOfRead(t *testing.T) {
 	from, e := &Engine{Spec: small}, &Engine{Spec: small}
-	part := placement.Part{ID: 9, Tokens: 4000}
+	part := placement.PromptPart{ID: 9, Tokens: 4000}
 	from.Offer(start, Job{ID: 1, Parts: prompt(100, part), Output: 1})
 	play(t, from)
 	e.Offer(start, Job{ID: 2, Parts: prompt(100, part), Output: 1, From: from})
@@ -144,7 +144,7 @@
 
 func TestACrashLosesEverything(t *testing.T) {
 	e := &Engine{Spec: small}
-	part := placement.Part{ID: 9, Tokens: 100}
+	part := placement.PromptPart{ID: 9, Tokens: 100}
 	for i := range 3 {
 		e.Offer(start, Job{ID: uint64(i + 1), Parts: prompt(100, part), Output: 10})
 	}
@@ -180,9 +180,9 @@
 			}
 			j := Job{ID: uint64(i + 1), Output: rapid.IntRange(1, 30).Draw(t, "output")}
 			if rapid.Bool().Draw(t, "shares") {
-				j.Parts = append(j.Parts, placement.Part{ID: uint64(100 + rapid.IntRange(0, 3).Draw(t, "part")), Tokens: 300})
+				j.Parts = append(j.Parts, placement.PromptPart{ID: uint64(100 + rapid.IntRange(0, 3).Draw(t, "part")), Tokens: 300})
 			}
-			j.Parts = append(j.Parts, placement.Part{ID: uint64(1000 + i), Tokens: rapid.IntRange(1, 900).Draw(t, "own")})
+			j.Parts = append(j.Parts, placement.PromptPart{ID: uint64(1000 + i), Tokens: rapid.IntRange(1, 900).Draw(t, "own")})
 			if e.Offer(now, j) {
 				taken[j.ID] = j.Output
 			}
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -24,7 +24,7 @@
 
 // holds returns how many tokens at the beginning of a prompt are kept: a part counts
 // only if all parts before it are kept.
-func (m *memory) holds(parts []placement.Part) int {
+func (m *memory) holds(parts []placement.PromptPart) int {
 	sum := 0
 	for _, p := range parts {
 		if k := m.parts[p.ID]; k == nil || !k.read {
@@ -57,7 +57,7 @@
 	return lacking, min(again, lacking)
 }
 
-func (m *memory) use(now time.Time, p placement.Part) {
+func (m *memory) use(now time.Time, p placement.PromptPart) {
 	k := m.parts[p.ID]
 	if k == nil {
 		k = &kept{tokens: p.Tokens}
--- a/internal/engine/predict.go
+++ b/internal/engine/predict.go
@@ -9,7 +9,7 @@
 
 // Unread returns the prompt tokens that are to be read before a job that comes
 // now, and how many of that job's own prompt.
-func (e *Engine) Unread(parts []placement.Part) (ahead, own int) {
+func (e *Engine) Unread(parts []placement.PromptPart) (ahead, own int) {
 	for _, r := range e.running {
 		ahead += r.unread
 	}
@@ -29,7 +29,7 @@
 }
 
 // Holds returns how many tokens at the beginning of a prompt are kept here.
-func (e *Engine) Holds(parts []placement.Part) int {
+func (e *Engine) Holds(parts []placement.PromptPart) int {
 	return e.memory.holds(parts[:max(len(parts)-1, 0)])
 }
 
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -70,12 +70,12 @@
 	return refusal{}, true
 }
 
-func cost(parts []placement.Part, output int) float64 {
+func cost(parts []placement.PromptPart, output int) float64 {
 	const generated = 2
 	return float64(generated*output + tokensOf(parts))
 }
 
-func tokensOf(parts []placement.Part) int {
+func tokensOf(parts []placement.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		tokens += p.Tokens
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -30,7 +30,7 @@
 		require.NoError(t, err)
 		return &request{
 			r: r, route: route, pool: "p", account: "x", tokens: 100, until: now.Add(route.Timeout),
-			parts: []placement.Part{{ID: 1, Tokens: 10}},
+			parts: []placement.PromptPart{{ID: 1, Tokens: 10}},
 		}
 	}
 	q := newRequest()
--- a/internal/gateway/crowd.go
+++ b/internal/gateway/crowd.go
@@ -36,7 +36,7 @@
 	if q.route.Keyless {
 		name = q.route.Name
 	}
-	return !g.throttle(q.pool).Ask(now, name)
+	return !g.throttle(q.pool).Allow(now, name)
 }
 
 // noteCrowd takes from a target's answer whether it had room.
@@ -48,11 +48,11 @@
 	now := g.Clock.Now()
 	long := false
 	if told {
-		g.placer.Loaded(now, target, waiting)
+		g.placer.SetReportedQueue(now, target, waiting)
 		long = q.route.Aim > 0 && g.placer.QueueTime(now, target, waiting) > q.route.Aim/longQueue
 	}
 	if q.route.Cached || unrun && g.Dialect.Moved(a.Status) {
 		return
 	}
-	g.throttle(q.pool).Ended(now, unrun || long)
+	g.throttle(q.pool).RecordAnswer(now, unrun || long)
 }
--- a/internal/gateway/cut.go
+++ b/internal/gateway/cut.go
@@ -29,7 +29,7 @@
 	g.Meters.cuts.Inc()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.placer.Takes(c.Target.Incarnation) {
+	if !g.placer.Accepts(c.Target.Incarnation) {
 		return // it leaves, and was expected to end
 	}
 	q.cut = true
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -26,7 +26,7 @@
 	Key(h http.Header) string
 	// Prompt returns the parts of a request's prompt and the most tokens that
 	// may be generated.
-	Prompt(h http.Header) (parts []placement.Part, output int)
+	Prompt(h http.Header) (parts []placement.PromptPart, output int)
 	// Instruct turns a caller's headers into those for a target.
 	Instruct(h http.Header, i Instruction)
 	// Unrun reports whether a target's answer says that it did not run the
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -73,7 +73,7 @@
 	placer    placement.Placer
 	budgets   map[string]*retry.Budget
 	shares    quota.Shares
-	desk      admission.Desk                // set with the first choice
+	desk      admission.Controller          // set with the first choice
 	throttles map[string]*throttle.Throttle // of plain services, by pool
 	ruled     chan struct{}                 // closed when the leader has told of held requests
 	probing   map[fleet.Incarnation]bool    // targets that are looked for after a cut
@@ -112,22 +112,22 @@
 func (g *Gateway) SetWarming(until map[fleet.Incarnation]time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.SetWarming(until)
+	g.placer.SetColdUntil(until)
 }
 
 // LeaseSeat takes the part of what cold targets get that is this router's from when it
 // asked. It may be called at any time.
-func (g *Gateway) LeaseSeat(asked time.Time, s warmup.Seat) {
+func (g *Gateway) LeaseSeat(asked time.Time, s warmup.Lease) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.Warmup.Lease(asked, s)
+	g.placer.Warmup.SetLease(asked, s)
 }
 
 // Seat returns that part while it holds. It may be called at any time.
-func (g *Gateway) Seat(now time.Time) warmup.Seat {
+func (g *Gateway) Seat(now time.Time) warmup.Lease {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.placer.Warmup.Seat(now)
+	return g.placer.Warmup.CurrentLease(now)
 }
 
 // Load returns what this router's callers ask for and what waits at targets. It
@@ -143,8 +143,8 @@
 func (g *Gateway) Heard(now time.Time, demand []message.Demand, others []message.Backlog) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shares.SetFleet(demand)
-	g.placer.SetOthers(now, others)
+	g.shares.SetFleetDemand(demand)
+	g.placer.SetRemoteBacklog(now, others)
 }
 
 // Run serves until ctx ends, and then finishes what is in progress within the
@@ -239,7 +239,7 @@
 func (g *Gateway) takes(target fleet.Incarnation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.placer.Takes(target)
+	return g.placer.Accepts(target)
 }
 
 // serveReady tells the balancer whether to send callers here. A router whose
--- a/internal/gateway/hang.go
+++ b/internal/gateway/hang.go
@@ -109,5 +109,5 @@
 	}
 	left := min(q.until.Sub(now), q.route.Patience()-now.Sub(q.arrived))
 	limit := left / hangPart
-	return limit, limit > 0 && limit >= hangSlack*c.Wait
+	return limit, limit > 0 && limit >= hangSlack*c.PredictedTTFB
 }
--- a/internal/gateway/meters.go
+++ b/internal/gateway/meters.go
@@ -94,7 +94,7 @@
 	m.addGauge("lf_targets", "Targets that take new work.", func() float64 {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return float64(g.placer.Takers())
+		return float64(g.placer.AcceptingCount())
 	})
 	m.addGauge("lf_ready", "Whether the balancer is told to send callers here.", func() float64 {
 		if !g.Ready() || g.callers.behind() {
--- a/internal/gateway/pass.go
+++ b/internal/gateway/pass.go
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case err != nil && left(q.r.Context()):
-		g.ended(c, placement.Left)
+		g.ended(c, placement.Canceled)
 		g.logSend(q, c, started, fleet.AttemptCallerLeft, err)
 		return outcome{next: over, reason: fleet.ReasonCallerLeft, err: err}
 	case err != nil:
@@ -107,7 +107,7 @@
 		g.first(q, c)
 		if len(piece) > 0 {
 			if writeErr := g.pass(q, rc, piece); writeErr != nil {
-				g.ended(c, placement.Left)
+				g.ended(c, placement.Canceled)
 				g.logSend(q, c, started, fleet.AttemptCallerLeft, writeErr)
 				return outcome{next: over, reason: fleet.ReasonCallerTookNoMore, err: writeErr}
 			}
@@ -140,7 +140,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.First(now, c)
+	g.placer.RecordFirstByte(now, c)
 }
 
 // streams reports whether an answer is a stream of events.
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -18,8 +18,8 @@
 const (
 	// soon and moment are when a caller may come back that was refused before any
 	// decision: at another router, or once a place may have come free.
-	soon   = admission.Soon
-	moment = admission.Moment
+	soon   = admission.MinRetryAfter
+	moment = admission.NoCapacityRetryAfter
 	// drainTime and drainBytes bound what is read of a refused request.
 	drainTime  = 500 * time.Millisecond
 	drainBytes = 8 << 20
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -43,16 +43,16 @@
 	conn, err := g.pool.Get(ctx, c.Target.Incarnation, c.Target.Address)
 	if err != nil {
 		if ctx.Err() != nil {
-			g.ended(c, placement.Left)
+			g.ended(c, placement.Canceled)
 			return outcome{next: over, reason: fleet.ReasonCallerLeft, err: err}
 		}
-		g.ended(c, placement.Unreached)
+		g.ended(c, placement.ConnectFailed)
 		g.logSend(q, c, started, fleet.AttemptUnreached, err)
 		return outcome{next: elsewhere, reason: fleet.ReasonNoConnection, err: err, unrun: true}
 	}
 	if !g.maySend(c) {
 		g.pool.Return(c.Target.Incarnation, conn)
-		g.ended(c, placement.Left)
+		g.ended(c, placement.Canceled)
 		g.logSend(q, c, started, fleet.AttemptClosed, nil)
 		return outcome{next: elsewhere, reason: fleet.ReasonClosed, unrun: true}
 	}
@@ -77,7 +77,7 @@
 func (g *Gateway) maySend(c *placement.Choice) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.placer.Sent(g.Clock.Now(), c)
+	return g.placer.ConfirmSend(g.Clock.Now(), c)
 }
 
 // instruct makes the request for a target of a caller's.
@@ -101,7 +101,7 @@
 // failed judges an attempt without an answer: the target may have run it.
 func (g *Gateway) failed(q *request, c *placement.Choice, started time.Time, err error) outcome {
 	if q.r.Context().Err() != nil {
-		g.ended(c, placement.Left)
+		g.ended(c, placement.Canceled)
 		g.logSend(q, c, started, fleet.AttemptCallerLeft, err)
 		return outcome{next: over, reason: fleet.ReasonCallerLeft, err: err}
 	}
@@ -156,7 +156,7 @@
 	drain(a)
 	if g.Dialect.Moved(a.Status) {
 		q.moved++
-		g.ended(c, placement.Unreached)
+		g.ended(c, placement.ConnectFailed)
 		g.logSend(q, c, started, fleet.AttemptMoved, nil, "status", a.Status)
 		return outcome{next: again, reason: fleet.ReasonMoved, unrun: true}
 	}
@@ -176,8 +176,8 @@
 	now := g.Clock.Now()
 	args := []any{
 		"request", q.id, "target", c.Target.ID, "born", c.Target.Born, "zone", c.Target.Zone, "pool", c.Target.Pool, "result", result,
-		"try", q.sent, "home", c.Home, "copy", c.CopyFrom, "load", c.Load, "queue", c.Queue.Milliseconds(), "unread", c.Unread, "predicted", c.Wait.Milliseconds(),
-		"first", c.First.Milliseconds(), "took", now.Sub(started).Milliseconds(), "left", q.until.Sub(now).Milliseconds(),
+		"try", q.sent, "home", c.IsOwner, "copy", c.CopyFrom, "load", c.Load, "queue", c.QueueTime.Milliseconds(), "unread", c.PrefillTokens, "predicted", c.PredictedTTFB.Milliseconds(),
+		"first", c.TTFB.Milliseconds(), "took", now.Sub(started).Milliseconds(), "left", q.until.Sub(now).Milliseconds(),
 	}
 	if err != nil {
 		args = append(args, "error", err)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -31,7 +31,7 @@
 	pool    string
 	account string
 	body    []byte
-	parts   []placement.Part
+	parts   []placement.PromptPart
 	tokens  float64 // that the request costs: one each to read, two to generate
 	within  bool    // its account's share
 	charged bool    // its account has paid for it
@@ -158,11 +158,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.desk.Placer == nil {
-		g.desk = admission.NewDesk(&g.placer, &g.shares)
+		g.desk = admission.NewController(&g.placer, &g.shares)
 	}
 	choice, no := g.desk.Decide(now, admission.Request{
-		Place: placement.Request{Pool: q.pool, Parts: q.parts, Avoid: q.tried, Only: q.verdict.Target}, Route: q.route, Account: q.account,
-		Tokens: q.tokens, Until: q.until, Within: q.within, Surplus: q.surplus, Sent: q.sent > 0, Charged: q.charged,
+		Placement: placement.Request{Pool: q.pool, Parts: q.parts, Avoid: q.tried, OnlyTarget: q.verdict.Target}, Route: q.route, Account: q.account,
+		Cost: q.tokens, Deadline: q.until, WithinShare: q.within, Throttled: q.surplus, SentBefore: q.sent > 0, Charged: q.charged,
 	})
 	if no != nil {
 		return nil, refusalOf(*no), false
@@ -175,8 +175,8 @@
 // the account's to hold back; all else is the fleet's want of room.
 func refusalOf(no admission.Refusal) refusal {
 	r := refusal{
-		status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: no.Reason, back: no.Back,
-		wait: no.Wait, queue: no.Queue, load: no.Load, excess: no.Excess,
+		status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: no.Reason, back: no.RetryAfter,
+		wait: no.PredictedTTFB, queue: no.QueueTime, load: no.Load, excess: no.Excess,
 	}
 	if no.Reason == fleet.ReasonOverShare {
 		r.status, r.kind = http.StatusTooManyRequests, fleet.KindQueueFull
@@ -200,7 +200,7 @@
 func (g *Gateway) ended(c *placement.Choice, r placement.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.Ended(g.Clock.Now(), c, r)
+	g.placer.EndAttempt(g.Clock.Now(), c, r)
 }
 
 func (g *Gateway) budget(pool string) *retry.Budget {
@@ -220,9 +220,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
-	g.budget(q.pool).Request(now)
+	g.budget(q.pool).CountRequest(now)
 	q.surplus = g.keptBack(now, q)
-	q.within = q.tokens == 0 || g.shares.Ask(now, q.account, q.tokens)
+	q.within = q.tokens == 0 || g.shares.CountRequest(now, q.account, q.tokens)
 }
 
 // tries returns how many targets may have run the request. Another one that has the address by
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -32,17 +32,17 @@
 	damaged []string // IDs that damaged entries of the list name
 	packed  []byte   // targets
 	sums    packedSums
-	names   quota.Names // of accounts
+	names   quota.AccountList // of accounts
 	// list counts the changes of targets within the term.
 	list   uint64
 	term   uint64
 	readAt time.Time
-	board  quota.Board
+	board  quota.Aggregator
 	own    ledger.Document // the product's own configuration, packed
 
 	warming warming
-	seats   warmup.Seats // of seatsOf
-	seatsOf uint64       // the term
+	seats   warmup.LeaseTable // of seatsOf
+	seatsOf uint64            // the term
 }
 
 // renew answers a router. The lease of the leader is looked up right here: the
@@ -109,7 +109,7 @@
 func (c *core) loads(now time.Time, held uint32) []byte {
 	demand, backlog, summed := c.routes.board.Sums(now)
 	if c.routes.sums.named == nil || !summed.Equal(c.routes.sums.at) {
-		sums, err := packSums(summed, quota.Columns(c.routes.names.Cover(demand), backlog, c.routes.targets), c.routes.names.Digest())
+		sums, err := packSums(summed, quota.EncodeColumns(c.routes.names.Align(demand), backlog, c.routes.targets), c.routes.names.Digest())
 		if err != nil {
 			c.log.Error("loads cannot be packed: routers go on with those before", "error", err)
 			return nil
@@ -153,9 +153,9 @@
 }
 
 // seats returns the leases on parts of what cold targets get, of this keeper's term.
-func (c *core) seats(now time.Time) *warmup.Seats {
+func (c *core) seats(now time.Time) *warmup.LeaseTable {
 	if term := c.node.Term(); c.routes.seatsOf != term {
-		c.routes.seats, c.routes.seatsOf = warmup.Seats{Since: now}, term
+		c.routes.seats, c.routes.seatsOf = warmup.LeaseTable{LeaderSince: now}, term
 	}
 	return &c.routes.seats
 }
--- a/internal/message/packedrenew_test.go
+++ b/internal/message/packedrenew_test.go
@@ -14,7 +14,7 @@
 
 var usualRenew = Renew{
 	Router: "edge-saskatoon-hall-24", Zone: "saskatoon-hall", Inc: 1768162640001967916, Number: 2, Term: 1, List: 7, Columns: true,
-	Seat:       warmup.Seat{Number: 68, Of: 86, Ready: true},
+	Seat:       warmup.Lease{Number: 68, Total: 86, Ready: true},
 	Demand:     []Demand{{Account: "dele205", Rate: 22, Served: 22}, {Account: "lobo7613", Rate: 20035, Served: 19000}, {Account: "noka630", Rate: 91, Served: 91}},
 	Backlog:    []Backlog{{Target: "i-9e2dcdc56a", Born: 1768162640001, Tokens: 9000, Running: 1}, {Target: "i-77c0e2f1aa", Born: 1768162640001, Running: 2}},
 	Quarantine: &quarantine.Report{},
--- a/internal/message/renew.go
+++ b/internal/message/renew.go
@@ -29,7 +29,7 @@
 	// Evacuations is the revision of the evacuated zones that the router holds.
 	Evacuations uint64 `json:"evacuations,omitempty"`
 	// Seat is the router's lease on a part of what cold targets may get, if it has not lapsed.
-	Seat warmup.Seat `json:"seat,omitzero"`
+	Seat warmup.Lease `json:"seat,omitzero"`
 	// Demand is what the accounts ask for through this router.
 	Demand []Demand `json:"demand,omitempty"`
 	// Backlog is what this router has sent to targets.
@@ -100,7 +100,7 @@
 	// Evacuations are the evacuated zones, if the router does not hold them yet.
 	Evacuations *fleet.Evacuations `json:"evacuations,omitempty"`
 	// Seat is leased to the router from when it asked.
-	Seat warmup.Seat `json:"seat,omitzero"`
+	Seat warmup.Lease `json:"seat,omitzero"`
 	// Age is how long before this answer the list was read.
 	Age time.Duration `json:"age,omitempty"`
 	// Routers is how many routers have renewed lately.
--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -20,8 +20,8 @@
 	return list
 }
 
-// SetOthers takes what all other routers have sent to targets.
-func (p *Placer) SetOthers(now time.Time, list []message.Backlog) {
+// SetRemoteBacklog takes what all other routers have sent to targets.
+func (p *Placer) SetRemoteBacklog(now time.Time, list []message.Backlog) {
 	for _, s := range p.states {
 		s.others, s.othersAt = message.Backlog{}, now
 	}
--- a/internal/placement/chance.go
+++ b/internal/placement/chance.go
@@ -20,10 +20,10 @@
 }
 
 func (p *Placer) chanceOf(r Request) chance {
-	if len(r.Parts) == 0 || p.Certain {
+	if len(r.Parts) == 0 || p.NoJitter {
 		return chance{}
 	}
-	return chance{most: quota.Period(p.Routers) / chancePart, seed: r.Parts[len(r.Parts)-1].ID}
+	return chance{most: quota.ReportPeriod(p.Routers) / chancePart, seed: r.Parts[len(r.Parts)-1].ID}
 }
 
 // of returns the cost of a target.
--- a/internal/placement/chance_test.go
+++ b/internal/placement/chance_test.go
@@ -17,7 +17,7 @@
 	for i := range routers {
 		p := &Placer{Zone: fleet.Zone(fmt.Sprint("z", i%3)), Routers: routers}
 		p.SetTargets(start, instances(engines))
-		got[send(t, p, start, Request{Pool: "engines", Parts: []Part{{ID: uint64(i) * 7919, Tokens: 700}}}).Target.ID]++
+		got[send(t, p, start, Request{Pool: "engines", Parts: []PromptPart{{ID: uint64(i) * 7919, Tokens: 700}}}).Target.ID]++
 	}
 	most := 0
 	for _, n := range got {
--- a/internal/placement/copy.go
+++ b/internal/placement/copy.go
@@ -107,7 +107,7 @@
 // request at either.
 func (p *Placer) need(now time.Time, s *state, r Request, k keepers) need {
 	lacking := s.lacking(now, r)
-	n := need{read: r.Own()}
+	n := need{read: r.OwnTokens()}
 	counts := s != k.home || k.stay && k.elsewhere(s)
 	if counts {
 		n.read += lacking
@@ -121,7 +121,7 @@
 	}
 	n.from = from
 	if counts {
-		n.read, n.copied = r.Own(), lacking
+		n.read, n.copied = r.OwnTokens(), lacking
 	}
 	return n
 }
--- a/internal/placement/copy_test.go
+++ b/internal/placement/copy_test.go
@@ -18,8 +18,8 @@
 
 // crowd fills an engine with what it has to read first.
 func crowd(t *testing.T, p *Placer, s *state, now time.Time) {
-	c := &Choice{Target: s.Instance, state: s, Unread: 100_000}
-	p.Begin(now, c, Request{})
+	c := &Choice{Target: s.Instance, state: s, PrefillTokens: 100_000}
+	p.StartAttempt(now, c, Request{})
 	require.GreaterOrEqual(t, s.pending, 100_000)
 }
 
@@ -32,19 +32,19 @@
 	r := prompt(1, 13000, 3000)
 	home := p.keepers(start, r).home
 	first := send(t, p, start, r)
-	require.True(t, first.Home)
-	p.First(start, first)
+	require.True(t, first.IsOwner)
+	p.RecordFirstByte(start, first)
 	now := start.Add(keptFor + time.Second) // no target is new any more
 	crowd(t, p, home, now)
 	c := send(t, p, now, r)
-	require.False(t, c.Home)
-	require.Equal(t, 3000, c.Unread, "it reads its own part alone")
+	require.False(t, c.IsOwner)
+	require.Equal(t, 3000, c.PrefillTokens, "it reads its own part alone")
 	require.Equal(t, home, c.need.from)
 	require.Equal(t, home.Address, c.CopyFrom)
 	require.Equal(t, 13000, home.copying)
-	p.First(now, c)
+	p.RecordFirstByte(now, c)
 	require.Zero(t, home.copying)
-	p.Ended(now, c, Served)
+	p.EndAttempt(now, c, Served)
 	require.Zero(t, home.copying)
 
 	next := send(t, p, now, r)
@@ -69,7 +69,7 @@
 			continue
 		}
 		c := send(t, p, now, r)
-		require.True(t, c.Home)
+		require.True(t, c.IsOwner)
 		require.Equal(t, k.second, c.need.from)
 		again := send(t, p, now, r)
 		require.Nil(t, again.need.from)
@@ -101,7 +101,7 @@
 	r := prompt(1, 13000, 3000)
 	for name, trouble := range map[string]func(p *Placer, c *Choice) time.Time{
 		"unreached": func(p *Placer, c *Choice) time.Time {
-			p.Ended(start, c, Unreached)
+			p.EndAttempt(start, c, ConnectFailed)
 			return start
 		},
 		"silent": func(*Placer, *Choice) time.Time { return start.Add(5 * time.Second) },
@@ -110,9 +110,9 @@
 			p := copier(9)
 			now := trouble(p, send(t, p, start, r))
 			c := send(t, p, now, r)
-			require.False(t, c.Home)
+			require.False(t, c.IsOwner)
 			require.Nil(t, c.need.from)
-			require.Equal(t, 16000, c.Unread)
+			require.Equal(t, 16000, c.PrefillTokens)
 		})
 	}
 }
@@ -122,9 +122,9 @@
 	r := prompt(1, 13000, 3000)
 	crowd(t, p, p.keepers(start, r).home, start)
 	c := send(t, p, start, r)
-	require.False(t, c.Home)
+	require.False(t, c.IsOwner)
 	require.Empty(t, c.CopyFrom)
-	require.Equal(t, 16000, c.Unread)
+	require.Equal(t, 16000, c.PrefillTokens)
 }
 
 // Symptom: on engines with fast links, parts are copied about until they displace
@@ -136,7 +136,7 @@
 	p.SetPools(map[string]fleet.Pool{"engines": {Engine: &fleet.Engine{CopyRate: 1e6}}})
 	r := prompt(1, 13000, 3000)
 	send(t, p, start, r)
-	require.True(t, send(t, p, start, r).Home, "one request ahead is no reason to copy")
+	require.True(t, send(t, p, start, r).IsOwner, "one request ahead is no reason to copy")
 }
 
 // Symptom: shared parts are read twice within seconds, at two engines.
@@ -152,17 +152,17 @@
 		t.Run(tc.name, func(t *testing.T) {
 			p, r := tc.placer, prompt(1, 5000, 3000)
 			home := p.keepers(start, r).home
-			behind := &Choice{Target: home.Instance, state: home, Unread: 100_000}
-			p.Begin(start, behind, Request{})
+			behind := &Choice{Target: home.Instance, state: home, PrefillTokens: 100_000}
+			p.StartAttempt(start, behind, Request{})
 			first := send(t, p, start, r)
 			require.NotEqual(t, home.ID, first.Target.ID)
-			p.First(start, first)
-			p.First(start, behind)
+			p.RecordFirstByte(start, first)
+			p.RecordFirstByte(start, behind)
 
 			now := start.Add(time.Second)
 			next := send(t, p, now, r)
 			require.Equal(t, first.Target.ID, next.Target.ID)
-			require.Equal(t, 3000, next.Unread)
+			require.Equal(t, 3000, next.PrefillTokens)
 
 			// Where that engine is behind in turn, the home copies what it lacks, if it can.
 			crowd(t, p, next.state, now)
@@ -170,7 +170,7 @@
 			require.NotEqual(t, first.Target.ID, third.Target.ID)
 			if p.engines["engines"].CopyRate > 0 {
 				require.Equal(t, next.state, third.need.from)
-				require.Equal(t, 3000, third.Unread)
+				require.Equal(t, 3000, third.PrefillTokens)
 			}
 		})
 	}
@@ -192,7 +192,7 @@
 		r := prompt(1, shared, 3000)
 		k := p.keepers(now, r)
 		tokens := int(queue.Seconds() * 1000 * assumedRate)
-		p.Begin(now, &Choice{Target: k.home.Instance, state: k.home, Unread: tokens}, Request{})
-		require.Equal(t, home, send(t, p, now, r).Home, "a queue of %s", queue)
+		p.StartAttempt(now, &Choice{Target: k.home.Instance, state: k.home, PrefillTokens: tokens}, Request{})
+		require.Equal(t, home, send(t, p, now, r).IsOwner, "a queue of %s", queue)
 	}
 }
--- a/internal/placement/hang_test.go
+++ b/internal/placement/hang_test.go
@@ -26,7 +26,7 @@
 	for range 300 { // 15 s
 		now = now.Add(50 * time.Millisecond)
 		for len(hanging) > 0 && !now.Before(hanging[0].left) {
-			p.Ended(now, hanging[0].c, Left)
+			p.EndAttempt(now, hanging[0].c, Canceled)
 			hanging = hanging[1:]
 		}
 		c := send(t, p, now, r)
@@ -35,8 +35,8 @@
 			hanging = append(hanging, attempt{c, now.Add(2400 * time.Millisecond)})
 			continue
 		}
-		p.First(now, c)
-		p.Ended(now, c, Served)
+		p.RecordFirstByte(now, c)
+		p.EndAttempt(now, c, Served)
 	}
 	require.Less(t, atHome, 20, "22 where a caller that leaves counts as an answer")
 }
@@ -50,6 +50,6 @@
 		now = now.Add(50 * time.Millisecond)
 		c := send(t, p, now, r)
 		require.Equal(t, home, c.Target.ID)
-		p.Ended(now.Add(20*time.Millisecond), c, Left)
+		p.EndAttempt(now.Add(20*time.Millisecond), c, Canceled)
 	}
 }
--- a/internal/placement/incarnation_test.go
+++ b/internal/placement/incarnation_test.go
@@ -36,10 +36,10 @@
 		require.Equal(t, home, c.state)
 		open = append(open, c)
 	}
-	p.Ended(start, open[0], Failed)
-	p.Ended(start, open[1], Unreached)
-	p.Loaded(start, home.Incarnation, 9)
-	p.SetOthers(start, []message.Backlog{{Target: home.ID, Tokens: 90_000, Running: 60}})
+	p.EndAttempt(start, open[0], Failed)
+	p.EndAttempt(start, open[1], ConnectFailed)
+	p.SetReportedQueue(start, home.Incarnation, 9)
+	p.SetRemoteBacklog(start, []message.Backlog{{Target: home.ID, Tokens: 90_000, Running: 60}})
 	require.Positive(t, home.trouble(start, 0))
 
 	p.SetTargets(start, born(instances(3), home.ID, 2000))
@@ -47,16 +47,16 @@
 	require.Equal(t, home.ID, next.ID, "its parts still belong there")
 	require.NotSame(t, home, next)
 	require.Zero(t, next.trouble(start, 0))
-	require.False(t, next.probation.On())
+	require.False(t, next.probation.Active())
 	require.Equal(t, 13000, next.lacking(start, r))
 	require.Zero(t, next.load(start))
 	require.Zero(t, next.told(start))
 	require.Empty(t, p.Backlog(), "what the former start was sent is gone with it")
-	require.False(t, p.Takes(home.Incarnation))
-	require.True(t, p.Takes(next.Incarnation))
+	require.False(t, p.Accepts(home.Incarnation))
+	require.True(t, p.Accepts(next.Incarnation))
 
-	p.First(start, open[2])
-	p.Ended(start, open[2], Failed)
+	p.RecordFirstByte(start, open[2])
+	p.EndAttempt(start, open[2], Failed)
 	require.Zero(t, home.running, "it ends at the former start")
 	require.Zero(t, home.pending)
 	require.Zero(t, next.running)
@@ -72,13 +72,13 @@
 	r := prompt(1, 13000, 3000)
 	now := start.Add(time.Hour)
 	sent := send(t, p, now, r)
-	require.True(t, sent.Home)
+	require.True(t, sent.IsOwner)
 	require.Nil(t, sent.need.from, "it has been there for long")
 	p.SetTargets(now, born(instances(9), sent.Target.ID, 2000))
 	k := p.keepers(start, r)
 	require.Equal(t, sent.Target.ID, k.home.ID)
 	next := send(t, p, now, r)
-	require.True(t, next.Home)
+	require.True(t, next.IsOwner)
 	require.Equal(t, k.second, next.need.from)
 	require.Nil(t, send(t, p, now, r).need.from, "it has them by now")
 }
@@ -89,7 +89,7 @@
 func TestBacklogsWithoutAStartCount(t *testing.T) {
 	p := placer(2)
 	p.SetTargets(start, born(instances(2), "i-0", 2000))
-	p.SetOthers(start, []message.Backlog{
+	p.SetRemoteBacklog(start, []message.Backlog{
 		{Target: "i-0", Tokens: 10, Running: 1},
 		{Target: "i-0", Born: 2000, Tokens: 5, Running: 1},
 		{Target: "i-0", Born: 1000, Tokens: 700, Running: 7},
--- a/internal/placement/learn.go
+++ b/internal/placement/learn.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// First notes that the answer of an attempt has begun.
-func (p *Placer) First(now time.Time, c *Choice) {
+// RecordFirstByte notes that the answer of an attempt has begun.
+func (p *Placer) RecordFirstByte(now time.Time, c *Choice) {
 	if !c.waiting {
 		return
 	}
 	c.waiting = false
-	c.First = now.Sub(c.sent)
-	c.state.first(now, c.Unread)
+	c.TTFB = now.Sub(c.sent)
+	c.state.first(now, c.PrefillTokens)
 	c.need.done()
 }
 
@@ -31,18 +31,18 @@
 		fall     = 0.005
 		mostRise = 1.5 // times what is believed
 	)
-	took := c.First
-	if c.Unread == 0 {
+	took := c.TTFB
+	if c.PrefillTokens == 0 {
 		// Waiting for slots is predicted by itself: with it in the mean, a service
 		// of 30 ms whose slots were all taken was predicted to need a second, and
 		// requests that it would have answered in 140 ms were refused.
 		p.learnTime(now, c, time.Duration(float64(took)/c.rounds), assumedTime)
 		return
 	}
-	if !c.warm || c.Unread < enough || took <= 0 {
+	if !c.warm || c.PrefillTokens < enough || took <= 0 {
 		return
 	}
-	seen := min(float64(c.Unread)/(float64(took)/float64(time.Millisecond)), mostRise*p.readRate())
+	seen := min(float64(c.PrefillTokens)/(float64(took)/float64(time.Millisecond)), mostRise*p.readRate())
 	weight := fall
 	if seen > p.readRate() {
 		weight = rise
--- a/internal/placement/learn_test.go
+++ b/internal/placement/learn_test.go
@@ -21,20 +21,20 @@
 	answer := func(subject uint64, took time.Duration, r Result) *Choice {
 		c := send(t, p, now, prompt(subject, 5000, own))
 		now = now.Add(took)
-		p.First(now, c)
-		p.Ended(now, c, r)
+		p.RecordFirstByte(now, c)
+		p.EndAttempt(now, c, r)
 		return c
 	}
 	for i := range uint64(200) {
 		answer(i%10, own/rate*time.Millisecond, Served)
 	}
 	before := answer(1, own/rate*time.Millisecond, Served)
-	require.InDelta(t, own/rate, before.Wait.Milliseconds(), 20)
+	require.InDelta(t, own/rate, before.PredictedTTFB.Milliseconds(), 20)
 	for i := range uint64(200) {
 		answer(i%10, 2*time.Millisecond, Failed)
 	}
 	now = now.Add(10 * failMemory)
-	require.InDelta(t, before.Wait.Milliseconds(), answer(1, time.Millisecond, Served).Wait.Milliseconds(), 20)
+	require.InDelta(t, before.PredictedTTFB.Milliseconds(), answer(1, time.Millisecond, Served).PredictedTTFB.Milliseconds(), 20)
 }
 
 // Symptom: as above, after one answer.
@@ -47,13 +47,13 @@
 	for range 200 {
 		c := send(t, p, now, prompt(1, 5000, own))
 		now = now.Add(own / rate * time.Millisecond)
-		p.First(now, c)
-		p.Ended(now, c, Served)
+		p.RecordFirstByte(now, c)
+		p.EndAttempt(now, c, Served)
 	}
 	before := p.readRate()
 	c := send(t, p, now, prompt(1, 5000, own))
 	now = now.Add(time.Millisecond)
-	p.First(now, c)
-	p.Ended(now, c, Served)
+	p.RecordFirstByte(now, c)
+	p.EndAttempt(now, c, Served)
 	require.Less(t, p.readRate(), 1.2*before)
 }
--- a/internal/placement/locality_test.go
+++ b/internal/placement/locality_test.go
@@ -73,5 +73,5 @@
 	p.SetTargets(start, instances(60))
 	c := send(t, p, start, prompt(1, 6_000, 300))
 	require.NotEqual(t, fleet.Zone("z0"), c.Target.Zone)
-	require.True(t, c.Home)
+	require.True(t, c.IsOwner)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -75,9 +75,9 @@
 	since  time.Time
 }
 
-// A Part is one part of a prompt. Requests share parts; the last one is the
+// A PromptPart is one part of a prompt. Requests share parts; the last one is the
 // request's own.
-type Part struct {
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -85,23 +85,23 @@
 // A Request is what the choice of a target depends on.
 type Request struct {
 	Pool  string
-	Parts []Part
+	Parts []PromptPart
 	// Avoid are targets that the request was sent to before.
 	Avoid []fleet.Incarnation
-	// Only is the ID of the one target that may have the request, "" for any.
-	Only string
+	// OnlyTarget is the ID of the one target that may have the request, "" for any.
+	OnlyTarget string
 }
 
 // shared returns the parts that other requests may have too.
-func (r Request) shared() []Part {
+func (r Request) shared() []PromptPart {
 	if len(r.Parts) == 0 {
 		return nil
 	}
 	return r.Parts[:len(r.Parts)-1]
 }
 
-// Own returns the tokens of the request's own part, which nothing but reading provides.
-func (r Request) Own() int {
+// OwnTokens returns the tokens of the request's own part, which nothing but reading provides.
+func (r Request) OwnTokens() int {
 	if len(r.Parts) == 0 {
 		return 0
 	}
@@ -109,27 +109,27 @@
 }
 
 // A Choice is the target of one attempt at a request. Where the request is
-// sent, tell Begin, and then Ended exactly once.
+// sent, tell StartAttempt, and then EndAttempt exactly once.
 type Choice struct {
 	Target fleet.Instance
-	// Queue is how long others are predicted to hold the request up, and Wait
+	// QueueTime is how long others are predicted to hold the request up, and Wait
 	// the time to the first byte of the answer.
-	// Own is the part of Wait for reading the request's own part, which no other target
+	// OwnPrefillTime is the part of Wait for reading the request's own part, which no other target
 	// and no later time would spare it.
-	Queue time.Duration
-	Wait  time.Duration
-	Own   time.Duration
+	QueueTime      time.Duration
+	PredictedTTFB  time.Duration
+	OwnPrefillTime time.Duration
 	// Load is the part of the target's slots that is taken.
 	Load float64
-	// Unread is how many tokens of the prompt the target has to read.
-	Unread int
+	// PrefillTokens is how many tokens of the prompt the target has to read.
+	PrefillTokens int
 	// CopyFrom is the address of the engine that keeps parts which this one
 	// lacks, or "".
 	CopyFrom string
-	// Home says that the target is where the prompt's shared parts belong.
-	Home bool
-	// First is how long the first byte of the answer took; 0 until it comes.
-	First time.Duration
+	// IsOwner says that the target is where the prompt's shared parts belong.
+	IsOwner bool
+	// TTFB is how long the first byte of the answer took; 0 until it comes.
+	TTFB time.Duration
 
 	state   *state
 	need    need
@@ -148,14 +148,14 @@
 const (
 	// Served is a whole answer.
 	Served Result = iota
-	// Left means that the caller did not wait for the answer, or its end.
-	Left
+	// Canceled means that the caller did not wait for the answer, or its end.
+	Canceled
 	// Refused is an answer that says that the request was not run.
 	Refused
 	// Failed is an answer of failure, or none.
 	Failed
-	// Unreached means that no connection was made.
-	Unreached
+	// ConnectFailed means that no connection was made.
+	ConnectFailed
 )
 
 // A Placer chooses targets. Set the exported fields, then call its methods from
@@ -164,20 +164,20 @@
 	Zone fleet.Zone
 	// Routers is how many routers share the targets.
 	Routers int
-	// Certain leaves chance out of choices.
-	Certain bool
+	// NoJitter leaves chance out of choices.
+	NoJitter bool
 	// Warmup is this router's part of what cold targets get.
 	Warmup warmup.Budget
 
 	states  map[fleet.Incarnation]*state
 	last    map[uint64]lastSent // by last shared part
 	pools   map[string][]*state
-	takers  map[string]int          // how many of a pool take new work
-	locals  map[string]int          // how many of these are in this router's zone
-	engines map[string]fleet.Engine // by pool
-	fails   []float64               // scratch of usualFailing
-	rate    float64                 // prompt tokens read in a millisecond by one engine
-	bounds  map[string]warmup.Bound // by pool
+	takers  map[string]int              // how many of a pool take new work
+	locals  map[string]int              // how many of these are in this router's zone
+	engines map[string]fleet.Engine     // by pool
+	fails   []float64                   // scratch of usualFailing
+	rate    float64                     // prompt tokens read in a millisecond by one engine
+	bounds  map[string]warmup.RateLimit // by pool
 
 	evacuations fleet.Evacuations
 	warming     map[fleet.Incarnation]time.Time // until when targets are cold
@@ -211,8 +211,8 @@
 	p.states, p.pools, p.takers, p.locals = states, pools, takers, locals
 }
 
-// Takers returns how many targets take new work.
-func (p *Placer) Takers() int {
+// AcceptingCount returns how many targets take new work.
+func (p *Placer) AcceptingCount() int {
 	sum := 0
 	for _, n := range p.takers {
 		sum += n
@@ -220,8 +220,8 @@
 	return sum
 }
 
-// Takes reports whether a target takes new work.
-func (p *Placer) Takes(target fleet.Incarnation) bool {
+// Accepts reports whether a target takes new work.
+func (p *Placer) Accepts(target fleet.Incarnation) bool {
 	s := p.states[target]
 	return s != nil && s.takes()
 }
@@ -236,7 +236,7 @@
 	usual := p.usualFailing(now, r.Pool)
 	chance := p.chanceOf(r)
 	for _, s := range p.pools[r.Pool] {
-		if r.Only != "" && s.ID != r.Only {
+		if r.OnlyTarget != "" && s.ID != r.OnlyTarget {
 			continue
 		}
 		if !p.open(now, s) || slices.Contains(r.Avoid, s.Incarnation) && p.takers[r.Pool] > len(r.Avoid) {
@@ -256,25 +256,25 @@
 	if best == nil {
 		return nil, false
 	}
-	c := &Choice{Target: best.Instance, Queue: bestQueue, Wait: bestQueue + bestOwn, Home: best == k.home, state: best, need: bestNeed, Unread: bestNeed.read}
+	c := &Choice{Target: best.Instance, QueueTime: bestQueue, PredictedTTFB: bestQueue + bestOwn, IsOwner: best == k.home, state: best, need: bestNeed, PrefillTokens: bestNeed.read}
 	if bestNeed.from != nil {
 		c.CopyFrom = bestNeed.from.Address
 	}
-	c.Own = milliseconds(float64(r.Own()) / p.readRate())
+	c.OwnPrefillTime = milliseconds(float64(r.OwnTokens()) / p.readRate())
 	c.Load = float64(best.load(now)) / float64(max(best.Slots, 1))
 	c.rounds = best.rounds(now)
-	c.warm = c.Unread == r.Own() && bestNeed.from == nil
+	c.warm = c.PrefillTokens == r.OwnTokens() && bestNeed.from == nil
 	return c, true
 }
 
-// Begin notes that a request is sent to the target of its choice.
-func (p *Placer) Begin(now time.Time, c *Choice, r Request) {
+// StartAttempt notes that a request is sent to the target of its choice.
+func (p *Placer) StartAttempt(now time.Time, c *Choice, r Request) {
 	c.sent, c.waiting = now, true
 	c.usual = p.meanTime(now, c.Target.Pool, assumedOf(r))
-	c.state.begin(now, r, c.Unread)
+	c.state.begin(now, r, c.PrefillTokens)
 	if p.cold(now, c.state) {
 		c.metered = true
-		c.state.meter.Send(now)
+		c.state.meter.RecordSend(now)
 	}
 	p.noteLast(now, c.state, r)
 	if c.need.from != nil {
@@ -333,32 +333,32 @@
 	return p.fails[middle]
 }
 
-// Loaded notes how many requests wait at a target, as it told.
-func (p *Placer) Loaded(now time.Time, target fleet.Incarnation, waiting int) {
+// SetReportedQueue notes how many requests wait at a target, as it told.
+func (p *Placer) SetReportedQueue(now time.Time, target fleet.Incarnation, waiting int) {
 	if s := p.states[target]; s != nil {
 		s.waiting, s.toldAt = waiting, now
 	}
 }
 
-// Ended notes the end of an attempt.
-func (p *Placer) Ended(now time.Time, c *Choice, r Result) {
+// EndAttempt notes the end of an attempt.
+func (p *Placer) EndAttempt(now time.Time, c *Choice, r Result) {
 	if c.waiting {
 		c.waiting = false
-		c.state.pending -= c.Unread
+		c.state.pending -= c.PrefillTokens
 		c.need.done()
-		if r == Left && now.Sub(c.sent) > silentAfter {
+		if r == Canceled && now.Sub(c.sent) > silentAfter {
 			r = Failed // the caller left because nothing came
 		}
 	}
 	if r == Served {
 		p.learn(now, c)
-		if c.Unread > 0 {
+		if c.PrefillTokens > 0 {
 			p.learnTime(now, c, now.Sub(c.sent), assumedStream)
 		}
 	}
 	c.state.ended(now, r, p.usualFailing(now, c.Target.Pool))
-	if r == Unreached {
-		c.state.coolUntil(now.Add(p.bounds[c.Target.Pool].For + doubtFor))
+	if r == ConnectFailed {
+		c.state.coolUntil(now.Add(p.bounds[c.Target.Pool].Duration + doubtFor))
 	}
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -30,14 +30,14 @@
 }
 
 func prompt(subject uint64, shared, own int) Request {
-	return Request{Pool: "engines", Parts: []Part{{ID: subject, Tokens: shared}, {ID: subject + 1e6, Tokens: own}}}
+	return Request{Pool: "engines", Parts: []PromptPart{{ID: subject, Tokens: shared}, {ID: subject + 1e6, Tokens: own}}}
 }
 
 // send places a request and reports it sent.
 func send(t require.TestingT, p *Placer, now time.Time, r Request) *Choice {
 	c, ok := p.Choose(now, r)
 	require.True(t, ok)
-	p.Begin(now, c, r)
+	p.StartAttempt(now, c, r)
 	return c
 }
 
@@ -52,12 +52,12 @@
 		r := prompt(subject, 13000, 3000)
 		a, b := send(t, one, start, r), send(t, two, start, r)
 		require.Equal(t, a.Target.ID, b.Target.ID)
-		require.Equal(t, 3000, a.Unread)
+		require.Equal(t, 3000, a.PrefillTokens)
 		homes[a.Target.ID]++
-		one.First(start, a)
-		one.Ended(start, a, Served)
-		two.First(start, b)
-		two.Ended(start, b, Served)
+		one.RecordFirstByte(start, a)
+		one.EndAttempt(start, a, Served)
+		two.RecordFirstByte(start, b)
+		two.EndAttempt(start, b, Served)
 	}
 	require.Len(t, homes, 9, "subjects spread over all engines")
 }
@@ -106,11 +106,11 @@
 	p := placer(3)
 	r := prompt(1, 100, 200)
 	home := p.keepers(start, r).home.ID
-	p.SetOthers(start, []message.Backlog{{Target: home, Tokens: 60000}})
+	p.SetRemoteBacklog(start, []message.Backlog{{Target: home, Tokens: 60000}})
 	c, ok := p.Choose(start, r)
 	require.True(t, ok)
 	require.NotEqual(t, home, c.Target.ID)
-	p.SetOthers(start, []message.Backlog{{Target: home, Running: 200}})
+	p.SetRemoteBacklog(start, []message.Backlog{{Target: home, Running: 200}})
 	c, ok = p.Choose(start, r)
 	require.True(t, ok)
 	require.NotEqual(t, home, c.Target.ID)
@@ -132,15 +132,15 @@
 		for i := range n {
 			now = now.Add(50 * time.Millisecond)
 			c := send(t, p, now, r)
-			p.First(now, c)
+			p.RecordFirstByte(now, c)
 			if c.Target.ID == home {
 				atHome++
 			}
 			if c.Target.ID == home && fails && i%2 == 0 {
-				p.Ended(now, c, Failed)
+				p.EndAttempt(now, c, Failed)
 				continue
 			}
-			p.Ended(now, c, Served)
+			p.EndAttempt(now, c, Served)
 		}
 		return atHome
 	}
@@ -161,15 +161,15 @@
 	for i := range 2000 {
 		now = now.Add(10 * time.Millisecond)
 		c := send(t, p, now, prompt(uint64(i%40), 13000, 500))
-		if !c.Home {
+		if !c.IsOwner {
 			away++
 		}
-		p.First(now, c)
+		p.RecordFirstByte(now, c)
 		result := Served
 		if i%9 < 4 {
 			result = Failed
 		}
-		p.Ended(now, c, result)
+		p.EndAttempt(now, c, result)
 	}
 	require.Less(t, away, 200)
 }
@@ -178,10 +178,10 @@
 	p := placer(2)
 	r := prompt(1, 1000, 200)
 	c := send(t, p, start, r)
-	p.Ended(start, c, Unreached)
+	p.EndAttempt(start, c, ConnectFailed)
 	other := send(t, p, start, r)
 	require.NotEqual(t, c.Target.ID, other.Target.ID)
-	p.Ended(start, other, Served)
+	p.EndAttempt(start, other, Served)
 	again := send(t, p, start.Add(30*time.Second), r)
 	require.Equal(t, c.Target.ID, again.Target.ID)
 }
@@ -217,7 +217,7 @@
 	p.SetTargets(start, list)
 	_, ok := p.Choose(start, prompt(1, 10, 10))
 	require.False(t, ok)
-	require.False(t, p.Takes(fleet.Incarnation{ID: "i-0"}))
+	require.False(t, p.Accepts(fleet.Incarnation{ID: "i-0"}))
 }
 
 func TestPlainServiceGoesWhereSlotsAreFree(t *testing.T) {
@@ -236,13 +236,13 @@
 
 func TestCountsReturnToNothing(t *testing.T) {
 	p := placer(3)
-	for i, result := range []Result{Served, Refused, Failed, Unreached} {
+	for i, result := range []Result{Served, Refused, Failed, ConnectFailed} {
 		c := send(t, p, start, prompt(uint64(i), 100, 50))
 		if i%2 == 0 {
-			p.First(start, c)
-			p.First(start, c)
+			p.RecordFirstByte(start, c)
+			p.RecordFirstByte(start, c)
 		}
-		p.Ended(start, c, result)
+		p.EndAttempt(start, c, result)
 	}
 	require.Empty(t, p.Backlog())
 }
--- a/internal/placement/probation.go
+++ b/internal/placement/probation.go
@@ -20,8 +20,8 @@
 // suspect puts a target on probation whose last request failed, if it fails more than
 // its pool's usual, or is on probation already.
 func (s *state) suspect(usual float64) {
-	if s.probation.On() || s.fails-usual >= suspectFrom {
-		s.probation.Trusted = trusted
+	if s.probation.Active() || s.fails-usual >= suspectFrom {
+		s.probation.TrustedConcurrency = trusted
 		s.probation.Begin()
 	}
 }
--- a/internal/placement/probation_test.go
+++ b/internal/placement/probation_test.go
@@ -25,8 +25,8 @@
 		if c.Target.ID == home {
 			result = Failed
 		}
-		p.First(now, c)
-		p.Ended(now, c, result)
+		p.RecordFirstByte(now, c)
+		p.EndAttempt(now, c, result)
 		now = now.Add(20 * time.Millisecond)
 	}
 	now = now.Add(time.Minute)
@@ -48,8 +48,8 @@
 	const enough = trusted / 2
 	for most < enough {
 		for _, c := range open {
-			p.First(now, c)
-			p.Ended(now, c, Served)
+			p.RecordFirstByte(now, c)
+			p.EndAttempt(now, c, Served)
 		}
 		most = min(2*most, 1<<at())
 		open = nil
@@ -74,8 +74,8 @@
 	now := start
 	for range 60 {
 		c := send(t, p, now, Request{Pool: "plain"})
-		p.First(now, c)
-		p.Ended(now, c, Failed)
+		p.RecordFirstByte(now, c)
+		p.EndAttempt(now, c, Failed)
 		now = now.Add(20 * time.Millisecond)
 	}
 	seen := map[string]int{}
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -27,15 +27,15 @@
 		}
 		now = now.Add(work) // one round of slots
 		for _, c := range queue[:slots] {
-			p.First(now, c)
-			p.Ended(now, c, Served)
+			p.RecordFirstByte(now, c)
+			p.EndAttempt(now, c, Served)
 		}
 		queue = queue[slots:]
 	}
 	c, ok := p.Choose(now, Request{Pool: "plain"})
 	require.True(t, ok)
-	require.Greater(t, c.Wait, 2*work)
-	require.Less(t, c.Wait, 4*work)
+	require.Greater(t, c.PredictedTTFB, 2*work)
+	require.Less(t, c.PredictedTTFB, 4*work)
 }
 
 func TestWaitingThatATargetTellsIsNotCountedTwice(t *testing.T) {
@@ -45,10 +45,10 @@
 		send(t, p, start, Request{Pool: "plain"})
 	}
 	before, _ := p.Choose(start, Request{Pool: "plain"})
-	p.Loaded(start, fleet.Incarnation{ID: "s"}, 12) // it tells what this router knows
+	p.SetReportedQueue(start, fleet.Incarnation{ID: "s"}, 12) // it tells what this router knows
 	after, _ := p.Choose(start, Request{Pool: "plain"})
-	require.Equal(t, before.Wait, after.Wait)
-	p.Loaded(start, fleet.Incarnation{ID: "s"}, 18) // others have sent it more
+	require.Equal(t, before.PredictedTTFB, after.PredictedTTFB)
+	p.SetReportedQueue(start, fleet.Incarnation{ID: "s"}, 18) // others have sent it more
 	more, _ := p.Choose(start, Request{Pool: "plain"})
-	require.Greater(t, more.Wait, after.Wait)
+	require.Greater(t, more.PredictedTTFB, after.PredictedTTFB)
 }
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -162,16 +162,16 @@
 	switch r {
 	case Served:
 		s.note(now, 0)
-		s.probation.Served()
+		s.probation.RecordSuccess()
 		s.hear(now)
-	case Left:
+	case Canceled:
 	case Refused:
 		s.refused, s.refusedAt = true, now
 		s.hear(now)
 	case Failed:
 		s.note(now, 1)
 		s.suspect(usual)
-	case Unreached:
+	case ConnectFailed:
 		s.note(now, 1)
 		s.suspect(usual)
 		s.down(now)
--- a/internal/placement/warming.go
+++ b/internal/placement/warming.go
@@ -17,9 +17,9 @@
 	p.evacuations = e
 }
 
-// SetWarming takes until when targets are cold, also of targets that SetTargets brings
+// SetColdUntil takes until when targets are cold, also of targets that SetTargets brings
 // later. What is known already stays.
-func (p *Placer) SetWarming(until map[fleet.Incarnation]time.Time) {
+func (p *Placer) SetColdUntil(until map[fleet.Incarnation]time.Time) {
 	p.warming = until
 	for target, end := range until {
 		if s := p.states[target]; s != nil {
@@ -32,7 +32,7 @@
 // evacuation has ended. It may have started just then, unless it is on the first list.
 func (p *Placer) come(now time.Time, s *state) {
 	if len(p.states) > 0 {
-		s.coolUntil(now.Add(p.bounds[s.Pool].For))
+		s.coolUntil(now.Add(p.bounds[s.Pool].Duration))
 	}
 	s.coolUntil(p.warming[s.Incarnation])
 }
@@ -55,18 +55,18 @@
 		return false // which is so for nearly all, in every choice
 	}
 	s.mayCold = s.coldUntil.After(now)
-	return s.mayCold && p.bounds[s.Pool].Cold()
+	return s.mayCold && p.bounds[s.Pool].Enabled()
 }
 
 // open reports whether a target takes one more request of this router's: it is not cold, or
 // this router's part of what it gets leaves room.
 func (p *Placer) open(now time.Time, s *state) bool {
-	return s.takes() && (!p.cold(now, s) || s.meter.Allows(now, p.Warmup.Part(now, s.hash, p.bounds[s.Pool])))
+	return s.takes() && (!p.cold(now, s) || s.meter.Allows(now, p.Warmup.Allowance(now, s.hash, p.bounds[s.Pool])))
 }
 
-// Sent notes that a request leaves for the target of its choice now. It reports false, and
+// ConfirmSend notes that a request leaves for the target of its choice now. It reports false, and
 // the request must not be sent, where the target takes it no longer.
-func (p *Placer) Sent(now time.Time, c *Choice) bool {
+func (p *Placer) ConfirmSend(now time.Time, c *Choice) bool {
 	s := c.state
 	switch {
 	case s.evacuated:
@@ -76,13 +76,13 @@
 	case !c.metered:
 		return false
 	}
-	s.meter.Delay(now)
-	return p.Warmup.Part(now, s.hash, p.bounds[s.Pool]) > 0
+	s.meter.RecordDelayedSend(now)
+	return p.Warmup.Allowance(now, s.hash, p.bounds[s.Pool]) > 0
 }
 
-// Shut tells why no target of a pool takes work: all are evacuated, or those that are not are
+// UnavailableReason tells why no target of a pool takes work: all are evacuated, or those that are not are
 // cold and have what they may get.
-func (p *Placer) Shut(now time.Time, pool string) (evacuated, warming bool) {
+func (p *Placer) UnavailableReason(now time.Time, pool string) (evacuated, warming bool) {
 	for _, s := range p.pools[pool] {
 		evacuated = evacuated || s.evacuated
 		warming = warming || s.takes() && p.cold(now, s)
@@ -92,8 +92,8 @@
 
 // setBounds takes what cold targets of each pool get.
 func (p *Placer) setBounds(pools map[string]fleet.Pool) {
-	p.bounds = make(map[string]warmup.Bound, len(pools))
+	p.bounds = make(map[string]warmup.RateLimit, len(pools))
 	for name, pool := range pools {
-		p.bounds[name] = p.Warmup.Bound(pool.WarmFor, pool.WarmRate)
+		p.bounds[name] = p.Warmup.RateLimit(pool.WarmFor, pool.WarmRate)
 	}
 }
--- a/internal/placement/warming_test.go
+++ b/internal/placement/warming_test.go
@@ -24,7 +24,7 @@
 
 // lease renews the part, as the leader's answers do.
 func lease(p *Placer, now time.Time) {
-	p.Warmup.Lease(now, warmup.Seat{Number: 1, Of: 1, Ready: true})
+	p.Warmup.SetLease(now, warmup.Lease{Number: 1, Total: 1, Ready: true})
 }
 
 func evacuate(p *Placer, now time.Time, revision uint64, zones ...fleet.Zone) {
@@ -37,10 +37,10 @@
 	got := map[string]int{}
 	for i := range uint64(count) {
 		c := send(t, p, now, prompt(first+i, 13000, 300))
-		require.True(t, p.Sent(now, c))
+		require.True(t, p.ConfirmSend(now, c))
 		got[c.Target.ID]++
-		p.First(now, c)
-		p.Ended(now, c, Served)
+		p.RecordFirstByte(now, c)
+		p.EndAttempt(now, c, Served)
 	}
 	return got
 }
@@ -65,16 +65,16 @@
 		onWay = send(t, p, start, prompt(subject, 13000, 300))
 	}
 	evacuate(p, start, 1, "z1")
-	require.False(t, p.Sent(start, onWay))
-	p.Ended(start, onWay, Left)
+	require.False(t, p.ConfirmSend(start, onWay))
+	p.EndAttempt(start, onWay, Canceled)
 	require.Zero(t, inZone(spread(t, p, start, 300, 0), instances(9), "z1"))
 	for _, in := range instances(9) {
-		require.Equal(t, in.Zone != "z1", p.Takes(in.Incarnation))
+		require.Equal(t, in.Zone != "z1", p.Accepts(in.Incarnation))
 	}
 	evacuate(p, start, 2, "z0", "z1", "z2")
 	_, ok := p.Choose(start, prompt(1, 13000, 300))
 	require.False(t, ok)
-	evacuated, cold := p.Shut(start, "engines")
+	evacuated, cold := p.UnavailableReason(start, "engines")
 	require.True(t, evacuated)
 	require.False(t, cold)
 }
@@ -115,12 +115,12 @@
 			for _, in := range instances(9) {
 				until[in.Incarnation] = now.Add(coldFor)
 			}
-			p.SetWarming(until)
+			p.SetColdUntil(until)
 		},
 		"not reached": func(p *Placer) {
 			for _, in := range instances(9) {
 				s := p.states[in.Incarnation]
-				p.Ended(now, &Choice{Target: in, state: s}, Unreached)
+				p.EndAttempt(now, &Choice{Target: in, state: s}, ConnectFailed)
 				s.downUntil, s.downs = time.Time{}, 0
 			}
 		},
@@ -137,15 +137,15 @@
 				at := now.Add(time.Duration(i) * time.Millisecond) // half a second
 				c, ok := p.Choose(at, prompt(i, 13000, 300))
 				if !ok {
-					evacuated, cold := p.Shut(at, "engines")
+					evacuated, cold := p.UnavailableReason(at, "engines")
 					require.False(t, evacuated)
 					require.True(t, cold)
 					continue
 				}
-				p.Begin(at, c, prompt(i, 13000, 300))
-				require.True(t, p.Sent(at, c))
-				p.First(at, c)
-				p.Ended(at, c, Served)
+				p.StartAttempt(at, c, prompt(i, 13000, 300))
+				require.True(t, p.ConfirmSend(at, c))
+				p.RecordFirstByte(at, c)
+				p.EndAttempt(at, c, Served)
 				if c.Target.ID == "i-1" {
 					sent++
 				}
@@ -162,11 +162,11 @@
 // Guards against a request that leaves for a cold target after this process stood still.
 func TestALapsedPartIsNotUsed(t *testing.T) {
 	p := warming(1, 4)
-	p.SetWarming(map[fleet.Incarnation]time.Time{{ID: "i-0"}: start.Add(time.Minute)})
+	p.SetColdUntil(map[fleet.Incarnation]time.Time{{ID: "i-0"}: start.Add(time.Minute)})
 	lease(p, start)
 	c := send(t, p, start, prompt(1, 13000, 300))
-	require.True(t, p.Sent(start, c))
-	require.False(t, p.Sent(start.Add(10*time.Second), c))
+	require.True(t, p.ConfirmSend(start, c))
+	require.False(t, p.ConfirmSend(start.Add(10*time.Second), c))
 }
 
 // Guards against a router that has just started and takes all targets for cold.
--- a/internal/probation/probation.go
+++ b/internal/probation/probation.go
@@ -6,12 +6,12 @@
 // gets one request at first, and twice as many at a time after each that it serves.
 package probation
 
-// A Limit bounds the requests at a time at a target on probation. Set Trusted, then call
+// A Limit bounds the requests at a time at a target on probation. Set TrustedConcurrency, then call
 // its methods.
 type Limit struct {
-	// Trusted is how many requests at a time a target must be allowed before it is
+	// TrustedConcurrency is how many requests at a time a target must be allowed before it is
 	// believed in full again.
-	Trusted int
+	TrustedConcurrency int
 
 	most int // 0 if the target is not on probation
 }
@@ -26,15 +26,15 @@
 	l.most = 1
 }
 
-// On reports whether the target is on probation.
-func (l *Limit) On() bool {
+// Active reports whether the target is on probation.
+func (l *Limit) Active() bool {
 	return l.most > 0
 }
 
-// Served notes a request that the target served.
-func (l *Limit) Served() {
+// RecordSuccess notes a request that the target served.
+func (l *Limit) RecordSuccess() {
 	l.most *= 2
-	if l.most >= l.Trusted {
+	if l.most >= l.TrustedConcurrency {
 		l.most = 0
 	}
 }
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -21,7 +21,7 @@
 func BenchmarkAnswer(b *testing.B) {
 	for _, size := range []struct{ routers, targets, accounts int }{{6, 12, 16}, {79, 144, 30}, {1900, 4900, 210}} {
 		b.Run(fmt.Sprint(size.routers), func(b *testing.B) {
-			board, random := Board{}, rand.New(rand.NewPCG(1, 2))
+			board, random := Aggregator{}, rand.New(rand.NewPCG(1, 2))
 			const busy = 10 // targets that one router has requests at
 			var targets []fleet.Instance
 			for i := range size.targets {
@@ -42,7 +42,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				demand, backlog, _ := board.Sums(start)
-				loads, err := packed.PackJSON(Columns(demand, backlog, targets))
+				loads, err := packed.PackJSON(EncodeColumns(demand, backlog, targets))
 				require.NoError(b, err)
 				data, err := json.Marshal(message.Renewal{Loads: loads})
 				require.NoError(b, err)
--- a/internal/quota/board.go
+++ b/internal/quota/board.go
@@ -14,9 +14,9 @@
 // which routers renew.
 const reportMemory = 1500 * time.Millisecond
 
-// A Board is the leader's sum of what routers report. It is soft: a new leader
+// An Aggregator is the leader's sum of what routers report. It is soft: a new leader
 // has it again after one period. Its zero value is empty.
-type Board struct {
+type Aggregator struct {
 	routers  map[string]*reported
 	demand   []message.Demand // sums, as of summedAt
 	backlog  []message.Backlog
@@ -31,7 +31,7 @@
 }
 
 // Report takes what a router asks for and what of its requests waits at targets.
-func (b *Board) Report(now time.Time, router string, demand []message.Demand, backlog []message.Backlog) {
+func (b *Aggregator) Report(now time.Time, router string, demand []message.Demand, backlog []message.Backlog) {
 	if b.routers == nil {
 		b.routers = make(map[string]*reported)
 	}
@@ -40,7 +40,7 @@
 
 // forget drops reports that count no longer. It is done for each sum, not for each report:
 // that would take a leader time with the square of the routers.
-func (b *Board) forget(now time.Time) {
+func (b *Aggregator) forget(now time.Time) {
 	for name, r := range b.routers {
 		if now.Sub(r.at) > reportMemory {
 			delete(b.routers, name)
@@ -50,7 +50,7 @@
 
 // Sums returns what accounts ask for and what targets have been sent, through all
 // routers, and when they were worked out: every sumPeriod, not for each answer.
-func (b *Board) Sums(now time.Time) ([]message.Demand, []message.Backlog, time.Time) {
+func (b *Aggregator) Sums(now time.Time) ([]message.Demand, []message.Backlog, time.Time) {
 	if b.summedAt.IsZero() || now.Sub(b.summedAt) >= sumPeriod(len(b.routers)) {
 		b.forget(now)
 		b.demand, b.backlog, b.summedAt = b.sumDemand(), b.sumBacklog(), now
@@ -58,7 +58,7 @@
 	return b.demand, b.backlog, b.summedAt
 }
 
-func (b *Board) sumDemand() []message.Demand {
+func (b *Aggregator) sumDemand() []message.Demand {
 	sums := make(map[string]message.Demand)
 	for _, r := range b.routers {
 		for _, d := range r.demand {
@@ -69,7 +69,7 @@
 	return inOrder(sums)
 }
 
-func (b *Board) sumBacklog() []message.Backlog {
+func (b *Aggregator) sumBacklog() []message.Backlog {
 	sums := make(map[fleet.Incarnation]message.Backlog)
 	for _, r := range b.routers {
 		for _, l := range r.backlog {
@@ -81,9 +81,9 @@
 	})
 }
 
-// Without returns what targets have been sent by all others than the router that
+// ExcludeOwn returns what targets have been sent by all others than the router that
 // has reported mine. A sum may be older than that by sumPeriod.
-func Without(all, mine []message.Backlog) []message.Backlog {
+func ExcludeOwn(all, mine []message.Backlog) []message.Backlog {
 	own := byTarget(mine)
 	others := make([]message.Backlog, 0, len(all))
 	for _, a := range all {
--- a/internal/quota/loads.go
+++ b/internal/quota/loads.go
@@ -7,9 +7,9 @@
 	"laburnumfall/internal/message"
 )
 
-// Columns puts sums in the form in which they are sent: without the names of
+// EncodeColumns puts sums in the form in which they are sent: without the names of
 // targets, which both ends know in the same order.
-func Columns(demand []message.Demand, backlog []message.Backlog, targets []fleet.Instance) message.Loads {
+func EncodeColumns(demand []message.Demand, backlog []message.Backlog, targets []fleet.Instance) message.Loads {
 	var l message.Loads
 	for _, d := range demand {
 		l.Accounts = append(l.Accounts, d.Account)
@@ -25,9 +25,9 @@
 	return l
 }
 
-// Rows gives the sums back. Backlogs are left out where the columns are not those of
+// DecodeColumns gives the sums back. Backlogs are left out where the columns are not those of
 // the targets.
-func Rows(l message.Loads, targets []fleet.Instance) ([]message.Demand, []message.Backlog) {
+func DecodeColumns(l message.Loads, targets []fleet.Instance) ([]message.Demand, []message.Backlog) {
 	var demand []message.Demand
 	if len(l.Rates) == len(l.Accounts) && len(l.Served) == len(l.Accounts) {
 		for i, name := range l.Accounts {
--- a/internal/quota/maxmin.go
+++ b/internal/quota/maxmin.go
@@ -8,10 +8,10 @@
 
 import "slices"
 
-// Level returns the most that an account gets when capacity is divided max-min
+// MaxMinLevel returns the most that an account gets when capacity is divided max-min
 // among demands: whoever asks for less gets all of it, the rest get the level.
 // It is the largest demand if all fit.
-func Level(capacity float64, demands []float64) float64 {
+func MaxMinLevel(capacity float64, demands []float64) float64 {
 	sorted := slices.Clone(demands)
 	slices.Sort(sorted)
 	left := capacity
--- a/internal/quota/names.go
+++ b/internal/quota/names.go
@@ -6,9 +6,9 @@
 	"laburnumfall/internal/message"
 )
 
-// A Names is a list of accounts that changes seldom, so that routers need to be told of it
+// An AccountList is a list of accounts that changes seldom, so that routers need to be told of it
 // seldom: accounts that ask for nothing any more stay for a while.
-type Names struct {
+type AccountList struct {
 	list   []string
 	digest uint32
 }
@@ -16,9 +16,9 @@
 // unusedNames bounds the accounts that ask for nothing, beside as many as do.
 const unusedNames = 64
 
-// Cover returns the demands in the order of the names, which include all their accounts from
+// Align returns the demands in the order of the names, which include all their accounts from
 // then on.
-func (n *Names) Cover(demand []message.Demand) []message.Demand {
+func (n *AccountList) Align(demand []message.Demand) []message.Demand {
 	by := make(map[string]message.Demand, len(demand))
 	fresh := false
 	for _, d := range demand {
@@ -37,7 +37,7 @@
 	return rows
 }
 
-func (n *Names) renew(by map[string]message.Demand) {
+func (n *AccountList) renew(by map[string]message.Demand) {
 	list := make([]string, 0, len(by))
 	if len(n.list) <= len(by)+unusedNames {
 		list = append(list, n.list...)
@@ -51,4 +51,4 @@
 }
 
 // Digest returns the message.Digest of the list, 0 while there is none.
-func (n *Names) Digest() uint32 { return n.digest }
+func (n *AccountList) Digest() uint32 { return n.digest }
--- a/internal/quota/names_test.go
+++ b/internal/quota/names_test.go
@@ -15,7 +15,7 @@
 // not those of the names.
 func TestNamesCoverWhatIsAskedAndLittleMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var n Names
+		var n AccountList
 		for range rapid.IntRange(1, 30).Draw(t, "turns") {
 			want := make(map[string]float64)
 			var demand []message.Demand
@@ -25,7 +25,7 @@
 				demand = append(demand, d)
 			}
 			before, digest := n.list, n.Digest()
-			rows := n.Cover(demand)
+			rows := n.Align(demand)
 			got := make(map[string]float64)
 			for i, row := range rows {
 				require.Equal(t, n.list[i], row.Account)
--- a/internal/quota/period.go
+++ b/internal/quota/period.go
@@ -17,18 +17,18 @@
 	sumPart    = 2
 )
 
-// Period returns how often each of a number of routers tells the leader what it has sent
+// ReportPeriod returns how often each of a number of routers tells the leader what it has sent
 // to targets, and hears what all others have.
 //
 // A target begins requests in the order in which they come, from whichever router. What
 // another router sent since it was last heard of is ahead of a request without being seen:
 // the request is predicted to begin at once, and is late. The sooner routers hear of each
 // other the less of that there is, up to what the leader can answer.
-func Period(routers int) time.Duration {
+func ReportPeriod(routers int) time.Duration {
 	return min(max(shortestPeriod, time.Duration(routers)*time.Second/mostReports), longestPeriod)
 }
 
 // sumPeriod returns how old the sums over a number of routers may be.
 func sumPeriod(routers int) time.Duration {
-	return min(Period(routers)/sumPart, longestSum)
+	return min(ReportPeriod(routers)/sumPart, longestSum)
 }
--- a/internal/quota/period_test.go
+++ b/internal/quota/period_test.go
@@ -15,14 +15,14 @@
 	for routers, want := range map[int]time.Duration{
 		0: shortestPeriod, 1: shortestPeriod, 24: shortestPeriod, 291: 485 * time.Millisecond, 1900: longestPeriod,
 	} {
-		require.Equal(t, want, Period(routers), "%d routers", routers)
+		require.Equal(t, want, ReportPeriod(routers), "%d routers", routers)
 	}
 	require.LessOrEqual(t, 3*longestPeriod, reportMemory, "one lost report is not missed")
 }
 
 func TestSumsAreNotOlderThanReports(t *testing.T) {
 	for _, routers := range []int{1, 8, 56, 291, 1900} {
-		require.Less(t, sumPeriod(routers), Period(routers))
+		require.Less(t, sumPeriod(routers), ReportPeriod(routers))
 		require.LessOrEqual(t, sumPeriod(routers), longestSum)
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -42,7 +42,7 @@
 		capacity := rapid.Float64Range(1, 1000).Draw(t, "capacity")
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 8).Draw(t, "demands")
 		want := naiveLevel(capacity, demands)
-		got := Level(capacity, demands)
+		got := MaxMinLevel(capacity, demands)
 		total := 0.0
 		for _, d := range demands {
 			total += d
@@ -57,7 +57,7 @@
 }
 
 func TestLevelOfNobody(t *testing.T) {
-	require.Equal(t, 10.0, Level(10, nil))
+	require.Equal(t, 10.0, MaxMinLevel(10, nil))
 }
 
 // play has an account ask for requests of a size at a steady rate through one
@@ -67,7 +67,7 @@
 	step := time.Duration(size / rate * float64(time.Second))
 	end := from.Add(time.Duration(seconds) * time.Second)
 	for now := from; now.Before(end); now = now.Add(step) {
-		if s.Ask(now, name, size) {
+		if s.CountRequest(now, name, size) {
 			s.Spend(now, name, size)
 			within += size
 		}
@@ -81,7 +81,7 @@
 // Cause: work is let in in the order of arrival.
 func TestSmallAccountIsWithinItsShareBesideAFlood(t *testing.T) {
 	s := &Shares{Capacity: 1000}
-	s.SetFleet([]message.Demand{{Account: "large", Rate: 10000}, {Account: "small", Rate: 100}})
+	s.SetFleetDemand([]message.Demand{{Account: "large", Rate: 10000}, {Account: "small", Rate: 100}})
 	require.InDelta(t, 900, play(s, "large", start, 10000, 50, 10), 100)
 	require.InDelta(t, 100, play(s, "small", start, 100, 20, 10), 1)
 }
@@ -90,8 +90,8 @@
 	// Two routers take a third and two thirds of one account's requests.
 	fleet := []message.Demand{{Account: "a", Rate: 3000}, {Account: "b", Rate: 3000}}
 	one, two := &Shares{Capacity: 1200}, &Shares{Capacity: 1200}
-	one.SetFleet(fleet)
-	two.SetFleet(fleet)
+	one.SetFleetDemand(fleet)
+	two.SetFleetDemand(fleet)
 	require.InDelta(t, 200, play(one, "a", start, 1000, 10, 20), 30)
 	require.InDelta(t, 400, play(two, "a", start, 2000, 10, 20), 60)
 }
@@ -102,20 +102,20 @@
 // Cause: a request must fit into what is saved up.
 func TestALargeRequestIsWithinTheShareAtTimes(t *testing.T) {
 	s := &Shares{Capacity: 1000}
-	s.SetFleet([]message.Demand{{Account: "a", Rate: 4000}, {Account: "b", Rate: 4000}})
+	s.SetFleetDemand([]message.Demand{{Account: "a", Rate: 4000}, {Account: "b", Rate: 4000}})
 	require.Greater(t, play(s, "a", start, 4000, 8000, 60), 200.0)
 }
 
 func TestDebtOfAQuietMomentIsBounded(t *testing.T) {
 	s := &Shares{Capacity: 1000}
 	for range 100 {
-		s.Ask(start, "a", 1000)
+		s.CountRequest(start, "a", 1000)
 		s.Spend(start, "a", 1000) // targets had room for all of it
 	}
-	s.SetFleet([]message.Demand{{Account: "a", Rate: 5000}, {Account: "b", Rate: 5000}})
-	require.LessOrEqual(t, s.Wait(start, "a"), longestWait)
-	require.Positive(t, s.Wait(start, "a"))
-	require.True(t, s.Ask(start.Add(3*time.Second), "a", 10))
+	s.SetFleetDemand([]message.Demand{{Account: "a", Rate: 5000}, {Account: "b", Rate: 5000}})
+	require.LessOrEqual(t, s.RefillTime(start, "a"), longestWait)
+	require.Positive(t, s.RefillTime(start, "a"))
+	require.True(t, s.CountRequest(start.Add(3*time.Second), "a", 10))
 }
 
 func TestWithoutAStatedCapacityAllIsWithin(t *testing.T) {
@@ -133,15 +133,15 @@
 }
 
 func TestBoardAddsUpFreshReports(t *testing.T) {
-	var b Board
+	var b Aggregator
 	b.Report(start, "r1", []message.Demand{{Account: "a", Rate: 1}, {Account: "b", Rate: 5}}, []message.Backlog{{Target: "t1", Tokens: 10, Running: 1}})
 	b.Report(start, "r2", []message.Demand{{Account: "a", Rate: 2}}, []message.Backlog{{Target: "t1", Tokens: 7, Running: 2}, {Target: "t2", Tokens: 1}})
 	demand, backlog, _ := b.Sums(start)
 	require.Equal(t, []message.Demand{{Account: "a", Rate: 3}, {Account: "b", Rate: 5}}, demand)
 	require.Equal(t, []message.Backlog{{Target: "t1", Tokens: 17, Running: 3}, {Target: "t2", Tokens: 1}}, backlog)
 	mine := []message.Backlog{{Target: "t1", Tokens: 10, Running: 1}}
-	require.Equal(t, []message.Backlog{{Target: "t1", Tokens: 7, Running: 2}, {Target: "t2", Tokens: 1}}, Without(backlog, mine))
-	require.Empty(t, Without(mine, []message.Backlog{{Target: "t1", Tokens: 99, Running: 9}}), "a sum may be older than the own report")
+	require.Equal(t, []message.Backlog{{Target: "t1", Tokens: 7, Running: 2}, {Target: "t2", Tokens: 1}}, ExcludeOwn(backlog, mine))
+	require.Empty(t, ExcludeOwn(mine, []message.Backlog{{Target: "t1", Tokens: 99, Running: 9}}), "a sum may be older than the own report")
 	// A report sent twice, and then a newer one, count once.
 	b.Report(start, "r1", nil, []message.Backlog{{Target: "t1", Tokens: 4}})
 	_, same, _ := b.Sums(start.Add(sumPeriod(2) / 2))
@@ -160,14 +160,14 @@
 // Cause: work beyond a share is let in by room alone.
 func TestExcessIsHeldAgainstWhoLacksService(t *testing.T) {
 	s := &Shares{Capacity: 1000}
-	s.SetFleet([]message.Demand{
+	s.SetFleetDemand([]message.Demand{
 		{Account: "well", Rate: 5000, Served: 900}, {Account: "ill", Rate: 2500, Served: 300}, {Account: "small", Rate: 50, Served: 50},
 	})
-	require.InDelta(t, 3, s.Excess(start, "well"), 0.01)
-	require.InDelta(t, 1, s.Excess(start, "ill"), 0.01, "it takes nothing from others")
-	require.InDelta(t, 1, s.Excess(start, "new"), 1)
-	s.SetFleet([]message.Demand{{Account: "well", Rate: 5000, Served: 4000}, {Account: "small", Rate: 50, Served: 50}})
-	require.InDelta(t, 1, s.Excess(start, "well"), 0.01, "nobody lacks anything: what is left over is free to take")
+	require.InDelta(t, 3, s.ExcessRatio(start, "well"), 0.01)
+	require.InDelta(t, 1, s.ExcessRatio(start, "ill"), 0.01, "it takes nothing from others")
+	require.InDelta(t, 1, s.ExcessRatio(start, "new"), 1)
+	s.SetFleetDemand([]message.Demand{{Account: "well", Rate: 5000, Served: 4000}, {Account: "small", Rate: 50, Served: 50}})
+	require.InDelta(t, 1, s.ExcessRatio(start, "well"), 0.01, "nobody lacks anything: what is left over is free to take")
 }
 
 func TestRowsGiveBackWhatColumnsHold(t *testing.T) {
@@ -186,29 +186,29 @@
 		for i := range rapid.IntRange(0, 9).Draw(t, "accounts") {
 			demand = append(demand, message.Demand{Account: fmt.Sprint(i), Rate: float64(rapid.IntRange(0, 9e6).Draw(t, "rate")), Served: 3})
 		}
-		data, err := packed.PackJSON(Columns(demand, backlog, targets))
+		data, err := packed.PackJSON(EncodeColumns(demand, backlog, targets))
 		require.NoError(t, err)
 		loads, err := packed.UnpackJSON[message.Loads](data)
 		require.NoError(t, err)
-		gotDemand, gotBacklog := Rows(loads, targets)
+		gotDemand, gotBacklog := DecodeColumns(loads, targets)
 		require.Equal(t, demand, gotDemand)
 		require.Equal(t, backlog, gotBacklog)
-		_, other := Rows(loads, append(targets, fleet.Instance{Incarnation: fleet.Incarnation{ID: "more"}}))
+		_, other := DecodeColumns(loads, append(targets, fleet.Instance{Incarnation: fleet.Incarnation{ID: "more"}}))
 		require.Empty(t, other, "columns of another list tell nothing")
 	})
 }
 
 func TestDeficitIsWhatAnotherGetsOfWhatOneAsksFor(t *testing.T) {
 	s := &Shares{Capacity: 1000}
-	s.SetFleet([]message.Demand{
+	s.SetFleetDemand([]message.Demand{
 		{Account: "well", Rate: 2000, Served: 900},
 		{Account: "ill", Rate: 800, Served: 300},
 		{Account: "small", Rate: 20, Served: 20},
 	})
-	require.InDelta(t, 800.0/300, s.Deficit(start, "ill"), 0.01, "no more than it asks for")
-	require.InDelta(t, 1, s.Deficit(start, "well"), 0.01)
-	require.InDelta(t, 1, s.Deficit(start, "small"), 0.01, "it has what it asks for")
-	require.InDelta(t, 1, s.Deficit(start, "new"), 0.01)
+	require.InDelta(t, 800.0/300, s.DeficitRatio(start, "ill"), 0.01, "no more than it asks for")
+	require.InDelta(t, 1, s.DeficitRatio(start, "well"), 0.01)
+	require.InDelta(t, 1, s.DeficitRatio(start, "small"), 0.01, "it has what it asks for")
+	require.InDelta(t, 1, s.DeficitRatio(start, "new"), 0.01)
 }
 
 // Symptom: one of two accounts that both want more gets over twice as much, in bursts.
@@ -218,27 +218,27 @@
 func TestRoutersThatLetWorkInAtOnceCountEachOther(t *testing.T) {
 	s := &Shares{Capacity: 1000}
 	fleet := []message.Demand{{Account: "spread", Rate: 8000, Served: 400}, {Account: "ill", Rate: 8000, Served: 400}}
-	s.Ask(start, "spread", 1000)
-	s.SetFleet(fleet)
-	require.InDelta(t, 1, s.Excess(start, "spread"), 0.01)
+	s.CountRequest(start, "spread", 1000)
+	s.SetFleetDemand(fleet)
+	require.InDelta(t, 1, s.ExcessRatio(start, "spread"), 0.01)
 	s.Spend(start, "spread", 100)
-	require.InDelta(t, (400+8*100)/400.0, s.Excess(start, "spread"), 0.01, "seven others do the same")
-	s.SetFleet(fleet)
-	require.InDelta(t, 1, s.Excess(start, "spread"), 0.01, "what is heard holds what was admitted before")
+	require.InDelta(t, (400+8*100)/400.0, s.ExcessRatio(start, "spread"), 0.01, "seven others do the same")
+	s.SetFleetDemand(fleet)
+	require.InDelta(t, 1, s.ExcessRatio(start, "spread"), 0.01, "what is heard holds what was admitted before")
 
 	one := &Shares{Capacity: 1000}
-	one.Ask(start, "ill", 8000)
-	one.SetFleet(fleet)
+	one.CountRequest(start, "ill", 8000)
+	one.SetFleetDemand(fleet)
 	one.Spend(start, "ill", 100)
-	require.InDelta(t, (400+100)/400.0, one.Excess(start, "ill"), 0.01, "nobody else serves it")
+	require.InDelta(t, (400+100)/400.0, one.ExcessRatio(start, "ill"), 0.01, "nobody else serves it")
 }
 
 // Guards against an account that seems to be served what no target ran, and is held back for it.
 func TestWhatNoTargetRanIsNotServed(t *testing.T) {
 	now := start
 	s := Shares{Capacity: 1000}
-	s.SetFleet([]message.Demand{{Account: "a", Rate: 900}, {Account: "b", Rate: 900, Served: 100}})
-	require.True(t, s.Ask(now, "a", 50))
+	s.SetFleetDemand([]message.Demand{{Account: "a", Rate: 900}, {Account: "b", Rate: 900, Served: 100}})
+	require.True(t, s.CountRequest(now, "a", 50))
 	before := *s.accounts["a"]
 	for range 20 {
 		s.Spend(now, "a", 50)
@@ -247,7 +247,7 @@
 	require.InDelta(t, before.tokens, s.accounts["a"].tokens, 1e-6)
 	require.Zero(t, s.accounts["a"].since)
 	require.InDelta(t, 0, s.servedAll(now, "a"), 1e-6)
-	require.Zero(t, s.Excess(now, "a"))
+	require.Zero(t, s.ExcessRatio(now, "a"))
 	s.Spend(now, "a", 50)
 	s.Refund(now.Add(10*time.Second), "a", 500)
 	require.GreaterOrEqual(t, s.accounts["a"].served.now(now.Add(10*time.Second)), 0.0, "it has faded meanwhile")
--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -39,15 +39,15 @@
 	at     time.Time
 }
 
-// SetFleet takes what each account asks for through all routers.
-func (s *Shares) SetFleet(demand []message.Demand) {
+// SetFleetDemand takes what each account asks for through all routers.
+func (s *Shares) SetFleetDemand(demand []message.Demand) {
 	s.fleet = make(map[string]message.Demand, len(demand))
 	rates := make([]float64, 0, len(demand))
 	for _, d := range demand {
 		s.fleet[d.Account] = d
 		rates = append(rates, d.Rate)
 	}
-	s.level = Level(s.Capacity, rates)
+	s.level = MaxMinLevel(s.Capacity, rates)
 	for _, a := range s.accounts {
 		a.since = 0
 	}
@@ -67,10 +67,10 @@
 	return list
 }
 
-// Ask counts a request and reports whether it is within its account's share. A
+// CountRequest counts a request and reports whether it is within its account's share. A
 // request of any size is, while the account has anything saved up: large ones
 // must not starve.
-func (s *Shares) Ask(now time.Time, name string, tokens float64) bool {
+func (s *Shares) CountRequest(now time.Time, name string, tokens float64) bool {
 	a := s.account(now, name)
 	a.asked.add(now, tokens)
 	s.fill(now, name, a)
@@ -95,11 +95,11 @@
 	a.since = max(a.since-tokens, 0)
 }
 
-// Excess returns how many times as much an account is served as another one that
+// ExcessRatio returns how many times as much an account is served as another one that
 // lacks service, through all routers: the greatest of these ratios, where an
 // account that asks for less than this one gets is held against what it asks. It
 // is at most 1 while nobody lacks anything on account of this one.
-func (s *Shares) Excess(now time.Time, name string) float64 {
+func (s *Shares) ExcessRatio(now time.Time, name string) float64 {
 	served := s.servedAll(now, name)
 	excess := 0.0
 	for other, d := range s.fleet {
@@ -110,9 +110,9 @@
 	return excess
 }
 
-// Deficit returns how many times as much as this account another one is served, through
+// DeficitRatio returns how many times as much as this account another one is served, through
 // all routers, as far as this one asks for it: at least 1.
-func (s *Shares) Deficit(now time.Time, name string) float64 {
+func (s *Shares) DeficitRatio(now time.Time, name string) float64 {
 	mine := s.fleet[name]
 	served := s.servedAll(now, name)
 	if served <= 0 {
@@ -140,8 +140,8 @@
 	return max(all.Served+a.since/rateMemory.Seconds()*times, a.served.now(now))
 }
 
-// Wait returns how long until an account has something saved up again.
-func (s *Shares) Wait(now time.Time, name string) time.Duration {
+// RefillTime returns how long until an account has something saved up again.
+func (s *Shares) RefillTime(now time.Time, name string) time.Duration {
 	a := s.account(now, name)
 	s.fill(now, name, a)
 	due := s.due(now, name, a)
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -29,8 +29,8 @@
 	extras   int
 }
 
-// Request counts a caller's request.
-func (b *Budget) Request(now time.Time) {
+// CountRequest counts a caller's request.
+func (b *Budget) CountRequest(now time.Time) {
 	b.at(now).requests++
 }
 
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -28,7 +28,7 @@
 		for range rapid.IntRange(1, 400).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, routers-1).Draw(t, "router")]
-			b.Request(now)
+			b.CountRequest(now)
 			events = append(events, event{at: now})
 			for range rapid.IntRange(0, 3).Draw(t, "tries") {
 				if b.Allow(now, routers) {
--- a/internal/routing/headers.go
+++ b/internal/routing/headers.go
@@ -76,7 +76,7 @@
 }
 
 // Prompt implements gateway.Dialect: callers tell nothing of their prompts.
-func (Headers) Prompt(http.Header) (parts []placement.Part, output int) {
+func (Headers) Prompt(http.Header) (parts []placement.PromptPart, output int) {
 	return nil, 0
 }
 
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -57,8 +57,8 @@
 	due   float64 // requests saved up
 }
 
-// Ask counts a request of an account and reports whether it is to be sent.
-func (t *Throttle) Ask(now time.Time, name string) bool {
+// Allow counts a request of an account and reports whether it is to be sent.
+func (t *Throttle) Allow(now time.Time, name string) bool {
 	a := t.account(name)
 	a.asked.add(now)
 	if now.Sub(t.levelAt) >= levelFor {
@@ -76,9 +76,9 @@
 	return true
 }
 
-// Ended counts an answer of a target: crowded is one that refuses the request for
+// RecordAnswer counts an answer of a target: crowded is one that refuses the request for
 // lack of room, or that tells of a long queue.
-func (t *Throttle) Ended(now time.Time, crowded bool) {
+func (t *Throttle) RecordAnswer(now time.Time, crowded bool) {
 	if crowded {
 		t.crowded.add(now)
 		return
@@ -114,7 +114,7 @@
 	if crowded <= sound*(eased+crowded) {
 		return
 	}
-	t.level = quota.Level(surplus*eased+trickle, rates)
+	t.level = quota.MaxMinLevel(surplus*eased+trickle, rates)
 }
 
 // A rate is an average of requests a second that fades over [memory].
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -63,7 +63,7 @@
 			r.count.served++
 			r.count.took += now.Sub(r.arrived)
 			if r.router != nil {
-				r.router.Ended(now, len(waiting) > c.long)
+				r.router.RecordAnswer(now, len(waiting) > c.long)
 			}
 			return true
 		})
@@ -82,14 +82,14 @@
 				r.count = &tally{}
 			}
 			r.count.asked++
-			if r.router != nil && !r.router.Ask(now, f.name) {
+			if r.router != nil && !r.router.Allow(now, f.name) {
 				continue
 			}
 			r.count.sent++
 			if len(waiting) < c.queue {
 				waiting = append(waiting, r)
 			} else if r.router != nil {
-				r.router.Ended(now, true)
+				r.router.RecordAnswer(now, true)
 			}
 		}
 	}
@@ -158,14 +158,14 @@
 		if i == 16*rate {
 			sent = 0
 		}
-		if !th.Ask(now, "a") {
+		if !th.Allow(now, "a") {
 			continue
 		}
 		sent++
 		if back {
-			th.Ended(now, false)
+			th.RecordAnswer(now, false)
 		} else {
-			th.Ended(now, true)
+			th.RecordAnswer(now, true)
 		}
 	}
 	require.Equal(t, 14*rate, sent, "six seconds after")
--- a/internal/uplink/fuzz_test.go
+++ b/internal/uplink/fuzz_test.go
@@ -39,7 +39,7 @@
 		p := &placement.Placer{}
 		now := u.Clock.Now()
 		u.Changed = func(_ State, targets []fleet.Instance) { p.SetTargets(now, targets) }
-		u.Heard = func(at time.Time, _ []message.Demand, others []message.Backlog) { p.SetOthers(at, others) }
+		u.Heard = func(at time.Time, _ []message.Demand, others []message.Backlog) { p.SetRemoteBacklog(at, others) }
 		u.hear(t, now.Add(-time.Minute), 1, instance("before", 1, false))
 		u.take(now, "k", nil, r)
 		u.take(now, "k", nil, r)
@@ -50,8 +50,8 @@
 		}
 		require.False(t, u.roster.ReadAt().After(now), "a list is not newer than the question")
 		if c, ok := p.Choose(now, placement.Request{Pool: "p"}); ok {
-			p.Begin(now, c, placement.Request{Pool: "p"})
-			p.Ended(now, c, placement.Served)
+			p.StartAttempt(now, c, placement.Request{Pool: "p"})
+			p.EndAttempt(now, c, placement.Served)
 		}
 		u.hear(t, now.Add(time.Second), 9, instance("next", 1, false))
 		require.Equal(t, []fleet.Instance{instance("next", 1, false)}, u.roster.Targets())
--- a/internal/uplink/restart_test.go
+++ b/internal/uplink/restart_test.go
@@ -105,7 +105,7 @@
 
 // play returns how long after its start the target got a request that it served.
 func (d *restartDay) play(t *testing.T) time.Duration {
-	p := &restartPlay{restartDay: d, t: t, uplink: newUplink(&fakeList{}), reads: d.draw(readPeriod), asks: d.draw(quota.Period(150))}
+	p := &restartPlay{restartDay: d, t: t, uplink: newUplink(&fakeList{}), reads: d.draw(readPeriod), asks: d.draw(quota.ReportPeriod(150))}
 	p.begin = p.uplink.Clock.Now()
 	p.uplink.Changed = func(_ State, targets []fleet.Instance) { p.placer.SetTargets(p.time(), targets) }
 	for ; p.now < simulated; p.now += stepTime {
@@ -135,7 +135,7 @@
 	if p.now < p.asks || p.number == 0 {
 		return
 	}
-	p.asks += quota.Period(150)
+	p.asks += quota.ReportPeriod(150)
 	r := message.Renewal{Leads: true, Term: 1, Number: 1, List: p.number, Age: p.now - p.readAt}
 	if p.uplink.list != p.number {
 		r.Roll = pack(p.t, p.list)
@@ -154,22 +154,22 @@
 		if lost {
 			result = placement.Failed
 		}
-		p.placer.First(p.time(), f.choice)
-		p.placer.Ended(p.time(), f.choice, result)
+		p.placer.RecordFirstByte(p.time(), f.choice)
+		p.placer.EndAttempt(p.time(), f.choice, result)
 		return true
 	})
 }
 
 // request sends one, and reports whether the target serves it after its new start.
 func (p *restartPlay) request() bool {
-	r := placement.Request{Pool: "p", Parts: []placement.Part{{ID: p.random.Uint64N(subjects), Tokens: 4000}, {ID: p.random.Uint64(), Tokens: 200}}}
+	r := placement.Request{Pool: "p", Parts: []placement.PromptPart{{ID: p.random.Uint64N(subjects), Tokens: 4000}, {ID: p.random.Uint64(), Tokens: 200}}}
 	choice, ok := p.placer.Choose(p.time(), r)
 	if !ok {
 		return false
 	}
-	p.placer.Begin(p.time(), choice, r)
+	p.placer.StartAttempt(p.time(), choice, r)
 	if choice.Target.ID == "target" && !p.runs(p.now) {
-		p.placer.Ended(p.time(), choice, placement.Unreached)
+		p.placer.EndAttempt(p.time(), choice, placement.ConnectFailed)
 		return false
 	}
 	p.flights = append(p.flights, flight{choice: choice, sent: p.now})
--- a/internal/uplink/take.go
+++ b/internal/uplink/take.go
@@ -120,9 +120,9 @@
 		if u.sent.is(r) {
 			order = u.sent.targets
 		}
-		demand, backlog = quota.Rows(loads, order)
+		demand, backlog = quota.DecodeColumns(loads, order)
 	}
-	u.Heard(u.Clock.Now(), demand, quota.Without(backlog, mine))
+	u.Heard(u.Clock.Now(), demand, quota.ExcludeOwn(backlog, mine))
 }
 
 // nameAccounts keeps the accounts that the leader names, and puts them in where it leaves them
--- a/internal/uplink/uplink.go
+++ b/internal/uplink/uplink.go
@@ -90,8 +90,8 @@
 	// Seat of the part of what cold targets get that is leased to this router from a moment.
 	// Held returns that lease while it holds.
 	Warming func(until map[fleet.Incarnation]time.Time)
-	Seat    func(asked time.Time, s warmup.Seat)
-	Held    func(now time.Time) warmup.Seat
+	Seat    func(asked time.Time, s warmup.Lease)
+	Held    func(now time.Time) warmup.Lease
 	// Quarantine returns which requests targets have ended under, and Ruled is told which are
 	// held back, by the leader of a term in answer to a question of a time. Wake asks for a
 	// question at once.
@@ -177,7 +177,7 @@
 		started := u.Clock.Now()
 		u.ask(ctx)
 		u.readList(ctx)
-		pause := quota.Period(u.State().Routers)
+		pause := quota.ReportPeriod(u.State().Routers)
 		if u.leader == "" {
 			pause = searchPause
 		}
--- a/internal/uplink/uplink_test.go
+++ b/internal/uplink/uplink_test.go
@@ -350,5 +350,5 @@
 // A list that the leader reads in time never looks old to a router of the largest fleet,
 // even where two answers are lost: all of them would read the platform's list themselves.
 func TestAListThatIsReadInTimeNeverLooksOld(t *testing.T) {
-	require.Less(t, 3*quota.Period(100_000), listPatience)
+	require.Less(t, 3*quota.ReportPeriod(100_000), listPatience)
 }
--- a/internal/warmup/budget.go
+++ b/internal/warmup/budget.go
@@ -9,16 +9,16 @@
 // mostPart bounds what one router sends to a cold target in a window.
 const mostPart = 64
 
-// A Bound is what cold targets of a pool get from all routers: at most Most requests in any
-// second for For after their start. The zero value is that of targets that are never cold.
-type Bound struct {
-	For  time.Duration
-	Most float64
+// A RateLimit is what cold targets of a pool get from all routers: at most PerSecond requests in any
+// second for Duration after their start. The zero value is that of targets that are never cold.
+type RateLimit struct {
+	Duration  time.Duration
+	PerSecond float64
 }
 
-// Cold reports whether targets of the pool are ever cold.
-func (b Bound) Cold() bool {
-	return b.For > 0 && b.Most > 0
+// Enabled reports whether targets of the pool are ever cold.
+func (b RateLimit) Enabled() bool {
+	return b.Duration > 0 && b.PerSecond > 0
 }
 
 // A Budget is a router's part of what cold targets may get. Set the exported fields, then
@@ -29,43 +29,43 @@
 	Ratio float64
 	Slack float64
 
-	seat  Seat
+	seat  Lease
 	until time.Time
 }
 
-// Bound returns the bound of a pool whose targets are cold for a time and take a rate of
+// RateLimit returns the bound of a pool whose targets are cold for a time and take a rate of
 // requests a second meanwhile.
-func (b *Budget) Bound(cold time.Duration, rate float64) Bound {
+func (b *Budget) RateLimit(cold time.Duration, rate float64) RateLimit {
 	if cold <= 0 || rate <= 0 {
-		return Bound{}
+		return RateLimit{}
 	}
-	return Bound{For: cold, Most: rate*b.Ratio + b.Slack}
+	return RateLimit{Duration: cold, PerSecond: rate*b.Ratio + b.Slack}
 }
 
-// Lease takes a seat that holds until a moment after the router asked for it.
-func (b *Budget) Lease(asked time.Time, s Seat) {
+// SetLease takes a seat that holds until a moment after the router asked for it.
+func (b *Budget) SetLease(asked time.Time, s Lease) {
 	b.seat, b.until = s, asked.Add(lease)
 }
 
-// Seat returns the seat that is held, to be told to the leader.
-func (b *Budget) Seat(now time.Time) Seat {
+// CurrentLease returns the seat that is held, to be told to the leader.
+func (b *Budget) CurrentLease(now time.Time) Lease {
 	if !now.Before(b.until) {
-		return Seat{}
+		return Lease{}
 	}
 	return b.seat
 }
 
-// Part returns how many requests this router may send to a cold target in a window. What
+// Allowance returns how many requests this router may send to a cold target in a window. What
 // does not divide evenly goes to seats that differ from target to target.
-func (b *Budget) Part(now time.Time, target uint64, bound Bound) int {
-	s := b.Seat(now)
-	if !s.Ready || s.Of <= 0 {
+func (b *Budget) Allowance(now time.Time, target uint64, bound RateLimit) int {
+	s := b.CurrentLease(now)
+	if !s.Ready || s.Total <= 0 {
 		return 0
 	}
-	all := int(share * bound.Most)
-	part := all / s.Of
-	turn := (uint64(s.Number) + target) % uint64(s.Of)
-	if turn < uint64(all%s.Of) {
+	all := int(share * bound.PerSecond)
+	part := all / s.Total
+	turn := (uint64(s.Number) + target) % uint64(s.Total)
+	if turn < uint64(all%s.Total) {
 		part++
 	}
 	return min(part, mostPart)
@@ -90,8 +90,8 @@
 	return (m.next + mostPart - n) % mostPart
 }
 
-// Send notes that a request is sent.
-func (m *Meter) Send(now time.Time) {
+// RecordSend notes that a request is sent.
+func (m *Meter) RecordSend(now time.Time) {
 	if m.sent == nil {
 		m.sent = make([]time.Time, mostPart)
 	}
@@ -99,8 +99,8 @@
 	m.next = (m.next + 1) % mostPart
 }
 
-// Delay notes that the last request left later than it was meant to.
-func (m *Meter) Delay(now time.Time) {
+// RecordDelayedSend notes that the last request left later than it was meant to.
+func (m *Meter) RecordDelayedSend(now time.Time) {
 	if m.sent == nil {
 		return
 	}
--- a/internal/warmup/seat.go
+++ b/internal/warmup/seat.go
@@ -7,7 +7,7 @@
 // A lease lapses by itself: the bound holds too for routers that are cut off, that stood
 // still or that restarted, and when the leader changes.
 //
-// [Seats] is the leader's side and [Budget] a router's. Both are deterministic: they take
+// [LeaseTable] is the leader's side and [Budget] a router's. Both are deterministic: they take
 // times and messages, and have no clock, goroutine or socket.
 package warmup
 
@@ -31,20 +31,20 @@
 	steps = 32
 )
 
-// A Seat is a router's lease on a part of what cold targets may get. The zero value is none.
-type Seat struct {
-	// Number is from 1 to Of.
+// A Lease is a router's lease on a part of what cold targets may get. The zero value is none.
+type Lease struct {
+	// Number is from 1 to Total.
 	Number int `json:"number"`
-	Of     int `json:"of"`
+	Total  int `json:"of"`
 	// Ready says that the seat may be used.
 	Ready bool `json:"ready,omitempty"`
 }
 
-// Seats is the leader's account of who holds which seat. It is soft: a new leader takes
-// over what routers hold. Set Since to when the leader began, then call Renew from one
+// LeaseTable is the leader's account of who holds which seat. It is soft: a new leader takes
+// over what routers hold. Set LeaderSince to when the leader began, then call Renew from one
 // goroutine at a time.
-type Seats struct {
-	Since time.Time
+type LeaseTable struct {
+	LeaderSince time.Time
 
 	holders map[string]holder // by router
 	taken   map[int]string
@@ -63,7 +63,7 @@
 
 // Renew answers a router that holds a seat, or none, and returns the seat that it holds from
 // when it asked.
-func (s *Seats) Renew(now time.Time, router string, run uint64, held Seat) Seat {
+func (s *LeaseTable) Renew(now time.Time, router string, run uint64, held Lease) Lease {
 	s.sweep(now)
 	h, ok := s.holders[router]
 	switch {
@@ -75,18 +75,18 @@
 		if !held.Ready {
 			h.ready = now.Add(handover)
 		}
-	case now.Sub(s.Since) <= handover:
-		return Seat{} // whoever holds a seat of the leader before has told it after that
+	case now.Sub(s.LeaderSince) <= handover:
+		return Lease{} // whoever holds a seat of the leader before has told it after that
 	default:
 		h = holder{number: s.free(), run: run, ready: now.Add(handover)}
 	}
 	h.renewed = now
 	s.seat(router, h)
-	s.grow(now, max(held.Of, roundUp(h.number)))
-	return Seat{Number: h.number, Of: s.of, Ready: !now.Before(h.ready) && (s.changed.IsZero() || now.Sub(s.changed) >= handover)}
+	s.grow(now, max(held.Total, roundUp(h.number)))
+	return Lease{Number: h.number, Total: s.of, Ready: !now.Before(h.ready) && (s.changed.IsZero() || now.Sub(s.changed) >= handover)}
 }
 
-func (s *Seats) seat(router string, h holder) {
+func (s *LeaseTable) seat(router string, h holder) {
 	if s.holders == nil {
 		s.holders, s.taken = make(map[string]holder), make(map[int]string)
 	}
@@ -95,7 +95,7 @@
 
 // grow takes the number of seats up. It never falls within a leader's term: what a router
 // without a word of the leader believes is never above it.
-func (s *Seats) grow(now time.Time, of int) {
+func (s *LeaseTable) grow(now time.Time, of int) {
 	if of <= s.of {
 		return
 	}
@@ -106,7 +106,7 @@
 }
 
 // sweep drops those whose seats have lapsed.
-func (s *Seats) sweep(now time.Time) {
+func (s *LeaseTable) sweep(now time.Time) {
 	if now.Sub(s.swept) < window {
 		return
 	}
@@ -120,7 +120,7 @@
 	})
 }
 
-func (s *Seats) free() int {
+func (s *LeaseTable) free() int {
 	for number := 1; ; number++ {
 		if s.taken[number] == "" {
 			return number
--- a/internal/warmup/seat_test.go
+++ b/internal/warmup/seat_test.go
@@ -28,7 +28,7 @@
 	name    string
 	run     uint64
 	budget  warmup.Budget
-	bound   warmup.Bound
+	bound   warmup.RateLimit
 	meters  []warmup.Meter
 	next    time.Time
 	cut     bool
@@ -37,7 +37,7 @@
 
 func (r *router) start(run uint64, targets int) {
 	r.budget = warmup.Budget{Ratio: ratio, Slack: slack}
-	r.bound = r.budget.Bound(cold, rate)
+	r.bound = r.budget.RateLimit(cold, rate)
 	r.meters = make([]warmup.Meter, targets)
 	r.run, r.next = run, time.Time{}
 }
@@ -48,7 +48,7 @@
 	run   uint64
 	asked time.Time
 	at    time.Time
-	seat  warmup.Seat
+	seat  warmup.Lease
 }
 
 // world is routers, the leaders that follow each other, and cold targets that all routers
@@ -58,13 +58,13 @@
 	now     time.Time
 	runs    uint64
 	routers []*router
-	leader  warmup.Seats
+	leader  warmup.LeaseTable
 	wire    []answer
 	sent    [][]time.Time // by target
 }
 
 func newWorld(t require.TestingT, routers, targets int) *world {
-	w := &world{t: t, now: begin, leader: warmup.Seats{Since: begin}, sent: make([][]time.Time, targets)}
+	w := &world{t: t, now: begin, leader: warmup.LeaseTable{LeaderSince: begin}, sent: make([][]time.Time, targets)}
 	for i := range routers {
 		w.add(i)
 	}
@@ -98,7 +98,7 @@
 	if r.cut || lose() {
 		return
 	}
-	seat := w.leader.Renew(w.now, r.name, r.run, r.budget.Seat(w.now))
+	seat := w.leader.Renew(w.now, r.name, r.run, r.budget.CurrentLease(w.now))
 	if !lose() {
 		w.wire = append(w.wire, answer{to: r, run: r.run, asked: w.now, at: w.now.Add(step), seat: seat})
 	}
@@ -110,7 +110,7 @@
 			return false
 		}
 		if a.to.run == a.run {
-			a.to.budget.Lease(a.asked, a.seat)
+			a.to.budget.SetLease(a.asked, a.seat)
 		}
 		return true
 	})
@@ -118,9 +118,9 @@
 
 func (w *world) send(r *router) {
 	for target := range w.sent {
-		part := r.budget.Part(w.now, uint64(target)*0x9e3779b97f4a7c15, r.bound)
+		part := r.budget.Allowance(w.now, uint64(target)*0x9e3779b97f4a7c15, r.bound)
 		for r.meters[target].Allows(w.now, part) {
-			r.meters[target].Send(w.now)
+			r.meters[target].RecordSend(w.now)
 			w.sent[target] = append(w.sent[target], w.now)
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 func (w *world) requireBound() {
-	bound := w.routers[0].bound.Most
+	bound := w.routers[0].bound.PerSecond
 	for target, sent := range w.sent {
 		require.LessOrEqual(w.t, float64(most(sent)), bound, fmt.Sprint("target ", target))
 	}
@@ -169,7 +169,7 @@
 			case 2:
 				r.standby = w.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "still")) * time.Millisecond)
 			case 3:
-				w.leader = warmup.Seats{Since: w.now}
+				w.leader = warmup.LeaseTable{LeaderSince: w.now}
 			case 4:
 				for i := range rapid.IntRange(1, 30).Draw(t, "more") {
 					if len(w.routers) < 80 {
@@ -206,7 +206,7 @@
 			for _, sent := range w.sent {
 				sum += len(slices.DeleteFunc(sent, func(at time.Time) bool { return at.Before(from) }))
 			}
-			require.GreaterOrEqual(t, float64(sum), used*w.routers[0].bound.Most*targets*span.Seconds())
+			require.GreaterOrEqual(t, float64(sum), used*w.routers[0].bound.PerSecond*targets*span.Seconds())
 		})
 	}
 }
@@ -215,25 +215,25 @@
 // every request.
 func TestADecisionTakesNoMemory(t *testing.T) {
 	b := warmup.Budget{Ratio: ratio, Slack: slack}
-	b.Lease(begin, warmup.Seat{Number: 3, Of: 8, Ready: true})
-	bound := b.Bound(cold, rate)
+	b.SetLease(begin, warmup.Lease{Number: 3, Total: 8, Ready: true})
+	bound := b.RateLimit(cold, rate)
 	var m warmup.Meter
-	m.Send(begin)
+	m.RecordSend(begin)
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		if m.Allows(begin, b.Part(begin, 7, bound)) {
-			m.Send(begin)
+		if m.Allows(begin, b.Allowance(begin, 7, bound)) {
+			m.RecordSend(begin)
 		}
 	}))
 }
 
 func BenchmarkPart(b *testing.B) {
 	budget := warmup.Budget{Ratio: ratio, Slack: slack}
-	budget.Lease(begin, warmup.Seat{Number: 3, Of: 8, Ready: true})
-	bound := budget.Bound(cold, rate)
+	budget.SetLease(begin, warmup.Lease{Number: 3, Total: 8, Ready: true})
+	bound := budget.RateLimit(cold, rate)
 	var m warmup.Meter
-	m.Send(begin)
+	m.RecordSend(begin)
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Allows(begin, budget.Part(begin, 7, bound))
+		m.Allows(begin, budget.Allowance(begin, 7, bound))
 	}
 }
--- a/internal/workload/ablate.go
+++ b/internal/workload/ablate.go
@@ -26,18 +26,18 @@
 	"copies": func(p *routers) { p.copyRate = 0 },
 	"intime": func(p *routers) { p.back = always(usualBack) },
 	"reach": func(p *routers) {
-		p.rules = []admission.Rule{admission.Room{Scales: []admission.Scale{admission.Yield{}}}, admission.Brief{}}
+		p.rules = []admission.Rule{admission.Headroom{Scales: []admission.HeadroomScale{admission.ShrinkByExcess{}}}, admission.ShortWait{}}
 	},
 	"reports": func(p *routers) { p.period = seldom },
-	"room":    func(p *routers) { p.rules = []admission.Rule{admission.Brief{}} },
+	"room":    func(p *routers) { p.rules = []admission.Rule{admission.ShortWait{}} },
 	"shares":  func(p *routers) { p.capacity = 0 },
 	"sizes":   func(p *routers) { p.sizes = false },
 	"yield": func(p *routers) {
-		p.rules = []admission.Rule{admission.Room{Scales: []admission.Scale{admission.Reach{}}}, admission.Brief{}}
+		p.rules = []admission.Rule{admission.Headroom{Scales: []admission.HeadroomScale{admission.GrowByDeficit{}}}, admission.ShortWait{}}
 	},
 }
 
-var standardRoom = admission.Room{Scales: []admission.Scale{admission.Yield{}, admission.Reach{}}}
+var standardRoom = admission.Headroom{Scales: []admission.HeadroomScale{admission.ShrinkByExcess{}, admission.GrowByDeficit{}}}
 
 // Ablations are the policies that leave one mechanism out each, behind the one that leaves
 // out none.
@@ -62,9 +62,9 @@
 // always is a time to come back that depends on nothing.
 type always time.Duration
 
-var _ admission.Return = always(0)
+var _ admission.RetryPolicy = always(0)
 
-// Back implements admission.Return.
-func (a always) Back(time.Time, *quota.Shares, admission.Request) time.Duration {
+// RetryAfter implements admission.RetryPolicy.
+func (a always) RetryAfter(time.Time, *quota.Shares, admission.Request) time.Duration {
 	return time.Duration(a)
 }
--- a/internal/workload/draw.go
+++ b/internal/workload/draw.go
@@ -18,7 +18,7 @@
 	kind    int
 	account int
 	caller  uint64 // who sends it: decides through which routers it comes
-	parts   []placement.Part
+	parts   []placement.PromptPart
 	output  int
 	size    float64 // tokens in, and ten times those out
 }
@@ -126,7 +126,7 @@
 		}
 		a.parts = append(a.parts, d.sharedPart(kind, level, rank, sh.Size))
 	}
-	own := placement.Part{ID: d.random.Uint64() | 1, Tokens: d.size(k.Own, d.random)}
+	own := placement.PromptPart{ID: d.random.Uint64() | 1, Tokens: d.size(k.Own, d.random)}
 	a.parts = append(a.parts, own)
 	a.output = d.size(k.Output, d.random)
 	for _, p := range a.parts {
@@ -147,11 +147,11 @@
 }
 
 // sharedPart returns a shared part: the same rank always is the same part.
-func (d *drawer) sharedPart(kind, level, rank int, size Size) placement.Part {
+func (d *drawer) sharedPart(kind, level, rank int, size Size) placement.PromptPart {
 	const kinds, levels = 1 << 20, 1 << 16
 	id := uint64(kind+1)*kinds + uint64(level+1)*levels + uint64(rank)
 	own := rand.New(rand.NewPCG(id, id))
-	return placement.Part{ID: id << 1, Tokens: d.size(size, own)}
+	return placement.PromptPart{ID: id << 1, Tokens: d.size(size, own)}
 }
 
 func (d *drawer) size(s Size, random *rand.Rand) int {
--- a/internal/workload/queue.go
+++ b/internal/workload/queue.go
@@ -120,7 +120,7 @@
 }
 
 // keeper returns the engine that keeps most of a prompt, and how many tokens.
-func (w *world) keeper(parts []placement.Part) (best, kept int) {
+func (w *world) keeper(parts []placement.PromptPart) (best, kept int) {
 	best = -1
 	for i, e := range w.engines {
 		if held := e.Holds(parts); !w.away[i] && held > kept {
--- a/internal/workload/request.go
+++ b/internal/workload/request.go
@@ -108,7 +108,7 @@
 	}
 	w.engines[a.engine].Cancel(a.id)
 	delete(w.jobs[a.engine], a.id)
-	w.end(a, placement.Left)
+	w.end(a, placement.Canceled)
 }
 
 // end tells the policy once how an attempt ended.
@@ -143,7 +143,7 @@
 func (w *world) offer(a *attempt) {
 	job := engine.Job{ID: a.id, Parts: a.parts, Output: a.output, From: w.source(a)}
 	if w.away[a.engine] {
-		w.after(w.hop(a.router, a.engine), func() { w.elsewhere(a, placement.Unreached) })
+		w.after(w.hop(a.router, a.engine), func() { w.elsewhere(a, placement.ConnectFailed) })
 		return
 	}
 	if a.fate != pending || !w.engines[a.engine].Offer(w.now, job) {
--- a/internal/workload/result.go
+++ b/internal/workload/result.go
@@ -182,7 +182,7 @@
 		}
 	}
 	seconds := time.Duration(w.Scenario.Length - w.Scenario.Warm).Seconds()
-	level := quota.Level(w.Scenario.Capacity*seconds, asked)
+	level := quota.MaxMinLevel(w.Scenario.Capacity*seconds, asked)
 	worst := 1.0
 	for i := range asked {
 		due := asked[i]
--- a/internal/workload/routers.go
+++ b/internal/workload/routers.go
@@ -24,9 +24,9 @@
 	change func(*routers)
 
 	desks    []*desk
-	board    quota.Board
+	board    quota.Aggregator
 	rules    []admission.Rule
-	back     admission.Return
+	back     admission.RetryPolicy
 	sizes    bool
 	certain  bool
 	capacity float64       // tokens a second that accounts share
@@ -39,7 +39,7 @@
 
 // desk is the decisions of one router.
 type desk struct {
-	admission.Desk
+	admission.Controller
 
 	name string
 }
@@ -52,10 +52,10 @@
 	}
 	for i := range w.Scenario.Routers {
 		d := &desk{name: "r" + strconv.Itoa(i)}
-		d.Desk = admission.NewDesk(
-			&placement.Placer{Zone: zone(i % w.Scenario.Zones), Routers: w.Scenario.Routers, Certain: p.certain}, &quota.Shares{Capacity: p.capacity},
+		d.Controller = admission.NewController(
+			&placement.Placer{Zone: zone(i % w.Scenario.Zones), Routers: w.Scenario.Routers, NoJitter: p.certain}, &quota.Shares{Capacity: p.capacity},
 		)
-		p.leaveOut(&d.Desk)
+		p.leaveOut(&d.Controller)
 		d.Placer.SetPools(map[string]fleet.Pool{pool: {Name: pool, Engine: &fleet.Engine{
 			Slots: w.Scenario.Engines.Slots, CopyRate: p.copyRate, Memory: w.Scenario.Engines.Memory,
 		}}})
@@ -67,15 +67,15 @@
 }
 
 // leaveOut replaces what a desk decides by where that is to be another.
-func (p *routers) leaveOut(d *admission.Desk) {
+func (p *routers) leaveOut(d *admission.Controller) {
 	if p.rules != nil {
 		d.Rules = p.rules
 	}
 	if p.back != nil {
-		d.Return = p.back
+		d.RetryPolicy = p.back
 	}
 	if !p.sizes {
-		d.Sizes = nil
+		d.SizeFairness = nil
 	}
 }
 
@@ -111,8 +111,8 @@
 		p.board.Report(w.now, d.name, demand, mine)
 		sums, backlog, _ := p.board.Sums(w.now)
 		w.after(time.Duration(w.Scenario.Way), func() {
-			d.Shares.SetFleet(sums)
-			d.Placer.SetOthers(w.now, quota.Without(backlog, mine))
+			d.Shares.SetFleetDemand(sums)
+			d.Placer.SetRemoteBacklog(w.now, quota.ExcludeOwn(backlog, mine))
 		})
 	})
 	if !w.over() {
@@ -122,7 +122,7 @@
 
 // Ask implements policy.
 func (p *routers) Ask(w *world, a *attempt) {
-	a.within = p.desks[a.router].Shares.Ask(w.now, account(a), a.tokens())
+	a.within = p.desks[a.router].Shares.CountRequest(w.now, account(a), a.tokens())
 }
 
 func account(a *attempt) string {
@@ -132,11 +132,11 @@
 // Choose implements policy.
 func (p *routers) Choose(w *world, a *attempt) (int, time.Duration) {
 	choice, no := p.desks[a.router].Decide(w.now, admission.Request{
-		Place: placement.Request{Pool: pool, Parts: a.parts, Avoid: a.tried}, Route: a.route, Account: account(a),
-		Tokens: a.tokens(), Until: a.until(), Within: a.within, Sent: a.sent > 0, Charged: a.sent > 0,
+		Placement: placement.Request{Pool: pool, Parts: a.parts, Avoid: a.tried}, Route: a.route, Account: account(a),
+		Cost: a.tokens(), Deadline: a.until(), WithinShare: a.within, SentBefore: a.sent > 0, Charged: a.sent > 0,
 	})
 	if no != nil {
-		return -1, no.Back
+		return -1, no.RetryAfter
 	}
 	a.choice = choice
 	for i, id := range w.ids {
@@ -144,17 +144,17 @@
 			return i, 0
 		}
 	}
-	return -1, admission.Moment
+	return -1, admission.NoCapacityRetryAfter
 }
 
 // First implements policy.
 func (p *routers) First(w *world, a *attempt) {
 	if !a.ended {
-		p.desks[a.router].Placer.First(w.now, a.choice)
+		p.desks[a.router].Placer.RecordFirstByte(w.now, a.choice)
 	}
 }
 
 // Ended implements policy.
 func (p *routers) Ended(w *world, a *attempt, r placement.Result) {
-	p.desks[a.router].Placer.Ended(w.now, a.choice, r)
+	p.desks[a.router].Placer.EndAttempt(w.now, a.choice, r)
 }
--- a/internal/workload/scenario.go
+++ b/internal/workload/scenario.go
@@ -184,7 +184,7 @@
 	if s.Reports > 0 {
 		return time.Duration(s.Reports)
 	}
-	return quota.Period(s.Routers)
+	return quota.ReportPeriod(s.Routers)
 }
 
 // route returns the route of a kind, as routers know it.
