--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -8,22 +8,24 @@
 	"laburnumfall/internal/message"
 )
 
-// Backlog returns what this router has sent to targets.
+// Backlog returns the prompt tokens and requests that this router has outstanding at each target,
+// sorted by target ID. Targets with nothing outstanding are left out.
 func (p *Placer) Backlog() []message.Backlog {
 	list := make([]message.Backlog, 0, len(p.states))
 	for target, s := range p.states {
-		if s.pending > 0 || s.running > 0 {
-			list = append(list, message.BacklogOf(target, s.pending, s.running))
+		if s.pendingTokens > 0 || s.running > 0 {
+			list = append(list, message.BacklogOf(target, s.pendingTokens, s.running))
 		}
 	}
 	slices.SortFunc(list, func(a, b message.Backlog) int { return cmp.Compare(a.Target, b.Target) })
 	return list
 }
 
-// SetRemoteBacklog takes what all other routers have sent to targets.
+// SetRemoteBacklog replaces the backlog that all other routers have outstanding at targets.
+// Entries for another incarnation of a target are ignored.
 func (p *Placer) SetRemoteBacklog(now time.Time, list []message.Backlog) {
 	for _, s := range p.states {
-		s.others, s.othersAt = message.Backlog{}, now
+		s.remote, s.remoteAt = message.Backlog{}, now
 	}
 	byID := make(map[string][]message.Backlog, len(list))
 	for _, b := range list {
@@ -32,7 +34,7 @@
 	for target, s := range p.states {
 		for _, b := range byID[target.ID] {
 			if b.Of().Like(target) {
-				s.others = s.others.Plus(b)
+				s.remote = s.remote.Plus(b)
 			}
 		}
 	}
--- a/internal/placement/copy.go
+++ b/internal/placement/copy.go
@@ -6,138 +6,141 @@
 	"laburnumfall/internal/fleet"
 )
 
-// copyWeight is the part of the time of reading parts that copying them counts in a
-// choice, however fast it is: the copy takes memory in which other parts are kept,
-// which are then read anew, and is billed. A queue must be longer than that by far before a
-// prompt is better off elsewhere.
+// copyWeight is the part of the prefill time that copying the same tokens costs in a choice, on
+// top of the transfer time. The copy is billed, and it takes memory from other cached parts,
+// which are then prefilled again. So a request leaves the owner only when the queue there is much
+// longer than the copy.
 const copyWeight = 4
 
-// stayFor is how long parts stay where they were sent while their home was behind. Queues
-// of engines last for some hundred milliseconds; were parts to stay for good, an engine that
-// starts again would get no work.
-const stayFor = 2 * time.Second
+// stickyFor is how long requests with the same shared parts stay at the target that this router
+// sent them to while their owner was backlogged. Engine queues last for some hundred
+// milliseconds. Without a limit, a restarted engine would get no work.
+const stickyFor = 2 * time.Second
 
-// A need is what a target has to do before it can begin to answer a prompt.
-type need struct {
-	read   int    // tokens
-	copied int    // tokens that it copies from another engine instead
-	from   *state // which keeps them, or nil
+// A prefillPlan is the work that a target does before it can begin to answer a prompt.
+type prefillPlan struct {
+	prefillTokens int    // read by the target itself
+	copyTokens    int    // copied from source instead of being prefilled
+	source        *state // engine that has the uncached parts, or nil
 }
 
-// keepers are the targets that come first in the order by which a prompt's shared
-// parts are placed.
-type keepers struct {
-	// home is the first that takes this request, of the fleet or of this router's zone:
-	// where the parts belong.
-	home *state
-	// first and second may be leaving: until they are gone they still keep parts.
+// cacheOwners are the targets that rendezvous hashing ranks first for a prompt's shared parts.
+type cacheOwners struct {
+	// owner ranks first among the targets that can take this request, either of the fleet or of
+	// this router's zone. Shared parts are cached there by preference.
+	owner *state
+	// first and second rank first in the fleet, including targets that are leaving: these keep
+	// their cache until they stop.
 	first, second *state
-	// known is where this router itself sent a prompt with these parts last, if they are
-	// thought to be kept there still, or nil. They stay there while they have just been
-	// sent there.
-	known *state
-	stay  bool
+	// lastTarget is where this router last sent a prompt with these parts, or nil if they are
+	// unlikely to be cached there. While sticky is set, requests with these parts stay there.
+	lastTarget *state
+	sticky     bool
 }
 
-// keepers returns where a prompt's shared parts belong. Every router computes the
-// same from the last shared part; only what it sent itself is its own.
-func (p *Placer) keepers(now time.Time, r Request) keepers {
+// cacheOwners ranks the targets of the pool for a prompt's shared parts. All routers compute the
+// same ranking from the last shared part; only lastTarget and sticky are local to this router.
+func (p *Placer) cacheOwners(now time.Time, r Request) cacheOwners {
 	shared := r.shared()
 	if len(shared) == 0 {
-		return keepers{}
+		return cacheOwners{}
 	}
-	var k keepers
-	var all, zone ranking // of those that take the request
+	var owners cacheOwners
+	var fleetBest, zoneBest bestScore // among targets that can take the request
 	var firstScore, secondScore uint64
 	key := shared[len(shared)-1].ID
-	for _, s := range p.pools[r.Pool] {
-		score := rendezvous(key, s.hash)
-		if p.open(now, s) {
-			all.add(s, score)
+	for _, s := range p.byPool[r.Pool] {
+		score := rendezvousScore(key, s.hash)
+		if p.canSend(now, s) {
+			fleetBest.consider(s, score)
 			if s.Zone == p.Zone {
-				zone.add(s, score)
+				zoneBest.consider(s, score)
 			}
 		}
-		if p.cold(now, s) {
-			continue // it keeps nothing yet
+		if p.isCold(now, s) {
+			continue // a cold target has no parts cached yet
 		}
 		switch {
-		case k.first == nil || score > firstScore:
-			k.second, secondScore = k.first, firstScore
-			k.first, firstScore = s, score
-		case k.second == nil || score > secondScore:
-			k.second, secondScore = s, score
+		case owners.first == nil || score > firstScore:
+			owners.second, secondScore = owners.first, firstScore
+			owners.first, firstScore = s, score
+		case owners.second == nil || score > secondScore:
+			owners.second, secondScore = s, score
 		}
 	}
-	k.home = all.first
-	if zone.first != nil && p.local(r) {
-		k.home = zone.first
+	owners.owner = fleetBest.target
+	if zoneBest.target != nil && p.cachePerZone(r) {
+		owners.owner = zoneBest.target
 	}
-	if l, ok := p.last[key]; ok && p.states[l.target.Incarnation] == l.target && l.target.lacking(now, r) == 0 {
-		k.known, k.stay = l.target, now.Sub(l.since) < stayFor
+	if last, ok := p.lastSent[key]; ok && p.states[last.target.Incarnation] == last.target && last.target.uncachedTokens(now, r) == 0 {
+		owners.lastTarget, owners.sticky = last.target, now.Sub(last.since) < stickyFor
 	}
-	return k
+	return owners
 }
 
-// elsewhere reports whether parts are known to be kept at another target than this one.
-func (k keepers) elsewhere(s *state) bool {
-	return k.known != nil && k.known != s
+// cachedElsewhere reports whether this router sent the parts to a target other than s most
+// recently, and they are still cached there.
+func (o cacheOwners) cachedElsewhere(s *state) bool {
+	return o.lastTarget != nil && o.lastTarget != s
 }
 
-// source returns the target that most likely keeps what another one lacks, or nil.
-func (k keepers) source(now time.Time, s *state) *state {
+// copySource returns the target that is most likely to have what s has not cached, or nil.
+func (o cacheOwners) copySource(now time.Time, s *state) *state {
 	switch {
-	case k.elsewhere(s):
-		return k.known
-	case s != k.first:
-		return k.first
-	case s.recent(now):
-		return k.second // the home has just come; this was it before
+	case o.cachedElsewhere(s):
+		return o.lastTarget
+	case s != o.first:
+		return o.first
+	case s.recentlyAdded(now):
+		return o.second // s has just become the owner; this target was the owner before
 	default:
 		return nil
 	}
 }
 
-// need returns what a target has to do for a prompt. At its home a part counts as
-// kept, since other routers send it there too, unless this router has just sent it
-// elsewhere: callers of an account come in through few routers, so most likely no other has
-// asked for the account's parts, and while their home was behind they were read elsewhere.
-// Sent home at once, they would be read again. What an engine lacks it copies from there,
-// if engines can: that takes a fraction of the time of reading, and disturbs no other
-// request at either.
-func (p *Placer) need(now time.Time, s *state, r Request, k keepers) need {
-	lacking := s.lacking(now, r)
-	n := need{read: r.OwnTokens()}
-	counts := s != k.home || k.stay && k.elsewhere(s)
-	if counts {
-		n.read += lacking
+// planPrefill returns the work that a target has to do for a prompt.
+//
+// At the owner, shared parts count as cached, since other routers send them there too. The
+// exception is a part that this router has just sent to another target. An account's callers come
+// in through few routers, so probably no other router has requested these parts, and they were
+// prefilled elsewhere while the owner was backlogged. Sending the request to the owner at once
+// would prefill them again.
+//
+// Uncached parts are copied from another engine if engines support it. A copy takes a fraction of
+// the prefill time and does not delay other requests at either engine.
+func (p *Placer) planPrefill(now time.Time, s *state, r Request, owners cacheOwners) prefillPlan {
+	uncached := s.uncachedTokens(now, r)
+	plan := prefillPlan{prefillTokens: r.OwnTokens()}
+	chargeUncached := s != owners.owner || owners.sticky && owners.cachedElsewhere(s)
+	if chargeUncached {
+		plan.prefillTokens += uncached
 	}
-	if lacking == 0 || p.engines[s.Pool].CopyRate <= 0 {
-		return n
+	if uncached == 0 || p.engines[s.Pool].CopyRate <= 0 {
+		return plan
 	}
-	from := k.source(now, s)
-	if from == nil || !from.sound(now) {
-		return n
+	source := owners.copySource(now, s)
+	if source == nil || !source.canServeCopies(now) {
+		return plan
 	}
-	n.from = from
-	if counts {
-		n.read, n.copied = r.OwnTokens(), lacking
+	plan.source = source
+	if chargeUncached {
+		plan.prefillTokens, plan.copyTokens = r.OwnTokens(), uncached
 	}
-	return n
+	return plan
 }
 
-// copyTime returns how long a target copies for a prompt. Copies from one engine
-// come one after the other.
-func (p *Placer) copyTime(n need) time.Duration {
-	if n.copied == 0 {
+// copyTime returns how long the copy for a prompt takes. An engine serves copies one after the
+// other.
+func (p *Placer) copyTime(plan prefillPlan) time.Duration {
+	if plan.copyTokens == 0 {
 		return 0
 	}
-	return milliseconds(float64(n.from.copying+n.copied) / p.engines[n.from.Pool].CopyRate)
+	return milliseconds(float64(plan.source.copyingTokens+plan.copyTokens) / p.engines[plan.source.Pool].CopyRate)
 }
 
-// SetPools takes what the configuration tells of pools.
+// SetPools replaces the engine properties and the rate limits of cold targets of all pools.
 func (p *Placer) SetPools(pools map[string]fleet.Pool) {
-	p.setBounds(pools)
+	p.setColdLimits(pools)
 	p.engines = make(map[string]fleet.Engine, len(pools))
 	for name, pool := range pools {
 		if pool.Engine != nil {
@@ -146,20 +149,21 @@
 	}
 }
 
-// recent reports whether a target came so lately that parts which belong there
-// may not have been read there yet.
-func (s *state) recent(now time.Time) bool {
-	return now.Sub(s.since) < keptFor
+// recentlyAdded reports whether a target is so new that parts it owns may not have been prefilled
+// there yet.
+func (s *state) recentlyAdded(now time.Time) bool {
+	return now.Sub(s.addedAt) < cacheLifetime
 }
 
-// sound reports whether other engines may be told to copy from a target.
-func (s *state) sound(now time.Time) bool {
-	return s.downs == 0 && (s.silent == 0 || now.Sub(s.oldest) <= silentAfter)
+// canServeCopies reports whether other engines may be sent to a target to copy parts: it was
+// reachable at the last attempt and is not unresponsive.
+func (s *state) canServeCopies(now time.Time) bool {
+	return s.connectFailures == 0 && (s.unanswered == 0 || now.Sub(s.unansweredSince) <= unresponsiveAfter)
 }
 
-// done notes that the copy, if any, is over.
-func (n need) done() {
-	if n.from != nil {
-		n.from.copying -= n.copied
+// releaseSource removes the copy of this plan, if any, from the load of its source.
+func (p prefillPlan) releaseSource() {
+	if p.source != nil {
+		p.source.copyingTokens -= p.copyTokens
 	}
 }
--- a/internal/placement/incarnation_test.go
+++ b/internal/placement/incarnation_test.go
@@ -10,99 +10,95 @@
 	"laburnumfall/internal/message"
 )
 
-// born returns the targets with another start of one.
-func born(list []fleet.Instance, id string, at int64) []fleet.Instance {
+// withStartTime returns a copy of the targets in which one has another start time.
+func withStartTime(list []fleet.Instance, id string, startTime int64) []fleet.Instance {
 	list = append([]fleet.Instance(nil), list...)
 	for i := range list {
 		if list[i].ID == id {
-			list[i].Born = at
+			list[i].Born = startTime
 		}
 	}
 	return list
 }
 
-// Symptom: a target that has started again gets no work for seconds, though it answers;
-// or work in the belief that it keeps prompts, or is busy.
-// Sequence: it crashes under load and starts again under its ID.
-// Cause: what was known of it was kept by its ID: failures, probation, that it could not
-// be reached, its backlog, kept parts.
-func TestATargetThatStartedAgainIsAnotherTarget(t *testing.T) {
-	p := placer(3)
+// Guards against applying the state of the previous incarnation to a target that crashed and
+// restarted under the same ID: failures, probation, connection failures, backlog and cached
+// parts. The target would get no work for seconds, or work for parts that it no longer has.
+func TestRestartResetsTargetState(t *testing.T) {
+	p := newPlacer(3)
 	r := prompt(1, 13000, 200)
-	home := p.keepers(start, r).home
-	var open []*Choice
+	owner := p.cacheOwners(start, r).owner
+	var choices []*Choice
 	for range 3 {
 		c := send(t, p, start, r)
-		require.Equal(t, home, c.state)
-		open = append(open, c)
+		require.Equal(t, owner, c.state)
+		choices = append(choices, c)
 	}
-	p.EndAttempt(start, open[0], Failed)
-	p.EndAttempt(start, open[1], ConnectFailed)
-	p.SetReportedQueue(start, home.Incarnation, 9)
-	p.SetRemoteBacklog(start, []message.Backlog{{Target: home.ID, Tokens: 90_000, Running: 60}})
-	require.Positive(t, home.trouble(start, 0))
+	p.EndAttempt(start, choices[0], Failed)
+	p.EndAttempt(start, choices[1], ConnectFailed)
+	p.SetReportedQueue(start, owner.Incarnation, 9)
+	p.SetRemoteBacklog(start, []message.Backlog{{Target: owner.ID, Tokens: 90_000, Running: 60}})
+	require.Positive(t, owner.failurePenalty(start, 0))
 
-	p.SetTargets(start, born(instances(3), home.ID, 2000))
-	next := p.keepers(start, r).home
-	require.Equal(t, home.ID, next.ID, "its parts still belong there")
-	require.NotSame(t, home, next)
-	require.Zero(t, next.trouble(start, 0))
-	require.False(t, next.probation.Active())
-	require.Equal(t, 13000, next.lacking(start, r))
-	require.Zero(t, next.load(start))
-	require.Zero(t, next.told(start))
-	require.Empty(t, p.Backlog(), "what the former start was sent is gone with it")
-	require.False(t, p.Accepts(home.Incarnation))
-	require.True(t, p.Accepts(next.Incarnation))
+	p.SetTargets(start, withStartTime(instances(3), owner.ID, 2000))
+	restarted := p.cacheOwners(start, r).owner
+	require.Equal(t, owner.ID, restarted.ID, "the restarted target still owns the parts")
+	require.NotSame(t, owner, restarted)
+	require.Zero(t, restarted.failurePenalty(start, 0))
+	require.False(t, restarted.probation.Active())
+	require.Equal(t, 13000, restarted.uncachedTokens(start, r))
+	require.Zero(t, restarted.runningTotal(start))
+	require.Zero(t, restarted.reportedQueue(start))
+	require.Empty(t, p.Backlog(), "the backlog of the previous incarnation is dropped")
+	require.False(t, p.Accepts(owner.Incarnation))
+	require.True(t, p.Accepts(restarted.Incarnation))
 
-	p.RecordFirstByte(start, open[2])
-	p.EndAttempt(start, open[2], Failed)
-	require.Zero(t, home.running, "it ends at the former start")
-	require.Zero(t, home.pending)
-	require.Zero(t, next.running)
-	require.Zero(t, next.pending)
-	require.Zero(t, next.fails)
+	p.RecordFirstByte(start, choices[2])
+	p.EndAttempt(start, choices[2], Failed)
+	require.Zero(t, owner.running, "the attempt ends on the previous incarnation")
+	require.Zero(t, owner.pendingTokens)
+	require.Zero(t, restarted.running)
+	require.Zero(t, restarted.pendingTokens)
+	require.Zero(t, restarted.failureRate)
 }
 
-// Symptom: all parts that belong to an engine are read again after its restart.
-// Sequence: the home of a part starts again under its ID; a prompt is sent there.
-// Cause: it was still the home that had always been there, which copies from nobody.
-func TestAHomeThatStartedAgainCopiesFromTheOneBefore(t *testing.T) {
-	p := copier(9)
+// Guards against prefilling all parts of an engine again after its restart. As an owner that
+// seemed to be old, it copied from no other engine.
+func TestRestartedOwnerCopiesFromSecondRanked(t *testing.T) {
+	p := newCopyingPlacer(9)
 	r := prompt(1, 13000, 3000)
 	now := start.Add(time.Hour)
 	sent := send(t, p, now, r)
 	require.True(t, sent.IsOwner)
-	require.Nil(t, sent.need.from, "it has been there for long")
-	p.SetTargets(now, born(instances(9), sent.Target.ID, 2000))
-	k := p.keepers(start, r)
-	require.Equal(t, sent.Target.ID, k.home.ID)
+	require.Nil(t, sent.plan.source, "an old owner copies from no other engine")
+	p.SetTargets(now, withStartTime(instances(9), sent.Target.ID, 2000))
+	owners := p.cacheOwners(start, r)
+	require.Equal(t, sent.Target.ID, owners.owner.ID)
 	next := send(t, p, now, r)
 	require.True(t, next.IsOwner)
-	require.Equal(t, k.second, next.need.from)
-	require.Nil(t, send(t, p, now, r).need.from, "it has them by now")
+	require.Equal(t, owners.second, next.plan.source)
+	require.Nil(t, send(t, p, now, r).plan.source, "the parts are cached there by now")
 }
 
-// Symptom: a target is thought to be free, or busy, while versions are mixed.
-// Sequence: keepers or routers of the version before tell backlogs without starts.
-// Cause: a start that is not told is no other start.
-func TestBacklogsWithoutAStartCount(t *testing.T) {
-	p := placer(2)
-	p.SetTargets(start, born(instances(2), "i-0", 2000))
+// Guards against wrong load figures while versions are mixed. Keepers and routers of the previous
+// version report backlogs without start times, which count for any incarnation.
+func TestCountsBacklogsWithoutStartTime(t *testing.T) {
+	p := newPlacer(2)
+	p.SetTargets(start, withStartTime(instances(2), "i-0", 2000))
 	p.SetRemoteBacklog(start, []message.Backlog{
 		{Target: "i-0", Tokens: 10, Running: 1},
 		{Target: "i-0", Born: 2000, Tokens: 5, Running: 1},
 		{Target: "i-0", Born: 1000, Tokens: 700, Running: 7},
 	})
 	s := p.states[fleet.Incarnation{ID: "i-0", Born: 2000}]
-	require.Equal(t, 15, s.others.Tokens)
-	require.Equal(t, 2, s.others.Running)
+	require.Equal(t, 15, s.remote.Tokens)
+	require.Equal(t, 2, s.remote.Running)
 }
 
-// Where the platform tells no start, a target that is ready again after leaving has
-// started again.
-func TestReadyAfterLeavingIsAnotherStart(t *testing.T) {
-	p := placer(2)
+// Guards against stale state if the platform reports no start times: a target that is ready again
+// after leaving has restarted.
+func TestReadyAfterLeavingCountsAsRestart(t *testing.T) {
+	p := newPlacer(2)
 	r := prompt(1, 13000, 200)
 	c := send(t, p, start, r)
 	list := instances(2)
--- a/internal/placement/learn.go
+++ b/internal/placement/learn.go
@@ -5,90 +5,92 @@
 	"time"
 )
 
-// RecordFirstByte notes that the answer of an attempt has begun.
+// RecordFirstByte records that the first byte of an attempt's answer has arrived. Later calls for
+// the same attempt do nothing.
 func (p *Placer) RecordFirstByte(now time.Time, c *Choice) {
-	if !c.waiting {
+	if !c.awaitingFirstByte {
 		return
 	}
-	c.waiting = false
-	c.TTFB = now.Sub(c.sent)
-	c.state.first(now, c.PrefillTokens)
-	c.need.done()
+	c.awaitingFirstByte = false
+	c.TTFB = now.Sub(c.sentAt)
+	c.state.recordFirstByte(now, c.PrefillTokens)
+	c.plan.releaseSource()
 }
 
-// learn takes what a whole answer tells of the targets' speed. Waiting behind others
-// makes an engine look slow, never fast: high figures count more.
+// learnSpeed updates the estimated speed of targets from a complete answer. Queueing makes an
+// engine look slower than it is, never faster, so a high rate weighs more than a low one.
 //
-// An answer of failure tells nothing: targets that fail at once answered within two
-// milliseconds, were taken to read thousands of tokens in one, and for twenty seconds
-// every prompt was sent wherever there was no queue and read there anew, predicted at 26
-// ms and answered after a second. What one answer may add is bounded besides: a prompt
-// that happens to be kept whole looks like one that is read in no time.
-func (p *Placer) learn(now time.Time, c *Choice) {
+// Failed answers are not used. When targets failed within 2 ms, engines were estimated to prefill
+// thousands of tokens per millisecond. For 20 s, every prompt went to whichever target had no
+// queue and was prefilled there again; its first byte was predicted after 26 ms and came after 1
+// s. The rise from a single answer is also bounded: a prompt that happens to be fully cached
+// looks as if it had been prefilled in no time.
+func (p *Placer) learnSpeed(now time.Time, c *Choice) {
 	const (
-		enough   = 500 // tokens; below, the time is not that of reading
-		rise     = 0.2
-		fall     = 0.005
-		mostRise = 1.5 // times what is believed
+		minTokens  = 500 // with fewer, prefill does not dominate the time to first byte
+		riseWeight = 0.2
+		fallWeight = 0.005
+		maxRise    = 1.5 // times the current estimate
 	)
-	took := c.TTFB
+	ttfb := c.TTFB
 	if c.PrefillTokens == 0 {
-		// Waiting for slots is predicted by itself: with it in the mean, a service
-		// of 30 ms whose slots were all taken was predicted to need a second, and
-		// requests that it would have answered in 140 ms were refused.
-		p.learnTime(now, c, time.Duration(float64(took)/c.rounds), assumedTime)
+		// Queueing for slots is predicted separately. When the mean included it, a service that
+		// takes 30 ms was predicted to need 1 s while its slots were all taken, and requests that
+		// it would have answered in 140 ms were refused.
+		p.learnServiceTime(now, c, time.Duration(float64(ttfb)/c.slotRounds), assumedServiceTime)
 		return
 	}
-	if !c.warm || c.PrefillTokens < enough || took <= 0 {
+	if !c.ownPartOnly || c.PrefillTokens < minTokens || ttfb <= 0 {
 		return
 	}
-	seen := min(float64(c.PrefillTokens)/(float64(took)/float64(time.Millisecond)), mostRise*p.readRate())
-	weight := fall
-	if seen > p.readRate() {
-		weight = rise
+	observed := min(float64(c.PrefillTokens)/(float64(ttfb)/float64(time.Millisecond)), maxRise*p.prefillRate())
+	weight := fallWeight
+	if observed > p.prefillRate() {
+		weight = riseWeight
 	}
-	p.rate = p.readRate() + weight*(seen-p.readRate())
+	p.learnedPrefillRate = p.prefillRate() + weight*(observed-p.prefillRate())
 }
 
 const (
-	// spentMost bounds what an answer may say of how long requests take, in times of what was
-	// believed when its request was sent. A router that stood still reads answers late, all at
-	// once: thirty such of nine seconds would put a service of 30 ms beyond what any caller
-	// waits for.
-	spentMost = 4
-	// spentQuiet is how long the time that requests take is believed without a new answer, and
-	// spentMemory halves what lies beyond the assumed time from then on. Where nothing is sent,
-	// since all targets seem too slow, nothing else would ever show that they are not.
-	spentQuiet  = 2 * time.Second
-	spentMemory = 2 * time.Second
+	// maxServiceTimeFactor bounds the service time taken from one answer, as a multiple of the
+	// estimate when its request was sent. A router that was suspended reads late answers all at
+	// once. Thirty such answers of 9 s would raise the estimate for a 30 ms service above any
+	// caller's timeout.
+	maxServiceTimeFactor = 4
+	// serviceTimeFreshFor is how long the estimated service time is used unchanged without a new
+	// answer. After that, the excess over the assumed time halves every serviceTimeHalfLife. If
+	// all targets seem too slow, nothing is sent, so no answer could correct the estimate.
+	serviceTimeFreshFor = 2 * time.Second
+	serviceTimeHalfLife = 2 * time.Second
 )
 
-// spent is the mean time that a pool's targets work on a request.
-type spent struct {
-	mean float64   // milliseconds
-	at   time.Time // of the newest answer
+// serviceTime is the mean time that a pool's targets work on a request.
+type serviceTime struct {
+	mean      float64   // milliseconds
+	updatedAt time.Time // time of the latest answer
 }
 
-func (p *Placer) learnTime(now time.Time, c *Choice, took, assumed time.Duration) {
+func (p *Placer) learnServiceTime(now time.Time, c *Choice, took, assumed time.Duration) {
 	const weight = 0.05
 	pool := c.Target.Pool
-	if p.spent == nil {
-		p.spent = make(map[string]spent)
+	if p.serviceTimes == nil {
+		p.serviceTimes = make(map[string]serviceTime)
 	}
-	mean := p.meanTime(now, pool, assumed)
-	seen := min(float64(took)/float64(time.Millisecond), spentMost*c.usual)
-	p.spent[pool] = spent{mean: mean + weight*(seen-mean), at: now}
+	mean := p.meanServiceTime(now, pool, assumed)
+	observed := min(float64(took)/float64(time.Millisecond), maxServiceTimeFactor*c.expectedMs)
+	p.serviceTimes[pool] = serviceTime{mean: mean + weight*(observed-mean), updatedAt: now}
 }
 
-// meanTime returns how long a pool's targets work on a request, in milliseconds.
-func (p *Placer) meanTime(now time.Time, pool string, assumed time.Duration) float64 {
-	usual := float64(assumed) / float64(time.Millisecond)
-	s, ok := p.spent[pool]
-	switch quiet := now.Sub(s.at) - spentQuiet; {
+// meanServiceTime returns how long a pool's targets work on a request, in milliseconds. It is the
+// assumed time until an answer has been measured.
+func (p *Placer) meanServiceTime(now time.Time, pool string, assumed time.Duration) float64 {
+	assumedMs := float64(assumed) / float64(time.Millisecond)
+	s, ok := p.serviceTimes[pool]
+	switch stale := now.Sub(s.updatedAt) - serviceTimeFreshFor; {
 	case !ok:
-		return usual
-	case s.mean > usual && quiet > 0:
-		return usual + (s.mean-usual)*math.Exp2(-quiet.Seconds()/spentMemory.Seconds())
+		return assumedMs
+	case s.mean > assumedMs && stale > 0:
+		return assumedMs + (s.mean-assumedMs)*math.Exp2(-stale.Seconds()/serviceTimeHalfLife.Seconds())
 	default:
 		return s.mean
 	}
--- a/internal/placement/learn_test.go
+++ b/internal/placement/learn_test.go
@@ -7,16 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: for twenty seconds prompts are predicted to start within 26 ms and start after
-// a second; shared parts are read again at every engine.
-// Sequence: for some seconds engines answer a half of all requests with a failure, within
-// two milliseconds; then all is well again.
-// Cause: the time of a failure was taken for that of reading the prompt, so engines seemed
-// to read thousands of tokens in a millisecond, and the place of a kept part was worth
-// nothing.
-func TestFailuresTellNothingOfHowFastEnginesRead(t *testing.T) {
+// Guards against learning the prefill rate from failed answers. When engines failed half of all
+// requests within 2 ms, they seemed to prefill thousands of tokens per millisecond, so cached
+// parts were worth nothing, and prompts predicted after 26 ms got their first byte after 1 s.
+func TestFailuresDoNotChangePrefillRate(t *testing.T) {
 	const rate, own = 60, 6000
-	p := placer(9)
+	p := newPlacer(9)
 	now := start
 	answer := func(subject uint64, took time.Duration, r Result) *Choice {
 		c := send(t, p, now, prompt(subject, 5000, own))
@@ -33,16 +29,15 @@
 	for i := range uint64(200) {
 		answer(i%10, 2*time.Millisecond, Failed)
 	}
-	now = now.Add(10 * failMemory)
+	now = now.Add(10 * failureHalfLife)
 	require.InDelta(t, before.PredictedTTFB.Milliseconds(), answer(1, time.Millisecond, Served).PredictedTTFB.Milliseconds(), 20)
 }
 
-// Symptom: as above, after one answer.
-// Sequence: a caller sends a prompt again that its engine still keeps whole.
-// Cause: the router counted it as read, which took no time.
-func TestOneAnswerDoesNotDecideHowFastEnginesRead(t *testing.T) {
+// Guards against the same error from one answer: a caller repeats a prompt that its engine has
+// fully cached, and the router counts it as prefilled in no time.
+func TestSingleAnswerBarelyChangesPrefillRate(t *testing.T) {
 	const rate, own = 60, 6000
-	p := placer(9)
+	p := newPlacer(9)
 	now := start
 	for range 200 {
 		c := send(t, p, now, prompt(1, 5000, own))
@@ -50,10 +45,10 @@
 		p.RecordFirstByte(now, c)
 		p.EndAttempt(now, c, Served)
 	}
-	before := p.readRate()
+	before := p.prefillRate()
 	c := send(t, p, now, prompt(1, 5000, own))
 	now = now.Add(time.Millisecond)
 	p.RecordFirstByte(now, c)
 	p.EndAttempt(now, c, Served)
-	require.Less(t, p.readRate(), 1.2*before)
+	require.Less(t, p.prefillRate(), 1.2*before)
 }
--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -1,35 +1,36 @@
 package placement
 
 const (
-	// localPart is the part of an engine's memory, as a divisor, up to which the shared parts
-	// of a prompt are kept in each availability zone, and zonePart the same of all engines
-	// of the zone: the fewer these are, the sooner such parts push each other out.
-	localPart = 64
-	zonePart  = 1024
+	// A prompt's shared parts are cached in each availability zone if they are smaller than the
+	// memory of one engine divided by engineMemoryDivisor, and smaller than the memory of all the
+	// zone's engines divided by zoneMemoryDivisor. With fewer engines in a zone, such parts evict
+	// each other sooner.
+	engineMemoryDivisor = 64
+	zoneMemoryDivisor   = 1024
 )
 
-// local reports whether a prompt's shared parts have a home in each availability zone.
+// cachePerZone reports whether a prompt's shared parts have an owner in each availability zone.
 //
-// A request that goes to another zone takes its body there, which is billed. What is kept in
-// each zone takes memory in each, and is used less often there, so that it is sooner read
-// again: that pays for small parts only. What the home of a zone lacks it copies from the
-// home of the fleet.
-func (p *Placer) local(r Request) bool {
+// A request that goes to another zone takes its body there, and that traffic is billed. Parts
+// cached in every zone take memory in each and are used less often there, so they are evicted and
+// prefilled again sooner. That pays off for small parts only. A zone's owner copies what it has
+// not cached from the owner of the fleet.
+func (p *Placer) cachePerZone(r Request) bool {
 	shared, memory := 0, p.engines[r.Pool].Memory
 	for _, part := range r.shared() {
 		shared += part.Tokens
 	}
-	return shared*localPart < memory && shared*zonePart < memory*p.locals[r.Pool]
+	return shared*engineMemoryDivisor < memory && shared*zoneMemoryDivisor < memory*p.acceptingInZone[r.Pool]
 }
 
-// A ranking finds the first of some targets in the order of their scores.
-type ranking struct {
-	first *state
-	score uint64
+// A bestScore finds the target with the highest score.
+type bestScore struct {
+	target *state
+	score  uint64
 }
 
-func (k *ranking) add(s *state, score uint64) {
-	if k.first == nil || score > k.score {
-		k.first, k.score = s, score
+func (b *bestScore) consider(s *state, score uint64) {
+	if b.target == nil || score > b.score {
+		b.target, b.score = s, score
 	}
 }
--- a/internal/placement/locality_test.go
+++ b/internal/placement/locality_test.go
@@ -8,9 +8,9 @@
 	"laburnumfall/internal/fleet"
 )
 
-// inZones returns placers of one router in each of three zones, before as many engines of
-// 500,000 tokens.
-func inZones(engines int) []*Placer {
+// newPlacerPerZone returns the placers of one router in each of three zones, in front of engines
+// with a memory of 500,000 tokens each.
+func newPlacerPerZone(engines int) []*Placer {
 	var list []*Placer
 	for _, zone := range []fleet.Zone{"z0", "z1", "z2"} {
 		p := &Placer{Zone: zone, Routers: 86}
@@ -21,20 +21,20 @@
 	return list
 }
 
-// homes returns where routers of three zones keep a prompt's shared parts.
-func homes(list []*Placer, r Request) map[string]bool {
-	at := map[string]bool{}
+// owners returns the IDs of the owners of a prompt's shared parts, as seen from all zones.
+func owners(list []*Placer, r Request) map[string]bool {
+	ids := map[string]bool{}
 	for _, p := range list {
-		at[p.keepers(start, r).home.ID] = true
+		ids[p.cacheOwners(start, r).owner.ID] = true
 	}
-	return at
+	return ids
 }
 
-// Guards against bodies that cross zones for parts that each zone has room for, and against
-// parts that push each other out since each zone keeps all.
-func TestSmallPartsAreKeptInEachZone(t *testing.T) {
+// Guards against request bodies that cross zones for parts small enough to be cached in each
+// zone, and against parts that evict each other because each zone caches all of them.
+func TestSmallPartsAreCachedPerZone(t *testing.T) {
 	for name, tt := range map[string]struct {
-		engines, shared, homes int
+		engines, shared, owners int
 	}{
 		"small parts, many engines": {60, 6_000, 3},
 		"large parts":               {60, 13_000, 1},
@@ -42,33 +42,33 @@
 		"few engines, tiny parts":   {9, 300, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			list := inZones(tt.engines)
+			list := newPlacerPerZone(tt.engines)
 			for subject := range uint64(50) {
-				require.Len(t, homes(list, prompt(subject, tt.shared, 3000)), tt.homes)
+				require.Len(t, owners(list, prompt(subject, tt.shared, 3000)), tt.owners)
 			}
 		})
 	}
 }
 
-// Guards against a zone that reads what the fleet has read.
-func TestAZoneCopiesFromTheHomeOfTheFleet(t *testing.T) {
+// Guards against prefilling parts in one zone that are cached in another.
+func TestZoneOwnerCopiesFromFleetOwner(t *testing.T) {
 	for subject := range uint64(20) {
-		list := inZones(60)
+		list := newPlacerPerZone(60)
 		r := prompt(subject, 6_000, 3000)
 		for _, p := range list {
-			k := p.keepers(start, r)
-			require.Equal(t, p.Zone, k.home.Zone)
+			owners := p.cacheOwners(start, r)
+			require.Equal(t, p.Zone, owners.owner.Zone)
 			c := send(t, p, start, r)
-			if k.home != k.first {
-				require.Equal(t, k.first.Address, c.CopyFrom)
+			if owners.owner != owners.first {
+				require.Equal(t, owners.first.Address, c.CopyFrom)
 			}
 		}
 	}
 }
 
-// Guards against requests without a home in a zone whose engines have gone.
-func TestAZoneWithoutEnginesUsesOthers(t *testing.T) {
-	p := inZones(60)[0]
+// Guards against requests without an owner in a zone without engines.
+func TestEvacuatedZoneUsesOtherZones(t *testing.T) {
+	p := newPlacerPerZone(60)[0]
 	p.SetEvacuated(fleet.Evacuations{Revision: 1, Zones: []fleet.Zone{"z0"}})
 	p.SetTargets(start, instances(60))
 	c := send(t, p, start, prompt(1, 6_000, 300))
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,10 +1,9 @@
 // Package placement chooses the target of each request.
 //
-// A Placer is deterministic: it takes a time and what happened, and answers
-// with a choice; it has no clock, goroutine or socket. Every router runs one
-// and none talks to another about single requests: routers agree on where a
-// shared part of a prompt is kept because all rank the same targets by the same
-// hash of it (rendezvous hashing).
+// A Placer is deterministic: its methods take the time and an event, and it has no clock,
+// goroutine or socket. Every router runs one, and routers do not coordinate single requests. They
+// agree on the engine that caches a shared part of a prompt because all of them rank the same
+// targets by the same hash of that part (rendezvous hashing).
 package placement
 
 import (
@@ -15,84 +14,87 @@
 	"laburnumfall/internal/warmup"
 )
 
-// The figures of a choice. None depends on a deployment; what does is stated by
-// the configuration or learned from answers.
+// Parameters of the cost model. None depends on the deployment: values that do are configured or
+// learned from answers.
 const (
-	// assumedRate is how many prompt tokens an engine reads in a millisecond
-	// until answers have shown it. Half of what present engines do, so that a
-	// first estimate errs towards spreading.
-	assumedRate = 30.0
-	// assumedTime is how long a plain service works on a request until answers
-	// have shown it.
-	assumedTime = 30 * time.Millisecond
-	// assumedStream is the same for the stream of an engine.
-	assumedStream = time.Second
-	// rereadWeight is how many times its own duration the reading of a prompt
-	// counts in a choice: it also delays everything else at the engine, since
-	// every step of the batch takes longer meanwhile.
-	rereadWeight = 4
-	// othersFor is how long the count of other routers' requests is believed.
-	othersFor = 2 * time.Second
-	// keptFor is how long a part counts as kept where this router sent it. In
-	// engines whose memory is turned over by running requests, parts last for
-	// about that long after their last use.
-	keptFor = 15 * time.Second
-	// loadFor is how long a load that a target told still counts; it fades
-	// evenly. Requests wait in engines for some hundred milliseconds.
-	loadFor = 500 * time.Millisecond
-	// farCost is what a target in another zone costs: the way there and back
-	// twice, and bytes that are billed. Were it much more, a zone that lost targets would
-	// not be helped by the others.
-	farCost = 20 * time.Millisecond
-	// refusedCost keeps work from a target for a moment after it was full.
-	refusedCost = 400 * time.Millisecond
-	refusedFor  = 300 * time.Millisecond
-	// failedCost weighs the square of the part of failed requests. At one
-	// failure in seven, which some services have at their best, it is 60 ms and
-	// the same at all; at one in two it outweighs reading any prompt again.
-	failedCost = 3 * time.Second
-	// failWeight is the weight of the newest result in the part of failures.
-	failWeight = 0.15
-	// failMemory halves the part of failures of a target that gets no work, so
-	// that it is tried again.
-	failMemory = 4 * time.Second
-	// downFirst and downLast bound how long a target that cannot be reached is
-	// left out.
-	downFirst = 300 * time.Millisecond
-	downLast  = 3 * time.Second
-	// silentAfter is how long a request may wait for its first byte while the
-	// target answers nothing at all, before the target is thought to hang.
-	silentAfter = 800 * time.Millisecond
+	// assumedPrefillRate is how many prompt tokens an engine prefills per millisecond, until
+	// answers have been measured. It is half the rate of current engines, so that the first
+	// estimates favor spreading requests.
+	assumedPrefillRate = 30.0
+	// assumedServiceTime is how long a plain service works on a request, until answers have been
+	// measured.
+	assumedServiceTime = 30 * time.Millisecond
+	// assumedStreamTime is how long an engine works on a streamed answer, until answers have been
+	// measured.
+	assumedStreamTime = time.Second
+	// prefillWeight multiplies the prefill time of a prompt in a choice: prefill also delays
+	// everything else at the engine, since every step of the batch takes longer meanwhile.
+	prefillWeight = 4
+	// remoteLoadLifetime is how long the number of requests reported for other routers is used.
+	remoteLoadLifetime = 2 * time.Second
+	// cacheLifetime is how long a part counts as cached at the target that this router sent it
+	// to. Running requests replace the contents of an engine's memory; parts last for about that
+	// long after their last use.
+	cacheLifetime = 15 * time.Second
+	// reportedQueueLifetime is how long the queue length that a target reported is used, with
+	// linearly falling weight. Requests wait in engines for some hundred milliseconds.
+	reportedQueueLifetime = 500 * time.Millisecond
+	// crossZoneCost is the cost of a target in another zone: two round trips, and traffic that is
+	// billed. With a much higher cost, the other zones would not take over work from a zone that
+	// lost targets.
+	crossZoneCost = 20 * time.Millisecond
+	// refusedCost discourages sending to a target for refusedDuration after it refused a request
+	// because it was full.
+	refusedCost     = 400 * time.Millisecond
+	refusedDuration = 300 * time.Millisecond
+	// failureCost multiplies the square of a target's failure rate. Some services fail one in
+	// seven requests at their best: at that rate the cost is 60 ms, the same at all targets. At
+	// one in two it outweighs prefilling any prompt again.
+	failureCost = 3 * time.Second
+	// failureWeight is the weight of the latest result in the failure rate.
+	failureWeight = 0.15
+	// failureHalfLife halves the failure rate of a target that gets no work, so that it is tried
+	// again.
+	failureHalfLife = 4 * time.Second
+	// minDownTime and maxDownTime bound how long a target is skipped after a connection to it
+	// failed.
+	minDownTime = 300 * time.Millisecond
+	maxDownTime = 3 * time.Second
+	// unresponsiveAfter is how long a request may wait for its first byte, while the target
+	// answers nothing at all, before the target is considered hung.
+	unresponsiveAfter = 800 * time.Millisecond
 )
 
-// maxLast bounds the parts of which a router remembers where it sent them last. Beyond it
-// all are forgotten: they are looked for at their homes then.
-const maxLast = 8192
+// maxLastSent bounds the number of parts whose last target a router remembers. When it is
+// reached, all are dropped, and requests go to the owners of their parts again.
+const maxLastSent = 8192
 
-// lastSent is where this router sent a prompt last, and since when always there.
-type lastSent struct {
+// lastSend is the target that this router last sent a prompt's shared parts to, and since when it
+// has been the same one.
+type lastSend struct {
 	target *state
 	since  time.Time
 }
 
-// A PromptPart is one part of a prompt. Requests share parts; the last one is the
-// request's own.
+// A PromptPart is one part of a prompt. All parts but the last may be shared with other requests;
+// the last belongs to one request.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// A Request is what the choice of a target depends on.
+// A Request holds what the choice of a target depends on.
 type Request struct {
 	Pool  string
 	Parts []PromptPart
-	// Avoid are targets that the request was sent to before.
+	// Avoid lists targets that the request was sent to before. They are used only if there is no
+	// other.
 	Avoid []fleet.Incarnation
-	// OnlyTarget is the ID of the one target that may have the request, "" for any.
+	// OnlyTarget is the ID of the only target allowed, or "" for any.
 	OnlyTarget string
 }
 
-// shared returns the parts that other requests may have too.
+// shared returns the parts that other requests may have in common with this one.
 func (r Request) shared() []PromptPart {
 	if len(r.Parts) == 0 {
 		return nil
@@ -100,7 +102,7 @@
 	return r.Parts[:len(r.Parts)-1]
 }
 
-// OwnTokens returns the tokens of the request's own part, which nothing but reading provides.
+// OwnTokens returns the tokens of the request's own part, which must be prefilled at any target.
 func (r Request) OwnTokens() int {
 	if len(r.Parts) == 0 {
 		return 0
@@ -108,257 +110,255 @@
 	return r.Parts[len(r.Parts)-1].Tokens
 }
 
-// A Choice is the target of one attempt at a request. Where the request is
-// sent, tell StartAttempt, and then EndAttempt exactly once.
+// A Choice is the target of one attempt at a request. If the request is sent, call StartAttempt,
+// and later EndAttempt exactly once.
 type Choice struct {
 	Target fleet.Instance
-	// QueueTime is how long others are predicted to hold the request up, and Wait
-	// the time to the first byte of the answer.
-	// OwnPrefillTime is the part of Wait for reading the request's own part, which no other target
-	// and no later time would spare it.
+	// QueueTime is the predicted delay by other requests. PredictedTTFB is the predicted time to
+	// the first byte of the answer. OwnPrefillTime is the part of it for the request's own part
+	// of the prompt, which is the same at any target and at any time.
 	QueueTime      time.Duration
 	PredictedTTFB  time.Duration
 	OwnPrefillTime time.Duration
-	// Load is the part of the target's slots that is taken.
+	// Load is the number of requests running at the target, divided by its slots.
 	Load float64
-	// PrefillTokens is how many tokens of the prompt the target has to read.
+	// PrefillTokens is how many tokens of the prompt the target has to prefill.
 	PrefillTokens int
-	// CopyFrom is the address of the engine that keeps parts which this one
-	// lacks, or "".
+	// CopyFrom is the address of the engine to copy uncached parts from, or "".
 	CopyFrom string
-	// IsOwner says that the target is where the prompt's shared parts belong.
+	// IsOwner is whether the target is the preferred one for the prompt's shared parts.
 	IsOwner bool
-	// TTFB is how long the first byte of the answer took; 0 until it comes.
+	// TTFB is the measured time to the first byte of the answer, 0 until it has arrived.
 	TTFB time.Duration
 
-	state   *state
-	need    need
-	sent    time.Time
-	waiting bool
-	warm    bool
-	metered bool    // counted against what a cold target gets
-	usual   float64 // milliseconds that a request was thought to take when it was sent
-	rounds  float64 // of a plain service's slots, that the request has to wait for
+	state             *state
+	plan              prefillPlan
+	sentAt            time.Time
+	awaitingFirstByte bool
+	ownPartOnly       bool
+	metered           bool    // counts against the rate limit of a cold target
+	expectedMs        float64 // predicted service time when the request was sent, in milliseconds
+	slotRounds        float64 // predicted service time as a multiple of that on an idle plain service
 }
 
-// A Result is how an attempt ended.
+// A Result is the outcome of an attempt.
 type Result uint8
 
-// The results.
+// Outcomes of an attempt.
 const (
-	// Served is a whole answer.
+	// Served means that the answer is complete.
 	Served Result = iota
-	// Canceled means that the caller did not wait for the answer, or its end.
+	// Canceled means that the caller disconnected before the end of the answer.
 	Canceled
-	// Refused is an answer that says that the request was not run.
+	// Refused means that the target answered without running the request.
 	Refused
-	// Failed is an answer of failure, or none.
+	// Failed means that the target answered with an error, or not at all.
 	Failed
-	// ConnectFailed means that no connection was made.
+	// ConnectFailed means that no connection to the target was established.
 	ConnectFailed
 )
 
-// A Placer chooses targets. Set the exported fields, then call its methods from
-// one goroutine at a time, with times that never go back.
+// A Placer chooses targets. Set the exported fields, then call its methods from one goroutine at
+// a time, with times that never decrease.
 type Placer struct {
 	Zone fleet.Zone
-	// Routers is how many routers share the targets.
+	// Routers is the number of routers that share the targets.
 	Routers int
-	// NoJitter leaves chance out of choices.
+	// NoJitter disables the random cost in choices.
 	NoJitter bool
-	// Warmup is this router's part of what cold targets get.
+	// Warmup is this router's share of the requests that cold targets may get.
 	Warmup warmup.Budget
 
-	states  map[fleet.Incarnation]*state
-	last    map[uint64]lastSent // by last shared part
-	pools   map[string][]*state
-	takers  map[string]int              // how many of a pool take new work
-	locals  map[string]int              // how many of these are in this router's zone
-	engines map[string]fleet.Engine     // by pool
-	fails   []float64                   // scratch of usualFailing
-	rate    float64                     // prompt tokens read in a millisecond by one engine
-	bounds  map[string]warmup.RateLimit // by pool
+	states             map[fleet.Incarnation]*state
+	lastSent           map[uint64]lastSend // by ID of the last shared part
+	byPool             map[string][]*state
+	accepting          map[string]int              // number of targets that accept new work, by pool
+	acceptingInZone    map[string]int              // number of those in this router's zone, by pool
+	engines            map[string]fleet.Engine     // by pool
+	failureRates       []float64                   // reused by medianFailureRate
+	learnedPrefillRate float64                     // prompt tokens per millisecond and engine; 0 until measured
+	coldLimits         map[string]warmup.RateLimit // by pool
 
-	evacuations fleet.Evacuations
-	warming     map[fleet.Incarnation]time.Time // until when targets are cold
-	spent       map[string]spent                // how long a request takes, by pool
+	evacuations  fleet.Evacuations
+	coldUntil    map[fleet.Incarnation]time.Time // reported end of the cold period
+	serviceTimes map[string]serviceTime          // by pool
 }
 
-// SetTargets replaces the targets. What is known of those that stay is kept. One that
-// starts again is another target: the former's load, failures and kept parts ended with
-// it, and what still runs there ends on the former's state.
+// SetTargets replaces the list of targets and keeps the state of those that stay. A restarted
+// target gets a new state without load, failures and cached parts. Attempts in progress at the
+// previous incarnation still end on its state.
 func (p *Placer) SetTargets(now time.Time, list []fleet.Instance) {
 	states := make(map[fleet.Incarnation]*state, len(list))
-	pools := make(map[string][]*state)
-	takers, locals := make(map[string]int), make(map[string]int)
-	for _, in := range list {
-		s := p.states[in.Incarnation]
-		evacuated := p.evacuations.Has(in.Zone)
-		if s == nil || s.Leaving && !in.Leaving || s.evacuated && !evacuated { // it may have started again
-			s = newState(now, in)
-			p.come(now, s)
+	byPool := make(map[string][]*state)
+	accepting, acceptingInZone := make(map[string]int), make(map[string]int)
+	for _, instance := range list {
+		s := p.states[instance.Incarnation]
+		evacuated := p.evacuations.Has(instance.Zone)
+		if s == nil || s.Leaving && !instance.Leaving || s.evacuated && !evacuated { // it may have restarted
+			s = newState(now, instance)
+			p.markAdded(now, s)
 		}
-		s.Instance, s.evacuated = in, evacuated
-		states[in.Incarnation] = s
-		pools[in.Pool] = append(pools[in.Pool], s)
-		if s.takes() {
-			takers[in.Pool]++
-			if in.Zone == p.Zone {
-				locals[in.Pool]++
+		s.Instance, s.evacuated = instance, evacuated
+		states[instance.Incarnation] = s
+		byPool[instance.Pool] = append(byPool[instance.Pool], s)
+		if s.accepts() {
+			accepting[instance.Pool]++
+			if instance.Zone == p.Zone {
+				acceptingInZone[instance.Pool]++
 			}
 		}
 	}
-	p.states, p.pools, p.takers, p.locals = states, pools, takers, locals
+	p.states, p.byPool, p.accepting, p.acceptingInZone = states, byPool, accepting, acceptingInZone
 }
 
-// AcceptingCount returns how many targets take new work.
+// AcceptingCount returns the number of targets that accept new work.
 func (p *Placer) AcceptingCount() int {
 	sum := 0
-	for _, n := range p.takers {
+	for _, n := range p.accepting {
 		sum += n
 	}
 	return sum
 }
 
-// Accepts reports whether a target takes new work.
+// Accepts reports whether a target accepts new work.
 func (p *Placer) Accepts(target fleet.Incarnation) bool {
 	s := p.states[target]
-	return s != nil && s.takes()
+	return s != nil && s.accepts()
 }
 
-// Choose returns the target with the least predicted time to a first byte. It
-// reports false if the pool has none.
+// Choose returns the target with the lowest cost, which is the predicted time to first byte plus
+// penalties. It reports false if no target of the pool can take the request.
 func (p *Placer) Choose(now time.Time, r Request) (*Choice, bool) {
 	var best *state
-	var bestCost, bestQueue, bestOwn time.Duration
-	var bestNeed need
-	k := p.keepers(now, r)
-	usual := p.usualFailing(now, r.Pool)
-	chance := p.chanceOf(r)
-	for _, s := range p.pools[r.Pool] {
+	var bestCost, bestQueueTime, bestPrefillTime time.Duration
+	var bestPlan prefillPlan
+	owners := p.cacheOwners(now, r)
+	medianFailureRate := p.medianFailureRate(now, r.Pool)
+	jitter := p.jitterFor(r)
+	for _, s := range p.byPool[r.Pool] {
 		if r.OnlyTarget != "" && s.ID != r.OnlyTarget {
 			continue
 		}
-		if !p.open(now, s) || slices.Contains(r.Avoid, s.Incarnation) && p.takers[r.Pool] > len(r.Avoid) {
+		if !p.canSend(now, s) || slices.Contains(r.Avoid, s.Incarnation) && p.accepting[r.Pool] > len(r.Avoid) {
 			continue
 		}
-		n := p.need(now, s, r, k)
-		queue, own := p.wait(now, s, r, n)
-		copies := p.copyTime(n)
-		cost := queue + rereadWeight*own + copies + copyWeight*milliseconds(float64(n.copied)/p.readRate()) + p.burden(now, s, usual)
-		if s != k.home && (best == nil || cost < bestCost) {
-			cost += chance.of(s)
+		plan := p.planPrefill(now, s, r, owners)
+		queueTime, prefillTime := p.predictWait(now, s, r, plan)
+		copyTime := p.copyTime(plan)
+		cost := queueTime + prefillWeight*prefillTime + copyTime + copyWeight*milliseconds(float64(plan.copyTokens)/p.prefillRate()) + p.penalty(now, s, medianFailureRate)
+		if s != owners.owner && (best == nil || cost < bestCost) {
+			cost += jitter.cost(s)
 		}
 		if best == nil || cost < bestCost {
-			best, bestCost, bestQueue, bestOwn, bestNeed = s, cost, queue, own+copies, n
+			best, bestCost, bestQueueTime, bestPrefillTime, bestPlan = s, cost, queueTime, prefillTime+copyTime, plan
 		}
 	}
 	if best == nil {
 		return nil, false
 	}
-	c := &Choice{Target: best.Instance, QueueTime: bestQueue, PredictedTTFB: bestQueue + bestOwn, IsOwner: best == k.home, state: best, need: bestNeed, PrefillTokens: bestNeed.read}
-	if bestNeed.from != nil {
-		c.CopyFrom = bestNeed.from.Address
+	c := &Choice{Target: best.Instance, QueueTime: bestQueueTime, PredictedTTFB: bestQueueTime + bestPrefillTime, IsOwner: best == owners.owner, state: best, plan: bestPlan, PrefillTokens: bestPlan.prefillTokens}
+	if bestPlan.source != nil {
+		c.CopyFrom = bestPlan.source.Address
 	}
-	c.OwnPrefillTime = milliseconds(float64(r.OwnTokens()) / p.readRate())
-	c.Load = float64(best.load(now)) / float64(max(best.Slots, 1))
-	c.rounds = best.rounds(now)
-	c.warm = c.PrefillTokens == r.OwnTokens() && bestNeed.from == nil
+	c.OwnPrefillTime = milliseconds(float64(r.OwnTokens()) / p.prefillRate())
+	c.Load = float64(best.runningTotal(now)) / float64(max(best.Slots, 1))
+	c.slotRounds = best.slotRounds(now)
+	c.ownPartOnly = c.PrefillTokens == r.OwnTokens() && bestPlan.source == nil
 	return c, true
 }
 
-// StartAttempt notes that a request is sent to the target of its choice.
+// StartAttempt records that a request is sent to the chosen target.
 func (p *Placer) StartAttempt(now time.Time, c *Choice, r Request) {
-	c.sent, c.waiting = now, true
-	c.usual = p.meanTime(now, c.Target.Pool, assumedOf(r))
-	c.state.begin(now, r, c.PrefillTokens)
-	if p.cold(now, c.state) {
+	c.sentAt, c.awaitingFirstByte = now, true
+	c.expectedMs = p.meanServiceTime(now, c.Target.Pool, assumedDuration(r))
+	c.state.startAttempt(now, r, c.PrefillTokens)
+	if p.isCold(now, c.state) {
 		c.metered = true
-		c.state.meter.RecordSend(now)
+		c.state.sendMeter.RecordSend(now)
 	}
-	p.noteLast(now, c.state, r)
-	if c.need.from != nil {
-		c.need.from.copying += c.need.copied
+	p.recordLastSent(now, c.state, r)
+	if c.plan.source != nil {
+		c.plan.source.copyingTokens += c.plan.copyTokens
 	}
 }
 
-// assumedOf returns how long a request is thought to take before any answer has shown it.
-func assumedOf(r Request) time.Duration {
+// assumedDuration returns the assumed service time of a request until answers have been measured.
+func assumedDuration(r Request) time.Duration {
 	if len(r.Parts) == 0 {
-		return assumedTime
+		return assumedServiceTime
 	}
-	return assumedStream
+	return assumedStreamTime
 }
 
-// noteLast notes where a prompt's shared parts were sent last.
-func (p *Placer) noteLast(now time.Time, s *state, r Request) {
+// recordLastSent records the target that a prompt's shared parts were last sent to.
+func (p *Placer) recordLastSent(now time.Time, s *state, r Request) {
 	shared := r.shared()
 	if len(shared) == 0 {
 		return
 	}
-	if p.last == nil || len(p.last) >= maxLast {
-		p.last = make(map[uint64]lastSent)
+	if p.lastSent == nil || len(p.lastSent) >= maxLastSent {
+		p.lastSent = make(map[uint64]lastSend)
 	}
 	key := shared[len(shared)-1].ID
-	if p.last[key].target != s {
-		p.last[key] = lastSent{target: s, since: now}
+	if p.lastSent[key].target != s {
+		p.lastSent[key] = lastSend{target: s, since: now}
 	}
 }
 
-// burden is what speaks against a target beside its queue.
-func (p *Placer) burden(now time.Time, s *state, usual float64) time.Duration {
+// penalty returns the cost of a target besides its queue: another zone and recent failures.
+func (p *Placer) penalty(now time.Time, s *state, medianFailureRate float64) time.Duration {
 	var cost time.Duration
 	if s.Zone != p.Zone {
-		cost += farCost
+		cost += crossZoneCost
 	}
-	return cost + s.trouble(now, usual)
+	return cost + s.failurePenalty(now, medianFailureRate)
 }
 
-// usualFailing returns the part of failures of the pool's better half.
-func (p *Placer) usualFailing(now time.Time, pool string) float64 {
-	p.fails = p.fails[:0]
-	sound := 0
-	for _, s := range p.pools[pool] {
-		if s.fails == 0 {
-			sound++
+// medianFailureRate returns the median of the failure rates of a pool's targets.
+func (p *Placer) medianFailureRate(now time.Time, pool string) float64 {
+	p.failureRates = p.failureRates[:0]
+	healthy := 0
+	for _, s := range p.byPool[pool] {
+		if s.failureRate == 0 {
+			healthy++
 			continue
 		}
-		p.fails = append(p.fails, s.failing(now))
+		p.failureRates = append(p.failureRates, s.currentFailureRate(now))
 	}
-	middle := (len(p.pools[pool])+1)/2 - sound - 1
+	middle := (len(p.byPool[pool])+1)/2 - healthy - 1
 	if middle < 0 {
-		return 0 // at least half have never failed
+		return 0 // at least half have no failures
 	}
-	slices.Sort(p.fails)
-	return p.fails[middle]
+	slices.Sort(p.failureRates)
+	return p.failureRates[middle]
 }
 
-// SetReportedQueue notes how many requests wait at a target, as it told.
+// SetReportedQueue records how many requests wait at a target, as the target reported.
 func (p *Placer) SetReportedQueue(now time.Time, target fleet.Incarnation, waiting int) {
 	if s := p.states[target]; s != nil {
-		s.waiting, s.toldAt = waiting, now
+		s.reportedWaiting, s.reportedAt = waiting, now
 	}
 }
 
-// EndAttempt notes the end of an attempt.
+// EndAttempt records the outcome of an attempt.
 func (p *Placer) EndAttempt(now time.Time, c *Choice, r Result) {
-	if c.waiting {
-		c.waiting = false
-		c.state.pending -= c.PrefillTokens
-		c.need.done()
-		if r == Canceled && now.Sub(c.sent) > silentAfter {
-			r = Failed // the caller left because nothing came
+	if c.awaitingFirstByte {
+		c.awaitingFirstByte = false
+		c.state.pendingTokens -= c.PrefillTokens
+		c.plan.releaseSource()
+		if r == Canceled && now.Sub(c.sentAt) > unresponsiveAfter {
+			r = Failed // the caller gave up because the target sent nothing
 		}
 	}
 	if r == Served {
-		p.learn(now, c)
+		p.learnSpeed(now, c)
 		if c.PrefillTokens > 0 {
-			p.learnTime(now, c, now.Sub(c.sent), assumedStream)
+			p.learnServiceTime(now, c, now.Sub(c.sentAt), assumedStreamTime)
 		}
 	}
-	c.state.ended(now, r, p.usualFailing(now, c.Target.Pool))
+	c.state.endAttempt(now, r, p.medianFailureRate(now, c.Target.Pool))
 	if r == ConnectFailed {
-		c.state.coolUntil(now.Add(p.bounds[c.Target.Pool].Duration + doubtFor))
+		c.state.markColdUntil(now.Add(p.coldLimits[c.Target.Pool].Duration + restartMargin))
 	}
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -23,7 +23,7 @@
 	return list
 }
 
-func placer(n int) *Placer {
+func newPlacer(n int) *Placer {
 	p := &Placer{Zone: "z0", Routers: 6}
 	p.SetTargets(start, instances(n))
 	return p
@@ -33,7 +33,7 @@
 	return Request{Pool: "engines", Parts: []PromptPart{{ID: subject, Tokens: shared}, {ID: subject + 1e6, Tokens: own}}}
 }
 
-// send places a request and reports it sent.
+// send chooses a target for a request and starts an attempt there.
 func send(t require.TestingT, p *Placer, now time.Time, r Request) *Choice {
 	c, ok := p.Choose(now, r)
 	require.True(t, ok)
@@ -41,41 +41,39 @@
 	return c
 }
 
-// Symptom: shared parts of prompts are read again at every engine.
-// Sequence: requests about the same subjects come in at different routers.
-// Cause: routers place them without agreement.
-func TestRoutersAgreeOnWhereAPartIsKept(t *testing.T) {
-	one, two := placer(9), placer(9)
+// Guards against prefilling shared parts again at every engine, when requests about the same
+// subjects come in at different routers.
+func TestRoutersAgreeOnPartOwner(t *testing.T) {
+	one, two := newPlacer(9), newPlacer(9)
 	two.Zone = "z2"
-	homes := make(map[string]int)
+	perTarget := make(map[string]int)
 	for subject := range uint64(200) {
 		r := prompt(subject, 13000, 3000)
 		a, b := send(t, one, start, r), send(t, two, start, r)
 		require.Equal(t, a.Target.ID, b.Target.ID)
 		require.Equal(t, 3000, a.PrefillTokens)
-		homes[a.Target.ID]++
+		perTarget[a.Target.ID]++
 		one.RecordFirstByte(start, a)
 		one.EndAttempt(start, a, Served)
 		two.RecordFirstByte(start, b)
 		two.EndAttempt(start, b, Served)
 	}
-	require.Len(t, homes, 9, "subjects spread over all engines")
+	require.Len(t, perTarget, 9, "subjects are spread over all engines")
 }
 
-// Symptom: when an engine is lost, one neighbour gets all its work.
-// Cause: parts move to the next engine of a ring.
-func TestPartsOfALostEngineSpread(t *testing.T) {
-	p := placer(9)
-	homes := make(map[uint64]string)
+// Guards against moving all work of a lost engine to a single other one, as a hash ring would.
+func TestPartsOfLostEngineSpread(t *testing.T) {
+	p := newPlacer(9)
+	ownersBefore := make(map[uint64]string)
 	for subject := range uint64(300) {
-		homes[subject] = p.keepers(start, prompt(subject, 100, 10)).home.ID
+		ownersBefore[subject] = p.cacheOwners(start, prompt(subject, 100, 10)).owner.ID
 	}
 	p.SetTargets(start, instances(9)[1:])
 	moved := make(map[string]int)
-	for subject, before := range homes {
-		after := p.keepers(start, prompt(subject, 100, 10)).home.ID
+	for subject, before := range ownersBefore {
+		after := p.cacheOwners(start, prompt(subject, 100, 10)).owner.ID
 		if before != "i-0" {
-			require.Equal(t, before, after, "what another engine keeps stays there")
+			require.Equal(t, before, after, "parts of other engines keep their owner")
 			continue
 		}
 		moved[after]++
@@ -83,11 +81,9 @@
 	require.GreaterOrEqual(t, len(moved), 6)
 }
 
-// Symptom: one engine has a queue of seconds while others idle.
-// Sequence: a subject becomes hot.
-// Cause: its requests go to its home whatever waits there.
-func TestAHotSubjectSpreadsOnceItsHomeIsBehind(t *testing.T) {
-	p := placer(9)
+// Guards against a queue of seconds at the owner of a hot subject while other engines idle.
+func TestHotSubjectSpreadsWhenOwnerIsBacklogged(t *testing.T) {
+	p := newPlacer(9)
 	r := prompt(1, 6000, 2500)
 	targets := make(map[string]int)
 	for range 60 {
@@ -99,63 +95,58 @@
 	}
 }
 
-// Symptom: an engine gets work that it can only queue.
-// Sequence: other routers have filled its slots, or its unread backlog.
-// Cause: each router sees only its own part.
-func TestWhatOtherRoutersSentCounts(t *testing.T) {
-	p := placer(3)
+// Guards against sending work to an engine whose slots or queue other routers have filled.
+func TestCountsRemoteBacklog(t *testing.T) {
+	p := newPlacer(3)
 	r := prompt(1, 100, 200)
-	home := p.keepers(start, r).home.ID
-	p.SetRemoteBacklog(start, []message.Backlog{{Target: home, Tokens: 60000}})
+	owner := p.cacheOwners(start, r).owner.ID
+	p.SetRemoteBacklog(start, []message.Backlog{{Target: owner, Tokens: 60000}})
 	c, ok := p.Choose(start, r)
 	require.True(t, ok)
-	require.NotEqual(t, home, c.Target.ID)
-	p.SetRemoteBacklog(start, []message.Backlog{{Target: home, Running: 200}})
+	require.NotEqual(t, owner, c.Target.ID)
+	p.SetRemoteBacklog(start, []message.Backlog{{Target: owner, Running: 200}})
 	c, ok = p.Choose(start, r)
 	require.True(t, ok)
-	require.NotEqual(t, home, c.Target.ID)
+	require.NotEqual(t, owner, c.Target.ID)
 	c, ok = p.Choose(start.Add(3*time.Second), r)
 	require.True(t, ok)
-	require.Equal(t, home, c.Target.ID, "old word of others does not count")
+	require.Equal(t, owner, c.Target.ID, "an old remote backlog does not count")
 }
 
-// Symptom: requests go on to a target that fails them.
-// Sequence: one target of a pool fails half of what it gets, its health check is
-// good; then it mends.
-// Cause: only the health check decides.
-func TestAFailingTargetIsLeftAndTriedAgain(t *testing.T) {
-	p := placer(3)
+// Guards against sending more requests to a target that fails half of them while its health check
+// passes, and against avoiding it after it has recovered.
+func TestFailingTargetIsAvoidedThenRetried(t *testing.T) {
+	p := newPlacer(3)
 	r := prompt(1, 1000, 200)
-	home := p.keepers(start, r).home.ID
+	owner := p.cacheOwners(start, r).owner.ID
 	now := start
-	play := func(fails bool, n int) (atHome int) {
+	sendRequests := func(fails bool, n int) (atOwner int) {
 		for i := range n {
 			now = now.Add(50 * time.Millisecond)
 			c := send(t, p, now, r)
 			p.RecordFirstByte(now, c)
-			if c.Target.ID == home {
-				atHome++
+			if c.Target.ID == owner {
+				atOwner++
 			}
-			if c.Target.ID == home && fails && i%2 == 0 {
+			if c.Target.ID == owner && fails && i%2 == 0 {
 				p.EndAttempt(now, c, Failed)
 				continue
 			}
 			p.EndAttempt(now, c, Served)
 		}
-		return atHome
+		return atOwner
 	}
-	require.Equal(t, 10, play(false, 10))
-	play(true, 100)
-	require.Less(t, play(true, 100), 40)
+	require.Equal(t, 10, sendRequests(false, 10))
+	sendRequests(true, 100)
+	require.Less(t, sendRequests(true, 100), 40)
 	now = now.Add(20 * time.Second)
-	require.Greater(t, play(false, 100), 90)
+	require.Greater(t, sendRequests(false, 100), 90)
 }
 
-// Symptom: a failure everywhere makes all prompts be read again.
-// Sequence: every target fails nearly half of its requests for some seconds.
-// Cause: the failures drive requests away from where their parts are kept.
-func TestFailuresThatAllShareMoveNothing(t *testing.T) {
-	p := placer(9)
+// Guards against prefilling all prompts again when every target fails nearly half of its
+// requests, by moving requests away from their cached parts.
+func TestPoolWideFailuresKeepCacheAffinity(t *testing.T) {
+	p := newPlacer(9)
 	now := start
 	away := 0
 	for i := range 2000 {
@@ -174,8 +165,8 @@
 	require.Less(t, away, 200)
 }
 
-func TestUnreachableTargetIsLeftOutForAWhile(t *testing.T) {
-	p := placer(2)
+func TestUnreachableTargetIsSkippedTemporarily(t *testing.T) {
+	p := newPlacer(2)
 	r := prompt(1, 1000, 200)
 	c := send(t, p, start, r)
 	p.EndAttempt(start, c, ConnectFailed)
@@ -186,18 +177,18 @@
 	require.Equal(t, c.Target.ID, again.Target.ID)
 }
 
-func TestASilentTargetIsLeft(t *testing.T) {
-	p := placer(3)
+func TestUnresponsiveTargetIsAvoided(t *testing.T) {
+	p := newPlacer(3)
 	r := prompt(1, 1000, 200)
 	c := send(t, p, start, r)
 	later := start.Add(6 * time.Second)
 	next, ok := p.Choose(later, r)
 	require.True(t, ok)
-	require.NotEqual(t, c.Target.ID, next.Target.ID, "it has answered nothing for six seconds")
+	require.NotEqual(t, c.Target.ID, next.Target.ID, "the target has not answered for 6 s")
 }
 
-func TestAvoidedTargetsAreTakenOnlyIfThereIsNoOther(t *testing.T) {
-	p := placer(2)
+func TestAvoidedTargetsAreLastResort(t *testing.T) {
+	p := newPlacer(2)
 	r := prompt(1, 1000, 200)
 	first := send(t, p, start, r)
 	r.Avoid = []fleet.Incarnation{first.Target.Incarnation}
@@ -208,8 +199,8 @@
 	require.True(t, ok)
 }
 
-func TestLeavingTargetsGetNothing(t *testing.T) {
-	p := placer(2)
+func TestLeavingTargetsGetNoWork(t *testing.T) {
+	p := newPlacer(2)
 	list := instances(2)
 	for i := range list {
 		list[i].Leaving = true
@@ -220,7 +211,7 @@
 	require.False(t, p.Accepts(fleet.Incarnation{ID: "i-0"}))
 }
 
-func TestPlainServiceGoesWhereSlotsAreFree(t *testing.T) {
+func TestPlainServiceFillsFreeSlots(t *testing.T) {
 	p := &Placer{Zone: "z0"}
 	var list []fleet.Instance
 	for i := range 3 {
@@ -234,8 +225,8 @@
 	require.Equal(t, map[string]int{"0": 6, "1": 6, "2": 6}, counts)
 }
 
-func TestCountsReturnToNothing(t *testing.T) {
-	p := placer(3)
+func TestBacklogEmptyAfterAllAttemptsEnd(t *testing.T) {
+	p := newPlacer(3)
 	for i, result := range []Result{Served, Refused, Failed, ConnectFailed} {
 		c := send(t, p, start, prompt(uint64(i), 100, 50))
 		if i%2 == 0 {
@@ -247,13 +238,12 @@
 	require.Empty(t, p.Backlog())
 }
 
-// BenchmarkChoose measures one choice among the targets of a pool: 0.44 us at 9
-// targets and 4.4 us at 140 (one core of a shared machine), without allocation but
-// for the choice itself.
+// BenchmarkChoose measures one choice among the targets of a pool: 0.44 us with 9 targets and 4.4
+// us with 140 (one core of a shared machine). The only allocation is the choice itself.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{9, 140} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := placer(n)
+			p := newPlacer(n)
 			r := prompt(7, 13000, 3000)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/placement/probation_test.go
+++ b/internal/placement/probation_test.go
@@ -9,20 +9,17 @@
 	"laburnumfall/internal/fleet"
 )
 
-// Symptom: each time that a router believes a failing target again, a burst of
-// requests is lost there.
-// Sequence: a target fails everything; it gets nothing until its failures have faded;
-// then requests come faster than it answers.
-// Cause: it is believed in full until the first of them has failed.
-func TestATargetThatFailedComesBackInSteps(t *testing.T) {
-	p := placer(3)
+// Guards against a burst of failed requests each time the failure rate of a broken target has
+// decayed: without probation it gets requests at the full rate until the first one has failed.
+func TestFailedTargetRecoversGradually(t *testing.T) {
+	p := newPlacer(3)
 	r := prompt(1, 13000, 200)
-	home := p.keepers(start, r).home.ID
+	owner := p.cacheOwners(start, r).owner.ID
 	now := start
 	for range 10 {
 		c := send(t, p, now, r)
 		result := Served
-		if c.Target.ID == home {
+		if c.Target.ID == owner {
 			result = Failed
 		}
 		p.RecordFirstByte(now, c)
@@ -30,41 +27,40 @@
 		now = now.Add(20 * time.Millisecond)
 	}
 	now = now.Add(time.Minute)
-	var open []*Choice
-	at := func() int {
+	var inFlight []*Choice
+	inFlightAtOwner := func() int {
 		count := 0
-		for _, c := range open {
-			if c.Target.ID == home {
+		for _, c := range inFlight {
+			if c.Target.ID == owner {
 				count++
 			}
 		}
 		return count
 	}
 	for range 12 {
-		open = append(open, send(t, p, now, r))
+		inFlight = append(inFlight, send(t, p, now, r))
 	}
-	require.Equal(t, 1, at(), "one to see; 12 without steps")
-	most := 1
-	const enough = trusted / 2
-	for most < enough {
-		for _, c := range open {
+	require.Equal(t, 1, inFlightAtOwner(), "one probe; 12 without probation")
+	maxInFlight := 1
+	const enough = trustedConcurrency / 2
+	for maxInFlight < enough {
+		for _, c := range inFlight {
 			p.RecordFirstByte(now, c)
 			p.EndAttempt(now, c, Served)
 		}
-		most = min(2*most, 1<<at())
-		open = nil
+		maxInFlight = min(2*maxInFlight, 1<<inFlightAtOwner())
+		inFlight = nil
 		for range 3 * enough {
-			open = append(open, send(t, p, now, r))
+			inFlight = append(inFlight, send(t, p, now, r))
 		}
 		now = now.Add(time.Second)
 	}
-	require.GreaterOrEqual(t, at(), enough, "it is believed again")
+	require.GreaterOrEqual(t, inFlightAtOwner(), enough, "probation has ended")
 }
 
-// Symptom: nothing is sent although targets are up.
-// Sequence: all targets of a pool fail for a while.
-// Cause: each of them is held back for its failures.
-func TestATroubleOfAllHoldsNobodyBack(t *testing.T) {
+// Guards against sending nothing when all targets of a pool fail for a while and all are on
+// probation.
+func TestPoolWideFailuresDoNotBlockTargets(t *testing.T) {
 	p := &Placer{Zone: "z0"}
 	var list []fleet.Instance
 	for _, id := range []string{"a", "b", "c"} {
@@ -78,12 +74,12 @@
 		p.EndAttempt(now, c, Failed)
 		now = now.Add(20 * time.Millisecond)
 	}
-	seen := map[string]int{}
+	counts := map[string]int{}
 	for range 24 {
-		seen[send(t, p, now, Request{Pool: "plain"}).Target.ID]++
+		counts[send(t, p, now, Request{Pool: "plain"}).Target.ID]++
 	}
-	require.Len(t, seen, 3)
-	for id, count := range seen {
+	require.Len(t, counts, 3)
+	for id, count := range counts {
 		require.LessOrEqual(t, count, 12, id)
 	}
 }
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -9,13 +9,10 @@
 	"laburnumfall/internal/fleet"
 )
 
-// Symptom: requests to a busy plain service are refused by routers, though it
-// would have answered them well within their aim.
-// Sequence: the slots of a service of 30 ms are all taken for some seconds, with as
-// many requests waiting; each answer takes 60 to 90 ms.
-// Cause: the time of answers, waiting included, was taken for the service's own, and
-// the wait was then counted once more on top of it.
-func TestWaitingForSlotsIsNotTakenForWork(t *testing.T) {
+// Guards against refusing requests that a busy plain service would answer in time. All slots of a
+// 30 ms service are taken and as many requests wait, so answers take 60 to 90 ms. Those times
+// were learned as the service time, and the wait was then added once more.
+func TestServiceTimeExcludesSlotQueueing(t *testing.T) {
 	const slots, work = 6, 30 * time.Millisecond
 	p := &Placer{Zone: "z0"}
 	p.SetTargets(start, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "s"}, Pool: "plain", Zone: "z0", Slots: slots}})
@@ -38,17 +35,17 @@
 	require.Less(t, c.PredictedTTFB, 4*work)
 }
 
-func TestWaitingThatATargetTellsIsNotCountedTwice(t *testing.T) {
+func TestReportedQueueIsNotCountedTwice(t *testing.T) {
 	p := &Placer{Zone: "z0"}
 	p.SetTargets(start, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "s"}, Pool: "plain", Zone: "z0", Slots: 6}})
 	for range 18 {
 		send(t, p, start, Request{Pool: "plain"})
 	}
 	before, _ := p.Choose(start, Request{Pool: "plain"})
-	p.SetReportedQueue(start, fleet.Incarnation{ID: "s"}, 12) // it tells what this router knows
+	p.SetReportedQueue(start, fleet.Incarnation{ID: "s"}, 12) // the requests of this router
 	after, _ := p.Choose(start, Request{Pool: "plain"})
 	require.Equal(t, before.PredictedTTFB, after.PredictedTTFB)
-	p.SetReportedQueue(start, fleet.Incarnation{ID: "s"}, 18) // others have sent it more
+	p.SetReportedQueue(start, fleet.Incarnation{ID: "s"}, 18) // plus 6 from other routers
 	more, _ := p.Choose(start, Request{Pool: "plain"})
 	require.Greater(t, more.PredictedTTFB, after.PredictedTTFB)
 }
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -13,215 +13,213 @@
 	"laburnumfall/internal/warmup"
 )
 
-// maxKept bounds the parts that are remembered of one target.
-const maxKept = 1024
+// maxCachedParts bounds the cached parts that are tracked per target.
+const maxCachedParts = 1024
 
-// state is what a router believes of one target.
+// state is what a router has recorded about one target.
 type state struct {
 	fleet.Instance
 
-	hash    uint64               // of the ID
-	since   time.Time            // when this router heard of it
-	copying int                  // tokens that others are told to copy from here
-	kept    map[uint64]time.Time // part to its last use here
-	running int
-	pending int // tokens sent whose answer has not begun
+	hash          uint64               // of the target's ID
+	addedAt       time.Time            // when the target was first listed
+	copyingTokens int                  // tokens in copies from this target
+	partLastUsed  map[uint64]time.Time // by part ID
+	running       int
+	pendingTokens int // prompt tokens of attempts without a first byte
 
-	waiting int // requests, as the target told
-	toldAt  time.Time
+	reportedWaiting int // queue length reported by the target
+	reportedAt      time.Time
 
-	others   message.Backlog // what other routers have sent
-	othersAt time.Time
+	remote   message.Backlog // sent by all other routers
+	remoteAt time.Time
 
-	probation probation.Limit
-	fails     float64 // part of requests that failed
-	failsAt   time.Time
-	refused   bool
-	refusedAt time.Time
-	evacuated bool      // its zone is
-	mayCold   bool      // coldUntil has not passed, as of the last look
-	coldUntil time.Time // as far as is known
-	meter     warmup.Meter
+	probation     probation.Limit
+	failureRate   float64 // moving average, as of failureRateAt
+	failureRateAt time.Time
+	refused       bool
+	refusedAt     time.Time
+	evacuated     bool      // the target's zone is evacuated
+	maybeCold     bool      // false once coldUntil is known to have passed
+	coldUntil     time.Time // latest known end of the cold period
+	sendMeter     warmup.Meter
 
-	downUntil time.Time
-	downs     int
-	heardAt   time.Time
-	oldest    time.Time // when the oldest request without any answer was sent
-	silent    int       // requests without any answer
+	downUntil       time.Time
+	connectFailures int
+	lastAnswerAt    time.Time
+	unansweredSince time.Time // when the first of the unanswered requests was sent
+	unanswered      int       // requests sent since the last answer
 }
 
-func newState(now time.Time, in fleet.Instance) *state {
-	return &state{Instance: in, since: now, hash: xxhash.Sum64String(in.ID), kept: make(map[uint64]time.Time)}
+func newState(now time.Time, instance fleet.Instance) *state {
+	return &state{Instance: instance, addedAt: now, hash: xxhash.Sum64String(instance.ID), partLastUsed: make(map[uint64]time.Time)}
 }
 
-func rendezvous(part, target uint64) uint64 {
+func rendezvousScore(part, target uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], part)
 	binary.LittleEndian.PutUint64(buf[8:], target)
 	return xxhash.Sum64(buf[:])
 }
 
-// lacking returns how many tokens of a prompt's shared parts a target does not
-// keep, as far as this router knows: a part is kept only if all parts before it
-// are.
-func (s *state) lacking(now time.Time, r Request) int {
+// uncachedTokens returns how many tokens of a prompt's shared parts are probably not cached at
+// the target. A part counts as cached only if all parts before it do.
+func (s *state) uncachedTokens(now time.Time, r Request) int {
 	tokens := 0
 	for _, part := range r.shared() {
-		at, ok := s.kept[part.ID]
-		if tokens > 0 || !ok || now.Sub(at) > keptFor {
+		usedAt, ok := s.partLastUsed[part.ID]
+		if tokens > 0 || !ok || now.Sub(usedAt) > cacheLifetime {
 			tokens += part.Tokens
 		}
 	}
 	return tokens
 }
 
-func (s *state) begin(now time.Time, r Request, unread int) {
+func (s *state) startAttempt(now time.Time, r Request, prefillTokens int) {
 	s.running++
-	s.pending += unread
-	if s.silent == 0 {
-		s.oldest = now
+	s.pendingTokens += prefillTokens
+	if s.unanswered == 0 {
+		s.unansweredSince = now
 	}
-	s.silent++
+	s.unanswered++
 	if len(r.Parts) == 0 {
 		return
 	}
 	for _, part := range r.shared() {
-		s.kept[part.ID] = now
+		s.partLastUsed[part.ID] = now
 	}
-	if len(s.kept) > maxKept {
-		s.forget(now)
+	if len(s.partLastUsed) > maxCachedParts {
+		s.evictParts(now)
 	}
 }
 
-// forget drops parts that are no longer kept, and if that is not enough, all.
-func (s *state) forget(now time.Time) {
-	for id, at := range s.kept {
-		if now.Sub(at) > keptFor {
-			delete(s.kept, id)
+// evictParts drops parts that have expired, and all parts if there are still too many.
+func (s *state) evictParts(now time.Time) {
+	for id, usedAt := range s.partLastUsed {
+		if now.Sub(usedAt) > cacheLifetime {
+			delete(s.partLastUsed, id)
 		}
 	}
-	if len(s.kept) > maxKept {
-		clear(s.kept)
+	if len(s.partLastUsed) > maxCachedParts {
+		clear(s.partLastUsed)
 	}
 }
 
-// told returns the requests that wait here as the target told, less as that
-// grows old.
-func (s *state) told(now time.Time) float64 {
-	age := now.Sub(s.toldAt)
-	if age >= loadFor {
+// reportedQueue returns the queue length that the target reported, with a weight that falls with
+// age.
+func (s *state) reportedQueue(now time.Time) float64 {
+	age := now.Sub(s.reportedAt)
+	if age >= reportedQueueLifetime {
 		return 0
 	}
-	return float64(s.waiting) * float64(loadFor-age) / float64(loadFor)
+	return float64(s.reportedWaiting) * float64(reportedQueueLifetime-age) / float64(reportedQueueLifetime)
 }
 
-// elsewhere returns the tokens that wait here from other routers, less as that
-// grows old: the target reads them meanwhile.
-func (s *state) elsewhere(now time.Time, rate float64) float64 {
-	if s.others.Tokens == 0 {
+// remoteTokens returns the prompt tokens from other routers that are still to be prefilled,
+// assuming that the target prefills at the given rate since the report.
+func (s *state) remoteTokens(now time.Time, rate float64) float64 {
+	if s.remote.Tokens == 0 {
 		return 0
 	}
-	read := rate * float64(now.Sub(s.othersAt)) / float64(time.Millisecond)
-	return max(float64(s.others.Tokens)-read, 0)
+	prefilled := rate * float64(now.Sub(s.remoteAt)) / float64(time.Millisecond)
+	return max(float64(s.remote.Tokens)-prefilled, 0)
 }
 
-// load returns how many requests run here, through all routers.
-func (s *state) load(now time.Time) int {
-	if s.others.Running == 0 || now.Sub(s.othersAt) > othersFor {
+// runningTotal returns how many requests of all routers run at the target.
+func (s *state) runningTotal(now time.Time) int {
+	if s.remote.Running == 0 || now.Sub(s.remoteAt) > remoteLoadLifetime {
 		return s.running
 	}
-	return s.running + s.others.Running
+	return s.running + s.remote.Running
 }
 
-// rounds returns how many times as long as alone a request takes here, by the
-// slots that are taken before it.
-func (s *state) rounds(now time.Time) float64 {
+// slotRounds returns the predicted time of a request as a multiple of the time on an idle target,
+// from the requests that hold or wait for slots.
+func (s *state) slotRounds(now time.Time) float64 {
 	slots := float64(max(s.Slots, 1))
-	ahead := float64(s.load(now))
-	if waiting := s.told(now); waiting > 0 {
+	ahead := float64(s.runningTotal(now))
+	if waiting := s.reportedQueue(now); waiting > 0 {
 		ahead = max(ahead, slots+waiting)
 	}
 	return 1 + ahead/slots
 }
 
-func (s *state) first(now time.Time, unread int) {
-	s.pending -= unread
-	s.hear(now)
+func (s *state) recordFirstByte(now time.Time, prefillTokens int) {
+	s.pendingTokens -= prefillTokens
+	s.recordAnswer(now)
 }
 
-func (s *state) hear(now time.Time) {
-	s.heardAt = now
-	s.oldest = now
-	s.silent = 0
-	s.downs = 0
+func (s *state) recordAnswer(now time.Time) {
+	s.lastAnswerAt = now
+	s.unansweredSince = now
+	s.unanswered = 0
+	s.connectFailures = 0
 	s.downUntil = time.Time{}
 }
 
-func (s *state) ended(now time.Time, r Result, usual float64) {
+func (s *state) endAttempt(now time.Time, r Result, medianFailureRate float64) {
 	s.running--
 	switch r {
 	case Served:
-		s.note(now, 0)
+		s.recordResult(now, 0)
 		s.probation.RecordSuccess()
-		s.hear(now)
+		s.recordAnswer(now)
 	case Canceled:
 	case Refused:
 		s.refused, s.refusedAt = true, now
-		s.hear(now)
+		s.recordAnswer(now)
 	case Failed:
-		s.note(now, 1)
-		s.suspect(usual)
+		s.recordResult(now, 1)
+		s.updateProbation(medianFailureRate)
 	case ConnectFailed:
-		s.note(now, 1)
-		s.suspect(usual)
-		s.down(now)
+		s.recordResult(now, 1)
+		s.updateProbation(medianFailureRate)
+		s.markDown(now)
 	}
 	if s.running == 0 {
-		s.silent = 0
+		s.unanswered = 0
 	}
 }
 
-// note mixes one result into the part of failures.
-func (s *state) note(now time.Time, failed float64) {
-	s.fails = s.failing(now)
-	s.fails += failWeight * (failed - s.fails)
-	s.failsAt = now
+// recordResult updates the failure rate with one result: 1 for a failure, 0 for a success.
+func (s *state) recordResult(now time.Time, failed float64) {
+	s.failureRate = s.currentFailureRate(now)
+	s.failureRate += failureWeight * (failed - s.failureRate)
+	s.failureRateAt = now
 }
 
-// failing returns the part of requests that fail here. It fades while nothing
-// is sent.
-func (s *state) failing(now time.Time) float64 {
-	if s.fails == 0 {
+// currentFailureRate returns the failure rate, which decays while nothing is sent.
+func (s *state) currentFailureRate(now time.Time) float64 {
+	if s.failureRate == 0 {
 		return 0
 	}
-	return s.fails * math.Exp2(-now.Sub(s.failsAt).Seconds()/failMemory.Seconds())
+	return s.failureRate * math.Exp2(-now.Sub(s.failureRateAt).Seconds()/failureHalfLife.Seconds())
 }
 
-func (s *state) down(now time.Time) {
-	pause := min(downFirst<<min(s.downs, 4), downLast)
-	s.downs++
+func (s *state) markDown(now time.Time) {
+	pause := min(minDownTime<<min(s.connectFailures, 4), maxDownTime)
+	s.connectFailures++
 	s.downUntil = now.Add(pause)
 }
 
-// trouble is what a target's late failures and silence cost. Only failures
-// beyond those of the whole pool count: where all fail alike, leaving the places
-// where prompts are kept would only add work.
-func (s *state) trouble(now time.Time, usual float64) time.Duration {
+// failurePenalty returns the cost of recent failures and of missing answers. Only a failure rate
+// above the pool's median counts: if all targets fail alike, moving requests away from their
+// cached parts would only add work.
+func (s *state) failurePenalty(now time.Time, medianFailureRate float64) time.Duration {
 	const outweighsAll = time.Minute
 	var cost time.Duration
-	if s.fails > 0 {
-		failing := max(s.failing(now)-usual, 0)
-		cost = time.Duration(failing * failing * float64(failedCost))
+	if s.failureRate > 0 {
+		excess := max(s.currentFailureRate(now)-medianFailureRate, 0)
+		cost = time.Duration(excess * excess * float64(failureCost))
 	}
-	cost += s.probationTime()
-	if s.downs > 0 && now.Before(s.downUntil) {
+	cost += s.probationPenalty()
+	if s.connectFailures > 0 && now.Before(s.downUntil) {
 		cost += outweighsAll
 	}
-	if s.refused && now.Sub(s.refusedAt) < refusedFor {
+	if s.refused && now.Sub(s.refusedAt) < refusedDuration {
 		cost += refusedCost
 	}
-	if s.silent > 0 {
-		if waited := now.Sub(s.oldest); waited > silentAfter {
+	if s.unanswered > 0 {
+		if waited := now.Sub(s.unansweredSince); waited > unresponsiveAfter {
 			cost += waited
 		}
 	}
--- a/internal/placement/warming.go
+++ b/internal/placement/warming.go
@@ -7,93 +7,92 @@
 	"laburnumfall/internal/warmup"
 )
 
-// doubtFor is how long a target counts as cold, beside the time that it is cold after a
-// start, once no connection to it could be made: it may be starting again, and the list of
-// targets shows that late.
-const doubtFor = 3 * time.Second
+// restartMargin extends the cold period of a target after a failed connection. The target may be
+// restarting, and the list of targets shows that late.
+const restartMargin = 3 * time.Second
 
-// SetEvacuated takes which zones are evacuated. It comes in force with the next SetTargets.
+// SetEvacuated replaces the set of evacuated zones. It takes effect with the next SetTargets.
 func (p *Placer) SetEvacuated(e fleet.Evacuations) {
 	p.evacuations = e
 }
 
-// SetColdUntil takes until when targets are cold, also of targets that SetTargets brings
-// later. What is known already stays.
+// SetColdUntil sets the end of the cold period of targets, including targets that a later
+// SetTargets adds. It never shortens a cold period.
 func (p *Placer) SetColdUntil(until map[fleet.Incarnation]time.Time) {
-	p.warming = until
+	p.coldUntil = until
 	for target, end := range until {
 		if s := p.states[target]; s != nil {
-			s.coolUntil(end)
+			s.markColdUntil(end)
 		}
 	}
 }
 
-// come notes that a target came to be used at a moment: that it is new, or that its zone's
-// evacuation has ended. It may have started just then, unless it is on the first list.
-func (p *Placer) come(now time.Time, s *state) {
+// markAdded starts the cold period of a target that is new, or whose zone is no longer evacuated:
+// it may have just started. Targets of the first list are not considered new.
+func (p *Placer) markAdded(now time.Time, s *state) {
 	if len(p.states) > 0 {
-		s.coolUntil(now.Add(p.bounds[s.Pool].Duration))
+		s.markColdUntil(now.Add(p.coldLimits[s.Pool].Duration))
 	}
-	s.coolUntil(p.warming[s.Incarnation])
+	s.markColdUntil(p.coldUntil[s.Incarnation])
 }
 
-// coolUntil notes that a target is cold until a moment, if that is later than what is known.
-func (s *state) coolUntil(end time.Time) {
+// markColdUntil extends the cold period of a target; an earlier end is ignored.
+func (s *state) markColdUntil(end time.Time) {
 	if end.After(s.coldUntil) {
-		s.coldUntil, s.mayCold = end, true
+		s.coldUntil, s.maybeCold = end, true
 	}
 }
 
-// takes reports whether a target takes new work.
-func (s *state) takes() bool {
+// accepts reports whether a target accepts new work.
+func (s *state) accepts() bool {
 	return !s.Leaving && !s.evacuated
 }
 
-// cold reports whether a target may be cold.
-func (p *Placer) cold(now time.Time, s *state) bool {
-	if !s.mayCold {
-		return false // which is so for nearly all, in every choice
+// isCold reports whether a target is in its cold period and its pool limits cold targets.
+func (p *Placer) isCold(now time.Time, s *state) bool {
+	if !s.maybeCold {
+		return false // fast path: true of nearly all targets in every choice
 	}
-	s.mayCold = s.coldUntil.After(now)
-	return s.mayCold && p.bounds[s.Pool].Enabled()
+	s.maybeCold = s.coldUntil.After(now)
+	return s.maybeCold && p.coldLimits[s.Pool].Enabled()
 }
 
-// open reports whether a target takes one more request of this router's: it is not cold, or
-// this router's part of what it gets leaves room.
-func (p *Placer) open(now time.Time, s *state) bool {
-	return s.takes() && (!p.cold(now, s) || s.meter.Allows(now, p.Warmup.Allowance(now, s.hash, p.bounds[s.Pool])))
+// canSend reports whether this router may send a target one more request: the target accepts
+// work, and if it is cold, this router's allowance is not used up.
+func (p *Placer) canSend(now time.Time, s *state) bool {
+	return s.accepts() && (!p.isCold(now, s) || s.sendMeter.Allows(now, p.Warmup.Allowance(now, s.hash, p.coldLimits[s.Pool])))
 }
 
-// ConfirmSend notes that a request leaves for the target of its choice now. It reports false, and
-// the request must not be sent, where the target takes it no longer.
+// ConfirmSend is called right before a request is sent to the chosen target. It reports false if
+// the target no longer takes the request, which must then not be sent.
 func (p *Placer) ConfirmSend(now time.Time, c *Choice) bool {
 	s := c.state
 	switch {
 	case s.evacuated:
 		return false
-	case !p.cold(now, s):
+	case !p.isCold(now, s):
 		return true
 	case !c.metered:
 		return false
 	}
-	s.meter.RecordDelayedSend(now)
-	return p.Warmup.Allowance(now, s.hash, p.bounds[s.Pool]) > 0
+	s.sendMeter.RecordDelayedSend(now)
+	return p.Warmup.Allowance(now, s.hash, p.coldLimits[s.Pool]) > 0
 }
 
-// UnavailableReason tells why no target of a pool takes work: all are evacuated, or those that are not are
-// cold and have what they may get.
+// UnavailableReason reports why no target of a pool takes work: all are evacuated, or the
+// remaining ones are warming up and have reached their rate limit.
 func (p *Placer) UnavailableReason(now time.Time, pool string) (evacuated, warming bool) {
-	for _, s := range p.pools[pool] {
+	for _, s := range p.byPool[pool] {
 		evacuated = evacuated || s.evacuated
-		warming = warming || s.takes() && p.cold(now, s)
+		warming = warming || s.accepts() && p.isCold(now, s)
 	}
 	return evacuated && !warming, warming
 }
 
-// setBounds takes what cold targets of each pool get.
-func (p *Placer) setBounds(pools map[string]fleet.Pool) {
-	p.bounds = make(map[string]warmup.RateLimit, len(pools))
+// setColdLimits computes the rate limit of cold targets in each pool.
+func (p *Placer) setColdLimits(pools map[string]fleet.Pool) {
+	p.coldLimits = make(map[string]warmup.RateLimit, len(pools))
 	for name, pool := range pools {
-		p.bounds[name] = p.Warmup.RateLimit(pool.WarmFor, pool.WarmRate)
+		p.coldLimits[name] = p.Warmup.RateLimit(pool.WarmFor, pool.WarmRate)
 	}
 }
