--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,11 +1,11 @@
-// Package admission decides whether a request is sent to a target now, and to which,
-// or refused at once with the time to come back.
+// Package admission implements admission control: it decides whether a request is sent to a
+// target now, and to which one, or is refused at once with a Retry-After time.
 //
-// A Controller is deterministic: it takes a time and a request; it has no clock, goroutine
-// or socket. Routers go by it, and so do the measurements of internal/workload.
+// A Controller is deterministic: its methods take the time and a request, and it has no clock,
+// goroutine or socket. Routers use it, and so does the simulation in internal/workload.
 //
-// What is within an account's share is sent. What is beyond it is sent where one of the
-// desk's rules lets it in, each of which is a type and a file of its own.
+// Requests within their account's share are sent. A request over the share is sent only if one of
+// the controller's rules admits it. Each rule is a type in a file of its own.
 package admission
 
 import (
@@ -17,110 +17,114 @@
 )
 
 const (
-	// MinRetryAfter is when a caller may come back to another router at once.
+	// MinRetryAfter is the shortest time that a refused caller is asked to wait, such as before
+	// it tries another router.
 	MinRetryAfter = 50 * time.Millisecond
-	// NoCapacityRetryAfter is when a caller may come back that found no room: about the time
-	// in which a place comes free.
+	// NoCapacityRetryAfter is when to retry if there was no capacity. A slot becomes free in
+	// about this time.
 	NoCapacityRetryAfter = 300 * time.Millisecond
-	// EvacuatedRetryAfter is when a caller may come back that found all targets evacuated.
+	// EvacuatedRetryAfter is when to retry if all targets are evacuated.
 	EvacuatedRetryAfter = 3 * time.Second
 )
 
-// A Request is what a decision depends on.
+// A Request holds what an admission decision depends on.
 type Request struct {
 	Placement placement.Request
 	Route     *fleet.Route
 	Account   string
-	// Cost is what it costs: one each to read, two to generate.
+	// Cost is the size of the request in tokens: a prompt token costs one, a generated token two.
 	Cost float64
-	// Deadline is when its caller or its route gives up.
+	// Deadline is when the caller or the route gives up.
 	Deadline time.Time
-	// WithinShare says that it is within its account's share, Throttled that a crowded
-	// service would refuse it, and SentBefore that a target has had it: it is not held
-	// against the share again. Charged says that its account has paid for it.
+	// WithinShare is whether the account had credit when the request came in. Throttled is
+	// whether an overloaded service would refuse the request. SentBefore is whether a target has
+	// already received it: then neither of the two applies again. Charged is whether its cost has
+	// been taken from the account.
 	WithinShare bool
 	Throttled   bool
 	SentBefore  bool
 	Charged     bool
 
-	owed bool // a chance by its size
+	sizeCredit bool // admit a prompt of this size more easily
 }
 
-// A Refusal says why a request is not sent, and when its caller may come back.
+// A Refusal is the reason why a request is not sent, and when its caller may retry.
 type Refusal struct {
 	Reason        fleet.Reason
 	RetryAfter    time.Duration
-	PredictedTTFB time.Duration // predicted
-	QueueTime     time.Duration // of that, for the work of others
-	Load          float64       // part of the target's slots that is taken
-	Excess        float64       // of the account over others that lack service
+	PredictedTTFB time.Duration // of the best target
+	QueueTime     time.Duration // part of PredictedTTFB caused by other requests
+	Load          float64       // of the best target: running requests divided by slots
+	Excess        float64       // service of the account relative to underserved ones
 }
 
-// A Rule lets work beyond its account's share in, for a reason of its own.
+// A Rule admits certain requests of accounts that are over their share.
 type Rule interface {
-	Admits(now time.Time, s *quota.Shares, r Request, c *placement.Choice) bool
+	Admits(now time.Time, shares *quota.Shares, r Request, choice *placement.Choice) bool
 }
 
-// A RetryPolicy says when a caller may come back that was refused beyond its account's share.
+// A RetryPolicy sets when a caller may retry that was refused because its account is over its
+// share.
 type RetryPolicy interface {
-	RetryAfter(now time.Time, s *quota.Shares, r Request) time.Duration
+	RetryAfter(now time.Time, shares *quota.Shares, r Request) time.Duration
 }
 
-// A Controller decides for one router. Set all its fields, then call it from one goroutine at a
-// time.
+// A Controller makes the admission decisions of one router. Set all its fields, then call its
+// methods from one goroutine at a time.
 type Controller struct {
 	Placer       *placement.Placer
 	Shares       *quota.Shares
-	SizeFairness *SizeFairness // nil where sizes are owed nothing
+	SizeFairness *SizeFairness // nil to treat prompts of all sizes alike
 	Rules        []Rule
 	RetryPolicy  RetryPolicy
 }
 
-// NewController returns the decisions that routers go by.
-func NewController(p *placement.Placer, s *quota.Shares) Controller {
+// NewController returns a Controller with the rules that routers use.
+func NewController(placer *placement.Placer, shares *quota.Shares) Controller {
 	return Controller{
-		Placer: p, Shares: s, SizeFairness: &SizeFairness{},
+		Placer: placer, Shares: shares, SizeFairness: &SizeFairness{},
 		Rules:       []Rule{Headroom{Scales: []HeadroomScale{ShrinkByExcess{}, GrowByDeficit{}}}, ShortWait{}},
 		RetryPolicy: LatencyAwareRetry{},
 	}
 }
 
-// Decide picks a target, or refuses at once what would only wait until its caller
-// has left, and what is beyond its account's share where there is no room. Where it
-// picks one, the request counts as sent there: tell the placer how it ends.
-func (d Controller) Decide(now time.Time, r Request) (*placement.Choice, *Refusal) {
-	size := d.SizeFairness.ask(r)
-	r.owed = size.owed()
-	choice, refused := d.decide(now, r)
-	size.decided(refused == nil)
-	return choice, refused
+// Decide chooses a target, or refuses the request. It refuses a request that would still be
+// queued when its caller gives up, and one that is over its account's share if no rule admits it.
+//
+// With a chosen target, the request counts as sent: report the outcome to the placer.
+func (c Controller) Decide(now time.Time, r Request) (*placement.Choice, *Refusal) {
+	sized := c.SizeFairness.count(r)
+	r.sizeCredit = sized.hasCredit()
+	choice, refusal := c.decide(now, r)
+	sized.recordDecision(refusal == nil)
+	return choice, refusal
 }
 
-// decide is Decide, for a request whose size has been counted.
-func (d Controller) decide(now time.Time, r Request) (*placement.Choice, *Refusal) {
-	choice, ok := d.Placer.Choose(now, r.Placement)
+// decide does the work of Decide, after the size of the request has been counted.
+func (c Controller) decide(now time.Time, r Request) (*placement.Choice, *Refusal) {
+	choice, ok := c.Placer.Choose(now, r.Placement)
 	if !ok {
-		return nil, d.noTarget(now, r.Placement.Pool)
+		return nil, c.noTargetRefusal(now, r.Placement.Pool)
 	}
 	switch {
 	case r.Throttled && !r.SentBefore:
-		return nil, d.refusal(now, r, choice, fleet.ReasonCrowded, NoCapacityRetryAfter)
+		return nil, c.newRefusal(now, r, choice, fleet.ReasonCrowded, NoCapacityRetryAfter)
 	case choice.PredictedTTFB > min(r.Route.Patience(), r.Deadline.Sub(now)):
-		return nil, d.refusal(now, r, choice, fleet.ReasonBehind, max(choice.PredictedTTFB-r.Route.Aim, MinRetryAfter))
-	case !r.WithinShare && !r.SentBefore && !d.lets(now, r, choice):
-		return nil, d.refusal(now, r, choice, fleet.ReasonOverShare, d.RetryPolicy.RetryAfter(now, d.Shares, r))
+		return nil, c.newRefusal(now, r, choice, fleet.ReasonBehind, max(choice.PredictedTTFB-r.Route.Aim, MinRetryAfter))
+	case !r.WithinShare && !r.SentBefore && !c.admits(now, r, choice):
+		return nil, c.newRefusal(now, r, choice, fleet.ReasonOverShare, c.RetryPolicy.RetryAfter(now, c.Shares, r))
 	}
 	if !r.Charged && r.Cost > 0 {
-		d.Shares.Spend(now, r.Account, r.Cost)
+		c.Shares.Spend(now, r.Account, r.Cost)
 	}
-	d.Placer.StartAttempt(now, choice, r.Placement)
+	c.Placer.StartAttempt(now, choice, r.Placement)
 	return choice, nil
 }
 
-// noTarget says why no target takes a request. An evacuation lasts for as long as operators
-// want; whoever comes back sooner than after a while is refused again.
-func (d Controller) noTarget(now time.Time, pool string) *Refusal {
-	switch evacuated, warming := d.Placer.UnavailableReason(now, pool); {
+// noTargetRefusal returns the reason why no target takes a request. An evacuation lasts until
+// operators end it, so an early retry would only be refused again.
+func (c Controller) noTargetRefusal(now time.Time, pool string) *Refusal {
+	switch evacuated, warming := c.Placer.UnavailableReason(now, pool); {
 	case evacuated:
 		return &Refusal{Reason: fleet.ReasonEvacuated, RetryAfter: EvacuatedRetryAfter}
 	case warming:
@@ -130,16 +134,16 @@
 	}
 }
 
-// lets reports whether any rule lets a request in.
-func (d Controller) lets(now time.Time, r Request, c *placement.Choice) bool {
-	for _, rule := range d.Rules {
-		if rule.Admits(now, d.Shares, r, c) {
+// admits reports whether any rule admits a request.
+func (c Controller) admits(now time.Time, r Request, choice *placement.Choice) bool {
+	for _, rule := range c.Rules {
+		if rule.Admits(now, c.Shares, r, choice) {
 			return true
 		}
 	}
 	return false
 }
 
-func (d Controller) refusal(now time.Time, r Request, c *placement.Choice, why fleet.Reason, back time.Duration) *Refusal {
-	return &Refusal{Reason: why, RetryAfter: back, PredictedTTFB: c.PredictedTTFB, QueueTime: c.QueueTime, Load: c.Load, Excess: d.Shares.ExcessRatio(now, r.Account)}
+func (c Controller) newRefusal(now time.Time, r Request, choice *placement.Choice, reason fleet.Reason, retryAfter time.Duration) *Refusal {
+	return &Refusal{Reason: reason, RetryAfter: retryAfter, PredictedTTFB: choice.PredictedTTFB, QueueTime: choice.QueueTime, Load: choice.Load, Excess: c.Shares.ExcessRatio(now, r.Account)}
 }
