--- a/internal/quota/accountlist.go
+++ b/internal/quota/accountlist.go
@@ -6,49 +6,49 @@
 	"laburnumfall/internal/message"
 )
 
-// An AccountList is a list of accounts that changes seldom, so that routers need to be told of it
-// seldom: accounts that ask for nothing any more stay for a while.
+// An AccountList is an ordered list of accounts that changes rarely, so that it is rarely sent to
+// routers. Accounts without demand stay on it for a while.
 type AccountList struct {
-	list   []string
+	names  []string
 	digest uint32
 }
 
-// unusedNames bounds the accounts that ask for nothing, beside as many as do.
-const unusedNames = 64
+// maxUnusedAccounts bounds the accounts without demand, in addition to as many as have demand.
+const maxUnusedAccounts = 64
 
-// Align returns the demands in the order of the names, which include all their accounts from
-// then on.
-func (n *AccountList) Align(demand []message.Demand) []message.Demand {
-	by := make(map[string]message.Demand, len(demand))
-	fresh := false
+// Align returns one demand per account on the list, in its order. It first adds the accounts that
+// are missing from the list, and shortens a list with too many unused accounts.
+func (l *AccountList) Align(demand []message.Demand) []message.Demand {
+	byAccount := make(map[string]message.Demand, len(demand))
+	hasNew := false
 	for _, d := range demand {
-		by[d.Account] = d
-		_, known := slices.BinarySearch(n.list, d.Account)
-		fresh = fresh || !known
+		byAccount[d.Account] = d
+		_, known := slices.BinarySearch(l.names, d.Account)
+		hasNew = hasNew || !known
 	}
-	if fresh || len(n.list) > 2*len(demand)+unusedNames {
-		n.renew(by)
+	if hasNew || len(l.names) > 2*len(demand)+maxUnusedAccounts {
+		l.rebuild(byAccount)
 	}
-	rows := make([]message.Demand, len(n.list))
-	for i, name := range n.list {
-		rows[i] = by[name]
+	rows := make([]message.Demand, len(l.names))
+	for i, name := range l.names {
+		rows[i] = byAccount[name]
 		rows[i].Account = name
 	}
 	return rows
 }
 
-func (n *AccountList) renew(by map[string]message.Demand) {
-	list := make([]string, 0, len(by))
-	if len(n.list) <= len(by)+unusedNames {
-		list = append(list, n.list...)
+func (l *AccountList) rebuild(demand map[string]message.Demand) {
+	names := make([]string, 0, len(demand))
+	if len(l.names) <= len(demand)+maxUnusedAccounts {
+		names = append(names, l.names...)
 	}
-	for name := range by {
-		list = append(list, name)
+	for name := range demand {
+		names = append(names, name)
 	}
-	slices.Sort(list)
-	n.list = slices.Compact(list)
-	n.digest = message.Digest(n.list)
+	slices.Sort(names)
+	l.names = slices.Compact(names)
+	l.digest = message.Digest(l.names)
 }
 
-// Digest returns the message.Digest of the list, 0 while there is none.
-func (n *AccountList) Digest() uint32 { return n.digest }
+// Digest returns the message.Digest of the list, 0 while the list is empty.
+func (l *AccountList) Digest() uint32 { return l.digest }
--- a/internal/quota/accountlist_test.go
+++ b/internal/quota/accountlist_test.go
@@ -11,11 +11,11 @@
 	"laburnumfall/internal/message"
 )
 
-// Guards against names that grow with every account that ever asked, and against rows that are
-// not those of the names.
-func TestNamesCoverWhatIsAskedAndLittleMore(t *testing.T) {
+// Guards against a list that grows with every account that ever had demand, and against rows that
+// do not match the list.
+func TestAccountListCoversDemandAndStaysBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var n AccountList
+		var list AccountList
 		for range rapid.IntRange(1, 30).Draw(t, "turns") {
 			want := make(map[string]float64)
 			var demand []message.Demand
@@ -24,18 +24,18 @@
 				want[d.Account] = d.Rate
 				demand = append(demand, d)
 			}
-			before, digest := n.list, n.Digest()
-			rows := n.Align(demand)
+			before, digest := list.names, list.Digest()
+			rows := list.Align(demand)
 			got := make(map[string]float64)
 			for i, row := range rows {
-				require.Equal(t, n.list[i], row.Account)
+				require.Equal(t, list.names[i], row.Account)
 				if row.Rate > 0 {
 					got[row.Account] = row.Rate
 				}
 			}
 			require.Equal(t, want, got)
-			require.LessOrEqual(t, len(rows), 2*len(demand)+unusedNames)
-			require.Equal(t, slices.Equal(before, n.list), digest == n.Digest())
+			require.LessOrEqual(t, len(rows), 2*len(demand)+maxUnusedAccounts)
+			require.Equal(t, slices.Equal(before, list.names), digest == list.Digest())
 		}
 	})
 }
--- a/internal/quota/aggregator.go
+++ b/internal/quota/aggregator.go
@@ -10,70 +10,71 @@
 	"laburnumfall/internal/message"
 )
 
-// reportMemory is how long a router's report counts. Some times the period in
-// which routers renew.
-const reportMemory = 1500 * time.Millisecond
+// reportLifetime is how long a router's report counts: three times the longest period between two
+// reports.
+const reportLifetime = 1500 * time.Millisecond
 
-// An Aggregator is the leader's sum of what routers report. It is soft: a new leader
-// has it again after one period. Its zero value is empty.
+// An Aggregator sums the load reports of all routers on the leader. It is not persisted: a new
+// leader has all reports after one period. The zero value is empty.
 type Aggregator struct {
-	routers  map[string]*reported
+	reports  map[string]*routerReport
 	demand   []message.Demand // sums, as of summedAt
 	backlog  []message.Backlog
 	summedAt time.Time
 }
 
-// reported is the newest report of one router.
-type reported struct {
-	at      time.Time
-	demand  []message.Demand
-	backlog []message.Backlog
+// A routerReport is the latest report of one router.
+type routerReport struct {
+	receivedAt time.Time
+	demand     []message.Demand
+	backlog    []message.Backlog
 }
 
-// Report takes what a router asks for and what of its requests waits at targets.
-func (b *Aggregator) Report(now time.Time, router string, demand []message.Demand, backlog []message.Backlog) {
-	if b.routers == nil {
-		b.routers = make(map[string]*reported)
+// Report replaces a router's report: the demand of accounts through that router, and the requests
+// that it has outstanding at targets.
+func (a *Aggregator) Report(now time.Time, router string, demand []message.Demand, backlog []message.Backlog) {
+	if a.reports == nil {
+		a.reports = make(map[string]*routerReport)
 	}
-	b.routers[router] = &reported{at: now, demand: demand, backlog: backlog}
+	a.reports[router] = &routerReport{receivedAt: now, demand: demand, backlog: backlog}
 }
 
-// forget drops reports that count no longer. It is done for each sum, not for each report:
-// that would take a leader time with the square of the routers.
-func (b *Aggregator) forget(now time.Time) {
-	for name, r := range b.routers {
-		if now.Sub(r.at) > reportMemory {
-			delete(b.routers, name)
+// dropExpired removes expired reports. It runs once per sum: running it for each report would
+// take time quadratic in the number of routers.
+func (a *Aggregator) dropExpired(now time.Time) {
+	for name, r := range a.reports {
+		if now.Sub(r.receivedAt) > reportLifetime {
+			delete(a.reports, name)
 		}
 	}
 }
 
-// Sums returns what accounts ask for and what targets have been sent, through all
-// routers, and when they were worked out: every sumPeriod, not for each answer.
-func (b *Aggregator) Sums(now time.Time) ([]message.Demand, []message.Backlog, time.Time) {
-	if b.summedAt.IsZero() || now.Sub(b.summedAt) >= sumPeriod(len(b.routers)) {
-		b.forget(now)
-		b.demand, b.backlog, b.summedAt = b.sumDemand(), b.sumBacklog(), now
+// Sums returns the demand of accounts and the backlog of targets over all routers, and when they
+// were computed. They are recomputed once per sumPeriod rather than for each call.
+func (a *Aggregator) Sums(now time.Time) ([]message.Demand, []message.Backlog, time.Time) {
+	if a.summedAt.IsZero() || now.Sub(a.summedAt) >= sumPeriod(len(a.reports)) {
+		a.dropExpired(now)
+		a.demand, a.backlog, a.summedAt = a.sumDemand(), a.sumBacklog(), now
 	}
-	return b.demand, b.backlog, b.summedAt
+	return a.demand, a.backlog, a.summedAt
 }
 
-func (b *Aggregator) sumDemand() []message.Demand {
+func (a *Aggregator) sumDemand() []message.Demand {
 	sums := make(map[string]message.Demand)
-	for _, r := range b.routers {
+	for _, r := range a.reports {
 		for _, d := range r.demand {
 			sum := sums[d.Account]
 			sums[d.Account] = message.Demand{Account: d.Account, Rate: sum.Rate + d.Rate, Served: sum.Served + d.Served}
 		}
 	}
-	return inOrder(sums)
+	return sortedValues(sums)
 }
 
-func (b *Aggregator) sumBacklog() []message.Backlog {
+func (a *Aggregator) sumBacklog() []message.Backlog {
 	sums := make(map[fleet.Incarnation]message.Backlog)
-	for _, r := range b.routers {
-		for _, l := range r.backlog {
-			sums[l.Of()] = l.Plus(sums[l.Of()])
+	for _, r := range a.reports {
+		for _, entry := range r.backlog {
+			sums[entry.Of()] = entry.Plus(sums[entry.Of()])
 		}
 	}
 	return slices.SortedFunc(maps.Values(sums), func(a, b message.Backlog) int {
@@ -81,24 +82,24 @@
 	})
 }
 
-// ExcludeOwn returns what targets have been sent by all others than the router that
-// has reported mine. A sum may be older than that by sumPeriod.
+// ExcludeOwn subtracts the backlog that a router has reported itself from the fleet's total. The
+// total may be older than the router's report by sumPeriod, so differences below zero count as
+// zero.
 func ExcludeOwn(all, mine []message.Backlog) []message.Backlog {
-	own := byTarget(mine)
+	index := indexBacklogs(mine)
 	others := make([]message.Backlog, 0, len(all))
-	for _, a := range all {
-		m := own.of(a.Of())
-		left := message.BacklogOf(a.Of(), max(a.Tokens-m.Tokens, 0), max(a.Running-m.Running, 0))
-		if left.Tokens > 0 || left.Running > 0 {
-			others = append(others, left)
+	for _, total := range all {
+		mineHere := index.lookup(total.Of())
+		remaining := message.BacklogOf(total.Of(), max(total.Tokens-mineHere.Tokens, 0), max(total.Running-mineHere.Running, 0))
+		if remaining.Tokens > 0 || remaining.Running > 0 {
+			others = append(others, remaining)
 		}
 	}
 	return others
 }
 
-// inOrder returns the values in the order of their keys, so that equal states
-// give equal messages.
-func inOrder[T any](byKey map[string]T) []T {
+// sortedValues returns the values sorted by key, so that equal states produce equal messages.
+func sortedValues[T any](byKey map[string]T) []T {
 	list := make([]T, 0, len(byKey))
 	for _, key := range slices.Sorted(maps.Keys(byKey)) {
 		list = append(list, byKey[key])
--- a/internal/quota/columns.go
+++ b/internal/quota/columns.go
@@ -7,78 +7,78 @@
 	"laburnumfall/internal/message"
 )
 
-// EncodeColumns puts sums in the form in which they are sent: without the names of
-// targets, which both ends know in the same order.
+// EncodeColumns converts sums to the columns that are sent to routers. Backlogs have no target
+// IDs, since both sides have the same ordered list of targets.
 func EncodeColumns(demand []message.Demand, backlog []message.Backlog, targets []fleet.Instance) message.Loads {
-	var l message.Loads
+	var loads message.Loads
 	for _, d := range demand {
-		l.Accounts = append(l.Accounts, d.Account)
-		l.Rates = append(l.Rates, int(math.Round(d.Rate)))
-		l.Served = append(l.Served, int(math.Round(d.Served)))
+		loads.Accounts = append(loads.Accounts, d.Account)
+		loads.Rates = append(loads.Rates, int(math.Round(d.Rate)))
+		loads.Served = append(loads.Served, int(math.Round(d.Served)))
 	}
-	known := byTarget(backlog)
-	l.Tokens, l.Running = make([]int, len(targets)), make([]int, len(targets))
+	index := indexBacklogs(backlog)
+	loads.Tokens, loads.Running = make([]int, len(targets)), make([]int, len(targets))
 	for i, t := range targets {
-		b := known.of(t.Incarnation)
-		l.Tokens[i], l.Running[i] = b.Tokens, b.Running
+		b := index.lookup(t.Incarnation)
+		loads.Tokens[i], loads.Running[i] = b.Tokens, b.Running
 	}
-	return l
+	return loads
 }
 
-// DecodeColumns gives the sums back. Backlogs are left out where the columns are not those of
-// the targets.
-func DecodeColumns(l message.Loads, targets []fleet.Instance) ([]message.Demand, []message.Backlog) {
+// DecodeColumns is the inverse of EncodeColumns. It leaves out columns whose length does not
+// match that of their accounts or targets.
+func DecodeColumns(loads message.Loads, targets []fleet.Instance) ([]message.Demand, []message.Backlog) {
 	var demand []message.Demand
-	if len(l.Rates) == len(l.Accounts) && len(l.Served) == len(l.Accounts) {
-		for i, name := range l.Accounts {
-			if l.Rates[i] == 0 && l.Served[i] == 0 {
+	if len(loads.Rates) == len(loads.Accounts) && len(loads.Served) == len(loads.Accounts) {
+		for i, name := range loads.Accounts {
+			if loads.Rates[i] == 0 && loads.Served[i] == 0 {
 				continue
 			}
-			demand = append(demand, message.Demand{Account: name, Rate: float64(l.Rates[i]), Served: float64(l.Served[i])})
+			demand = append(demand, message.Demand{Account: name, Rate: float64(loads.Rates[i]), Served: float64(loads.Served[i])})
 		}
 	}
 	var backlog []message.Backlog
-	if len(l.Tokens) == len(targets) && len(l.Running) == len(targets) {
+	if len(loads.Tokens) == len(targets) && len(loads.Running) == len(targets) {
 		for i, t := range targets {
-			if l.Tokens[i] > 0 || l.Running[i] > 0 {
-				backlog = append(backlog, message.BacklogOf(t.Incarnation, l.Tokens[i], l.Running[i]))
+			if loads.Tokens[i] > 0 || loads.Running[i] > 0 {
+				backlog = append(backlog, message.BacklogOf(t.Incarnation, loads.Tokens[i], loads.Running[i]))
 			}
 		}
 	}
 	return demand, backlog
 }
 
-// backlogs are backlogs by the ID of their targets, and by the run where any tells it:
-// a second map costs as much again.
-type backlogs struct {
-	ids  map[string]message.Backlog
-	runs map[fleet.Incarnation]message.Backlog
+// A backlogIndex finds backlogs by target ID, and by incarnation if any entry has a start time.
+// The second map is only built then, because it costs as much as the first.
+type backlogIndex struct {
+	byID          map[string]message.Backlog
+	byIncarnation map[fleet.Incarnation]message.Backlog
 }
 
-func byTarget(list []message.Backlog) backlogs {
-	b := backlogs{ids: make(map[string]message.Backlog, len(list))}
-	for _, l := range list {
-		b.ids[l.Target] = l.Plus(b.ids[l.Target])
-		if l.Born != 0 && b.runs == nil {
-			b.runs = make(map[fleet.Incarnation]message.Backlog, len(list))
+func indexBacklogs(list []message.Backlog) backlogIndex {
+	index := backlogIndex{byID: make(map[string]message.Backlog, len(list))}
+	for _, entry := range list {
+		index.byID[entry.Target] = entry.Plus(index.byID[entry.Target])
+		if entry.Born != 0 && index.byIncarnation == nil {
+			index.byIncarnation = make(map[fleet.Incarnation]message.Backlog, len(list))
 		}
 	}
-	if b.runs == nil {
-		return b
+	if index.byIncarnation == nil {
+		return index
 	}
-	for _, l := range list {
-		b.runs[l.Of()] = l.Plus(b.runs[l.Of()])
+	for _, entry := range list {
+		index.byIncarnation[entry.Of()] = entry.Plus(index.byIncarnation[entry.Of()])
 	}
-	return b
+	return index
 }
 
-// of returns the backlog of a target. What was sent to another start of it is gone with
-// that, and does not count. Where a start is not told, by a router or keeper of the
-// version before, it counts as the same.
-func (b backlogs) of(target fleet.Incarnation) message.Backlog {
+// lookup returns the backlog of a target. Entries for another incarnation do not count: that
+// backlog ended with it. Entries without a start time, from routers or keepers of the previous
+// version, count for any incarnation.
+func (b backlogIndex) lookup(target fleet.Incarnation) message.Backlog {
 	sum := message.BacklogOf(target, 0, 0)
-	if target.Born == 0 || b.runs == nil {
-		return sum.Plus(b.ids[target.ID])
+	if target.Born == 0 || b.byIncarnation == nil {
+		return sum.Plus(b.byID[target.ID])
 	}
-	return sum.Plus(b.runs[target]).Plus(b.runs[fleet.Incarnation{ID: target.ID}])
+	return sum.Plus(b.byIncarnation[target]).Plus(b.byIncarnation[fleet.Incarnation{ID: target.ID}])
 }
--- a/internal/quota/incarnation_test.go
+++ b/internal/quota/incarnation_test.go
@@ -9,15 +9,14 @@
 	"laburnumfall/internal/message"
 )
 
-// Symptom: nobody sends work to a target that has just started and is idle.
-// Sequence: it crashed with a long backlog; routers that have not heard of its next start
-// go on reporting what they sent to the former one.
-// Cause: backlogs were summed by ID.
-func TestBacklogOfAFormerStartIsNotThatOfTheNext(t *testing.T) {
-	var b Aggregator
-	b.Report(start, "lags", nil, []message.Backlog{{Target: "a", Born: 1000, Tokens: 90_000, Running: 60}})
-	b.Report(start, "knows", nil, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}})
-	_, sums, _ := b.Sums(start)
+// Guards against sending no work to an idle target that has just restarted after a crash with a
+// long backlog. Routers that have not seen the restart still report their backlog for the
+// previous incarnation, and backlogs were summed by target ID.
+func TestBacklogOfPreviousIncarnationIsIgnored(t *testing.T) {
+	var aggregator Aggregator
+	aggregator.Report(start, "lags", nil, []message.Backlog{{Target: "a", Born: 1000, Tokens: 90_000, Running: 60}})
+	aggregator.Report(start, "knows", nil, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}})
+	_, sums, _ := aggregator.Sums(start)
 	require.Equal(t, []message.Backlog{{Target: "a", Born: 1000, Tokens: 90_000, Running: 60}, {Target: "a", Born: 2000, Tokens: 10, Running: 1}}, sums)
 	targets := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", Born: 2000}}}
 	loads := EncodeColumns(nil, sums, targets)
@@ -26,16 +25,15 @@
 	_, rows := DecodeColumns(loads, targets)
 	require.Equal(t, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}}, rows)
 	require.Empty(t, ExcludeOwn(rows, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}}))
-	require.Equal(t, rows, ExcludeOwn(rows, []message.Backlog{{Target: "a", Born: 1000, Tokens: 10, Running: 1}}), "what this router sent to the former start is no part of it")
+	require.Equal(t, rows, ExcludeOwn(rows, []message.Backlog{{Target: "a", Born: 1000, Tokens: 10, Running: 1}}), "the backlog for the previous incarnation is not subtracted")
 }
 
-// Symptom: backlogs are lost, or counted twice, while versions are mixed.
-// Sequence: a router, or the keepers, of the version before tell no starts.
-// Cause: an unknown start is taken for another one.
-func TestBacklogsOfTheVersionBeforeCount(t *testing.T) {
+// Guards against backlogs that are lost or counted twice while versions are mixed, when routers
+// or keepers of the previous version report no start times.
+func TestCountsBacklogsOfPreviousVersion(t *testing.T) {
 	mixed := []message.Backlog{{Target: "a", Tokens: 5}, {Target: "a", Born: 2000, Tokens: 10}}
 	require.Equal(t, []int{15}, EncodeColumns(nil, mixed, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", Born: 2000}}}).Tokens)
 	require.Equal(t, []int{15}, EncodeColumns(nil, mixed, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}}}).Tokens)
-	old := []message.Backlog{{Target: "a", Tokens: 15}} // a keeper's sum
+	old := []message.Backlog{{Target: "a", Tokens: 15}} // sum from a keeper
 	require.Equal(t, []message.Backlog{{Target: "a", Tokens: 5}}, ExcludeOwn(old, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10}}))
 }
--- a/internal/quota/maxmin.go
+++ b/internal/quota/maxmin.go
@@ -1,30 +1,29 @@
-// Package quota shares the engines' tokens among accounts, max-min, over all
-// routers.
+// Package quota implements max-min fair sharing of the engines' token throughput among accounts,
+// over all routers.
 //
-// The leader adds up what the accounts ask for; each router works out from that
-// what is due to an account through it. Everything here is deterministic:
-// (time, message) in, answer out.
+// The leader sums the accounts' demand. Each router derives from the sums which part of an
+// account's share it may use. Everything is deterministic: methods take the time and a message,
+// and there is no clock, goroutine or socket.
 package quota
 
 import "slices"
 
-// MaxMinLevel returns the most that an account gets when capacity is divided max-min
-// among demands: whoever asks for less gets all of it, the rest get the level.
-// It is the largest demand if all fit.
+// MaxMinLevel returns the max-min fair level for the demands: accounts with less demand get all
+// of it, and the others get the level. If all demands fit, it is at least the largest demand.
 func MaxMinLevel(capacity float64, demands []float64) float64 {
 	sorted := slices.Clone(demands)
 	slices.Sort(sorted)
-	left := capacity
-	for i, d := range sorted {
-		even := left / float64(len(sorted)-i)
-		if d >= even {
-			return even
+	remaining := capacity
+	for i, demand := range sorted {
+		equalShare := remaining / float64(len(sorted)-i)
+		if demand >= equalShare {
+			return equalShare
 		}
-		left -= d
+		remaining -= demand
 	}
-	// All fit; what is left over is nobody's.
+	// All demands fit, and part of the capacity is unused.
 	if len(sorted) == 0 {
 		return capacity
 	}
-	return max(left, sorted[len(sorted)-1])
+	return max(remaining, sorted[len(sorted)-1])
 }
--- a/internal/quota/period.go
+++ b/internal/quota/period.go
@@ -3,32 +3,33 @@
 import "time"
 
 const (
-	// shortestPeriod is how often a router of a small fleet reports: in less time than
-	// an engine takes to read a prompt of middle size.
-	shortestPeriod = 40 * time.Millisecond
-	// longestPeriod bounds the period in large fleets: a third of reportMemory.
-	longestPeriod = 500 * time.Millisecond
-	// mostReports bounds how many reports a second the leader takes of all routers. Elections
-	// and copies of the log need most of a small keeper.
-	mostReports = 600
-	// longestSum bounds how old the leader's sums may be, and sumPart how old they are in
-	// parts of the period: the leader of a large fleet would do nothing else.
-	longestSum = 50 * time.Millisecond
-	sumPart    = 2
+	// minReportPeriod is the report period in small fleets. It is shorter than an engine's
+	// prefill of a medium prompt.
+	minReportPeriod = 40 * time.Millisecond
+	// maxReportPeriod is the report period in large fleets: a third of reportLifetime.
+	maxReportPeriod = 500 * time.Millisecond
+	// maxReportsPerSecond bounds the reports from all routers that the leader handles. On a small
+	// keeper, leader election and log replication need most of the CPU.
+	maxReportsPerSecond = 600
+	// maxSumAge bounds the age of the leader's sums; with short periods, the bound is the period
+	// divided by sumDivisor. If the sums were computed for each report, the leader of a large
+	// fleet would do nothing else.
+	maxSumAge  = 50 * time.Millisecond
+	sumDivisor = 2
 )
 
-// ReportPeriod returns how often each of a number of routers tells the leader what it has sent
-// to targets, and hears what all others have.
+// ReportPeriod returns the period at which each router reports its backlog to the leader and gets
+// the backlog of all others.
 //
-// A target begins requests in the order in which they come, from whichever router. What
-// another router sent since it was last heard of is ahead of a request without being seen:
-// the request is predicted to begin at once, and is late. The sooner routers hear of each
-// other the less of that there is, up to what the leader can answer.
+// A target starts requests in order of arrival, from any router. Requests that another router has
+// sent since its last report are ahead in the queue but not visible: a request is predicted to
+// start at once and is late. A shorter period reduces this error, until the leader cannot keep
+// up.
 func ReportPeriod(routers int) time.Duration {
-	return min(max(shortestPeriod, time.Duration(routers)*time.Second/mostReports), longestPeriod)
+	return min(max(minReportPeriod, time.Duration(routers)*time.Second/maxReportsPerSecond), maxReportPeriod)
 }
 
-// sumPeriod returns how old the sums over a number of routers may be.
+// sumPeriod returns how old the leader's sums may be.
 func sumPeriod(routers int) time.Duration {
-	return min(ReportPeriod(routers)/sumPart, longestSum)
+	return min(ReportPeriod(routers)/sumDivisor, maxSumAge)
 }
--- a/internal/quota/rate.go
+++ b/internal/quota/rate.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// rateMemory is the time over which rates are averaged. Shares are owed over
-// some seconds: long against one request, short against those.
-const rateMemory = time.Second
+// rateTimeConstant is the time over which rates are averaged. It is long compared with one
+// request and short compared with the seconds over which shares are balanced.
+const rateTimeConstant = time.Second
 
-// A rate is an average of tokens a second that fades over rateMemory.
+// A rate is a moving average of tokens per second that decays exponentially.
 type rate struct {
-	value float64
-	at    time.Time
+	value     float64
+	updatedAt time.Time
 }
 
 func (r *rate) add(now time.Time, tokens float64) {
-	r.value = r.now(now) + tokens/rateMemory.Seconds()
-	r.at = now
+	r.value = r.current(now) + tokens/rateTimeConstant.Seconds()
+	r.updatedAt = now
 }
 
-func (r *rate) now(now time.Time) float64 {
-	return r.value * math.Exp(-now.Sub(r.at).Seconds()/rateMemory.Seconds())
+func (r *rate) current(now time.Time) float64 {
+	return r.value * math.Exp(-now.Sub(r.updatedAt).Seconds()/rateTimeConstant.Seconds())
 }
