--- a/internal/probation/probation.go
+++ b/internal/probation/probation.go
@@ -1,40 +1,39 @@
-// Package probation lets a target that failed come back in steps.
+// Package probation increases the load of a target step by step after it has failed.
 //
-// What speaks against a target fades while nothing is sent there, and then it looks as
-// good as any: until the first of its new answers, it would get everything that
-// belongs there, and one that hangs would get as much as it takes in that time. So it
-// gets one request at first, and twice as many at a time after each that it serves.
+// A target's failure rate decays while it gets no requests, until it looks as good as any other.
+// It would then get its full load until the first new answers arrive, and if it hangs, all those
+// requests hang with it. So it gets one request at first, and the concurrency limit doubles with
+// each request that it serves.
 package probation
 
-// A Limit bounds the requests at a time at a target on probation. Set TrustedConcurrency, then call
-// its methods.
+// A Limit bounds the concurrent requests at a target on probation. Set TrustedConcurrency, then
+// call its methods.
 type Limit struct {
-	// TrustedConcurrency is how many requests at a time a target must be allowed before it is
-	// believed in full again.
+	// TrustedConcurrency is the concurrency limit at which probation ends.
 	TrustedConcurrency int
 
-	most int // 0 if the target is not on probation
+	maxConcurrent int // 0 if the target is not on probation
 }
 
-// Allows reports whether one more request may go there beside those running.
+// Allows reports whether one more request may be sent while the given number is running.
 func (l *Limit) Allows(running int) bool {
-	return l.most == 0 || running < l.most
+	return l.maxConcurrent == 0 || running < l.maxConcurrent
 }
 
-// Begin puts the target on probation, from the first step.
+// Begin starts the probation, or restarts it, with a limit of one request.
 func (l *Limit) Begin() {
-	l.most = 1
+	l.maxConcurrent = 1
 }
 
 // Active reports whether the target is on probation.
 func (l *Limit) Active() bool {
-	return l.most > 0
+	return l.maxConcurrent > 0
 }
 
-// RecordSuccess notes a request that the target served.
+// RecordSuccess doubles the limit after a request that the target served.
 func (l *Limit) RecordSuccess() {
-	l.most *= 2
-	if l.most >= l.TrustedConcurrency {
-		l.most = 0
+	l.maxConcurrent *= 2
+	if l.maxConcurrent >= l.TrustedConcurrency {
+		l.maxConcurrent = 0
 	}
 }
--- a/internal/probation/probation_test.go
+++ b/internal/probation/probation_test.go
@@ -8,23 +8,23 @@
 	"laburnumfall/internal/probation"
 )
 
-func TestStepsBackToTrust(t *testing.T) {
-	l := probation.Limit{TrustedConcurrency: 8}
-	require.False(t, l.Active())
-	require.True(t, l.Allows(1000))
-	l.RecordSuccess()
-	require.False(t, l.Active(), "serving well is no reason")
-	l.Begin()
-	for _, most := range []int{1, 2, 4} {
-		require.True(t, l.Active())
-		require.True(t, l.Allows(most-1))
-		require.False(t, l.Allows(most))
-		l.RecordSuccess()
+func TestLimitDoublesUntilTrusted(t *testing.T) {
+	limit := probation.Limit{TrustedConcurrency: 8}
+	require.False(t, limit.Active())
+	require.True(t, limit.Allows(1000))
+	limit.RecordSuccess()
+	require.False(t, limit.Active(), "successes alone do not start probation")
+	limit.Begin()
+	for _, maxConcurrent := range []int{1, 2, 4} {
+		require.True(t, limit.Active())
+		require.True(t, limit.Allows(maxConcurrent-1))
+		require.False(t, limit.Allows(maxConcurrent))
+		limit.RecordSuccess()
 	}
-	require.False(t, l.Active())
-	require.True(t, l.Allows(1000))
-	l.Begin()
-	l.RecordSuccess()
-	l.Begin()
-	require.False(t, l.Allows(1), "a failure begins it anew")
+	require.False(t, limit.Active())
+	require.True(t, limit.Allows(1000))
+	limit.Begin()
+	limit.RecordSuccess()
+	limit.Begin()
+	require.False(t, limit.Allows(1), "a failure restarts probation")
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,71 +1,71 @@
-// Package retry bounds the attempts of requests beyond the first of each, so
-// that a fault at targets is not multiplied by the routers.
+// Package retry implements a retry budget: it bounds the attempts at requests after the first, so
+// that routers do not multiply the load when targets fail.
 package retry
 
 import "time"
 
 const (
-	// buckets is how finely a window is counted.
-	buckets = 20
-	// use is the part of the bound that routers may use up: they count for
-	// themselves, and traffic is uneven between them.
-	use = 0.8
+	// bucketCount is the number of buckets that a window is divided into.
+	bucketCount = 20
+	// usableFraction is the part of the bound that routers may use. The rest is a margin, since
+	// each router counts only its own requests and traffic is uneven between them.
+	usableFraction = 0.8
 )
 
-// A Budget bounds the extra attempts to one pool through one router: in any
-// window at most Ratio of the requests, plus this router's part of Slack. Set
-// the exported fields, then call its methods from one goroutine at a time.
+// A Budget bounds the retries to one pool through one router: in any window, Ratio times the
+// number of requests, plus this router's part of Slack. Set the exported fields, then call its
+// methods from one goroutine at a time.
 type Budget struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 
-	counts [buckets]count
+	buckets [bucketCount]bucket
 }
 
-type count struct {
+type bucket struct {
 	slot     int64
 	requests int
-	extras   int
+	retries  int
 }
 
-// CountRequest counts a caller's request.
+// CountRequest counts a request from a caller.
 func (b *Budget) CountRequest(now time.Time) {
-	b.at(now).requests++
+	b.bucketAt(now).requests++
 }
 
-// Allow reports whether one more extra attempt fits, and counts it if so.
-// Routers is how many share Slack.
+// Allow reports whether a retry is within the budget, and counts it if so. Slack is divided among
+// the given number of routers.
 func (b *Budget) Allow(now time.Time, routers int) bool {
-	requests, extras := b.sum(now)
-	bound := use * (b.Ratio*float64(requests) + b.Slack/float64(max(routers, 1)))
-	if float64(extras+1) > bound {
+	requests, retries := b.sum(now)
+	bound := usableFraction * (b.Ratio*float64(requests) + b.Slack/float64(max(routers, 1)))
+	if float64(retries+1) > bound {
 		return false
 	}
-	b.at(now).extras++
+	b.bucketAt(now).retries++
 	return true
 }
 
 func (b *Budget) slot(now time.Time) int64 {
-	return now.UnixNano() / int64(b.Window/buckets)
+	return now.UnixNano() / int64(b.Window/bucketCount)
 }
 
-func (b *Budget) at(now time.Time) *count {
+func (b *Budget) bucketAt(now time.Time) *bucket {
 	slot := b.slot(now)
-	c := &b.counts[slot%buckets]
-	if c.slot != slot {
-		*c = count{slot: slot}
+	current := &b.buckets[slot%bucketCount]
+	if current.slot != slot {
+		*current = bucket{slot: slot}
 	}
-	return c
+	return current
 }
 
-func (b *Budget) sum(now time.Time) (requests, extras int) {
-	oldest := b.slot(now) - buckets
-	for _, c := range b.counts {
-		if c.slot > oldest {
-			requests += c.requests
-			extras += c.extras
+func (b *Budget) sum(now time.Time) (requests, retries int) {
+	oldest := b.slot(now) - bucketCount
+	for _, current := range b.buckets {
+		if current.slot > oldest {
+			requests += current.requests
+			retries += current.retries
 		}
 	}
-	return requests, extras
+	return requests, retries
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a fault at targets is multiplied by the routers.
-// Sequence: every request fails, and each may be sent again.
-// Cause: nothing bounds the extra attempts over all routers.
-func TestExtrasOfAllRoutersStayBoundedInEveryWindow(t *testing.T) {
+// Guards against routers that multiply the load when targets fail: every request fails, and each
+// router would retry it.
+func TestRetriesOfAllRoutersBoundedInEveryWindow(t *testing.T) {
 	const ratio, slack, routers = 0.2, 52.0, 6
 	window := 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -21,7 +20,7 @@
 		}
 		type event struct {
 			at    time.Time
-			extra bool
+			retry bool
 		}
 		var events []event
 		now := time.Unix(1e9, 0)
@@ -32,34 +31,34 @@
 			events = append(events, event{at: now})
 			for range rapid.IntRange(0, 3).Draw(t, "tries") {
 				if b.Allow(now, routers) {
-					events = append(events, event{at: now, extra: true})
+					events = append(events, event{at: now, retry: true})
 				}
 			}
 		}
 		for i := range events {
-			requests, extras := 0, 0
+			requests, retries := 0, 0
 			for _, e := range events {
 				age := events[i].at.Sub(e.at)
-				if age >= 0 && age < window && !e.extra {
+				if age >= 0 && age < window && !e.retry {
 					requests++
 				}
-				if age >= 0 && age < window-window/buckets && e.extra {
-					extras++
+				if age >= 0 && age < window-window/bucketCount && e.retry {
+					retries++
 				}
 			}
-			require.LessOrEqual(t, float64(extras), ratio*float64(requests)+slack)
+			require.LessOrEqual(t, float64(retries), ratio*float64(requests)+slack)
 		}
 	})
 }
 
-func TestBudgetIsForgottenAfterItsWindow(t *testing.T) {
+func TestBudgetIsRestoredAfterWindow(t *testing.T) {
 	b := &Budget{Slack: 10, Window: 10 * time.Second}
 	now := time.Unix(1e9, 0)
-	count := 0
+	allowed := 0
 	for b.Allow(now, 1) {
-		count++
+		allowed++
 	}
-	require.Equal(t, 8, count)
+	require.Equal(t, 8, allowed)
 	require.False(t, b.Allow(now.Add(9*time.Second), 1))
 	require.True(t, b.Allow(now.Add(11*time.Second), 1))
 }
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -1,14 +1,14 @@
-// Package throttle keeps back what a crowded service would refuse anyway.
+// Package throttle limits the requests sent to an overloaded service.
 //
-// A service that is asked for several times what it can do refuses most requests.
-// Routers that send it everything let chance decide who is served: an account with
-// a few requests is refused as often as one that floods, its queue is full at all
-// times, so that what it does answer is late, and each refusal costs a round trip.
-// A router that keeps most of the surplus back leaves room in that queue, and may
-// choose: here, max-min between accounts.
+// A service with several times more demand than capacity refuses most requests. If routers
+// forward all of them, chance decides which are served: an account with few requests is refused
+// as often as one that floods the service. The service's queue is always full, so even its
+// answers are late, and each refusal costs a round trip. A router that holds most of the excess
+// back keeps that queue short and chooses which requests to send, by max-min fairness between
+// accounts.
 //
-// Everything here is deterministic: (time, message) in, answer out. Routers tell
-// each other nothing; each goes by what its own requests met.
+// Everything is deterministic: methods take the time and an event, and there is no clock,
+// goroutine or socket. Routers do not coordinate; each one uses the results of its own requests.
 package throttle
 
 import (
@@ -19,71 +19,70 @@
 )
 
 const (
-	// surplus is how many times as much is sent to a pool as it answered without a long
-	// queue. The rest above one keeps its slots busy and shows whether it can take
-	// more: it settles where one request in three finds a long queue, or no room. Were it
-	// much less, bursts of uneven routers would leave slots free.
-	surplus = 1.5
-	// sound is the part of requests that find no room up to which a pool has room for
-	// everything. It is well below the third that surplus leads to.
-	sound = 0.05
-	// memory is the time over which rates are averaged: long against a round trip,
-	// short against the seconds after which callers have given up.
-	memory = 2 * time.Second
-	// trickle is how many requests a second a router sends where all were refused, so
-	// that it sees when that ends.
-	trickle = 1.0
-	// levelFor is how long the level between accounts is used before it is worked out
-	// anew.
-	levelFor = 100 * time.Millisecond
-	// saved bounds, in requests, what an account may save up while it sends little.
-	saved = 2.0
-	// idle is when an account that asks nothing is forgotten.
-	idle = 5 * memory
+	// overcommit is the rate at which requests are sent to a pool, relative to the rate of
+	// answers without overload. The excess over 1 keeps the slots busy and detects free capacity:
+	// one request in three then meets a long queue or is refused. With a much lower value, bursts
+	// that are uneven between routers would leave slots free.
+	overcommit = 1.5
+	// maxOverloadedFraction is the part of answers with overload up to which nothing is held
+	// back. It is well below the third that overcommit leads to.
+	maxOverloadedFraction = 0.05
+	// rateTimeConstant is the time over which rates are averaged. It is long compared with a
+	// round trip and short compared with the seconds after which callers give up.
+	rateTimeConstant = 2 * time.Second
+	// probeRate is how many requests per second a router sends while all are refused, so that it
+	// notices when the service recovers.
+	probeRate = 1.0
+	// levelLifetime is how long the fair level between accounts is used before it is recomputed.
+	levelLifetime = 100 * time.Millisecond
+	// maxCredit bounds the requests that an account may save up while it sends few.
+	maxCredit = 2.0
+	// accountIdleTimeout is how long an account without requests is remembered.
+	accountIdleTimeout = 5 * rateTimeConstant
 )
 
-// A Throttle bounds what one router sends to one pool. Call its methods from one
-// goroutine at a time, with times that never go back.
+// A Throttle limits what one router sends to one pool. Call its methods from one goroutine at a
+// time, with times that never decrease.
 type Throttle struct {
-	accounts map[string]*account
-	eased    rate
-	crowded  rate
-	level    float64 // requests a second that an account may send at most
-	levelAt  time.Time
+	accounts   map[string]*account
+	accepted   rate
+	overloaded rate
+	level      float64 // maximum requests per second of an account
+	levelAt    time.Time
 }
 
 type account struct {
-	asked rate
-	due   float64 // requests saved up
+	requested rate
+	credit    float64 // in requests
 }
 
-// Allow counts a request of an account and reports whether it is to be sent.
+// Allow counts a request of an account and reports whether it may be sent.
 func (t *Throttle) Allow(now time.Time, name string) bool {
 	a := t.account(name)
-	a.asked.add(now)
-	if now.Sub(t.levelAt) >= levelFor {
-		t.setLevel(now)
+	a.requested.add(now)
+	if now.Sub(t.levelAt) >= levelLifetime {
+		t.updateLevel(now)
 	}
-	part := 1.0
-	if rate := a.asked.at(now); rate > t.level {
-		part = t.level / rate
+	fraction := 1.0
+	if rate := a.requested.current(now); rate > t.level {
+		fraction = t.level / rate
 	}
-	a.due = min(a.due+part, saved)
-	if a.due < 1 {
+	a.credit = min(a.credit+fraction, maxCredit)
+	if a.credit < 1 {
 		return false
 	}
-	a.due--
+	a.credit--
 	return true
 }
 
-// RecordAnswer counts an answer of a target: crowded is one that refuses the request for
-// lack of room, or that tells of a long queue.
-func (t *Throttle) RecordAnswer(now time.Time, crowded bool) {
-	if crowded {
-		t.crowded.add(now)
+// RecordAnswer counts an answer of a target. Overloaded means that the target refused the request
+// for lack of capacity, or reported a long queue.
+func (t *Throttle) RecordAnswer(now time.Time, overloaded bool) {
+	if overloaded {
+		t.overloaded.add(now)
 		return
 	}
-	t.eased.add(now)
+	t.accepted.add(now)
 }
 
 func (t *Throttle) account(name string) *account {
@@ -92,42 +91,43 @@
 	}
 	a := t.accounts[name]
 	if a == nil {
-		a = &account{due: 1} // its first request is sent
+		a = &account{credit: 1} // the first request is sent
 		t.accounts[name] = a
 	}
 	return a
 }
 
-// setLevel works out the level: without limit unless requests were refused.
-func (t *Throttle) setLevel(now time.Time) {
+// updateLevel recomputes the fair level between accounts. It is infinite while few answers report
+// overload.
+func (t *Throttle) updateLevel(now time.Time) {
 	t.levelAt = now
 	t.level = math.Inf(1)
 	rates := make([]float64, 0, len(t.accounts))
 	for name, a := range t.accounts {
-		if now.Sub(a.asked.last) > idle {
+		if now.Sub(a.requested.updatedAt) > accountIdleTimeout {
 			delete(t.accounts, name)
 			continue
 		}
-		rates = append(rates, a.asked.at(now))
+		rates = append(rates, a.requested.current(now))
 	}
-	eased, crowded := t.eased.at(now), t.crowded.at(now)
-	if crowded <= sound*(eased+crowded) {
+	accepted, overloaded := t.accepted.current(now), t.overloaded.current(now)
+	if overloaded <= maxOverloadedFraction*(accepted+overloaded) {
 		return
 	}
-	t.level = quota.MaxMinLevel(surplus*eased+trickle, rates)
+	t.level = quota.MaxMinLevel(overcommit*accepted+probeRate, rates)
 }
 
-// A rate is an average of requests a second that fades over [memory].
+// A rate is a moving average of requests per second that decays exponentially.
 type rate struct {
-	value float64
-	last  time.Time
+	value     float64
+	updatedAt time.Time
 }
 
 func (r *rate) add(now time.Time) {
-	r.value = r.at(now) + 1/memory.Seconds()
-	r.last = now
+	r.value = r.current(now) + 1/rateTimeConstant.Seconds()
+	r.updatedAt = now
 }
 
-func (r *rate) at(now time.Time) float64 {
-	return r.value * math.Exp(-now.Sub(r.last).Seconds()/memory.Seconds())
+func (r *rate) current(now time.Time) float64 {
+	return r.value * math.Exp(-now.Sub(r.updatedAt).Seconds()/rateTimeConstant.Seconds())
 }
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -13,80 +13,80 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A crowd is routers that send to one service: slots that each take work time,
-// and a queue of bounded length; what finds that full is refused.
-type crowd struct {
-	routers  []*throttle.Throttle // nil: everything is sent
-	accounts []flow
-	slots    int
-	queue    int // requests; beyond, it refuses
-	long     int // requests; more are a long queue
-	work     time.Duration
+// serviceSim simulates routers that send to one service with a number of slots and a bounded
+// queue. The service refuses requests while the queue is full.
+type serviceSim struct {
+	routers     []*throttle.Throttle // nil elements send everything
+	demands     []accountDemand
+	slots       int
+	maxQueue    int // in requests; with more, the service refuses
+	longQueue   int // in requests; with more, the service reports overload
+	serviceTime time.Duration
 }
 
-// A flow is an account's requests a second, over all routers.
-type flow struct {
+// accountDemand is the rate of an account's requests per second, over all routers.
+type accountDemand struct {
 	name string
 	rate float64
 }
 
-// A tally is what became of an account's requests.
-type tally struct {
-	asked, sent, served int
-	took                time.Duration // of the served, in all
+// accountStats counts an account's requests by outcome.
+type accountStats struct {
+	requested, sent, served int
+	totalTime               time.Duration // sum over the served requests
 }
 
 const step = time.Millisecond
 
-// A run is a request at the service.
-type run struct {
-	router  *throttle.Throttle
-	count   *tally
-	arrived time.Time
-	ends    time.Time
+// simRequest is a request at the simulated service.
+type simRequest struct {
+	router    *throttle.Throttle
+	stats     *accountStats
+	arrivedAt time.Time
+	endsAt    time.Time
 }
 
-// play runs the crowd for a time and tells what became of each account's
-// requests of its second half, when everything has settled.
-func (c *crowd) play(seed uint64, length time.Duration) map[string]*tally {
+// simulate runs the simulation for a time. It returns the statistics of each account's requests
+// in the second half, when the rates have settled.
+func (s *serviceSim) simulate(seed uint64, length time.Duration) map[string]*accountStats {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	result := map[string]*tally{}
-	for _, f := range c.accounts {
-		result[f.name] = &tally{}
+	result := map[string]*accountStats{}
+	for _, demand := range s.demands {
+		result[demand.name] = &accountStats{}
 	}
-	var running, waiting []run
+	var running, waiting []simRequest
 	for now := start; now.Before(start.Add(length)); now = now.Add(step) {
-		running = slices.DeleteFunc(running, func(r run) bool {
-			if now.Before(r.ends) {
+		running = slices.DeleteFunc(running, func(r simRequest) bool {
+			if now.Before(r.endsAt) {
 				return false
 			}
-			r.count.served++
-			r.count.took += now.Sub(r.arrived)
+			r.stats.served++
+			r.stats.totalTime += now.Sub(r.arrivedAt)
 			if r.router != nil {
-				r.router.RecordAnswer(now, len(waiting) > c.long)
+				r.router.RecordAnswer(now, len(waiting) > s.longQueue)
 			}
 			return true
 		})
-		for len(running) < c.slots && len(waiting) > 0 {
-			waiting[0].ends = now.Add(c.work)
+		for len(running) < s.slots && len(waiting) > 0 {
+			waiting[0].endsAt = now.Add(s.serviceTime)
 			running = append(running, waiting[0])
 			waiting = waiting[1:]
 		}
-		for _, i := range rng.Perm(len(c.accounts)) {
-			f := c.accounts[i]
-			if rng.Float64() >= f.rate*step.Seconds() {
+		for _, i := range rng.Perm(len(s.demands)) {
+			demand := s.demands[i]
+			if rng.Float64() >= demand.rate*step.Seconds() {
 				continue
 			}
-			r := run{router: c.routers[rng.IntN(len(c.routers))], count: result[f.name], arrived: now}
+			r := simRequest{router: s.routers[rng.IntN(len(s.routers))], stats: result[demand.name], arrivedAt: now}
 			if now.Before(start.Add(length / 2)) {
-				r.count = &tally{}
+				r.stats = &accountStats{}
 			}
-			r.count.asked++
-			if r.router != nil && !r.router.Allow(now, f.name) {
+			r.stats.requested++
+			if r.router != nil && !r.router.Allow(now, demand.name) {
 				continue
 			}
-			r.count.sent++
-			if len(waiting) < c.queue {
+			r.stats.sent++
+			if len(waiting) < s.maxQueue {
 				waiting = append(waiting, r)
 			} else if r.router != nil {
 				r.router.RecordAnswer(now, true)
@@ -96,7 +96,7 @@
 	return result
 }
 
-func routers(count int) []*throttle.Throttle {
+func newThrottles(count int) []*throttle.Throttle {
 	list := make([]*throttle.Throttle, count)
 	for i := range list {
 		list[i] = &throttle.Throttle{}
@@ -104,57 +104,56 @@
 	return list
 }
 
-// Symptom: requests of a small account, or on a route with few callers, are
-// refused as often as those of one that floods: one in eight is served.
-// Sequence: two of a service's three targets leave; it is asked for seven times
-// what the last one can do, by two large accounts and a small one.
-// Cause: each router sends everything on; the queue of the target is full at all
-// times, and who finds a place in it is chance.
-func TestASmallAccountIsServedBesideAFlood(t *testing.T) {
+// Guards against refusing a small account as often as one that floods the service: one in eight
+// of its requests was served. Two of a service's three targets leave, and demand is seven times
+// the remaining capacity. Without throttles, the queue is always full, and chance decides who
+// gets a place.
+func TestSmallAccountIsServedDuringFlood(t *testing.T) {
 	for _, count := range []int{2, 6, 55} {
 		for seed := range uint64(3) {
-			c := crowd{
-				accounts: []flow{{"large", 800}, {"middle", 500}, {"small", 8}},
-				slots:    6, queue: 24, long: 12, work: 30 * time.Millisecond,
+			sim := serviceSim{
+				demands: []accountDemand{{"large", 800}, {"middle", 500}, {"small", 8}},
+				slots:   6, maxQueue: 24, longQueue: 12, serviceTime: 30 * time.Millisecond,
 			}
 			const length = 60 * time.Second
-			c.routers = make([]*throttle.Throttle, count)
-			before := c.play(seed, length)
-			c.routers = routers(count)
-			after := c.play(seed, length)
-			t.Logf("%d routers: before %+v %+v, after %+v %+v", count, *before["large"], *before["small"], *after["large"], *after["small"])
-			require.Less(t, before["small"].part(), 0.25)
-			require.Greater(t, after["small"].part(), 0.4)
-			all := func(m map[string]*tally) int { return m["large"].served + m["middle"].served + m["small"].served }
-			require.Greater(t, all(after), all(before)*98/100, "as much must be served in all")
-			require.Less(t, after["large"].mean(), before["large"].mean()*3/4)
-			require.Greater(t, after["middle"].served, after["large"].served*8/10, "max-min between the two")
+			sim.routers = make([]*throttle.Throttle, count)
+			unthrottled := sim.simulate(seed, length)
+			sim.routers = newThrottles(count)
+			throttled := sim.simulate(seed, length)
+			t.Logf("%d routers: unthrottled %+v %+v, throttled %+v %+v", count, *unthrottled["large"], *unthrottled["small"], *throttled["large"], *throttled["small"])
+			require.Less(t, unthrottled["small"].servedFraction(), 0.25)
+			require.Greater(t, throttled["small"].servedFraction(), 0.4)
+			totalServed := func(m map[string]*accountStats) int {
+				return m["large"].served + m["middle"].served + m["small"].served
+			}
+			require.Greater(t, totalServed(throttled), totalServed(unthrottled)*98/100, "total throughput must not drop")
+			require.Less(t, throttled["large"].meanTime(), unthrottled["large"].meanTime()*3/4)
+			require.Greater(t, throttled["middle"].served, throttled["large"].served*8/10, "max-min fairness between the two")
 		}
 	}
 }
 
-func (t *tally) mean() time.Duration { return t.took / time.Duration(t.served) }
+func (s *accountStats) meanTime() time.Duration { return s.totalTime / time.Duration(s.served) }
 
-func (t *tally) part() float64 { return float64(t.served) / float64(t.asked) }
+func (s *accountStats) servedFraction() float64 { return float64(s.served) / float64(s.requested) }
 
-func TestNothingIsKeptBackWhileAllIsTaken(t *testing.T) {
-	c := crowd{routers: routers(6), accounts: []flow{{"a", 150}, {"b", 5}}, slots: 6, queue: 24, long: 12, work: 30 * time.Millisecond}
-	for name, count := range c.play(1, 20*time.Second) {
-		require.Equal(t, count.asked, count.sent, name)
+func TestSendsEverythingWhileNothingIsRefused(t *testing.T) {
+	sim := serviceSim{routers: newThrottles(6), demands: []accountDemand{{"a", 150}, {"b", 5}}, slots: 6, maxQueue: 24, longQueue: 12, serviceTime: 30 * time.Millisecond}
+	for name, stats := range sim.simulate(1, 20*time.Second) {
+		require.Equal(t, stats.requested, stats.sent, name)
 	}
 }
 
-// Symptom: a service that is back gets a trickle for long.
-// Sequence: all targets refuse everything for some seconds, and then take all.
-// Cause: what is sent follows what was taken.
-func TestAServiceThatIsBackIsUsedSoon(t *testing.T) {
-	const rate = 20 // a second
+// Guards against sending only probes long after a service has recovered, because the rate sent
+// follows the rate of answers.
+func TestUsesRecoveredServiceWithinSeconds(t *testing.T) {
+	const rate = 20 // requests per second
 	th := &throttle.Throttle{}
 	now := start
 	sent := 0
 	for i := range 30 * rate {
 		now = now.Add(time.Second / rate)
-		back := i >= 10*rate
+		recovered := i >= 10*rate
 		if i == 16*rate {
 			sent = 0
 		}
@@ -162,11 +161,11 @@
 			continue
 		}
 		sent++
-		if back {
+		if recovered {
 			th.RecordAnswer(now, false)
 		} else {
 			th.RecordAnswer(now, true)
 		}
 	}
-	require.Equal(t, 14*rate, sent, "six seconds after")
+	require.Equal(t, 14*rate, sent, "everything is sent from 6 s after recovery")
 }
--- a/internal/warmup/budget.go
+++ b/internal/warmup/budget.go
@@ -2,107 +2,110 @@
 
 import "time"
 
-// share is the part of a cold target's bound that all seats together use. The rest is for
-// requests that are held up on their way, so that two of one seat arrive in one second.
-const share = 0.92
+// usableFraction is the part of a cold target's rate limit that all leases together use. The rest
+// is for requests that are delayed on their way, so that requests of two windows of one lease
+// arrive within one second.
+const usableFraction = 0.92
 
-// mostPart bounds what one router sends to a cold target in a window.
-const mostPart = 64
+// maxAllowance bounds the requests that one router may send to a cold target per window.
+const maxAllowance = 64
 
-// A RateLimit is what cold targets of a pool get from all routers: at most PerSecond requests in any
-// second for Duration after their start. The zero value is that of targets that are never cold.
+// A RateLimit bounds the requests that a cold target gets from all routers together: at most
+// PerSecond in any second, for Duration after its start. The zero value is for pools whose
+// targets are never cold.
 type RateLimit struct {
 	Duration  time.Duration
 	PerSecond float64
 }
 
 // Enabled reports whether targets of the pool are ever cold.
-func (b RateLimit) Enabled() bool {
-	return b.Duration > 0 && b.PerSecond > 0
+func (l RateLimit) Enabled() bool {
+	return l.Duration > 0 && l.PerSecond > 0
 }
 
-// A Budget is a router's part of what cold targets may get. Set the exported fields, then
-// call its methods; without a lease it is none.
+// A Budget is a router's part of the requests that cold targets may get. Set the exported fields,
+// then call its methods. Without a lease the budget is empty.
 type Budget struct {
-	// Ratio and Slack bound what a cold target gets in any second: its pool's rate times
-	// the ratio, plus the slack.
+	// Ratio and Slack set the rate limit of a cold target: the configured rate of its pool
+	// multiplied by Ratio, plus Slack.
 	Ratio float64
 	Slack float64
 
-	seat  Lease
-	until time.Time
+	lease      Lease
+	leaseUntil time.Time
 }
 
-// RateLimit returns the bound of a pool whose targets are cold for a time and take a rate of
-// requests a second meanwhile.
-func (b *Budget) RateLimit(cold time.Duration, rate float64) RateLimit {
-	if cold <= 0 || rate <= 0 {
+// RateLimit returns the limit for a pool whose targets are cold for a time after their start and
+// then take the given number of requests per second.
+func (b *Budget) RateLimit(coldFor time.Duration, rate float64) RateLimit {
+	if coldFor <= 0 || rate <= 0 {
 		return RateLimit{}
 	}
-	return RateLimit{Duration: cold, PerSecond: rate*b.Ratio + b.Slack}
+	return RateLimit{Duration: coldFor, PerSecond: rate*b.Ratio + b.Slack}
 }
 
-// SetLease takes a seat that holds until a moment after the router asked for it.
-func (b *Budget) SetLease(asked time.Time, s Lease) {
-	b.seat, b.until = s, asked.Add(lease)
+// SetLease replaces the lease. It expires leaseDuration after the router requested it.
+func (b *Budget) SetLease(asked time.Time, lease Lease) {
+	b.lease, b.leaseUntil = lease, asked.Add(leaseDuration)
 }
 
-// CurrentLease returns the seat that is held, to be told to the leader.
+// CurrentLease returns the lease if it has not expired. The router reports it to the leader.
 func (b *Budget) CurrentLease(now time.Time) Lease {
-	if !now.Before(b.until) {
+	if !now.Before(b.leaseUntil) {
 		return Lease{}
 	}
-	return b.seat
+	return b.lease
 }
 
-// Allowance returns how many requests this router may send to a cold target in a window. What
-// does not divide evenly goes to seats that differ from target to target.
-func (b *Budget) Allowance(now time.Time, target uint64, bound RateLimit) int {
-	s := b.CurrentLease(now)
-	if !s.Ready || s.Total <= 0 {
+// Allowance returns how many requests this router may send to a cold target per window. A
+// remainder of the division among leases goes to leases that differ from target to target.
+func (b *Budget) Allowance(now time.Time, target uint64, limit RateLimit) int {
+	lease := b.CurrentLease(now)
+	if !lease.Ready || lease.Total <= 0 {
 		return 0
 	}
-	all := int(share * bound.PerSecond)
-	part := all / s.Total
-	turn := (uint64(s.Number) + target) % uint64(s.Total)
-	if turn < uint64(all%s.Total) {
-		part++
+	total := int(usableFraction * limit.PerSecond)
+	allowance := total / lease.Total
+	rank := (uint64(lease.Number) + target) % uint64(lease.Total)
+	if rank < uint64(total%lease.Total) {
+		allowance++
 	}
-	return min(part, mostPart)
+	return min(allowance, maxAllowance)
 }
 
-// A Meter counts what this router has sent to one cold target. Its zero value is empty.
+// A Meter counts the requests that this router has sent to one cold target. The zero value is
+// empty.
 type Meter struct {
-	sent []time.Time // a ring
+	sent []time.Time // ring buffer
 	next int
 }
 
-// Allows reports whether one more request fits into a part.
-func (m *Meter) Allows(now time.Time, part int) bool {
-	if m.sent == nil || part <= 0 {
-		return part > 0
+// Allows reports whether one more request is within the allowance.
+func (m *Meter) Allows(now time.Time, allowance int) bool {
+	if m.sent == nil || allowance <= 0 {
+		return allowance > 0
 	}
-	return now.Sub(m.sent[m.back(part)]) >= window
+	return now.Sub(m.sent[m.indexBefore(allowance)]) >= window
 }
 
-// back returns the place of the request so many before the next one.
-func (m *Meter) back(n int) int {
-	return (m.next + mostPart - n) % mostPart
+// indexBefore returns the ring index of the n-th latest request.
+func (m *Meter) indexBefore(n int) int {
+	return (m.next + maxAllowance - n) % maxAllowance
 }
 
-// RecordSend notes that a request is sent.
+// RecordSend records that a request is sent.
 func (m *Meter) RecordSend(now time.Time) {
 	if m.sent == nil {
-		m.sent = make([]time.Time, mostPart)
+		m.sent = make([]time.Time, maxAllowance)
 	}
 	m.sent[m.next] = now
-	m.next = (m.next + 1) % mostPart
+	m.next = (m.next + 1) % maxAllowance
 }
 
-// RecordDelayedSend notes that the last request left later than it was meant to.
+// RecordDelayedSend moves the latest request to a later time, if it was sent later than planned.
 func (m *Meter) RecordDelayedSend(now time.Time) {
 	if m.sent == nil {
 		return
 	}
-	m.sent[m.back(1)] = now
+	m.sent[m.indexBefore(1)] = now
 }
--- a/internal/warmup/lease.go
+++ b/internal/warmup/lease.go
@@ -1,13 +1,13 @@
-// Package warmup bounds the requests that a cold target gets from all routers.
+// Package warmup limits the rate of requests that a cold target gets from all routers.
 //
-// A target that has just started takes only so many requests a second, whoever sends them,
-// and ends if it gets far more. A ramp in each router bounds nothing over a fleet: with
-// many routers, less than one request a second is due to each. So the leader leases each
-// router a numbered seat, and a seat is a fixed part of what every cold target may get.
-// A lease lapses by itself: the bound holds too for routers that are cut off, that stood
-// still or that restarted, and when the leader changes.
+// A target that has just started handles only a certain rate of requests, whoever sends them, and
+// crashes at a much higher one. A slow start in each router does not bound the total: with many
+// routers, each would be allowed less than one request per second. So the leader grants each
+// router a numbered lease, and a lease is a fixed part of what every cold target may get. Leases
+// expire on their own. The limit therefore holds when routers are partitioned, suspended or
+// restarted, and when the leader changes.
 //
-// [LeaseTable] is the leader's side and [Budget] a router's. Both are deterministic: they take
+// [LeaseTable] is used by the leader and [Budget] by a router. Both are deterministic: they take
 // times and messages, and have no clock, goroutine or socket.
 package warmup
 
@@ -17,121 +17,123 @@
 )
 
 const (
-	// lease is for how long after a router asked its seat holds.
-	lease = 2 * time.Second
-	// window is in which a router sends its part of a target's requests: the second for which
-	// these are counted, and what requests may be held up on their way.
+	// leaseDuration is how long a lease is valid after a router requested it.
+	leaseDuration = 2 * time.Second
+	// window is the period in which a router sends its part of a target's requests: one second,
+	// for which they are counted, and the time that requests may be delayed on their way.
 	window = 1100 * time.Millisecond
-	// handover is how long a seat rests after it was given out anew, or after the number of
-	// seats has changed: until whoever acted by what was before has lapsed, and what it sent
-	// last counts no longer.
-	handover = lease + window
-	// steps is into how many the number of seats between two powers of two is divided. Each
-	// change of the number stops sending to cold targets for a handover.
-	steps = 32
+	// handoverDelay is how long a lease is unusable after it was granted to another router, or
+	// after the number of leases has changed: until the previous lease has expired, and the last
+	// requests sent under it no longer count.
+	handoverDelay = leaseDuration + window
+	// stepsPerDoubling is how many values the number of leases can take between two powers of
+	// two. After each change, nothing is sent to cold targets for handoverDelay.
+	stepsPerDoubling = 32
 )
 
-// A Lease is a router's lease on a part of what cold targets may get. The zero value is none.
+// A Lease is a router's numbered part of what cold targets may get. The zero value means no
+// lease.
 type Lease struct {
-	// Number is from 1 to Total.
+	// Number is between 1 and Total.
 	Number int `json:"number"`
 	Total  int `json:"of"`
-	// Ready says that the seat may be used.
+	// Ready is whether the lease may be used.
 	Ready bool `json:"ready,omitempty"`
 }
 
-// LeaseTable is the leader's account of who holds which seat. It is soft: a new leader takes
-// over what routers hold. Set LeaderSince to when the leader began, then call Renew from one
-// goroutine at a time.
+// LeaseTable tracks on the leader which router holds which lease. It is not persisted: a new
+// leader adopts the leases that routers report. Set LeaderSince to the time when the leader was
+// elected, then call Renew from one goroutine at a time.
 type LeaseTable struct {
 	LeaderSince time.Time
 
-	holders map[string]holder // by router
-	taken   map[int]string
-	of      int
-	changed time.Time // when the number of seats did last; zero if it never did
-	swept   time.Time
+	holders        map[string]holder // by router
+	routerByNumber map[int]string
+	total          int
+	totalChangedAt time.Time // zero until the total changes for the first time
+	sweptAt        time.Time
 }
 
-// A holder is a router that holds a seat.
+// A holder is a router that holds a lease.
 type holder struct {
-	number  int
-	run     uint64
-	renewed time.Time
-	ready   time.Time // when the seat may be used
+	number      int
+	incarnation uint64
+	renewedAt   time.Time
+	readyAt     time.Time // when the lease may be used
 }
 
-// Renew answers a router that holds a seat, or none, and returns the seat that it holds from
-// when it asked.
-func (s *LeaseTable) Renew(now time.Time, router string, run uint64, held Lease) Lease {
-	s.sweep(now)
-	h, ok := s.holders[router]
+// Renew returns the lease of a router, valid from the time of its request. Held is the lease that
+// the router has, or the zero value.
+func (t *LeaseTable) Renew(now time.Time, router string, incarnation uint64, held Lease) Lease {
+	t.dropExpired(now)
+	h, ok := t.holders[router]
 	switch {
-	case ok && h.run == run:
+	case ok && h.incarnation == incarnation:
 	case ok:
-		h.run, h.ready = run, now.Add(handover) // its former run may have used it just now
-	case held.Number > 0 && s.taken[held.Number] == "":
-		h = holder{number: held.Number, run: run}
+		h.incarnation, h.readyAt = incarnation, now.Add(handoverDelay) // its previous incarnation may have used the lease until now
+	case held.Number > 0 && t.routerByNumber[held.Number] == "":
+		h = holder{number: held.Number, incarnation: incarnation}
 		if !held.Ready {
-			h.ready = now.Add(handover)
+			h.readyAt = now.Add(handoverDelay)
 		}
-	case now.Sub(s.LeaderSince) <= handover:
-		return Lease{} // whoever holds a seat of the leader before has told it after that
+	case now.Sub(t.LeaderSince) <= handoverDelay:
+		return Lease{} // leases of the previous leader may not have been reported yet
 	default:
-		h = holder{number: s.free(), run: run, ready: now.Add(handover)}
+		h = holder{number: t.firstFree(), incarnation: incarnation, readyAt: now.Add(handoverDelay)}
 	}
-	h.renewed = now
-	s.seat(router, h)
-	s.grow(now, max(held.Total, roundUp(h.number)))
-	return Lease{Number: h.number, Total: s.of, Ready: !now.Before(h.ready) && (s.changed.IsZero() || now.Sub(s.changed) >= handover)}
+	h.renewedAt = now
+	t.assign(router, h)
+	t.growTotal(now, max(held.Total, roundUpTotal(h.number)))
+	return Lease{Number: h.number, Total: t.total, Ready: !now.Before(h.readyAt) && (t.totalChangedAt.IsZero() || now.Sub(t.totalChangedAt) >= handoverDelay)}
 }
 
-func (s *LeaseTable) seat(router string, h holder) {
-	if s.holders == nil {
-		s.holders, s.taken = make(map[string]holder), make(map[int]string)
+func (t *LeaseTable) assign(router string, h holder) {
+	if t.holders == nil {
+		t.holders, t.routerByNumber = make(map[string]holder), make(map[int]string)
 	}
-	s.holders[router], s.taken[h.number] = h, router
+	t.holders[router], t.routerByNumber[h.number] = h, router
 }
 
-// grow takes the number of seats up. It never falls within a leader's term: what a router
-// without a word of the leader believes is never above it.
-func (s *LeaseTable) grow(now time.Time, of int) {
-	if of <= s.of {
+// growTotal increases the number of leases. It never decreases during a leader's term, so the
+// number used by a router that cannot reach the leader is never larger.
+func (t *LeaseTable) growTotal(now time.Time, total int) {
+	if total <= t.total {
 		return
 	}
-	if s.of > 0 {
-		s.changed = now
+	if t.total > 0 {
+		t.totalChangedAt = now
 	}
-	s.of = of
+	t.total = total
 }
 
-// sweep drops those whose seats have lapsed.
-func (s *LeaseTable) sweep(now time.Time) {
-	if now.Sub(s.swept) < window {
+// dropExpired removes the holders of expired leases.
+func (t *LeaseTable) dropExpired(now time.Time) {
+	if now.Sub(t.sweptAt) < window {
 		return
 	}
-	s.swept = now
-	maps.DeleteFunc(s.holders, func(_ string, h holder) bool {
-		lapsed := now.Sub(h.renewed) > lease
-		if lapsed {
-			delete(s.taken, h.number)
+	t.sweptAt = now
+	maps.DeleteFunc(t.holders, func(_ string, h holder) bool {
+		expired := now.Sub(h.renewedAt) > leaseDuration
+		if expired {
+			delete(t.routerByNumber, h.number)
 		}
-		return lapsed
+		return expired
 	})
 }
 
-func (s *LeaseTable) free() int {
+func (t *LeaseTable) firstFree() int {
 	for number := 1; ; number++ {
-		if s.taken[number] == "" {
+		if t.routerByNumber[number] == "" {
 			return number
 		}
 	}
 }
 
-// roundUp returns a number of seats, so that few routers more do not change it.
-func roundUp(n int) int {
+// roundUpTotal returns a number of leases for at least n routers, rounded up so that it does not
+// change with each additional router.
+func roundUpTotal(n int) int {
 	step := 1
-	for step*2*steps <= n {
+	for step*2*stepsPerDoubling <= n {
 		step *= 2
 	}
 	return (n + step - 1) / step * step
--- a/internal/warmup/lease_test.go
+++ b/internal/warmup/lease_test.go
@@ -13,145 +13,145 @@
 )
 
 const (
-	step   = 20 * time.Millisecond
-	period = 140 * time.Millisecond // between two renewals of a router
-	cold   = 3 * time.Second
-	rate   = 8.4 // requests a second of a cold target
-	ratio  = 1.5
-	slack  = 5.0
+	step     = 20 * time.Millisecond
+	period   = 140 * time.Millisecond // between two renewals of a router
+	cold     = 3 * time.Second
+	coldRate = 8.4 // requests per second that a cold target takes
+	ratio    = 1.5
+	slack    = 5.0
 )
 
-var begin = time.Unix(1e9, 0)
+var start = time.Unix(1e9, 0)
 
-// router is one that sends to each cold target whatever it may.
+// router sends each cold target as many requests as its budget allows.
 type router struct {
-	name    string
-	run     uint64
-	budget  warmup.Budget
-	bound   warmup.RateLimit
-	meters  []warmup.Meter
-	next    time.Time
-	cut     bool
-	standby time.Time // until when it stands still
+	name           string
+	incarnation    uint64
+	budget         warmup.Budget
+	limit          warmup.RateLimit
+	meters         []warmup.Meter
+	nextRenewal    time.Time
+	partitioned    bool
+	suspendedUntil time.Time // does nothing until then
 }
 
-func (r *router) start(run uint64, targets int) {
+func (r *router) start(incarnation uint64, targets int) {
 	r.budget = warmup.Budget{Ratio: ratio, Slack: slack}
-	r.bound = r.budget.RateLimit(cold, rate)
+	r.limit = r.budget.RateLimit(cold, coldRate)
 	r.meters = make([]warmup.Meter, targets)
-	r.run, r.next = run, time.Time{}
+	r.incarnation, r.nextRenewal = incarnation, time.Time{}
 }
 
-// answer is a leader's, on its way to a router.
+// answer is a leader's answer on its way to a router.
 type answer struct {
-	to    *router
-	run   uint64
-	asked time.Time
-	at    time.Time
-	seat  warmup.Lease
-}
-
-// world is routers, the leaders that follow each other, and cold targets that all routers
-// would send to all the time.
-type world struct {
-	t       require.TestingT
-	now     time.Time
-	runs    uint64
-	routers []*router
-	leader  warmup.LeaseTable
-	wire    []answer
-	sent    [][]time.Time // by target
-}
-
-func newWorld(t require.TestingT, routers, targets int) *world {
-	w := &world{t: t, now: begin, leader: warmup.LeaseTable{LeaderSince: begin}, sent: make([][]time.Time, targets)}
+	to          *router
+	incarnation uint64
+	askedAt     time.Time
+	deliverAt   time.Time
+	lease       warmup.Lease
+}
+
+// cluster consists of routers, a leader, and cold targets for which all routers always have
+// requests.
+type cluster struct {
+	t               require.TestingT
+	now             time.Time
+	lastIncarnation uint64
+	routers         []*router
+	leader          warmup.LeaseTable
+	inFlight        []answer
+	sent            [][]time.Time // by target
+}
+
+func newCluster(t require.TestingT, routers, targets int) *cluster {
+	c := &cluster{t: t, now: start, leader: warmup.LeaseTable{LeaderSince: start}, sent: make([][]time.Time, targets)}
 	for i := range routers {
-		w.add(i)
+		c.add(i)
 	}
-	return w
+	return c
 }
 
-func (w *world) add(i int) {
+func (c *cluster) add(i int) {
 	r := &router{name: fmt.Sprint("r", i)}
-	w.runs++
-	r.start(w.runs, len(w.sent))
-	w.routers = append(w.routers, r)
+	c.lastIncarnation++
+	r.start(c.lastIncarnation, len(c.sent))
+	c.routers = append(c.routers, r)
 }
 
-func (w *world) pass(span time.Duration, lose func() bool) {
-	for end := w.now.Add(span); w.now.Before(end); w.now = w.now.Add(step) {
-		w.hear()
-		for _, r := range w.routers {
-			if w.now.Before(r.standby) {
+func (c *cluster) advance(span time.Duration, lose func() bool) {
+	for end := c.now.Add(span); c.now.Before(end); c.now = c.now.Add(step) {
+		c.deliver()
+		for _, r := range c.routers {
+			if c.now.Before(r.suspendedUntil) {
 				continue
 			}
-			if !w.now.Before(r.next) {
-				r.next = w.now.Add(period)
-				w.ask(r, lose)
+			if !c.now.Before(r.nextRenewal) {
+				r.nextRenewal = c.now.Add(period)
+				c.renew(r, lose)
 			}
-			w.send(r)
+			c.send(r)
 		}
 	}
 }
 
-func (w *world) ask(r *router, lose func() bool) {
-	if r.cut || lose() {
+func (c *cluster) renew(r *router, lose func() bool) {
+	if r.partitioned || lose() {
 		return
 	}
-	seat := w.leader.Renew(w.now, r.name, r.run, r.budget.CurrentLease(w.now))
+	lease := c.leader.Renew(c.now, r.name, r.incarnation, r.budget.CurrentLease(c.now))
 	if !lose() {
-		w.wire = append(w.wire, answer{to: r, run: r.run, asked: w.now, at: w.now.Add(step), seat: seat})
+		c.inFlight = append(c.inFlight, answer{to: r, incarnation: r.incarnation, askedAt: c.now, deliverAt: c.now.Add(step), lease: lease})
 	}
 }
 
-func (w *world) hear() {
-	w.wire = slices.DeleteFunc(w.wire, func(a answer) bool {
-		if a.at.After(w.now) || w.now.Before(a.to.standby) {
+func (c *cluster) deliver() {
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(a answer) bool {
+		if a.deliverAt.After(c.now) || c.now.Before(a.to.suspendedUntil) {
 			return false
 		}
-		if a.to.run == a.run {
-			a.to.budget.SetLease(a.asked, a.seat)
+		if a.to.incarnation == a.incarnation {
+			a.to.budget.SetLease(a.askedAt, a.lease)
 		}
 		return true
 	})
 }
 
-func (w *world) send(r *router) {
-	for target := range w.sent {
-		part := r.budget.Allowance(w.now, uint64(target)*0x9e3779b97f4a7c15, r.bound)
-		for r.meters[target].Allows(w.now, part) {
-			r.meters[target].RecordSend(w.now)
-			w.sent[target] = append(w.sent[target], w.now)
+func (c *cluster) send(r *router) {
+	for target := range c.sent {
+		allowance := r.budget.Allowance(c.now, uint64(target)*0x9e3779b97f4a7c15, r.limit)
+		for r.meters[target].Allows(c.now, allowance) {
+			r.meters[target].RecordSend(c.now)
+			c.sent[target] = append(c.sent[target], c.now)
 		}
 	}
 }
 
-// most returns the most requests that a target got in any second.
-func most(sent []time.Time) int {
-	most, from := 0, 0
+// maxPerSecond returns the largest number of requests that a target got in any second.
+func maxPerSecond(sent []time.Time) int {
+	most, oldest := 0, 0
 	for i, at := range sent {
-		for at.Sub(sent[from]) >= time.Second {
-			from++
+		for at.Sub(sent[oldest]) >= time.Second {
+			oldest++
 		}
-		most = max(most, i-from+1)
+		most = max(most, i-oldest+1)
 	}
 	return most
 }
 
-func (w *world) requireBound() {
-	bound := w.routers[0].bound.PerSecond
-	for target, sent := range w.sent {
-		require.LessOrEqual(w.t, float64(most(sent)), bound, fmt.Sprint("target ", target))
+func (c *cluster) requireRateLimit() {
+	limit := c.routers[0].limit.PerSecond
+	for target, sent := range c.sent {
+		require.LessOrEqual(c.t, float64(maxPerSecond(sent)), limit, fmt.Sprint("target ", target))
 	}
 }
 
-func never() bool { return false }
+func neverLose() bool { return false }
 
-// Guards against a cold target that ends since every router sends it a few requests, whatever
-// is lost, and whoever restarts, is cut off or stands still.
-func TestNoSecondHoldsMoreThanTheBound(t *testing.T) {
+// Guards against a cold target that crashes because every router sends it a few requests.
+// Messages are lost, routers restart, are partitioned or suspended, and leaders change.
+func TestRateLimitHoldsInEverySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.IntRange(1, 40).Draw(t, "routers"), 3)
+		c := newCluster(t, rapid.IntRange(1, 40).Draw(t, "routers"), 3)
 		lossy := rapid.Bool().Draw(t, "lossy")
 		draws := 0
 		lose := func() bool {
@@ -159,81 +159,80 @@
 			return lossy && draws%5 == 0
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "events") {
-			r := w.routers[rapid.IntRange(0, len(w.routers)-1).Draw(t, "router")]
+			r := c.routers[rapid.IntRange(0, len(c.routers)-1).Draw(t, "router")]
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
-				w.runs++
-				r.start(w.runs, len(w.sent))
+				c.lastIncarnation++
+				r.start(c.lastIncarnation, len(c.sent))
 			case 1:
-				r.cut = !r.cut
+				r.partitioned = !r.partitioned
 			case 2:
-				r.standby = w.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "still")) * time.Millisecond)
+				r.suspendedUntil = c.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "still")) * time.Millisecond)
 			case 3:
-				w.leader = warmup.LeaseTable{LeaderSince: w.now}
+				c.leader = warmup.LeaseTable{LeaderSince: c.now}
 			case 4:
 				for i := range rapid.IntRange(1, 30).Draw(t, "more") {
-					if len(w.routers) < 80 {
-						w.add(1000*len(w.routers) + i)
+					if len(c.routers) < 80 {
+						c.add(1000*len(c.routers) + i)
 					}
 				}
-			case 5: // a router comes back under the name of one that stands still
-				r.standby = w.now.Add(4 * time.Second)
-				w.add(0)
-				w.routers[len(w.routers)-1].name = r.name
-			case 6: // the way to the leader takes long
-				for i := range w.wire {
-					w.wire[i].at = w.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "late")) * time.Millisecond)
+			case 5: // another router starts under the name of a suspended one
+				r.suspendedUntil = c.now.Add(4 * time.Second)
+				c.add(0)
+				c.routers[len(c.routers)-1].name = r.name
+			case 6: // answers of the leader are delayed
+				for i := range c.inFlight {
+					c.inFlight[i].deliverAt = c.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "late")) * time.Millisecond)
 				}
 			}
-			w.pass(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause"))*time.Millisecond, lose)
+			c.advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause"))*time.Millisecond, lose)
 		}
-		w.pass(8*time.Second, never)
-		w.requireBound()
+		c.advance(8*time.Second, neverLose)
+		c.requireRateLimit()
 	})
 }
 
-// Guards against cold targets that idle while work waits for them.
-func TestMostOfTheBoundIsUsed(t *testing.T) {
-	const used = 0.8
+// Guards against cold targets that idle while requests wait for them.
+func TestMostOfRateLimitIsUsed(t *testing.T) {
+	const minUsedFraction = 0.8
 	for _, routers := range []int{1, 8, 16, 56, 86, 291} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			const targets, span = 20, 11 * time.Second
-			w := newWorld(t, routers, targets)
-			w.pass(10*time.Second, never)
-			from, sum := w.now, 0
-			w.pass(span, never)
-			w.requireBound()
-			for _, sent := range w.sent {
+			c := newCluster(t, routers, targets)
+			c.advance(10*time.Second, neverLose)
+			from, sum := c.now, 0
+			c.advance(span, neverLose)
+			c.requireRateLimit()
+			for _, sent := range c.sent {
 				sum += len(slices.DeleteFunc(sent, func(at time.Time) bool { return at.Before(from) }))
 			}
-			require.GreaterOrEqual(t, float64(sum), used*w.routers[0].bound.PerSecond*targets*span.Seconds())
+			require.GreaterOrEqual(t, float64(sum), minUsedFraction*c.routers[0].limit.PerSecond*targets*span.Seconds())
 		})
 	}
 }
 
-// Guards against decisions that make garbage: one is taken for every target of a pool, for
-// every request.
-func TestADecisionTakesNoMemory(t *testing.T) {
+// Guards against allocations: a decision is made for every target of a pool, for every request.
+func TestDecisionDoesNotAllocate(t *testing.T) {
 	b := warmup.Budget{Ratio: ratio, Slack: slack}
-	b.SetLease(begin, warmup.Lease{Number: 3, Total: 8, Ready: true})
-	bound := b.RateLimit(cold, rate)
+	b.SetLease(start, warmup.Lease{Number: 3, Total: 8, Ready: true})
+	limit := b.RateLimit(cold, coldRate)
 	var m warmup.Meter
-	m.RecordSend(begin)
+	m.RecordSend(start)
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		if m.Allows(begin, b.Allowance(begin, 7, bound)) {
-			m.RecordSend(begin)
+		if m.Allows(start, b.Allowance(start, 7, limit)) {
+			m.RecordSend(start)
 		}
 	}))
 }
 
-func BenchmarkPart(b *testing.B) {
+func BenchmarkAllowance(b *testing.B) {
 	budget := warmup.Budget{Ratio: ratio, Slack: slack}
-	budget.SetLease(begin, warmup.Lease{Number: 3, Total: 8, Ready: true})
-	bound := budget.RateLimit(cold, rate)
+	budget.SetLease(start, warmup.Lease{Number: 3, Total: 8, Ready: true})
+	limit := budget.RateLimit(cold, coldRate)
 	var m warmup.Meter
-	m.RecordSend(begin)
+	m.RecordSend(start)
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Allows(begin, budget.Allowance(begin, 7, bound))
+		m.Allows(start, budget.Allowance(start, 7, limit))
 	}
 }
