--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -12,11 +12,11 @@
 
 // A Send starts a request on a target.
 type Send struct {
-	ID      uint64
-	Target  fleet.Target
-	Reason  Reason
-	Attempt int
-	Waited  time.Duration
+	ID        uint64
+	Target    fleet.Target
+	Reason    Reason
+	Attempt   int
+	QueueTime time.Duration
 	// Deadline is the request's, or zero.
 	Deadline time.Time
 }
@@ -26,9 +26,9 @@
 
 // The reasons of a choice.
 const (
-	ReasonPrefix Reason = "prefix" // it served the same prompt prefix before
-	ReasonFree   Reason = "free"   // the largest part of its slots is free
-	ReasonProbe  Reason = "probe"  // it is tried again after failures
+	ReasonPrefix      Reason = "prefix" // it served the same prompt prefix before
+	ReasonLeastLoaded Reason = "free"   // the largest part of its slots is free
+	ReasonProbe       Reason = "probe"  // it is tried again after failures
 )
 
 // A Refuse is the final answer to a request that is given up.
@@ -42,14 +42,14 @@
 	Fate message.Fate
 }
 
-// An AskClaim asks the keepers for the right to run a request.
-type AskClaim struct {
+// An AcquireClaim asks the keepers for the right to run a request.
+type AcquireClaim struct {
 	ID    uint64
 	Claim message.Claim
 }
 
-// A Settle tells the keepers what became of a claimed request.
-type Settle struct {
+// A SettleClaim tells the keepers what became of a claimed request.
+type SettleClaim struct {
 	Settlement message.Settlement
 }
 
@@ -68,10 +68,10 @@
 	Report message.Report
 }
 
-func (Send) action()       {}
-func (Refuse) action()     {}
-func (AskClaim) action()   {}
-func (Settle) action()     {}
-func (Cancel) action()     {}
-func (Probe) action()      {}
-func (SendReport) action() {}
+func (Send) action()         {}
+func (Refuse) action()       {}
+func (AcquireClaim) action() {}
+func (SettleClaim) action()  {}
+func (Cancel) action()       {}
+func (Probe) action()        {}
+func (SendReport) action()   {}
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -12,7 +12,7 @@
 	if s.stopping {
 		return unrun(now.Add(retrySoon), fleet.KindStopping, "ask another router", "this router is stopping")
 	}
-	if !s.Leased(now) {
+	if !s.HasLease(now) {
 		return s.noLease(now)
 	}
 	e := s.events[p.Event]
@@ -25,7 +25,7 @@
 			"the deadline passes before the account's queue has drained")
 	}
 	p.item = &share.Item{
-		ID: p.ID, Account: p.Account, Event: p.Event, Hint: p.Hint, Size: p.Size,
+		ID: p.ID, Account: p.Account, Event: p.Event, Hint: p.CostHint, Size: p.BodyBytes,
 		Order: share.OrderOf(now, p.Deadline),
 	}
 	if err := s.queues.Push(p.item); err != nil {
--- a/internal/dispatch/breaker.go
+++ b/internal/dispatch/breaker.go
@@ -49,12 +49,12 @@
 	b.limit.Begin()
 }
 
-func (b *breaker) end(now time.Time, e End) {
+func (b *breaker) end(now time.Time, e AttemptResult) {
 	switch {
 	case e.Failed:
 		b.fail(now)
-	case e.Whole:
-		b.succeed(e.First)
+	case e.ResponseComplete:
+		b.succeed(e.TimeToFirstByte)
 	}
 }
 
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -9,7 +9,7 @@
 
 // pump starts requests while there are free slots and the lease holds.
 func (s *Scheduler) pump(now time.Time) {
-	if !s.Leased(now) {
+	if !s.HasLease(now) {
 		return
 	}
 	for {
@@ -40,7 +40,7 @@
 	if !s.allow(now, p) {
 		return
 	}
-	needsClaim := p.Claim != "" && !p.claimed
+	needsClaim := p.ClaimKey != "" && !p.claimed
 	if needsClaim && s.slow {
 		s.queues.Refund(p.item)
 		s.askClaim(p)
@@ -73,7 +73,7 @@
 	p.phase = phaseClaiming
 	s.attempts++
 	p.attempt = s.attempts
-	s.act(AskClaim{ID: p.ID, Claim: message.Claim{Key: p.Claim, Owner: s.owner(), Attempt: p.attempt}})
+	s.act(AcquireClaim{ID: p.ID, Claim: message.Claim{Key: p.ClaimKey, Owner: s.owner(), Attempt: p.attempt}})
 }
 
 // releaseSlow takes the slots back that requests held for their claims too
@@ -93,17 +93,17 @@
 	p.phase, p.began = phaseRunning, now
 	p.tries++
 	s.budget(p).earn()
-	s.prefixes.put(p.Prefix, t.Name)
+	s.prefixes.put(p.PrefixHash, t.Name)
 	s.act(Send{
 		ID: p.ID, Target: t.Target, Reason: reason, Attempt: p.tries,
-		Waited: now.Sub(p.arrived), Deadline: p.Deadline,
+		QueueTime: now.Sub(p.arrived), Deadline: p.Deadline,
 	})
 }
 
 // pick chooses a target with a free slot for a request. The choice is among
 // the slots held, so it never waits.
 func (s *Scheduler) pick(now time.Time, p *pending) (*slots, Reason) {
-	warm := s.prefixes.get(p.Prefix)
+	warm := s.prefixes.get(p.PrefixHash)
 	var best *slots
 	for _, t := range s.events[p.Event].targets {
 		if !t.free() || !t.breaker.allows(now, t.use) {
@@ -119,7 +119,7 @@
 	if best.breaker.probing() {
 		return best, ReasonProbe
 	}
-	return best, ReasonFree
+	return best, ReasonLeastLoaded
 }
 
 // better prefers a target other than the one that failed before, then one that
@@ -139,9 +139,9 @@
 	return t.breaker.pace() < than.breaker.pace()
 }
 
-// Claimed takes the keepers' answer to a claim. Lost means that no answer came:
+// HandleClaimResult takes the keepers' answer to a claim. Lost means that no answer came:
 // the request was not sent and now never will be, so it was not run.
-func (s *Scheduler) Claimed(now time.Time, id uint64, v message.Verdict, lost bool) {
+func (s *Scheduler) HandleClaimResult(now time.Time, id uint64, v message.Verdict, lost bool) {
 	p := s.requests[id]
 	if p == nil || p.phase != phaseClaiming {
 		return
@@ -151,10 +151,10 @@
 	}
 	t := s.targets[p.target]
 	switch {
-	case v.Granted && !p.gone && s.Leased(now) && t != nil && !t.gone && t.cap > 0:
+	case v.Granted && !p.gone && s.HasLease(now) && t != nil && !t.gone && t.cap > 0:
 		p.claimed = true
-		s.send(now, p, t, ReasonFree)
-	case v.Granted && !p.gone && s.Leased(now) && !s.stopping:
+		s.send(now, p, t, ReasonLeastLoaded)
+	case v.Granted && !p.gone && s.HasLease(now) && !s.stopping:
 		p.claimed = true
 		s.letGo(p)
 		s.requeue(now, p)
@@ -221,30 +221,30 @@
 }
 
 func (s *Scheduler) owner() string {
-	return message.Owner(s.Name, s.Inc)
+	return message.Owner(s.Name, s.Incarnation)
 }
 
-// An End is what became of a request that was sent to a target.
-type End struct {
+// An AttemptResult is what became of a request that was sent to a target.
+type AttemptResult struct {
 	// Sent says that a byte may have reached the target.
 	Sent bool
-	// Answered says that the caller has been given the start of an answer.
-	Answered bool
-	// Whole says that the target's answer was read to its end.
-	Whole bool
+	// ResponseStarted says that the caller has been given the start of an answer.
+	ResponseStarted bool
+	// ResponseComplete says that the target's answer was read to its end.
+	ResponseComplete bool
 	// Failed says that the target failed, as opposed to the caller leaving.
 	Failed bool
 	// Cost is what the answer cost, in units.
 	Cost float64
-	// First is the time to the first byte of the answer.
-	First time.Duration
-	// Cut says that the target cut the exchange, and Success that it answered in whole and
+	// TimeToFirstByte is the time to the first byte of the answer.
+	TimeToFirstByte time.Duration
+	// TargetClosed says that the target cut the exchange, and Succeeded that it answered in whole and
 	// told of no failure.
-	Cut, Success bool
+	TargetClosed, Succeeded bool
 }
 
-// Ended takes the end of a request.
-func (s *Scheduler) Ended(now time.Time, id uint64, e End) {
+// HandleAttemptEnd takes the end of a request.
+func (s *Scheduler) HandleAttemptEnd(now time.Time, id uint64, e AttemptResult) {
 	p := s.requests[id]
 	if p == nil || p.phase != phaseRunning {
 		return
@@ -273,11 +273,11 @@
 	}
 }
 
-func (s *Scheduler) conclude(now time.Time, p *pending, e End) {
+func (s *Scheduler) conclude(now time.Time, p *pending, e AttemptResult) {
 	switch {
-	case e.Whole:
+	case e.ResponseComplete:
 		s.drop(p, message.FateRan)
-	case e.Answered:
+	case e.ResponseStarted:
 		s.drop(p, message.FateUnknown)
 	case p.gone:
 		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -20,10 +20,10 @@
 	idlePause = 40 * time.Millisecond
 )
 
-// Granted takes a grant from a leader and reports whether it was put in force.
+// HandleGrant takes a grant from a leader and reports whether it was put in force.
 // A late or doubled one, or one of a deposed leader, changes nothing.
-func (s *Scheduler) Granted(now time.Time, g message.Grant) bool {
-	if g.Inc != s.Inc || g.Term < s.term || g.Term == s.term && g.Seq <= s.granted {
+func (s *Scheduler) HandleGrant(now time.Time, g message.Grant) bool {
+	if g.Inc != s.Incarnation || g.Term < s.term || g.Term == s.term && g.Seq <= s.granted {
 		return false
 	}
 	before := s.config.Number
@@ -192,7 +192,7 @@
 		usage = s.history.changedSince(s.echo, usage)
 	}
 	r := message.Report{
-		Router: s.Name, Zone: s.Zone, Inc: s.Inc, Seq: s.reports, Sent: now,
+		Router: s.Name, Zone: s.Zone, Inc: s.Incarnation, Seq: s.reports, Sent: now,
 		Term: s.term, Ack: s.granted, Number: s.config.Number,
 		Queues: s.queues.Queues(), Full: full, Usage: usage, Leaving: s.stopping, Quarantine: &held,
 	}
--- a/internal/dispatch/meter_test.go
+++ b/internal/dispatch/meter_test.go
@@ -65,7 +65,7 @@
 	m.maxCost = max(m.maxCost, r.cost)
 	r.Request = dispatch.Request{Account: fmt.Sprintf("a%02d", account), Event: "e"}
 	if m.load.hint != nil {
-		r.Hint = m.load.hint(m.random, r.cost)
+		r.CostHint = m.load.hint(m.random, r.cost)
 	}
 	m.waiting[account]++
 	m.live = append(m.live, r)
--- a/internal/dispatch/once_test.go
+++ b/internal/dispatch/once_test.go
@@ -103,7 +103,7 @@
 		wait := first + time.Duration(w.random.IntN(2)*w.random.IntN(4000))*time.Millisecond
 		w.at(wait, func() {
 			r := &request{took: time.Duration(1+w.random.IntN(900)) * time.Millisecond, cost: 1}
-			r.Request = dispatch.Request{Account: account, Event: "e", Claim: claim}
+			r.Request = dispatch.Request{Account: account, Event: "e", ClaimKey: claim}
 			if w.random.IntN(5) == 0 {
 				r.Deadline = w.now.Add(time.Duration(w.random.IntN(1500)) * time.Millisecond)
 			}
@@ -141,8 +141,8 @@
 func checkOnce(t *testing.T, seed uint64, w *world, sum *tally) {
 	runs := make(map[string]int)
 	for _, r := range w.requests {
-		if r.Claim != "" {
-			runs[r.Claim] += r.runs
+		if r.ClaimKey != "" {
+			runs[r.ClaimKey] += r.runs
 		}
 		require.LessOrEqual(t, r.answers, 1, "seed %d: request %d was answered twice", seed, r.ID)
 		sum.requests++
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -20,11 +20,11 @@
 // targets have ended is parked until the leader has had its word: its next copy may take
 // another target away from everybody, and the copies at other routers are not known here.
 func (s *Scheduler) allow(now time.Time, p *pending) bool {
-	v := s.Guard.Check(now, p.Print)
+	v := s.Guard.Check(now, p.Fingerprint)
 	switch v.Do {
 	case quarantine.Run:
 		p.verdict = v
-		s.Guard.Begin(v, p.Print)
+		s.Guard.Begin(v, p.Fingerprint)
 		return true
 	case quarantine.Wait:
 		s.queues.Refund(p.item)
@@ -45,7 +45,7 @@
 	p.phase = phaseParked
 	p.parked = now.Add(rulingTime)
 	s.parked = append(s.parked, p.ID)
-	s.Guard.Ask(p.Print)
+	s.Guard.Ask(p.Fingerprint)
 	s.wantReport(now)
 }
 
@@ -54,7 +54,7 @@
 		return
 	}
 	p.phase = phaseWaiting
-	s.Guard.Unask(p.Print)
+	s.Guard.Unask(p.Fingerprint)
 	s.parked = slices.DeleteFunc(s.parked, func(id uint64) bool { return id == p.ID })
 }
 
@@ -62,7 +62,7 @@
 func (s *Scheduler) resume(now time.Time) {
 	for _, id := range slices.Clone(s.parked) {
 		p := s.requests[id]
-		v := s.Guard.Check(now, p.Print)
+		v := s.Guard.Check(now, p.Fingerprint)
 		switch {
 		case v.Do == quarantine.Wait && now.Before(p.parked):
 		case v.Do == quarantine.Wait:
@@ -77,16 +77,16 @@
 }
 
 // learn takes from the end of a run what it shows of its request.
-func (s *Scheduler) learn(now time.Time, p *pending, e End) {
+func (s *Scheduler) learn(now time.Time, p *pending, e AttemptResult) {
 	v := p.verdict
 	p.verdict = quarantine.Verdict{}
 	t := s.targets[p.target]
 	switch {
-	case e.Success:
-		s.Guard.Whole(now, p.Print)
-	case e.Cut && t != nil && !t.gone && t.Live():
+	case e.Succeeded:
+		s.Guard.Whole(now, p.Fingerprint)
+	case e.TargetClosed && t != nil && !t.gone && t.Live():
 		doubt := s.Guard.Cut(now, quarantine.Sight{
-			Print: p.Print, Account: p.Account, Place: p.Event, Target: fleet.Incarnation{ID: p.target}, Began: p.began, Grant: v.Grant,
+			Print: p.Fingerprint, Account: p.Account, Place: p.Event, Target: fleet.Incarnation{ID: p.target}, Began: p.began, Grant: v.Grant,
 		})
 		if doubt {
 			s.act(Probe{Target: t.Target})
@@ -94,13 +94,13 @@
 		}
 		s.wantReport(now)
 	default:
-		s.Guard.Over(now, v, p.Print, !e.Sent)
+		s.Guard.Over(now, v, p.Fingerprint, !e.Sent)
 	}
 }
 
-// Looked takes what the looking for a target has shown: whether it has ended, or else was
+// HandleProbeResult takes what the looking for a target has shown: whether it has ended, or else was
 // there at a moment.
-func (s *Scheduler) Looked(now, here time.Time, name string, ended bool) {
+func (s *Scheduler) HandleProbeResult(now, here time.Time, name string, ended bool) {
 	target := fleet.Incarnation{ID: name}
 	if ended {
 		s.Guard.Gone(now, target)
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -17,9 +17,9 @@
 // guarded returns a router whose leader rules on a request.
 func guarded(r quarantine.Ruling) *dispatch.Scheduler {
 	c := configOf([]float64{1}, []int{1, 1})
-	s := &dispatch.Scheduler{Name: "r1", Inc: 1, Guard: quarantine.Guard{Owner: message.Owner("r1", 1), Named: true}}
-	s.Granted(epoch, ruledGrant(c, 1, 1, r))
-	s.Take()
+	s := &dispatch.Scheduler{Name: "r1", Incarnation: 1, Guard: quarantine.Guard{Owner: message.Owner("r1", 1), Named: true}}
+	s.HandleGrant(epoch, ruledGrant(c, 1, 1, r))
+	s.TakeActions()
 	return s
 }
 
@@ -31,7 +31,7 @@
 
 func alike(id uint64) dispatch.Request {
 	r := request1(id)
-	r.Print = heldPrint
+	r.Fingerprint = heldPrint
 	return r
 }
 
@@ -43,33 +43,33 @@
 	held := quarantine.Ruling{Print: heldPrint, Ends: 3, Next: 5 * time.Second}
 
 	s := guarded(held)
-	s.Arrive(epoch, alike(1))
+	s.Submit(epoch, alike(1))
 	refused := find[dispatch.Refuse](s)
 	require.Len(t, refused, 1, "at once")
 	require.Equal(t, fleet.KindHeld, refused[0].Err.Kind)
 	require.Equal(t, fleet.OutcomeUnrun, refused[0].Outcome)
 	require.Equal(t, epoch.Add(5*time.Second), refused[0].RetryAt)
-	s.Arrive(epoch, request1(2))
+	s.Submit(epoch, request1(2))
 	require.Len(t, find[dispatch.Send](s), 1, "other work goes on")
 
 	suspected := quarantine.Ruling{Print: heldPrint, Ends: 2}
 	s = guarded(suspected)
-	s.Arrive(epoch, alike(1))
+	s.Submit(epoch, alike(1))
 	require.Empty(t, find[dispatch.Send](s), "it waits for the leader's word")
 	s.Tick(epoch.Add(10 * time.Millisecond))
 	reports := find[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
 	require.Equal(t, []quarantine.Print{heldPrint}, reports[0].Report.Quarantine.Asks)
 	suspected.Holder, suspected.Until, suspected.Grant = message.Owner("r1", 1), 20*time.Second, 1
-	s.Granted(epoch.Add(20*time.Millisecond), ruledGrant(c, 2, 2, suspected))
+	s.HandleGrant(epoch.Add(20*time.Millisecond), ruledGrant(c, 2, 2, suspected))
 	sends := find[dispatch.Send](s)
 	require.Len(t, sends, 1)
-	s.Arrive(epoch.Add(30*time.Millisecond), alike(2))
+	s.Submit(epoch.Add(30*time.Millisecond), alike(2))
 	require.Len(t, find[dispatch.Refuse](s), 1, "one at a time")
 
 	// Its target cuts it and has ended: the leader hears of it.
-	s.Ended(epoch.Add(40*time.Millisecond), 1, dispatch.End{Sent: true, Failed: true, Cut: true})
-	actions := s.Take()
+	s.HandleAttemptEnd(epoch.Add(40*time.Millisecond), 1, dispatch.AttemptResult{Sent: true, Failed: true, TargetClosed: true})
+	actions := s.TakeActions()
 	probed := false
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -81,7 +81,7 @@
 		}
 	}
 	require.True(t, probed)
-	s.Looked(epoch.Add(50*time.Millisecond), epoch.Add(40*time.Millisecond), sends[0].Target.Name, true)
+	s.HandleProbeResult(epoch.Add(50*time.Millisecond), epoch.Add(40*time.Millisecond), sends[0].Target.Name, true)
 	s.Tick(epoch.Add(300 * time.Millisecond))
 	reports = find[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
@@ -99,11 +99,11 @@
 		"no word":     {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(time.Second)) }, fleet.KindHeld},
 		"stop":        {func(s *dispatch.Scheduler) { s.Stop(epoch.Add(time.Millisecond)) }, fleet.KindStopping},
 		"no lease":    {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(3 * time.Second)) }, fleet.KindNoLease},
-		"caller left": {func(s *dispatch.Scheduler) { s.Abandon(epoch.Add(time.Millisecond), 1) }, fleet.KindGone},
+		"caller left": {func(s *dispatch.Scheduler) { s.HandleDisconnect(epoch.Add(time.Millisecond), 1) }, fleet.KindGone},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := guarded(quarantine.Ruling{Print: heldPrint, Ends: 2})
-			s.Arrive(epoch, alike(1))
+			s.Submit(epoch, alike(1))
 			require.False(t, s.Idle())
 			tt.do(s)
 			refused := find[dispatch.Refuse](s)
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -47,11 +47,11 @@
 // mayRetry reports whether a failed request may be tried again: no byte of an
 // answer reached the caller, it may be repeated or was certainly not taken,
 // another target could take it, and the budget allows it.
-func (s *Scheduler) mayRetry(now time.Time, p *pending, e End) bool {
-	if s.stopping || !s.Leased(now) || p.tries >= maxTries {
+func (s *Scheduler) mayRetry(now time.Time, p *pending, e AttemptResult) bool {
+	if s.stopping || !s.HasLease(now) || p.tries >= maxTries {
 		return false
 	}
-	if e.Sent && p.Claim != "" {
+	if e.Sent && p.ClaimKey != "" {
 		return false
 	}
 	if !p.Deadline.IsZero() && !now.Before(p.Deadline) {
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -21,16 +21,16 @@
 	Event   string
 	// Deadline is when the caller no longer wants the answer; zero is never.
 	Deadline time.Time
-	Hint     float64
-	// Claim names a request that must run at most once, fleet-wide; "" means
+	CostHint float64
+	// ClaimKey names a request that must run at most once, fleet-wide; "" means
 	// that it may be repeated.
-	Claim string
-	// Size is the length of the body, which is kept while the request waits.
-	Size int
-	// Prefix is a hash of the start of the prompt, or 0.
-	Prefix uint64
-	// Print is the fingerprint of the request.
-	Print quarantine.Print
+	ClaimKey string
+	// BodyBytes is the length of the body, which is kept while the request waits.
+	BodyBytes int
+	// PrefixHash is a hash of the start of the prompt, or 0.
+	PrefixHash uint64
+	// Fingerprint is the fingerprint of the request.
+	Fingerprint quarantine.Print
 }
 
 // phase is how far a request has come.
@@ -65,8 +65,8 @@
 type Scheduler struct {
 	Name string
 	Zone fleet.Zone
-	// Inc is the incarnation: it grows with each start of the router.
-	Inc uint64
+	// Incarnation is the incarnation: it grows with each start of the router.
+	Incarnation uint64
 	// Guard decides which requests are held back because targets end under them.
 	Guard quarantine.Guard
 
@@ -119,8 +119,8 @@
 	return s.use < s.cap && !s.gone
 }
 
-// Take returns the actions since the last Take.
-func (s *Scheduler) Take() []Action {
+// TakeActions returns the actions since the last TakeActions.
+func (s *Scheduler) TakeActions() []Action {
 	out := s.out
 	s.out = nil
 	return out
@@ -130,25 +130,25 @@
 	s.out = append(s.out, a)
 }
 
-// Keys returns the accounts by the digests of their keys. The map is never
+// AccountsByKeyDigest returns the accounts by the digests of their keys. The map is never
 // changed.
-func (s *Scheduler) Keys() map[string]string {
+func (s *Scheduler) AccountsByKeyDigest() map[string]string {
 	return s.keys
 }
 
-// Number returns the number of the configuration in force, or 0.
-func (s *Scheduler) Number() uint64 {
+// ConfigNumber returns the number of the configuration in force, or 0.
+func (s *Scheduler) ConfigNumber() uint64 {
 	return s.config.Number
 }
 
-// Leased reports whether the router may start requests at now.
-func (s *Scheduler) Leased(now time.Time) bool {
+// HasLease reports whether the router may start requests at now.
+func (s *Scheduler) HasLease(now time.Time) bool {
 	return now.Before(s.lease)
 }
 
-// Healthy reports whether the balancer should send callers here.
-func (s *Scheduler) Healthy(now time.Time) bool {
-	return s.Leased(now) && !s.stopping
+// Ready reports whether the balancer should send callers here.
+func (s *Scheduler) Ready(now time.Time) bool {
+	return s.HasLease(now) && !s.stopping
 }
 
 // Idle reports whether no request is unanswered.
@@ -156,8 +156,8 @@
 	return len(s.requests) == 0
 }
 
-// Arrive takes a new request.
-func (s *Scheduler) Arrive(now time.Time, r Request) {
+// Submit takes a new request.
+func (s *Scheduler) Submit(now time.Time, r Request) {
 	if s.requests == nil {
 		s.requests = make(map[uint64]*pending)
 	}
@@ -178,9 +178,9 @@
 	}
 }
 
-// Abandon tells that a caller went away. What waits is dropped; what runs is
+// HandleDisconnect tells that a caller went away. What waits is dropped; what runs is
 // cancelled.
-func (s *Scheduler) Abandon(now time.Time, id uint64) {
+func (s *Scheduler) HandleDisconnect(now time.Time, id uint64) {
 	p := s.requests[id]
 	if p == nil || p.gone {
 		return
@@ -220,7 +220,7 @@
 	if p.attempt == 0 {
 		return
 	}
-	s.act(Settle{Settlement: message.Settlement{Key: p.Claim, Owner: s.owner(), Attempt: p.attempt, Fate: fate}})
+	s.act(SettleClaim{Settlement: message.Settlement{Key: p.ClaimKey, Owner: s.owner(), Attempt: p.attempt, Fate: fate}})
 }
 
 // Stop makes the router unhealthy and answers all that waits. What runs goes on.
@@ -241,7 +241,7 @@
 
 // Tick tells the time.
 func (s *Scheduler) Tick(now time.Time) {
-	if !s.lease.IsZero() && !s.Leased(now) {
+	if !s.lease.IsZero() && !s.HasLease(now) {
 		s.loseLease(now)
 	}
 	for _, id := range s.deadlines.due(now) {
@@ -278,8 +278,8 @@
 	}
 }
 
-// Deadline returns when the next Tick is due.
-func (s *Scheduler) Deadline() time.Time {
+// NextTick returns when the next Tick is due.
+func (s *Scheduler) NextTick() time.Time {
 	next := s.reportDue
 	if !s.lease.IsZero() && s.lease.Before(next) {
 		next = s.lease
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -15,9 +15,9 @@
 
 // leased returns a router with slots on each target and a lease of two seconds.
 func leased(c fleet.Config, slots int) *dispatch.Scheduler {
-	s := &dispatch.Scheduler{Name: "r1", Inc: 1}
-	s.Granted(epoch, grantOf(c, 1, slots))
-	s.Take()
+	s := &dispatch.Scheduler{Name: "r1", Incarnation: 1}
+	s.HandleGrant(epoch, grantOf(c, 1, slots))
+	s.TakeActions()
 	return s
 }
 
@@ -36,7 +36,7 @@
 // find returns the actions of a type.
 func find[A dispatch.Action](s *dispatch.Scheduler) []A {
 	var list []A
-	for _, a := range s.Take() {
+	for _, a := range s.TakeActions() {
 		if a, ok := a.(A); ok {
 			list = append(list, a)
 		}
@@ -51,11 +51,11 @@
 func TestClaimAnsweredAfterLeaseIsNotSent(t *testing.T) {
 	s := leased(configOf([]float64{1}, []int{1}), 1)
 	r := request1(1)
-	r.Claim = "key"
-	s.Arrive(epoch, r)
-	require.Len(t, find[dispatch.AskClaim](s), 1)
-	s.Claimed(epoch.Add(3*time.Second), 1, message.Verdict{Granted: true}, false)
-	actions := s.Take()
+	r.ClaimKey = "key"
+	s.Submit(epoch, r)
+	require.Len(t, find[dispatch.AcquireClaim](s), 1)
+	s.HandleClaimResult(epoch.Add(3*time.Second), 1, message.Verdict{Granted: true}, false)
+	actions := s.TakeActions()
 	var refused, settled bool
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -65,7 +65,7 @@
 			refused = true
 			require.Equal(t, fleet.OutcomeUnrun, a.Outcome)
 			require.False(t, a.RetryAt.IsZero())
-		case dispatch.Settle:
+		case dispatch.SettleClaim:
 			settled = true
 			require.Equal(t, message.FateUnrun, a.Settlement.Fate)
 		}
@@ -81,15 +81,15 @@
 func TestRetriedRequestIsNeverToldUnrun(t *testing.T) {
 	s := leased(configOf([]float64{1}, []int{1, 1}), 1)
 	for id := range uint64(2) {
-		s.Arrive(epoch, request1(id+1))
+		s.Submit(epoch, request1(id+1))
 	}
 	sends := find[dispatch.Send](s)
 	require.Len(t, sends, 2)
-	s.Ended(epoch, 1, dispatch.End{Sent: true, Failed: true, Cost: 1})
+	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Sent: true, Failed: true, Cost: 1})
 	require.Len(t, find[dispatch.Send](s), 1, "it is tried again")
-	s.Ended(epoch, 1, dispatch.End{Failed: true}) // no connection this time
+	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Failed: true}) // no connection this time
 	require.Len(t, find[dispatch.Send](s), 1, "and again")
-	s.Ended(epoch, 1, dispatch.End{Failed: true})
+	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Failed: true})
 	refusals := find[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.OutcomeUnknown, refusals[0].Outcome)
@@ -99,34 +99,34 @@
 	c := configOf([]float64{1}, []int{4})
 	s := leased(c, 4)
 	newer := grantOf(c.WithNumber(2), 3, 2)
-	require.True(t, s.Granted(epoch, newer))
-	require.False(t, s.Granted(epoch, newer), "doubled")
-	require.False(t, s.Granted(epoch, grantOf(c, 2, 4)), "late")
-	require.Equal(t, uint64(2), s.Number())
+	require.True(t, s.HandleGrant(epoch, newer))
+	require.False(t, s.HandleGrant(epoch, newer), "doubled")
+	require.False(t, s.HandleGrant(epoch, grantOf(c, 2, 4)), "late")
+	require.Equal(t, uint64(2), s.ConfigNumber())
 	stale := grantOf(c, 9, 4)
 	stale.Term = 2
-	require.False(t, s.Granted(epoch, stale), "an older configuration is never put in force")
+	require.False(t, s.HandleGrant(epoch, stale), "an older configuration is never put in force")
 	other := grantOf(c.WithNumber(3), 4, 4)
 	other.Inc = 7
-	require.False(t, s.Granted(epoch, other), "meant for a former self")
-	require.Equal(t, uint64(2), s.Number())
+	require.False(t, s.HandleGrant(epoch, other), "meant for a former self")
+	require.Equal(t, uint64(2), s.ConfigNumber())
 }
 
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	c := configOf([]float64{1}, []int{4, 4})
 	s := leased(c, 4)
 	leaving := c.WithNumber(2).WithTargetState("t00", fleet.TargetLeaving)
-	require.True(t, s.Granted(epoch, grantOf(leaving, 2, 4)))
+	require.True(t, s.HandleGrant(epoch, grantOf(leaving, 2, 4)))
 	gone := grantOf(leaving, 3, 4)
 	for id := range uint64(10) {
-		s.Arrive(epoch, request1(id+1))
+		s.Submit(epoch, request1(id+1))
 	}
 	for _, a := range find[dispatch.Send](s) {
 		require.Equal(t, "t01", a.Target.Name)
 	}
 	gone.Gone = []string{"t01"}
-	require.True(t, s.Granted(epoch, gone))
-	s.Arrive(epoch, request1(99))
+	require.True(t, s.HandleGrant(epoch, gone))
+	s.Submit(epoch, request1(99))
 	require.Empty(t, find[dispatch.Send](s), "the platform's list takes it out too")
 }
 
@@ -134,16 +134,16 @@
 	s := leased(configOf([]float64{1}, []int{1}), 1)
 	at := epoch
 	for id := range uint64(20) {
-		s.Arrive(at, request1(id+1))
+		s.Submit(at, request1(id+1))
 	}
 	for i := range uint64(3) { // drains one in 200 ms
 		at = at.Add(200 * time.Millisecond)
-		s.Ended(at, i+1, dispatch.End{Sent: true, Answered: true, Whole: true, Cost: 1})
+		s.HandleAttemptEnd(at, i+1, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
 	}
-	s.Take()
+	s.TakeActions()
 	r := request1(100)
 	r.Deadline = at.Add(100 * time.Millisecond)
-	s.Arrive(at, r)
+	s.Submit(at, r)
 	refusals := find[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.KindDeadline, refusals[0].Err.Kind)
@@ -156,7 +156,7 @@
 	c.Accounts[0].Queue = 3
 	s := leased(c, 1)
 	for id := range uint64(5) {
-		s.Arrive(epoch, request1(id+1))
+		s.Submit(epoch, request1(id+1))
 	}
 	refusals := find[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
@@ -171,11 +171,11 @@
 	s := leased(configOf([]float64{1}, []int{500, 500}), 500)
 	sends := 0
 	for id := range uint64(400) {
-		s.Arrive(epoch, request1(id+1))
+		s.Submit(epoch, request1(id+1))
 		for range 4 {
 			for _, a := range find[dispatch.Send](s) {
 				sends++
-				s.Ended(epoch, a.ID, dispatch.End{Sent: true, Failed: false, Cost: 1})
+				s.HandleAttemptEnd(epoch, a.ID, dispatch.AttemptResult{Sent: true, Failed: false, Cost: 1})
 			}
 		}
 	}
@@ -191,11 +191,11 @@
 	c := configOf([]float64{1}, []int{100})
 	s := leased(c, 100)
 	for id := range uint64(3) {
-		s.Arrive(epoch, request1(id+1))
-		s.Ended(epoch, id+1, dispatch.End{Sent: true, Failed: true, Cost: 1})
+		s.Submit(epoch, request1(id+1))
+		s.HandleAttemptEnd(epoch, id+1, dispatch.AttemptResult{Sent: true, Failed: true, Cost: 1})
 	}
-	s.Take()
-	s.Arrive(epoch, request1(10))
+	s.TakeActions()
+	s.Submit(epoch, request1(10))
 	refusals := find[dispatch.Refuse](s)
 	require.Len(t, refusals, 1, "no target is left: answered at once")
 	require.Equal(t, epoch.Add(time.Second), refusals[0].RetryAt)
@@ -204,14 +204,14 @@
 	for step := 1; step <= 16; step *= 2 {
 		for range 100 {
 			id++
-			s.Arrive(at, request1(id))
+			s.Submit(at, request1(id))
 		}
 		sends := find[dispatch.Send](s)
 		require.Len(t, sends, step)
-		s.Ended(at, sends[0].ID, dispatch.End{Sent: true, Answered: true, Whole: true, Cost: 1})
+		s.HandleAttemptEnd(at, sends[0].ID, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
 		for _, a := range append(sends[1:], find[dispatch.Send](s)...) {
-			s.Abandon(at, a.ID)
-			s.Ended(at, a.ID, dispatch.End{Sent: true})
+			s.HandleDisconnect(at, a.ID)
+			s.HandleAttemptEnd(at, a.ID, dispatch.AttemptResult{Sent: true})
 		}
 		drain(s, at)
 	}
@@ -220,7 +220,7 @@
 // drain ends everything that waits or runs without telling the breaker.
 func drain(s *dispatch.Scheduler, at time.Time) {
 	for id := range uint64(1000) {
-		s.Abandon(at, id)
+		s.HandleDisconnect(at, id)
 	}
 	for range 100 {
 		sends := find[dispatch.Send](s)
@@ -228,24 +228,24 @@
 			return
 		}
 		for _, a := range sends {
-			s.Abandon(at, a.ID)
-			s.Ended(at, a.ID, dispatch.End{Sent: true})
+			s.HandleDisconnect(at, a.ID)
+			s.HandleAttemptEnd(at, a.ID, dispatch.AttemptResult{Sent: true})
 		}
 	}
 }
 
 func TestCallerThatLeavesFreesItsSlot(t *testing.T) {
 	s := leased(configOf([]float64{1}, []int{1}), 1)
-	s.Arrive(epoch, request1(1))
-	s.Arrive(epoch, request1(2))
-	s.Arrive(epoch, request1(3))
-	s.Take()
-	s.Abandon(epoch, 2) // waits
+	s.Submit(epoch, request1(1))
+	s.Submit(epoch, request1(2))
+	s.Submit(epoch, request1(3))
+	s.TakeActions()
+	s.HandleDisconnect(epoch, 2) // waits
 	require.Len(t, find[dispatch.Refuse](s), 1)
-	s.Abandon(epoch, 1) // runs
+	s.HandleDisconnect(epoch, 1) // runs
 	require.Len(t, find[dispatch.Cancel](s), 1)
-	s.Ended(epoch, 1, dispatch.End{Sent: true, Cost: 1})
-	for _, a := range s.Take() {
+	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Sent: true, Cost: 1})
+	for _, a := range s.TakeActions() {
 		if send, ok := a.(dispatch.Send); ok {
 			require.Equal(t, uint64(3), send.ID)
 			return
@@ -259,12 +259,12 @@
 	for id := range uint64(20_000) {
 		r := request1(id + 1)
 		r.Deadline = epoch.AddDate(10, 0, 0)
-		s.Arrive(epoch, r)
-		s.Ended(epoch, r.ID, dispatch.End{Sent: true, Answered: true, Whole: true, Cost: 1})
-		s.Take()
+		s.Submit(epoch, r)
+		s.HandleAttemptEnd(epoch, r.ID, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
+		s.TakeActions()
 	}
 	require.True(t, s.Idle())
-	require.LessOrEqual(t, s.Remembered(), 4096, "deadlines remembered of requests long ended")
+	require.LessOrEqual(t, s.DeadlineCount(), 4096, "deadlines remembered of requests long ended")
 }
 
 // Symptom: at a change of leader all slots stand still, though most requests
@@ -275,29 +275,29 @@
 func TestClaimWithoutAnswerLetsItsSlotGo(t *testing.T) {
 	s := leased(configOf([]float64{1}, []int{1}), 1)
 	never := request1(1)
-	never.Claim = "key"
-	s.Arrive(epoch, never)
-	s.Arrive(epoch, request1(2))
-	require.Len(t, find[dispatch.AskClaim](s), 1)
+	never.ClaimKey = "key"
+	s.Submit(epoch, never)
+	s.Submit(epoch, request1(2))
+	require.Len(t, find[dispatch.AcquireClaim](s), 1)
 	at := epoch.Add(150 * time.Millisecond)
-	require.False(t, s.Deadline().After(at), "it wants to be woken for it")
+	require.False(t, s.NextTick().After(at), "it wants to be woken for it")
 	s.Tick(at)
 	sends := find[dispatch.Send](s)
 	require.Len(t, sends, 1)
 	require.Equal(t, uint64(2), sends[0].ID)
 	another := request1(3)
-	another.Claim = "key-3"
-	s.Arrive(at, another)
-	s.Ended(at, 2, dispatch.End{Sent: true, Answered: true, Whole: true, Cost: 1})
-	require.Len(t, find[dispatch.AskClaim](s), 1, "it is claimed without a slot while answers are slow")
-	s.Arrive(at, request1(4))
+	another.ClaimKey = "key-3"
+	s.Submit(at, another)
+	s.HandleAttemptEnd(at, 2, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
+	require.Len(t, find[dispatch.AcquireClaim](s), 1, "it is claimed without a slot while answers are slow")
+	s.Submit(at, request1(4))
 	require.Len(t, find[dispatch.Send](s), 1, "the slot is free for others")
-	s.Claimed(at, 1, message.Verdict{Granted: true}, false)
-	s.Claimed(at, 3, message.Verdict{}, true)
+	s.HandleClaimResult(at, 1, message.Verdict{Granted: true}, false)
+	s.HandleClaimResult(at, 3, message.Verdict{}, true)
 	refusals := find[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.OutcomeUnrun, refusals[0].Outcome)
-	s.Ended(at, 4, dispatch.End{Sent: true, Answered: true, Whole: true, Cost: 1})
+	s.HandleAttemptEnd(at, 4, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
 	sends = find[dispatch.Send](s)
 	require.Len(t, sends, 1, "claimed once, sent once")
 	require.Equal(t, uint64(1), sends[0].ID)
@@ -313,7 +313,7 @@
 	id, waiting := uint64(0), 0
 	send := func(account string) bool {
 		id++
-		s.Arrive(epoch, dispatch.Request{ID: id, Account: account, Event: "e", Size: 8 << 20})
+		s.Submit(epoch, dispatch.Request{ID: id, Account: account, Event: "e", BodyBytes: 8 << 20})
 		for _, r := range find[dispatch.Refuse](s) {
 			require.Equal(t, fleet.KindQueueFull, r.Err.Kind)
 			require.False(t, r.RetryAt.IsZero())
@@ -333,7 +333,7 @@
 		}
 	}
 	require.LessOrEqual(t, waiting, 1+32, "256 MiB wait at the most")
-	s.Abandon(epoch, 2)
+	s.HandleDisconnect(epoch, 2)
 	require.NotEmpty(t, find[dispatch.Refuse](s))
 	require.True(t, send("a00"), "room is given back")
 }
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -37,7 +37,7 @@
 // View returns the state for operators.
 func (s *Scheduler) View(now time.Time) View {
 	v := View{
-		Name: s.Name, Number: s.config.Number, Digest: s.digest, Leased: s.Leased(now),
+		Name: s.Name, Number: s.config.Number, Digest: s.digest, Leased: s.HasLease(now),
 		Stopping: s.stopping, Term: s.term, Accounts: []AccountView{}, Targets: []TargetView{},
 	}
 	byName := make(map[string]AccountView)
@@ -58,8 +58,8 @@
 	return v
 }
 
-// Remembered returns the number of deadlines kept. It is bounded by the
+// DeadlineCount returns the number of deadlines kept. It is bounded by the
 // requests that are unanswered, not by those that ever came.
-func (s *Scheduler) Remembered() int {
+func (s *Scheduler) DeadlineCount() int {
 	return len(s.deadlines.items)
 }
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -118,7 +118,7 @@
 
 // boot starts a router blank.
 func (w *world) boot(n *node) {
-	n.scheduler = &dispatch.Scheduler{Name: n.name, Zone: "z", Inc: uint64(w.now.UnixNano())}
+	n.scheduler = &dispatch.Scheduler{Name: n.name, Zone: "z", Incarnation: uint64(w.now.UnixNano())}
 	n.live = make(map[uint64]*request)
 	n.held = nil
 	n.tickAt = time.Time{}
@@ -146,10 +146,10 @@
 		return
 	}
 	f(s)
-	for _, a := range s.Take() {
+	for _, a := range s.TakeActions() {
 		w.carryOut(n, s, a)
 	}
-	if due := s.Deadline(); n.tickAt.IsZero() || due.Before(n.tickAt) {
+	if due := s.NextTick(); n.tickAt.IsZero() || due.Before(n.tickAt) {
 		n.tickAt = due
 		w.at(max(due.Sub(w.now), time.Millisecond), func() {
 			n.tickAt = time.Time{}
@@ -172,13 +172,13 @@
 	case dispatch.SendReport:
 		w.report(n, s, a.Report)
 	case dispatch.Send:
-		if !s.Leased(w.now) {
+		if !s.HasLease(w.now) {
 			panic(fmt.Sprintf("router %s starts request %d without a lease", n.name, a.ID))
 		}
 		w.at(w.delay, func() { w.run(n, s, a) })
-	case dispatch.AskClaim:
+	case dispatch.AcquireClaim:
 		w.claim(n, s, a)
-	case dispatch.Settle:
+	case dispatch.SettleClaim:
 		w.at(w.delay, func() {
 			w.do(ledger.Command{At: w.now, Settlements: []message.Settlement{a.Settlement}})
 		})
@@ -191,7 +191,7 @@
 	case dispatch.Cancel:
 		// A run that has ended tells its own end.
 		if r := n.live[a.ID]; r != nil && r.stop != nil && r.stop() {
-			w.ended(n, s, r, dispatch.End{Sent: true})
+			w.ended(n, s, r, dispatch.AttemptResult{Sent: true})
 		}
 	}
 }
@@ -239,19 +239,19 @@
 			}
 			s := n.scheduler
 			w.at(w.delay, func() {
-				w.input(n, s, func(s *dispatch.Scheduler) { s.Granted(w.now, g.Grant) })
+				w.input(n, s, func(s *dispatch.Scheduler) { s.HandleGrant(w.now, g.Grant) })
 			})
 		}
 	}
 }
 
-func (w *world) claim(n *node, s *dispatch.Scheduler, a dispatch.AskClaim) {
+func (w *world) claim(n *node, s *dispatch.Scheduler, a dispatch.AcquireClaim) {
 	fault := claimFault{}
 	if w.claimed != nil {
 		fault = w.claimed(w)
 	}
 	answer := func(v message.Verdict, lost bool) {
-		w.input(n, s, func(s *dispatch.Scheduler) { s.Claimed(w.now, a.ID, v, lost) })
+		w.input(n, s, func(s *dispatch.Scheduler) { s.HandleClaimResult(w.now, a.ID, v, lost) })
 	}
 	const patience = 500 * time.Millisecond
 	if fault.lostBefore || n.cut {
@@ -280,7 +280,7 @@
 	}
 	e := w.targets[a.Target.Name]
 	if e.dead || w.random.Float64() < e.refuse {
-		w.at(w.delay, func() { w.ended(n, s, r, dispatch.End{Failed: true}) })
+		w.at(w.delay, func() { w.ended(n, s, r, dispatch.AttemptResult{Failed: true}) })
 		return
 	}
 	r.runs++
@@ -303,27 +303,27 @@
 		if !r.stop() {
 			return
 		}
-		end := dispatch.End{Sent: true, Answered: true, Whole: true, Cost: r.cost}
+		end := dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: r.cost}
 		if broken || e.dead {
-			end = dispatch.End{Sent: true, Answered: w.random.IntN(2) == 0, Failed: true, Cost: r.cost}
+			end = dispatch.AttemptResult{Sent: true, ResponseStarted: w.random.IntN(2) == 0, Failed: true, Cost: r.cost}
 		}
 		w.ended(n, s, r, end)
 	})
 }
 
-func (w *world) ended(n *node, s *dispatch.Scheduler, r *request, e dispatch.End) {
+func (w *world) ended(n *node, s *dispatch.Scheduler, r *request, e dispatch.AttemptResult) {
 	if n.scheduler != s || n.live[r.ID] == nil {
 		return
 	}
 	w.input(n, s, func(s *dispatch.Scheduler) {
-		if e.Whole || e.Answered {
+		if e.ResponseComplete || e.ResponseStarted {
 			r.answers++
-			r.whole = e.Whole
+			r.whole = e.ResponseComplete
 			delete(n.live, r.ID)
 		}
-		s.Ended(w.now, r.ID, e)
+		s.HandleAttemptEnd(w.now, r.ID, e)
 	})
-	if e.Whole || e.Answered {
+	if e.ResponseComplete || e.ResponseStarted {
 		w.end(r)
 	}
 }
@@ -344,7 +344,7 @@
 	s := n.scheduler
 	w.input(n, s, func(s *dispatch.Scheduler) {
 		n.live[r.ID] = r
-		s.Arrive(w.now, r.Request)
+		s.Submit(w.now, r.Request)
 	})
 }
 
@@ -353,7 +353,7 @@
 	n := r.router
 	w.input(n, n.scheduler, func(s *dispatch.Scheduler) {
 		if n.live[r.ID] != nil {
-			s.Abandon(w.now, r.ID)
+			s.HandleDisconnect(w.now, r.ID)
 		}
 	})
 }
--- a/internal/keeper/histories_test.go
+++ b/internal/keeper/histories_test.go
@@ -70,7 +70,7 @@
 		_, ok := g.whole()
 		require.True(t, ok, "history %d recovers", seed)
 		for name, s := range g.routers {
-			require.GreaterOrEqual(t, s.Number(), g.newest, "router %s has what was accepted", name)
+			require.GreaterOrEqual(t, s.ConfigNumber(), g.newest, "router %s has what was accepted", name)
 		}
 		accepted += len(g.accepted)
 	}
--- a/internal/keeper/trio_test.go
+++ b/internal/keeper/trio_test.go
@@ -52,7 +52,7 @@
 }
 
 func (g *trio) startRouter(name string) {
-	g.routers[name] = &dispatch.Scheduler{Name: name, Zone: "z", Inc: uint64(g.clock.Now().UnixNano())}
+	g.routers[name] = &dispatch.Scheduler{Name: name, Zone: "z", Incarnation: uint64(g.clock.Now().UnixNano())}
 	g.seen[name] = 0
 	conn := &link.Conn{}
 	g.conns[conn] = name
@@ -74,9 +74,9 @@
 		return
 	}
 	s := c.g.routers[name]
-	s.Granted(c.g.clock.Now(), m)
-	require.GreaterOrEqual(c.g.t, s.Number(), c.g.seen[name], "a router never goes back")
-	c.g.seen[name] = s.Number()
+	s.HandleGrant(c.g.clock.Now(), m)
+	require.GreaterOrEqual(c.g.t, s.ConfigNumber(), c.g.seen[name], "a router never goes back")
+	c.g.seen[name] = s.ConfigNumber()
 }
 
 func (c *trioCarrier) setMembers(string, []quorum.Member) {}
@@ -129,7 +129,7 @@
 		name := g.conns[conn]
 		s := g.routers[name]
 		s.Tick(g.clock.Now())
-		for _, a := range s.Take() {
+		for _, a := range s.TakeActions() {
 			if r, ok := a.(dispatch.SendReport); ok && !g.cut[name] {
 				g.report(conn, r.Report)
 			}
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -27,7 +27,7 @@
 
 func (r *Router) serveHealth(ctx *fasthttp.RequestCtx) {
 	healthy := false
-	r.desk.ask(func(now time.Time, s *dispatch.Scheduler) { healthy = s.Healthy(now) })
+	r.desk.ask(func(now time.Time, s *dispatch.Scheduler) { healthy = s.Ready(now) })
 	if !healthy {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		ctx.SetBodyString("no lease, or stopping\n")
--- a/internal/router/claimer.go
+++ b/internal/router/claimer.go
@@ -27,7 +27,7 @@
 	keepers     *keepers
 	desk        *desk
 	log         hclog.Logger
-	asks        chan dispatch.AskClaim
+	asks        chan dispatch.AcquireClaim
 	settlements chan message.Settlement
 	open        chan struct{} // one token per settlement not yet handed over
 }
@@ -35,14 +35,14 @@
 func newClaimer(k *keepers, d *desk, log hclog.Logger) *claimer {
 	return &claimer{
 		keepers: k, desk: d, log: log,
-		asks:        make(chan dispatch.AskClaim, ringSize),
+		asks:        make(chan dispatch.AcquireClaim, ringSize),
 		settlements: make(chan message.Settlement, settleRing),
 		open:        make(chan struct{}, 2*settleRing),
 	}
 }
 
 // ask queues a claim. A full ring loses it, which is safe: it was not sent.
-func (c *claimer) ask(a dispatch.AskClaim) {
+func (c *claimer) ask(a dispatch.AcquireClaim) {
 	select {
 	case c.asks <- a:
 	default:
--- a/internal/router/desk.go
+++ b/internal/router/desk.go
@@ -31,7 +31,7 @@
 
 	probe  func(fleet.Target)
 	report func(message.Report)
-	claim  func(dispatch.AskClaim)
+	claim  func(dispatch.AcquireClaim)
 	settle func(message.Settlement)
 }
 
@@ -75,7 +75,7 @@
 		}
 		d.refreshKeys()
 		d.carryOut()
-		timer.Reset(max(d.scheduler.Deadline().Sub(d.clock.Now()), minTick))
+		timer.Reset(max(d.scheduler.NextTick().Sub(d.clock.Now()), minTick))
 	}
 }
 
@@ -83,7 +83,7 @@
 const minTick = time.Millisecond
 
 func (d *desk) carryOut() {
-	for _, a := range d.scheduler.Take() {
+	for _, a := range d.scheduler.TakeActions() {
 		switch a := a.(type) {
 		case dispatch.Send:
 			d.verdict(a.ID, a, false)
@@ -93,9 +93,9 @@
 			if c := d.calls[a.ID]; c != nil {
 				c.cancel()
 			}
-		case dispatch.AskClaim:
+		case dispatch.AcquireClaim:
 			d.claim(a)
-		case dispatch.Settle:
+		case dispatch.SettleClaim:
 			d.settle(a.Settlement)
 		case dispatch.Probe:
 			d.probe(a.Target)
@@ -120,31 +120,31 @@
 func (d *desk) arrive(c *call, r dispatch.Request) {
 	d.inputs <- func(now time.Time, s *dispatch.Scheduler) {
 		d.calls[c.id] = c
-		s.Arrive(now, r)
+		s.Submit(now, r)
 	}
 }
 
 func (d *desk) abandon(id uint64) {
-	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.Abandon(now, id) }
+	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.HandleDisconnect(now, id) }
 }
 
 // ended tells the end of a try. A whole or answered request gets no verdict
 // more.
-func (d *desk) ended(id uint64, e dispatch.End) {
+func (d *desk) ended(id uint64, e dispatch.AttemptResult) {
 	d.inputs <- func(now time.Time, s *dispatch.Scheduler) {
-		if e.Whole || e.Answered {
+		if e.ResponseComplete || e.ResponseStarted {
 			delete(d.calls, id)
 		}
-		s.Ended(now, id, e)
+		s.HandleAttemptEnd(now, id, e)
 	}
 }
 
 func (d *desk) claimed(id uint64, v message.Verdict, lost bool) {
-	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.Claimed(now, id, v, lost) }
+	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.HandleClaimResult(now, id, v, lost) }
 }
 
 func (d *desk) granted(g message.Grant, done func(inForce bool)) {
-	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { done(s.Granted(now, g)) }
+	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { done(s.HandleGrant(now, g)) }
 }
 
 func (d *desk) stop() {
@@ -221,11 +221,11 @@
 // refreshKeys copies the keys for the serving goroutines when the
 // configuration has changed.
 func (d *desk) refreshKeys() {
-	if d.keysOf == d.scheduler.Number() {
+	if d.keysOf == d.scheduler.ConfigNumber() {
 		return
 	}
-	d.keysOf = d.scheduler.Number()
+	d.keysOf = d.scheduler.ConfigNumber()
 	d.keysMu.Lock()
 	defer d.keysMu.Unlock()
-	d.keys = d.scheduler.Keys()
+	d.keys = d.scheduler.AccountsByKeyDigest()
 }
--- a/internal/router/meters.go
+++ b/internal/router/meters.go
@@ -56,13 +56,13 @@
 	m.refusals.WithLabelValues(string(a.Err.Kind), string(a.Outcome)).Inc()
 }
 
-func (m *meters) finished(e dispatch.End) {
+func (m *meters) finished(e dispatch.AttemptResult) {
 	whole := "no"
-	if e.Whole {
+	if e.ResponseComplete {
 		whole = "yes"
 	}
 	m.ends.WithLabelValues(whole).Inc()
-	m.first.Observe(e.First.Seconds())
+	m.first.Observe(e.TimeToFirstByte.Seconds())
 }
 
 // observe takes the figures of a report.
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -19,7 +19,7 @@
 			return // the doubt lapses: nobody lists the targets of events
 		}
 		here := r.Clock.Now().Add(-target.LookSlack)
-		in := func(now time.Time, s *dispatch.Scheduler) { s.Looked(now, here, t.Name, p == target.Ended) }
+		in := func(now time.Time, s *dispatch.Scheduler) { s.HandleProbeResult(now, here, t.Name, p == target.Ended) }
 		select {
 		case r.desk.inputs <- in:
 		case <-r.desk.over:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -80,7 +80,7 @@
 	r.prefix = fmt.Sprintf("%s-%x-", r.Settings.Name, inc)
 	r.meters = newMeters(&r.count)
 	r.desk = newDesk(r.Clock, &dispatch.Scheduler{
-		Name: r.Settings.Name, Zone: r.Settings.Zone, Inc: inc,
+		Name: r.Settings.Name, Zone: r.Settings.Zone, Incarnation: inc,
 		Guard: quarantine.Guard{Owner: message.Owner(r.Settings.Name, inc), Named: true},
 	})
 	r.keepers = &keepers{
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -88,7 +88,7 @@
 		switch a := (<-c.verdicts).(type) {
 		case dispatch.Send:
 			r.Log.Info("route", "request", name, "account", req.Account, "event", req.Event,
-				"target", a.Target.Name, "why", a.Reason, "waited", a.Waited, "attempt", a.Attempt)
+				"target", a.Target.Name, "why", a.Reason, "waited", a.QueueTime, "attempt", a.Attempt)
 			if done, streams := r.try(ctx, c, a, req, name, path); done {
 				return streams
 			}
@@ -114,14 +114,14 @@
 	if !ok {
 		return dispatch.Request{}, "", fleet.NewError(fleet.KindKey, "send Authorization: Bearer KEY with a key of the configuration", "the key names no account")
 	}
-	req := dispatch.Request{ID: id, Account: account, Event: event, Size: len(ctx.PostBody()), Prefix: prefixOf(ctx.PostBody())}
+	req := dispatch.Request{ID: id, Account: account, Event: event, BodyBytes: len(ctx.PostBody()), PrefixHash: prefixOf(ctx.PostBody())}
 	if err := parseHeaders(&ctx.Request.Header, &req); err != nil {
 		return dispatch.Request{}, "", err
 	}
 	if query := ctx.URI().QueryString(); len(query) > 0 {
 		path += "?" + string(query)
 	}
-	req.Print = quarantine.Likeness{
+	req.Fingerprint = quarantine.Likeness{
 		Account: account, Method: string(ctx.Method()), Place: event + "/" + path, Body: ctx.PostBody(),
 	}.Print()
 	return req, "/" + path, nil
@@ -147,7 +147,7 @@
 	case key == "":
 		return malformed(headerKey, "a key, since Lf-Repeat is never")
 	default:
-		req.Claim = ledger.KeyOf(req.Account, key)
+		req.ClaimKey = ledger.KeyOf(req.Account, key)
 	}
 	if text := string(h.Peek(headerDeadline)); text != "" {
 		t, err := time.Parse(time.RFC3339, text)
@@ -161,7 +161,7 @@
 		if err != nil || n == 0 {
 			return malformed(headerCost, "a positive whole number")
 		}
-		req.Hint = float64(n)
+		req.CostHint = float64(n)
 	}
 	return nil
 }
--- a/internal/router/try.go
+++ b/internal/router/try.go
@@ -43,7 +43,7 @@
 	}
 	if !c.attach(conn) {
 		_ = conn.Close() // nothing was sent
-		r.desk.ended(c.id, dispatch.End{})
+		r.desk.ended(c.id, dispatch.AttemptResult{})
 		return false, false
 	}
 	req := fasthttp.AcquireRequest()
@@ -77,7 +77,7 @@
 		r.noteCut(name, of, a.Target, err)
 	}
 	r.Log.Warn("try failed", "request", name, "target", a.Target.Name, "sent", sent, "gone", left, "error", err)
-	r.desk.ended(c.id, dispatch.End{Sent: sent, Failed: !left, Cut: sent && !left && target.Cut(err)})
+	r.desk.ended(c.id, dispatch.AttemptResult{Sent: sent, Failed: !left, TargetClosed: sent && !left && target.Cut(err)})
 }
 
 // noteCut takes note of an exchange that a target cut.
@@ -85,7 +85,7 @@
 	if !target.Cut(err) {
 		return
 	}
-	r.Log.Warn("cut by the target", "request", name, "account", of.Account, "route", of.Event, "print", of.Print,
+	r.Log.Warn("cut by the target", "request", name, "account", of.Account, "route", of.Event, "print", of.Fingerprint,
 		"target", t.Name, "born", 0, "error", err)
 	r.meters.cuts.Inc()
 }
@@ -180,15 +180,15 @@
 	b.once.Do(func() {
 		b.answer.Close()
 		b.router.watch.remove(b.call)
-		e := dispatch.End{
-			Sent: true, Answered: true, Whole: b.answer.Whole(),
+		e := dispatch.AttemptResult{
+			Sent: true, ResponseStarted: true, ResponseComplete: b.answer.Whole(),
 			Failed: b.failed || b.answer.Status >= fasthttp.StatusInternalServerError,
-			Cost:   b.cost(), First: b.first.Sub(b.start),
-			Cut: b.cut, Success: b.answer.Whole() && b.answer.Status < fasthttp.StatusMultipleChoices,
+			Cost:   b.cost(), TimeToFirstByte: b.first.Sub(b.start),
+			TargetClosed: b.cut, Succeeded: b.answer.Whole() && b.answer.Status < fasthttp.StatusMultipleChoices,
 		}
 		b.router.meters.finished(e)
 		b.router.Log.Info("end", "request", b.name, "target", b.target.Name, "status", b.answer.Status,
-			"whole", e.Whole, "cost", e.Cost, "first", e.First, "took", b.router.Clock.Now().Sub(b.start))
+			"whole", e.ResponseComplete, "cost", e.Cost, "first", e.TimeToFirstByte, "took", b.router.Clock.Now().Sub(b.start))
 		b.router.desk.ended(b.call.id, e)
 	})
 }
