--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -80,7 +80,7 @@
 	r.prefix = fmt.Sprintf("%s-%x-", r.Settings.Name, inc)
 	r.meters = newMeters(&r.count)
 	r.desk = newDesk(r.Clock, &dispatch.Scheduler{
-		Name: r.Settings.Name, Zone: r.Settings.Zone, Inc: inc,
+		Name: r.Settings.Name, Zone: r.Settings.Zone, Incarnation: inc,
 		Guard: quarantine.Guard{Owner: message.ClaimOwner(r.Settings.Name, inc), IDsReused: true},
 	})
 	r.keepers = &keepers{
