--- a/internal/keeper/instances.go
+++ b/internal/keeper/instances.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/roster"
+	"laburnumfall/internal/targetlist"
 )
 
 // An InstanceList is the platform's list of targets. It lags, and takes a
@@ -50,7 +50,7 @@
 		return nil
 	}
 	failing := false
-	notes := roster.DamageNotes{Log: c.log, List: list.Address(), Count: &c.damaged}
+	notes := targetlist.DamageNotes{Log: c.log, List: list.Address(), Count: &c.damaged}
 	for pause := leadPoll; sleep(ctx, pause); {
 		pause = leadPoll
 		if !c.leading(ctx) {
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -211,7 +211,7 @@
 
 // setTargets takes the platform's list of targets as it was read at a time. It goes to the
 // routers as it is: what follows from a damaged entry, or from a list that is suddenly
-// empty, is decided by the roster of each, or two of them would add up their patience.
+// empty, is decided by the target list of each, or two of them would add up their patience.
 func (c *core) setTargets(readAt time.Time, listing fleet.Listing) {
 	targets, damaged := listing.Targets, listing.DamagedIDs()
 	term := c.node.Term()
--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -15,8 +15,8 @@
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/quota"
-	"laburnumfall/internal/roster"
 	"laburnumfall/internal/rpc"
+	"laburnumfall/internal/targetlist"
 	"laburnumfall/internal/warmup"
 )
 
@@ -103,7 +103,7 @@
 	seeds   atomic.Pointer[[]string]
 	state   atomic.Pointer[State]
 	damaged atomic.Uint64
-	roster  roster.Roster
+	roster  targetlist.List
 	links   map[string]*rpc.Conn
 	turn    int // counts the keepers asked beside the leader
 	keepers []string
@@ -118,7 +118,7 @@
 	term     uint64
 	list     uint64
 	sent     sentList
-	notes    roster.DamageNotes
+	notes    targetlist.DamageNotes
 	readOwn  time.Time // when this router last read the list itself
 	pulse    pulse
 }
--- a/internal/roster/notes_test.go
+++ b/internal/targetlist/notes_test.go
@@ -1,4 +1,4 @@
-package roster
+package targetlist
 
 import (
 	"bytes"
--- a/internal/roster/roster.go
+++ b/internal/targetlist/targetlist.go
@@ -1,8 +1,8 @@
-// Package roster keeps which targets there are, from a list that lags and may
+// Package targetlist keeps which targets there are, from a list that lags and may
 // be read at several places.
 //
-// A Roster is deterministic: (time, list) in, targets out.
-package roster
+// A List is deterministic: (time, list) in, targets out.
+package targetlist
 
 import (
 	"cmp"
@@ -33,8 +33,8 @@
 	emptyFor = 10 * time.Second
 )
 
-// A Roster holds the newest list. Its zero value is empty.
-type Roster struct {
+// A List holds the newest list. Its zero value is empty.
+type List struct {
 	// Routed reports whether any route names a pool; nil means that all are named.
 	Routed func(pool string) bool
 
@@ -65,7 +65,7 @@
 // A list without any sound entry is believed only after emptyFor: more often than all
 // targets at once, whoever writes the list is gone. A damaged entry does not say that its
 // target is gone either.
-func (r *Roster) Take(readAt time.Time, list fleet.Listing) bool {
+func (r *List) Take(readAt time.Time, list fleet.Listing) bool {
 	if readAt.Before(r.readAt) {
 		return false
 	}
@@ -99,7 +99,7 @@
 }
 
 // doubtful reports whether a list is empty and that has not lasted for long enough.
-func (r *Roster) doubtful(list fleet.Listing) bool {
+func (r *List) doubtful(list fleet.Listing) bool {
 	if len(list.Targets) > 0 || len(r.targets) == 0 {
 		r.emptyAt = time.Time{}
 		return false
@@ -114,7 +114,7 @@
 // latest start, of one start the entry that is leaving, of others the one that was used
 // before. A list should not hold two; where it does, another writer wrote one, or the list
 // changed between its pages.
-func (r *Roster) choose(list []fleet.Instance) []fleet.Instance {
+func (r *List) choose(list []fleet.Instance) []fleet.Instance {
 	sorted := slices.Clone(list)
 	slices.SortStableFunc(sorted, func(a, b fleet.Instance) int {
 		return cmp.Or(
@@ -138,18 +138,18 @@
 
 // routed reports whether a route names the target's pool. What another writer writes of a
 // service that nobody knows must not take a target's place.
-func (r *Roster) routed(in fleet.Instance) bool {
+func (r *List) routed(in fleet.Instance) bool {
 	return r.Routed == nil || r.Routed(in.Pool)
 }
 
 // used reports whether the target was last listed as this entry has it.
-func (r *Roster) used(in fleet.Instance) bool {
+func (r *List) used(in fleet.Instance) bool {
 	k := r.known[in.ID]
 	return k != nil && k.Address == in.Address && k.Pool == in.Pool
 }
 
 // see takes the entry of one ID.
-func (r *Roster) see(in fleet.Instance, held bool) {
+func (r *List) see(in fleet.Instance, held bool) {
 	k := r.known[in.ID]
 	switch {
 	case k != nil && r.routed(k.Instance) && !r.routed(in):
@@ -173,7 +173,7 @@
 }
 
 // isNew reports whether an entry is of a later start than what is known under its ID.
-func (r *Roster) isNew(k *known, in fleet.Instance) bool {
+func (r *List) isNew(k *known, in fleet.Instance) bool {
 	switch {
 	case r.readAt.Sub(k.seenAt) > memory:
 		return true
@@ -188,7 +188,7 @@
 }
 
 // forget drops what is not listed any more and cannot matter.
-func (r *Roster) forget() {
+func (r *List) forget() {
 	for id, k := range r.known {
 		if !k.listed && r.readAt.Sub(k.seenAt) > memory {
 			delete(r.known, id)
@@ -204,7 +204,7 @@
 // for some seconds, while its address is given to another. Otherwise both stay: an entry
 // of another writer must hide no sound one, and the target that is there refuses, without
 // running it, what names the other.
-func (r *Roster) listed() []fleet.Instance {
+func (r *List) listed() []fleet.Instance {
 	latest := make(map[place]int64)
 	for _, k := range r.known {
 		at := place{pool: k.Pool, address: k.Address}
@@ -223,11 +223,11 @@
 }
 
 // Targets returns the targets, in the order of their IDs.
-func (r *Roster) Targets() []fleet.Instance {
+func (r *List) Targets() []fleet.Instance {
 	return r.targets
 }
 
 // ReadAt returns when the newest list that was believed was read.
-func (r *Roster) ReadAt() time.Time {
+func (r *List) ReadAt() time.Time {
 	return r.goodAt
 }
--- a/internal/roster/roster_test.go
+++ b/internal/targetlist/targetlist_test.go
@@ -1,4 +1,4 @@
-package roster
+package targetlist
 
 import (
 	"testing"
@@ -13,7 +13,7 @@
 var start = time.Unix(1e9, 0)
 
 func TestRosterKeepsTheNewestList(t *testing.T) {
-	var r Roster
+	var r List
 	a, b := fleet.Instance{Incarnation: fleet.Incarnation{ID: "a"}}, fleet.Instance{Incarnation: fleet.Incarnation{ID: "b"}}
 	require.True(t, r.Take(start, list(b, a)))
 	require.Equal(t, []fleet.Instance{a, b}, r.Targets())
@@ -29,7 +29,7 @@
 // reads the list itself, where it still looks live.
 // Cause: the list lags, and not alike for all readers.
 func TestALeavingTargetStaysOut(t *testing.T) {
-	var r Roster
+	var r List
 	live, leaving := fleet.Instance{Incarnation: fleet.Incarnation{ID: "a"}}, fleet.Instance{Incarnation: fleet.Incarnation{ID: "a"}, Leaving: true}
 	r.Take(start, list(leaving))
 	require.False(t, r.Take(start.Add(time.Second), list(live)))
@@ -68,7 +68,7 @@
 // Sequence: it is listed as draining, ends, and is listed as ready under its ID.
 // Cause: leaving was remembered by ID, which outlives the process.
 func TestATargetThatStartedAgainIsNotLeaving(t *testing.T) {
-	var r Roster
+	var r List
 	r.Take(at(0), list(leaving(run("a", 1000))))
 	require.True(t, r.Take(at(1), list(run("a", 2000))), "at once, even if no list lacked it")
 	require.Equal(t, []fleet.Instance{run("a", 2000)}, r.Targets())
@@ -81,7 +81,7 @@
 // its former start.
 // Cause: the list that comes last counts.
 func TestAnOlderStartReplacesNoNewerOne(t *testing.T) {
-	var r Roster
+	var r List
 	r.Take(at(0), list(run("a", 2000)))
 	require.False(t, r.Take(at(1), list(run("a", 1000))))
 	require.False(t, r.Take(at(2), list(leaving(run("a", 1000)))), "that the former one leaves concerns nobody")
@@ -95,7 +95,7 @@
 // Sequence: as in TestALeavingTargetStaysOut, with starts that are told.
 // Cause: as there.
 func TestALeavingTargetOfAKnownStartStaysOut(t *testing.T) {
-	var r Roster
+	var r List
 	r.Take(at(0), list(leaving(run("a", 1000))))
 	for s := 1.0; s < 40; s++ {
 		r.Take(at(s), list(run("a", 1000)))
@@ -120,7 +120,7 @@
 		"listed": {1, []fleet.Instance{leaving(run("a", 0))}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var r Roster
+			var r List
 			r.Take(at(0), list(leaving(run("a", 0))))
 			r.Take(at(1), list(tt.between...))
 			lag := tt.last + longestLag.Seconds()
@@ -135,7 +135,7 @@
 // A crash shows no leaving. The target may be back on the list before its former start
 // has left it, or after a gap, as it also has when the list changes between its pages.
 func TestWithoutAStartATargetThatWasGoneComesBackAtOnce(t *testing.T) {
-	var r Roster
+	var r List
 	r.Take(at(0), list(run("a", 0)))
 	r.Take(at(1), list(sound))
 	require.Equal(t, []fleet.Instance{sound}, r.Targets())
@@ -148,7 +148,7 @@
 // the router's own take turns.
 // Cause: an unknown start is taken for another one.
 func TestAnUnknownStartIsTheOneThatIsKnown(t *testing.T) {
-	var r Roster
+	var r List
 	r.Take(at(0), list(run("a", 0), leaving(run("b", 0))))
 	require.True(t, r.Take(at(1), list(run("a", 1000), run("b", 1000))))
 	require.Equal(t, []fleet.Instance{run("a", 1000), leaving(run("b", 1000))}, r.Targets(), "the starts are learned, and b still leaves")
@@ -170,7 +170,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, entries := range [][]fleet.Instance{tt.list, {tt.list[1], tt.list[0]}} {
-				var r Roster
+				var r List
 				r.Take(at(0), list(run("a", 1000)))
 				r.Take(at(1), list(entries...))
 				require.Equal(t, tt.want, r.Targets())
@@ -183,7 +183,7 @@
 // Sequence: another writer lists its ID under a service that nobody knows, as started later.
 // Cause: the later start counts, whatever else the entry says.
 func TestAnUnknownServiceTakesNoTargetsPlace(t *testing.T) {
-	r := Roster{Routed: func(pool string) bool { return pool == "p" }}
+	r := List{Routed: func(pool string) bool { return pool == "p" }}
 	other := run("a", 3000)
 	other.Pool, other.Address = "", "0:80"
 	r.Take(at(0), list(other, run("a", 1000)))
@@ -202,7 +202,7 @@
 func TestOfTwoAtOneAddressTheLaterStartIsThere(t *testing.T) {
 	former, next := run("a", 1000), run("b", 2000)
 	former.Address = next.Address
-	var r Roster
+	var r List
 	r.Take(at(0), list(former, next))
 	require.Equal(t, []fleet.Instance{next}, r.Targets())
 	r.Take(at(1), list(former))
@@ -221,7 +221,7 @@
 // seen leaving is not ready again as the same start.
 func TestRosterUnderAnyLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Roster
+		var r List
 		newest := map[string]int64{}
 		left := map[fleet.Incarnation]bool{}
 		now := start
@@ -259,7 +259,7 @@
 // Cause: a target whose entry cannot be understood is taken for gone.
 func TestADamagedEntryDoesNotEndItsTarget(t *testing.T) {
 	a, b := run("a", 1000), leaving(run("b", 1000))
-	var r Roster
+	var r List
 	r.Take(at(0), list(a, b, sound))
 	require.False(t, r.Take(at(0.6), damaged(list(sound), "a", "b", "new", "")), "they keep their last good entries, and what leaves goes on leaving")
 	require.False(t, r.Take(at(1.2), damaged(list(sound), "a", "b")))
@@ -276,7 +276,7 @@
 
 // A target whose entry was damaged is the same one when that is mended, or the next start.
 func TestAfterDamageATargetIsWhatItsEntrySays(t *testing.T) {
-	var r Roster
+	var r List
 	r.Take(at(0), list(leaving(run("a", 1000)), sound))
 	r.Take(at(1), damaged(list(sound), "a"))
 	r.Take(at(1.4), list(run("a", 1000), sound))
@@ -293,7 +293,7 @@
 	targets := []fleet.Instance{run("a", 1000), leaving(run("b", 1000))}
 	for name, empty := range map[string]fleet.Listing{"empty": {}, "all damaged": damaged(fleet.Listing{}, "a", "b", "")} {
 		t.Run(name, func(t *testing.T) {
-			var r Roster
+			var r List
 			r.Take(at(0), list(targets...))
 			for s := 30.0; s < 40; s++ { // nobody could read it before
 				require.False(t, r.Take(at(s), empty))
@@ -307,7 +307,7 @@
 			require.Equal(t, at(45).Add(emptyFor), r.ReadAt())
 		})
 	}
-	var fresh Roster
+	var fresh List
 	require.False(t, fresh.Take(at(0), fleet.Listing{}), "nobody is known")
 	require.Equal(t, at(0), fresh.ReadAt())
 }
