--- a/internal/packed/packed.go
+++ b/internal/codec/codec.go
@@ -1,8 +1,8 @@
-// Package packed holds the form in which configurations of routes are kept and
+// Package codec holds the form in which configurations of routes are kept and
 // sent between processes. They are text that repeats itself: packed, one is a
 // tenth as long, and so are the log of the keepers, its way to each of them and
 // to each router.
-package packed
+package codec
 
 import (
 	"bytes"
--- a/internal/packed/sample_test.go
+++ b/internal/codec/sample_test.go
@@ -1,4 +1,4 @@
-package packed
+package codec
 
 import (
 	"testing"
--- a/internal/keeper/control.go
+++ b/internal/keeper/control.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 	"laburnumfall/internal/rpc"
 )
 
@@ -30,7 +30,7 @@
 // Put makes a configuration of routes durable. An error means that it may or
 // may not come in force; to send it again is safe.
 func (c *Control) Put(ctx context.Context, number uint64, text []byte) error {
-	data, err := packed.Pack(text)
+	data, err := codec.Pack(text)
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	if err != nil || d.Number == 0 {
 		return 0, nil, err
 	}
-	text, err = packed.Unpack(d.Text)
+	text, err = codec.Unpack(d.Text)
 	return d.Number, text, err
 }
 
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 	"laburnumfall/internal/quorum"
 	"laburnumfall/internal/quota"
 	"laburnumfall/internal/statestore"
@@ -124,12 +124,12 @@
 
 func packSums(at time.Time, l message.Loads, names uint32) (packedSums, error) {
 	l.Names = names
-	named, err := packed.PackJSON(l)
+	named, err := codec.PackJSON(l)
 	if err != nil {
 		return packedSums{}, err
 	}
 	l.Accounts = nil
-	unnamed, err := packed.PackJSON(l)
+	unnamed, err := codec.PackJSON(l)
 	return packedSums{at: at, names: names, named: named, unnamed: unnamed}, err
 }
 
@@ -143,7 +143,7 @@
 	if len(config.Routes) == 0 || c.routes.own.Number == config.Number {
 		return c.routes.own
 	}
-	data, err := packed.Pack(text)
+	data, err := codec.Pack(text)
 	if err != nil {
 		c.log.Error("a configuration cannot be packed: its routes are not served", "number", config.Number, "error", err)
 		return c.routes.own
@@ -220,7 +220,7 @@
 	}
 	warming := warming(listing.WarmingUntil(readAt))
 	if c.routes.list == 0 || !slices.Equal(c.routes.targets, targets) || !slices.Equal(c.routes.damaged, damaged) || warming.beyond(c.routes.warming) {
-		data, err := packed.PackJSON(targets)
+		data, err := codec.PackJSON(targets)
 		if err != nil {
 			c.log.Error("the list of targets cannot be packed: routers go on with the one before", "error", err)
 			return
--- a/internal/keeper/renew_test.go
+++ b/internal/keeper/renew_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 )
 
 // Symptom: while routers or keepers are replaced, routers of the version before
@@ -32,10 +32,10 @@
 	now := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Demand: demand, Backlog: backlog})
 	require.Empty(t, now.Targets)
 	require.Empty(t, now.Backlog)
-	roll, err := packed.UnpackJSON[[]fleet.Instance](now.Roll)
+	roll, err := codec.UnpackJSON[[]fleet.Instance](now.Roll)
 	require.NoError(t, err)
 	require.Equal(t, targets, roll)
-	loads, err := packed.UnpackJSON[message.Loads](now.Loads)
+	loads, err := codec.UnpackJSON[message.Loads](now.Loads)
 	require.NoError(t, err)
 	require.NotZero(t, loads.Names)
 	require.Equal(t, message.Loads{Accounts: []string{"x"}, Names: loads.Names, Rates: []int{9}, Served: []int{8}, Tokens: []int{0, 4}, Running: []int{0, 1}}, loads)
@@ -61,10 +61,10 @@
 	c.setTargets(g.clock.Now(), fleet.Listing{Targets: next})
 	now := c.renew(g.clock.Now(), message.Renew{Router: "r", Columns: true, Term: former.Term, List: former.List, Backlog: backlog})
 	require.Greater(t, now.List, former.List)
-	roll, err := packed.UnpackJSON[[]fleet.Instance](now.Roll)
+	roll, err := codec.UnpackJSON[[]fleet.Instance](now.Roll)
 	require.NoError(t, err)
 	require.Equal(t, next, roll)
-	loads, err := packed.UnpackJSON[message.Loads](now.Loads)
+	loads, err := codec.UnpackJSON[message.Loads](now.Loads)
 	require.NoError(t, err)
 	require.Equal(t, []int{0}, loads.Tokens, "the former's backlog is gone with it")
 }
@@ -133,7 +133,7 @@
 		for i, name := range accounts {
 			r.Demand = append(r.Demand, message.Demand{Account: name, Rate: float64(10 + i), Served: 1})
 		}
-		loads, err := packed.UnpackJSON[message.Loads](c.renew(g.clock.Now(), r).Loads)
+		loads, err := codec.UnpackJSON[message.Loads](c.renew(g.clock.Now(), r).Loads)
 		require.NoError(t, err)
 		return loads
 	}
--- a/internal/keeperclient/fuzz_test.go
+++ b/internal/keeperclient/fuzz_test.go
@@ -7,18 +7,18 @@
 
 	"github.com/stretchr/testify/require"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 	"laburnumfall/internal/placement"
 )
 
 // Whatever a keeper answers, of this version or another: a router takes it, goes by one
 // entry for each ID, never goes back to a lower configuration, and its next list counts.
 func FuzzRenewal(f *testing.F) {
-	roll, err := packed.PackJSON([]fleet.Instance{instance("a", 5, false), instance("a", 4, true), instance("", 0, false)})
+	roll, err := codec.PackJSON([]fleet.Instance{instance("a", 5, false), instance("a", 4, true), instance("", 0, false)})
 	require.NoError(f, err)
-	loads, err := packed.PackJSON(message.Loads{Accounts: []string{"x"}, Rates: []int{-5}, Served: []int{1 << 62}, Tokens: []int{-1, 1 << 62, 3}, Running: []int{1, 2, 3}})
+	loads, err := codec.PackJSON(message.Loads{Accounts: []string{"x"}, Rates: []int{-5}, Served: []int{1 << 62}, Tokens: []int{-1, 1 << 62, 3}, Running: []int{1, 2, 3}})
 	require.NoError(f, err)
 	for _, r := range []message.Renewal{
 		{Leads: true, Term: 1, Number: 3, Text: []byte("3"), List: 1, Roll: roll, Loads: loads, Damaged: []string{"a", ""}, Age: -time.Hour},
--- a/internal/keeperclient/keeperclient_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 
 	"laburnumfall/internal/clock"
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 	"laburnumfall/internal/quota"
 	"laburnumfall/internal/rpc"
 )
@@ -97,7 +97,7 @@
 
 // text returns the packed form of a configuration that decodeNumber reads.
 func text(t *testing.T, number uint64) []byte {
-	data, err := packed.Pack(fmt.Append(nil, number))
+	data, err := codec.Pack(fmt.Append(nil, number))
 	require.NoError(t, err)
 	return data
 }
@@ -174,7 +174,7 @@
 }
 
 func pack[T any](t *testing.T, value T) []byte {
-	data, err := packed.PackJSON(value)
+	data, err := codec.PackJSON(value)
 	require.NoError(t, err)
 	return data
 }
--- a/internal/keeperclient/take.go
+++ b/internal/keeperclient/take.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 	"laburnumfall/internal/quota"
 )
 
@@ -50,7 +50,7 @@
 	if len(r.Text) == 0 || r.Number <= u.number() {
 		return false
 	}
-	text, err := packed.Unpack(r.Text)
+	text, err := codec.Unpack(r.Text)
 	if err != nil {
 		u.Log.Error("configuration cannot be unpacked: going on with the one before", "number", r.Number, "error", err)
 		return false
@@ -96,7 +96,7 @@
 	list := r.Targets
 	if len(r.Roll) > 0 {
 		var err error
-		if list, err = packed.UnpackJSON[[]fleet.Instance](r.Roll); err != nil {
+		if list, err = codec.UnpackJSON[[]fleet.Instance](r.Roll); err != nil {
 			u.Log.Error("the list of targets cannot be unpacked: going on with the one before", "list", r.List, "error", err)
 			return
 		}
@@ -110,7 +110,7 @@
 func (u *Client) takeLoads(mine []message.Backlog, r message.Renewal) {
 	demand, backlog := r.Demand, r.Backlog
 	if len(r.Loads) > 0 {
-		loads, err := packed.UnpackJSON[message.Loads](r.Loads)
+		loads, err := codec.UnpackJSON[message.Loads](r.Loads)
 		if err != nil {
 			u.Log.Error("loads cannot be unpacked: going on with those before", "term", r.Term, "error", err)
 			return
--- a/internal/message/packedrenew.go
+++ b/internal/message/packedrenew.go
@@ -4,12 +4,12 @@
 	"encoding/json"
 	"fmt"
 
-	"laburnumfall/internal/packed"
+	"laburnumfall/internal/codec"
 )
 
 // renewSample is what most renewals consist of. It is part of the protocol: another one needs
 // another method.
-var renewSample = packed.Sample{Text: []byte(`"quarantine":{"held":,"ends":["clears":["returns":["asks":["evacuations":,"members":` +
+var renewSample = codec.Sample{Text: []byte(`"quarantine":{"held":,"ends":["clears":["returns":["asks":["evacuations":,"members":` +
 	`"backlog":[{"target":"i-","born":17,"tokens":0,"running":1},{"target":"i-","born":17,"running":1}],"quarantine":{}` +
 	`"demand":[{"account":"","rate":0,"served":0},{"account":"","rate":` +
 	`{"router":"","zone":"","inc":17,"number":1,"term":1,"list":1,"columns":true,"seat":{"number":1,"of":1,"ready":true},"demand":[{"account":"`)}
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 )
 
 // BenchmarkAnswer measures what the leader does to answer one router: the encoding
@@ -42,7 +42,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				demand, backlog, _ := board.Sums(start)
-				loads, err := packed.PackJSON(Columns(demand, backlog, targets))
+				loads, err := codec.PackJSON(Columns(demand, backlog, targets))
 				require.NoError(b, err)
 				data, err := json.Marshal(message.Renewal{Loads: loads})
 				require.NoError(b, err)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 )
 
 var start = time.Unix(1e9, 0)
@@ -186,9 +186,9 @@
 		for i := range rapid.IntRange(0, 9).Draw(t, "accounts") {
 			demand = append(demand, message.Demand{Account: fmt.Sprint(i), Rate: float64(rapid.IntRange(0, 9e6).Draw(t, "rate")), Served: 3})
 		}
-		data, err := packed.PackJSON(Columns(demand, backlog, targets))
+		data, err := codec.PackJSON(Columns(demand, backlog, targets))
 		require.NoError(t, err)
-		loads, err := packed.UnpackJSON[message.Loads](data)
+		loads, err := codec.UnpackJSON[message.Loads](data)
 		require.NoError(t, err)
 		gotDemand, gotBacklog := Rows(loads, targets)
 		require.Equal(t, demand, gotDemand)
