--- a/internal/logring/logring.go
+++ b/internal/asynclog/asynclog.go
@@ -1,8 +1,8 @@
-// Package logring takes log lines off the path of requests: a slow or stuck
+// Package asynclog takes log lines off the path of requests: a slow or stuck
 // reader of the log must never hold a request. Lines are bounded by kind, and
 // warnings, which the lines of failed requests are, go before others. What is left
 // out is counted, and the counts stand in the log once there is room.
-package logring
+package asynclog
 
 import (
 	"context"
@@ -23,8 +23,8 @@
 	pause = 50 * time.Millisecond
 )
 
-// A Ring is a bounded ring of log lines. Make it by New.
-type Ring struct {
+// A Writer is a bounded ring of log lines. Make it by New.
+type Writer struct {
 	out   io.Writer
 	lines chan []byte
 	now   func() time.Time
@@ -34,15 +34,15 @@
 	left   int // lines dropped since the start
 }
 
-var _ io.Writer = &Ring{}
+var _ io.Writer = &Writer{}
 
 // New returns a ring that writes to out while Run runs.
-func New(out io.Writer) *Ring {
-	return &Ring{out: out, lines: make(chan []byte, size), now: time.Now}
+func New(out io.Writer) *Writer {
+	return &Writer{out: out, lines: make(chan []byte, size), now: time.Now}
 }
 
 // Write queues one line. It never waits and never fails.
-func (r *Ring) Write(line []byte) (int, error) {
+func (r *Writer) Write(line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k, ok := r.budget.take(r.now(), line)
@@ -60,19 +60,19 @@
 }
 
 // Dropped returns how many lines were left out since the start.
-func (r *Ring) Dropped() int {
+func (r *Writer) Dropped() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.left
 }
 
-func (r *Ring) drop(k *kind) {
+func (r *Writer) drop(k *kind) {
 	k.dropped++
 	r.left++
 }
 
 // Run writes lines until ctx ends, and then what still waits.
-func (r *Ring) Run(ctx context.Context) {
+func (r *Writer) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -100,7 +100,7 @@
 
 // dropped returns the line that counts what was left out since the last one, if
 // anything was.
-func (r *Ring) dropped() []byte {
+func (r *Writer) dropped() []byte {
 	r.mu.Lock()
 	counts, all := r.budget.droppedLines()
 	now := r.now().UTC()
@@ -115,7 +115,7 @@
 
 // flush writes a batch that begins with a line, and reports whether there was
 // anything.
-func (r *Ring) flush(batch []byte) bool {
+func (r *Writer) flush(batch []byte) bool {
 	batch = append(batch, r.dropped()...)
 	for len(batch) < batchBytes {
 		select {
--- a/internal/logring/logring_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -1,4 +1,4 @@
-package logring
+package asynclog
 
 import (
 	"bytes"
@@ -33,7 +33,7 @@
 // full runs write against a ring whose reader takes nothing meanwhile, at a time
 // that stands still for a second's worth of lines at most, and returns what was
 // written in the end.
-func full(write func(r *Ring, log hclog.Logger, second func())) string {
+func full(write func(r *Writer, log hclog.Logger, second func())) string {
 	out := &slowOut{release: make(chan struct{})}
 	r := New(out)
 	now := time.Unix(1000, 0)
@@ -68,7 +68,7 @@
 // kept.
 // Cause: writing a line waits for its reader.
 func TestAStuckLogHoldsNobodyAndTellsWhatItDropped(t *testing.T) {
-	text := full(func(r *Ring, _ hclog.Logger, second func()) {
+	text := full(func(r *Writer, _ hclog.Logger, second func()) {
 		for i := range 3 * size {
 			if i%usualLines == 0 {
 				second()
@@ -90,7 +90,7 @@
 // Cause: whatever comes first takes the room.
 func TestFailedRequestsAreKeptBeforeServedOnes(t *testing.T) {
 	const failed = 900
-	text := full(func(_ *Ring, log hclog.Logger, second func()) {
+	text := full(func(_ *Writer, log hclog.Logger, second func()) {
 		for i := range 8 * usualLines {
 			if i%usualLines == 0 {
 				second()
@@ -111,7 +111,7 @@
 // Sequence: many requests in one second, and a change of configuration.
 // Cause: all lines draw on one budget, or on none.
 func TestEachKindOfLineHasABudget(t *testing.T) {
-	text := full(func(_ *Ring, log hclog.Logger, second func()) {
+	text := full(func(_ *Writer, log hclog.Logger, second func()) {
 		for range 2 {
 			for range 2 * usualLines {
 				log.Info("done", "status", 200)
@@ -126,7 +126,7 @@
 }
 
 func TestManyKindsShareOneBudget(t *testing.T) {
-	text := full(func(_ *Ring, log hclog.Logger, _ func()) {
+	text := full(func(_ *Writer, log hclog.Logger, _ func()) {
 		for i := range 4 * usualLines {
 			log.Info(fmt.Sprintf("kind %d", i))
 		}
--- a/internal/logring/logger.go
+++ b/internal/asynclog/logger.go
@@ -1,4 +1,4 @@
-package logring
+package asynclog
 
 import (
 	"encoding"
@@ -65,7 +65,7 @@
 // Error implements hclog.Logger.
 func (l *Logger) Error(msg string, args ...any) { l.Log(hclog.Error, msg, args...) }
 
-// line appends a line. Its level and message come first, where Ring looks for them.
+// line appends a line. Its level and message come first, where Writer looks for them.
 func (l *Logger) line(b []byte, level hclog.Level, msg string, args []any) []byte {
 	b = append(b, `{"@level":"`...)
 	b = append(b, level.String()...)
--- a/internal/logring/logger_test.go
+++ b/internal/asynclog/logger_test.go
@@ -1,4 +1,4 @@
-package logring
+package asynclog
 
 import (
 	"bytes"
--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -16,11 +16,11 @@
 	"github.com/hashicorp/go-hclog"
 	"golang.org/x/sync/errgroup"
 
+	"laburnumfall/internal/asynclog"
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/gateway"
 	"laburnumfall/internal/journal"
 	"laburnumfall/internal/keeper"
-	"laburnumfall/internal/logring"
 	"laburnumfall/internal/routing"
 	"laburnumfall/internal/stall"
 	"laburnumfall/platform"
@@ -45,7 +45,7 @@
 	name     string
 	settings platform.Settings
 	log      hclog.Logger
-	ring     *logring.Ring
+	ring     *asynclog.Writer
 	hups     chan os.Signal // the settings file has changed
 	stalled  atomic.Int64   // for how long the process has stood still, in nanoseconds
 }
@@ -72,8 +72,8 @@
 	}
 	debug.SetMemoryLimit(s.Memory)
 	debug.SetGCPercent(garbageGrowth)
-	p := &platformProgram{name: name, settings: s, ring: logring.New(stdout), hups: hups}
-	p.log = logring.NewLogger(hclog.LoggerOptions{Name: name, Level: hclog.Info, JSONFormat: true, Output: p.ring})
+	p := &platformProgram{name: name, settings: s, ring: asynclog.New(stdout), hups: hups}
+	p.log = asynclog.NewLogger(hclog.LoggerOptions{Name: name, Level: hclog.Info, JSONFormat: true, Output: p.ring})
 	endLog := p.startLog()
 	ctx, cancel := untilSignal()
 	defer cancel()
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/stretchr/testify/require"
 
-	"laburnumfall/internal/logring"
+	"laburnumfall/internal/asynclog"
 )
 
 // BenchmarkRefusal measures a request that is refused on a connection of its
@@ -46,13 +46,13 @@
 // BenchmarkRequestLogged measures what the two lines of a plain request cost, by the
 // same requests with the programs' logger, whose lines are thrown away behind its ring.
 func BenchmarkRequestLogged(b *testing.B) {
-	ring := logring.New(io.Discard)
+	ring := asynclog.New(io.Discard)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go ring.Run(ctx)
 	for name, log := range map[string]hclog.Logger{
 		"none":   hclog.NewNullLogger(),
-		"logged": logring.NewLogger(hclog.LoggerOptions{Name: "lf-router", Level: hclog.Info, JSONFormat: true, Output: ring}),
+		"logged": asynclog.NewLogger(hclog.LoggerOptions{Name: "lf-router", Level: hclog.Info, JSONFormat: true, Output: ring}),
 	} {
 		bed := newBed(b)
 		bed.gateway.Log = log
