--- a/internal/cmd/slopescmd.go
+++ b/internal/cmd/slopescmd.go
@@ -3,7 +3,7 @@
 import (
 	"io"
 
-	"laburnumfall/internal/slopes"
+	"laburnumfall/internal/regression"
 )
 
 // slopesOptions are the options of lf-slopes.
@@ -23,15 +23,15 @@
 	if o.Version {
 		return printVersion("lf-slopes", stdout)
 	}
-	series, err := slopes.Read(stdin)
+	series, err := regression.Read(stdin)
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
-	say(stdout, "%s", slopes.Table(series, o.At))
+	say(stdout, "%s", regression.Table(series, o.At))
 	if o.Plot == "" {
 		return exitDone
 	}
-	if err := slopes.Draw(series, o.Plot); err != nil {
+	if err := regression.Draw(series, o.Plot); err != nil {
 		return fail(stderr, exitFail, err)
 	}
 	return exitDone
--- a/internal/slopes/slopes.go
+++ b/internal/regression/regression.go
@@ -1,5 +1,5 @@
-// Package slopes fits straight lines to benchmark results over several sizes.
-package slopes
+// Package regression fits straight lines to benchmark results over several sizes.
+package regression
 
 import (
 	"bufio"
--- a/internal/slopes/slopes_test.go
+++ b/internal/regression/regression_test.go
@@ -1,4 +1,4 @@
-package slopes
+package regression
 
 import (
 	"os"
