--- a/internal/keeper/renew_test.go
+++ b/internal/keeper/renew_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 )
 
 // Symptom: while routers or keepers are replaced, routers of the version before
@@ -32,10 +32,10 @@
 	now := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Demand: demand, Backlog: backlog})
 	require.Empty(t, now.Targets)
 	require.Empty(t, now.Backlog)
-	roll, err := packed.UnpackJSON[[]fleet.Instance](now.PackedTargets)
+	roll, err := codec.UnpackJSON[[]fleet.Instance](now.PackedTargets)
 	require.NoError(t, err)
 	require.Equal(t, targets, roll)
-	loads, err := packed.UnpackJSON[message.Loads](now.PackedLoads)
+	loads, err := codec.UnpackJSON[message.Loads](now.PackedLoads)
 	require.NoError(t, err)
 	require.NotZero(t, loads.AccountsDigest)
 	require.Equal(t, message.Loads{Accounts: []string{"x"}, AccountsDigest: loads.AccountsDigest, Rates: []int{9}, Served: []int{8}, Tokens: []int{0, 4}, Running: []int{0, 1}}, loads)
@@ -61,10 +61,10 @@
 	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: next})
 	now := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: former.Term, ListRevision: former.ListRevision, Backlog: backlog})
 	require.Greater(t, now.ListRevision, former.ListRevision)
-	roll, err := packed.UnpackJSON[[]fleet.Instance](now.PackedTargets)
+	roll, err := codec.UnpackJSON[[]fleet.Instance](now.PackedTargets)
 	require.NoError(t, err)
 	require.Equal(t, next, roll)
-	loads, err := packed.UnpackJSON[message.Loads](now.PackedLoads)
+	loads, err := codec.UnpackJSON[message.Loads](now.PackedLoads)
 	require.NoError(t, err)
 	require.Equal(t, []int{0}, loads.Tokens, "the former's backlog is gone with it")
 }
@@ -133,7 +133,7 @@
 		for i, name := range accounts {
 			r.Demand = append(r.Demand, message.Demand{Account: name, Rate: float64(10 + i), Served: 1})
 		}
-		loads, err := packed.UnpackJSON[message.Loads](c.renew(g.clock.Now(), r).PackedLoads)
+		loads, err := codec.UnpackJSON[message.Loads](c.renew(g.clock.Now(), r).PackedLoads)
 		require.NoError(t, err)
 		return loads
 	}
--- a/internal/keeperclient/take.go
+++ b/internal/keeperclient/take.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 	"laburnumfall/internal/quota"
 )
 
@@ -50,7 +50,7 @@
 	if len(r.PackedConfig) == 0 || r.Number <= u.number() {
 		return false
 	}
-	text, err := packed.Unpack(r.PackedConfig)
+	text, err := codec.Unpack(r.PackedConfig)
 	if err != nil {
 		u.Log.Error("configuration cannot be unpacked: going on with the one before", "number", r.Number, "error", err)
 		return false
@@ -96,7 +96,7 @@
 	list := r.Targets
 	if len(r.PackedTargets) > 0 {
 		var err error
-		if list, err = packed.UnpackJSON[[]fleet.Instance](r.PackedTargets); err != nil {
+		if list, err = codec.UnpackJSON[[]fleet.Instance](r.PackedTargets); err != nil {
 			u.Log.Error("the list of targets cannot be unpacked: going on with the one before", "list", r.ListRevision, "error", err)
 			return
 		}
@@ -110,7 +110,7 @@
 func (u *Client) takeLoads(mine []message.Backlog, r message.RenewResponse) {
 	demand, backlog := r.Demand, r.Backlog
 	if len(r.PackedLoads) > 0 {
-		loads, err := packed.UnpackJSON[message.Loads](r.PackedLoads)
+		loads, err := codec.UnpackJSON[message.Loads](r.PackedLoads)
 		if err != nil {
 			u.Log.Error("loads cannot be unpacked: going on with those before", "term", r.Term, "error", err)
 			return
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"laburnumfall/internal/codec"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/packed"
 )
 
 // BenchmarkEncodeLoads measures how long the leader takes to answer one router: it encodes the
@@ -42,7 +42,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				demand, backlog, _ := aggregator.Sums(start)
-				loads, err := packed.PackJSON(EncodeColumns(demand, backlog, targets))
+				loads, err := codec.PackJSON(EncodeColumns(demand, backlog, targets))
 				require.NoError(b, err)
 				data, err := json.Marshal(message.RenewResponse{PackedLoads: loads})
 				require.NoError(b, err)
