--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -128,7 +128,7 @@
 	}
 	r := &routing.Service{
 		Settings: s, Listen: s.Listen, Clock: clock.NewRealClock(), Log: p.log, Dialect: platform.Headers{},
-		Decode: platform.Decode, List: platform.NewList(p.settings.List), Meters: gateway.NewMeters(),
+		Decode: platform.Decode, List: platform.NewList(p.settings.List), Meters: gateway.NewMetrics(),
 	}
 	r.Meters.AddCounter("lf_log_dropped_total", "Log lines that were left out.", func() float64 { return float64(p.ring.Dropped()) })
 	r.Meters.AddCounter("lf_stalled_seconds_total", "For how long this process did not run.", func() float64 {
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -58,7 +58,7 @@
 		return refused, false
 	}
 	q.until = q.arrived.Add(route.Timeout)
-	if left, ok := g.Dialect.Left(q.r.Header); ok && left < route.Timeout {
+	if left, ok := g.Dialect.TimeLeft(q.r.Header); ok && left < route.Timeout {
 		q.until = q.arrived.Add(left)
 	}
 	q.pool = route.PoolFor(xxhash.Sum64String(q.id))
@@ -93,7 +93,7 @@
 	if !g.Clock.Now().Before(s.KeysUntil) {
 		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonKeysUnverifiable, back: soon}, false
 	}
-	holder, ok := s.Table.KeyOwner(g.Dialect.Key(q.r.Header))
+	holder, ok := s.Table.KeyOwner(g.Dialect.APIKey(q.r.Header))
 	if !ok {
 		return refusal{status: http.StatusUnauthorized, kind: fleet.KindUnknownKey, reason: fleet.ReasonUnknownKey}, false
 	}
--- a/internal/gateway/crowd.go
+++ b/internal/gateway/crowd.go
@@ -41,8 +41,8 @@
 
 // noteCrowd takes from a target's answer whether it had room.
 func (g *Gateway) noteCrowd(q *request, target fleet.Incarnation, a *upstream.Answer) {
-	waiting, told := g.Dialect.Waiting(a.Header)
-	unrun := g.Dialect.Unrun(a.Status, a.Header)
+	waiting, told := g.Dialect.QueueLength(a.Header)
+	unrun := g.Dialect.NotRun(a.Status, a.Header)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
@@ -51,7 +51,7 @@
 		g.placer.SetReportedQueue(now, target, waiting)
 		long = q.route.LatencyObjective > 0 && g.placer.QueueTime(now, target, waiting) > q.route.LatencyObjective/longQueue
 	}
-	if q.route.PrefixCached || unrun && g.Dialect.Moved(a.Status) {
+	if q.route.PrefixCached || unrun && g.Dialect.AddressReused(a.Status) {
 		return
 	}
 	g.throttle(q.pool).RecordAnswer(now, unrun || long)
--- a/internal/gateway/cut.go
+++ b/internal/gateway/cut.go
@@ -26,7 +26,7 @@
 	}
 	g.Log.Warn("cut by the target", "request", q.id, "account", q.account, "route", q.route.Name, "print", q.print(),
 		"target", c.Target.ID, "born", c.Target.StartMillis, "error", err)
-	g.Meters.cuts.Inc()
+	g.Metrics.cuts.Inc()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.placer.Accepts(c.Target.Incarnation) {
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -11,48 +11,48 @@
 // A Dialect knows the headers in which callers and targets speak. It reads and
 // writes them and decides nothing.
 type Dialect interface {
-	// ID returns the request's ID where callers name one; else the router does.
-	ID(h http.Header) string
-	// IDHeader is the header by which targets' answers bear the ID of their
+	// RequestID returns the request's ID where callers name one; else the router does.
+	RequestID(h http.Header) string
+	// RequestIDHeader is the header by which targets' answers bear the ID of their
 	// request, or "" where they bear none. Connections to such targets are not
 	// used again, since nothing tells whose answer comes.
-	IDHeader() string
-	// Mark tells a caller in an answer's headers whose it is, and what became
+	RequestIDHeader() string
+	// SetResponseHeaders tells a caller in an answer's headers whose it is, and what became
 	// of the request.
-	Mark(h http.Header, id string, o fleet.Outcome)
-	// Left returns how long the caller will wait, if it says so.
-	Left(h http.Header) (time.Duration, bool)
-	// Key returns the key of the caller's account.
-	Key(h http.Header) string
+	SetResponseHeaders(h http.Header, id string, o fleet.Outcome)
+	// TimeLeft returns how long the caller will wait, if it says so.
+	TimeLeft(h http.Header) (time.Duration, bool)
+	// APIKey returns the key of the caller's account.
+	APIKey(h http.Header) string
 	// Prompt returns the parts of a request's prompt and the most tokens that
 	// may be generated.
 	Prompt(h http.Header) (parts []placement.PromptPart, output int)
-	// Instruct turns a caller's headers into those for a target.
-	Instruct(h http.Header, i Instruction)
-	// Unrun reports whether a target's answer says that it did not run the
+	// SetRequestHeaders turns a caller's headers into those for a target.
+	SetRequestHeaders(h http.Header, i AttemptInfo)
+	// NotRun reports whether a target's answer says that it did not run the
 	// request and will not.
-	Unrun(status int, h http.Header) bool
-	// Moved reports whether another target has the address by now.
-	Moved(status int) bool
+	NotRun(status int, h http.Header) bool
+	// AddressReused reports whether another target has the address by now.
+	AddressReused(status int) bool
 	// Signed reports whether an answer bears its target's signature.
 	Signed(h http.Header) bool
-	// Waiting returns how many requests wait at a target, if its answer says so.
-	Waiting(h http.Header) (int, bool)
+	// QueueLength returns how many requests wait at a target, if its answer says so.
+	QueueLength(h http.Header) (int, bool)
 }
 
-// An Instruction is what a target is told beside the caller's request.
-type Instruction struct {
+// An AttemptInfo is what a target is told beside the caller's request.
+type AttemptInfo struct {
 	// Target is the ID of the only target that may run the request.
 	Target string
-	// ID is the request's.
-	ID string
+	// RequestID is the request's.
+	RequestID string
 	// Account is the client account, or "" for a route without keys.
 	Account string
-	// Left is how long the caller will still wait.
-	Left time.Duration
+	// TimeLeft is how long the caller will still wait.
+	TimeLeft time.Duration
 	// CopyFrom is the address of the engine from which this one may copy the parts
 	// of the prompt that it lacks, or "".
 	CopyFrom string
-	// After is the ID of the last event that the caller has, or "".
-	After string
+	// LastEventID is the ID of the last event that the caller has, or "".
+	LastEventID string
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,15 +56,15 @@
 	Log      hclog.Logger
 	Dialect  Dialect
 	// State is what the keepers said last.
-	State  func() keeperclient.State
-	Meters *Meters
-	// Informed, if set, tells whether this router knows what the fleet does, or has to ask
+	State   func() keeperclient.State
+	Metrics *Metrics
+	// StateIsFresh, if set, tells whether this router knows what the fleet does, or has to ask
 	// first, after a standstill of its process.
-	Informed func(now time.Time) bool
-	// Guard decides which requests are held back, and Wake asks for the leader's word at
+	StateIsFresh func(now time.Time) bool
+	// Guard decides which requests are held back, and PollLeader asks for the leader's word at
 	// once. It may be full.
-	Guard quarantine.Guard
-	Wake  chan<- struct{}
+	Guard      quarantine.Guard
+	PollLeader chan<- struct{}
 
 	pool    upstream.Pool
 	callers *callers
@@ -108,23 +108,23 @@
 	g.ready.Store(s.Table != nil && len(targets) > 0)
 }
 
-// SetWarming takes until when targets are cold. It may be called at any time.
-func (g *Gateway) SetWarming(until map[fleet.Incarnation]time.Time) {
+// SetColdUntil takes until when targets are cold. It may be called at any time.
+func (g *Gateway) SetColdUntil(until map[fleet.Incarnation]time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.placer.SetColdUntil(until)
 }
 
-// LeaseSeat takes the part of what cold targets get that is this router's from when it
+// SetWarmupLease takes the part of what cold targets get that is this router's from when it
 // asked. It may be called at any time.
-func (g *Gateway) LeaseSeat(asked time.Time, s warmup.Lease) {
+func (g *Gateway) SetWarmupLease(asked time.Time, s warmup.Lease) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.placer.Warmup.SetLease(asked, s)
 }
 
-// Seat returns that part while it holds. It may be called at any time.
-func (g *Gateway) Seat(now time.Time) warmup.Lease {
+// WarmupLease returns that part while it holds. It may be called at any time.
+func (g *Gateway) WarmupLease(now time.Time) warmup.Lease {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.placer.Warmup.CurrentLease(now)
@@ -138,9 +138,9 @@
 	return g.shares.Demand(now), g.placer.Backlog()
 }
 
-// Heard takes the same of all routers, and of all others. It may be called at
+// SetFleetLoad takes the same of all routers, and of all others. It may be called at
 // any time.
-func (g *Gateway) Heard(now time.Time, demand []message.Demand, others []message.Backlog) {
+func (g *Gateway) SetFleetLoad(now time.Time, demand []message.Demand, others []message.Backlog) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.shares.SetFleetDemand(demand)
@@ -163,7 +163,7 @@
 		handler: g, most: g.mostConns(), server: g.newServer, log: g.Log,
 		closing: func() { g.over.Store(true) },
 	}
-	g.Meters.watch(g)
+	g.Metrics.watch(g)
 	group, sweepCtx := errgroup.WithContext(context.WithoutCancel(ctx))
 	sweepCtx, stop := context.WithCancel(sweepCtx)
 	group.Go(func() error {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -68,7 +68,7 @@
 			RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second,
 		},
 		Zone: "z1", Listen: b.address, Clock: real, Log: hclog.NewNullLogger(), Dialect: platform.Headers{},
-		State: func() keeperclient.State { return *b.state.Load() }, Meters: gateway.NewMeters(),
+		State: func() keeperclient.State { return *b.state.Load() }, Metrics: gateway.NewMetrics(),
 	}
 	b.apply()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -44,6 +44,6 @@
 // metrics returns the gateway's metrics as text.
 func (b *bed) metrics() string {
 	w := httptest.NewRecorder()
-	b.gateway.Meters.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	b.gateway.Metrics.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	return w.Body.String()
 }
--- a/internal/gateway/meters.go
+++ b/internal/gateway/meters.go
@@ -11,9 +11,9 @@
 	"laburnumfall/internal/fleet"
 )
 
-// Meters are a gateway's metrics. Make them by NewMeters. Labels are bounded: by the
+// Metrics are a gateway's metrics. Make them with NewMetrics. Labels are bounded: by the
 // statuses, reasons and ends of attempts that there are.
-type Meters struct {
+type Metrics struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
 	ends     *prometheus.CounterVec
@@ -24,11 +24,11 @@
 	cuts     prometheus.Counter
 }
 
-// NewMeters registers the metrics.
-func NewMeters() *Meters {
+// NewMetrics registers the metrics.
+func NewMetrics() *Metrics {
 	times := prometheus.ExponentialBuckets(0.005, 2, 12) // to 10 s
 	brief := prometheus.ExponentialBuckets(1e-6, 4, 8)   // to 16 ms
-	m := &Meters{
+	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lf_requests_total", Help: "Callers' requests by status; 0 is one that was broken off or left.",
@@ -57,20 +57,20 @@
 }
 
 // AddCounter adds a counter that is kept elsewhere.
-func (m *Meters) AddCounter(name, help string, value func() float64) {
+func (m *Metrics) AddCounter(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, value))
 }
 
 // Handler serves the metrics as text.
-func (m *Meters) Handler() http.Handler {
+func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *Meters) addGauge(name, help string, value func() float64) {
+func (m *Metrics) addGauge(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-func (m *Meters) done(status int, reason fleet.Reason, took time.Duration, q *request) {
+func (m *Metrics) done(status int, reason fleet.Reason, took time.Duration, q *request) {
 	label := strconv.Itoa(status)
 	m.requests.WithLabelValues(label).Inc()
 	m.ends.WithLabelValues(string(reason)).Inc()
@@ -81,7 +81,7 @@
 }
 
 // watch adds what can be read off the gateway at any time.
-func (m *Meters) watch(g *Gateway) {
+func (m *Metrics) watch(g *Gateway) {
 	m.addGauge("lf_routes_number", "Number of the configuration of routes in force; 0 is none.", func() float64 {
 		if s := g.State(); s.Table != nil {
 			return float64(s.Table.Number)
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -15,11 +15,11 @@
 // standstill it would else send work to targets that have left meanwhile, or by a key that
 // was withdrawn.
 func (g *Gateway) awaitNews(now time.Time) {
-	if g.Informed == nil || g.Informed(now) {
+	if g.StateIsFresh == nil || g.StateIsFresh(now) {
 		return
 	}
 	end := g.newsEnd(now)
-	for now.Before(end) && !g.Informed(now) {
+	for now.Before(end) && !g.StateIsFresh(now) {
 		time.Sleep(newsPoll)
 		now = g.Clock.Now()
 	}
--- a/internal/gateway/pass.go
+++ b/internal/gateway/pass.go
@@ -157,7 +157,7 @@
 		h[name] = values
 	}
 	dropHops(h)
-	g.Dialect.Mark(h, q.id, fleet.OutcomeRan)
+	g.Dialect.SetResponseHeaders(h, q.id, fleet.OutcomeRan)
 	if announce, _ := g.closing(g.Clock.Now()); announce || g.callers.behind() {
 		h.Set("Connection", "close")
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -109,16 +109,16 @@
 	}
 }
 
-// Quarantine returns what the leader is to be told of requests that end targets. It may be
+// QuarantineReport returns what the leader is to be told of requests that end targets. It may be
 // called at any time.
-func (g *Gateway) Quarantine(now time.Time) quarantine.Report {
+func (g *Gateway) QuarantineReport(now time.Time) quarantine.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.Guard.Report(now)
 }
 
-// Ruled takes the leader's answer to that, as it was at asked. It may be called at any time.
-func (g *Gateway) Ruled(now, asked time.Time, term uint64, r quarantine.RestrictionUpdate) {
+// ApplyRestrictions takes the leader's answer to that, as it was at asked. It may be called at any time.
+func (g *Gateway) ApplyRestrictions(now, asked time.Time, term uint64, r quarantine.RestrictionUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.Guard.ApplyUpdate(now, asked, term, r)
@@ -131,7 +131,7 @@
 // wake has the leader asked at once.
 func (g *Gateway) wake() {
 	select {
-	case g.Wake <- struct{}{}:
+	case g.PollLeader <- struct{}{}:
 	default: // it is about to be, or nobody asks
 	}
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -24,7 +24,7 @@
 // rule has the leader tell the gateway of some requests.
 func (b *bed) rule(revision uint64, list ...quarantine.Restriction) {
 	now := b.gateway.Clock.Now()
-	b.gateway.Ruled(now, now, 1, quarantine.RestrictionUpdate{Revision: revision, Restrictions: list})
+	b.gateway.ApplyRestrictions(now, now, 1, quarantine.RestrictionUpdate{Revision: revision, Restrictions: list})
 }
 
 // ending has targets end as soon as they begin a request, for good.
@@ -51,9 +51,9 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode, text)
 	require.EqualValues(t, 2, ends.Load())
-	require.Eventually(t, func() bool { return len(b.gateway.Quarantine(b.gateway.Clock.Now()).Terminations) == 2 }, 5*time.Second, 5*time.Millisecond,
+	require.Eventually(t, func() bool { return len(b.gateway.QuarantineReport(b.gateway.Clock.Now()).Terminations) == 2 }, 5*time.Second, 5*time.Millisecond,
 		"the leader is told of both")
-	for _, e := range b.gateway.Quarantine(b.gateway.Clock.Now()).Terminations {
+	for _, e := range b.gateway.QuarantineReport(b.gateway.Clock.Now()).Terminations {
 		require.Equal(t, printOf("/whole/x", guilty), e.Fingerprint)
 		require.Equal(t, "whole", e.Destination)
 	}
@@ -118,13 +118,13 @@
 		_ = resp.Body.Close() // only the status counts
 		done <- resp.StatusCode
 	}()
-	require.Eventually(t, func() bool { return len(b.gateway.Quarantine(b.gateway.Clock.Now()).PermitRequests) == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(b.gateway.QuarantineReport(b.gateway.Clock.Now()).PermitRequests) == 1 }, 5*time.Second, time.Millisecond)
 	held.PermitHolder, held.PermitExpiresIn, held.PermitID, held.PermitTarget = "r1/1", 20*time.Second, 1, b.targets[1].ID
 	b.rule(2, held)
 	require.Equal(t, http.StatusOK, <-done)
 	require.Len(t, b.targets[1].Runs(), 1, "where the leader said")
 	require.Empty(t, b.targets[0].Runs())
-	report := b.gateway.Quarantine(b.gateway.Clock.Now())
+	report := b.gateway.QuarantineReport(b.gateway.Clock.Now())
 	require.Empty(t, report.PermitRequests)
 	require.Len(t, report.Completions, 1)
 	require.Equal(t, p, report.Completions[0].Fingerprint)
@@ -147,5 +147,5 @@
 		require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 		require.Eventually(t, func() bool { return b.gateway.Guarded() == 0 }, 5*time.Second, 5*time.Millisecond, "they are found alive")
 	}
-	require.Empty(t, b.gateway.Quarantine(b.gateway.Clock.Now()).Terminations)
+	require.Empty(t, b.gateway.QuarantineReport(b.gateway.Clock.Now()).Terminations)
 }
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -66,7 +66,7 @@
 		data = nil
 	}
 	h := q.w.Header()
-	g.Dialect.Mark(h, q.id, o)
+	g.Dialect.SetResponseHeaders(h, q.id, o)
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(data)))
 	h["Date"] = nil
@@ -177,5 +177,5 @@
 		args = append(args, "error", err)
 	}
 	g.Log.Log(endLevel(status), "done", append(args, more...)...)
-	g.Meters.done(status, reason, now.Sub(q.arrived), q)
+	g.Metrics.done(status, reason, now.Sub(q.arrived), q)
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -89,12 +89,12 @@
 	dropHops(h)
 	h.Del("Content-Length")
 	h.Del("Expect")
-	g.Dialect.Instruct(h, Instruction{
-		Target: c.Target.ID, ID: q.id, Account: q.account, Left: q.until.Sub(g.Clock.Now()), After: q.after, CopyFrom: c.CopyFrom,
+	g.Dialect.SetRequestHeaders(h, AttemptInfo{
+		Target: c.Target.ID, RequestID: q.id, Account: q.account, TimeLeft: q.until.Sub(g.Clock.Now()), LastEventID: q.after, CopyFrom: c.CopyFrom,
 	})
 	return upstream.Request{
 		Method: q.r.Method, Path: q.r.RequestURI, Host: q.r.Host, Header: h, Body: q.body,
-		ID: q.id, IDHeader: g.Dialect.IDHeader(),
+		ID: q.id, IDHeader: g.Dialect.RequestIDHeader(),
 	}
 }
 
@@ -124,7 +124,7 @@
 func (g *Gateway) take(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) outcome {
 	const success, failure = 200, 500
 	switch {
-	case g.Dialect.Unrun(a.Status, a.Header):
+	case g.Dialect.NotRun(a.Status, a.Header):
 		return g.unrun(q, c, started, a)
 	case a.Status < 300 && a.Status >= success && !g.Dialect.Signed(a.Header):
 		q.ran = true
@@ -154,7 +154,7 @@
 // unrun judges an answer that says that the request was not run.
 func (g *Gateway) unrun(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) outcome {
 	drain(a)
-	if g.Dialect.Moved(a.Status) {
+	if g.Dialect.AddressReused(a.Status) {
 		q.moved++
 		g.ended(c, placement.ConnectFailed)
 		g.logSend(q, c, started, fleet.AttemptAddressReused, nil, "status", a.Status)
@@ -187,5 +187,5 @@
 		level = hclog.Warn
 	}
 	g.Log.Log(level, "send", append(args, more...)...)
-	g.Meters.sends.WithLabelValues(string(result)).Inc()
+	g.Metrics.sends.WithLabelValues(string(result)).Inc()
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -59,7 +59,7 @@
 	if announce || g.callers.behind() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{w: &callerWriter{ResponseWriter: w}, r: r, id: g.Dialect.ID(r.Header), arrived: now}
+	q := &request{w: &callerWriter{ResponseWriter: w}, r: r, id: g.Dialect.RequestID(r.Header), arrived: now}
 	g.limitWriting(q, headerTime)
 	if q.id == "" {
 		q.id = g.Name + "-" + strconv.FormatInt(now.UnixNano(), 36) + "-" + strconv.FormatUint(g.count.Add(1), 36)
@@ -109,7 +109,7 @@
 		}
 		now = g.Clock.Now() // it may have waited
 		choice, refused, ok := g.choose(now, q)
-		g.Meters.choice.Observe(g.Clock.Now().Sub(now).Seconds())
+		g.Metrics.choice.Observe(g.Clock.Now().Sub(now).Seconds())
 		if !ok {
 			g.giveBack(q, outcome{}, true)
 			g.end(q, refused)
--- a/internal/routing/headers.go
+++ b/internal/routing/headers.go
@@ -27,36 +27,36 @@
 
 var _ gateway.Dialect = Headers{}
 
-// ID implements gateway.Dialect: the router names requests.
-func (Headers) ID(http.Header) string {
+// RequestID implements gateway.Dialect: the router names requests.
+func (Headers) RequestID(http.Header) string {
 	return ""
 }
 
-// IDHeader implements gateway.Dialect.
-func (Headers) IDHeader() string {
+// RequestIDHeader implements gateway.Dialect.
+func (Headers) RequestIDHeader() string {
 	return ""
 }
 
-// Instruct implements gateway.Dialect.
-func (Headers) Instruct(h http.Header, i gateway.Instruction) {
+// SetRequestHeaders implements gateway.Dialect.
+func (Headers) SetRequestHeaders(h http.Header, i gateway.AttemptInfo) {
 	for _, name := range kept {
 		h.Del(name)
 	}
-	h.Set(headerRequest, i.ID)
-	if i.After != "" {
-		h.Set(headerLast, i.After)
+	h.Set(headerRequest, i.RequestID)
+	if i.LastEventID != "" {
+		h.Set(headerLast, i.LastEventID)
 	}
 }
 
-// Key implements gateway.Dialect.
-func (Headers) Key(h http.Header) string {
+// APIKey implements gateway.Dialect.
+func (Headers) APIKey(h http.Header) string {
 	key, _ := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	return key
 }
 
-// Left implements gateway.Dialect. The caller's clock and the router's are
+// TimeLeft implements gateway.Dialect. The caller's clock and the router's are
 // compared, so a caller whose clock is off waits as long as its route says.
-func (Headers) Left(h http.Header) (time.Duration, bool) {
+func (Headers) TimeLeft(h http.Header) (time.Duration, bool) {
 	at, err := time.Parse(time.RFC3339, h.Get(headerDeadline))
 	if err != nil {
 		return 0, false
@@ -64,14 +64,14 @@
 	return max(time.Until(at), 0), true
 }
 
-// Mark implements gateway.Dialect.
-func (Headers) Mark(h http.Header, id string, o fleet.Outcome) {
+// SetResponseHeaders implements gateway.Dialect.
+func (Headers) SetResponseHeaders(h http.Header, id string, o fleet.Outcome) {
 	h.Set(headerRequest, id)
 	h.Set(headerOutcome, string(o))
 }
 
-// Moved implements gateway.Dialect.
-func (Headers) Moved(int) bool {
+// AddressReused implements gateway.Dialect.
+func (Headers) AddressReused(int) bool {
 	return false
 }
 
@@ -85,12 +85,12 @@
 	return true
 }
 
-// Unrun implements gateway.Dialect: no answer of a target promises anything.
-func (Headers) Unrun(int, http.Header) bool {
+// NotRun implements gateway.Dialect: no answer of a target promises anything.
+func (Headers) NotRun(int, http.Header) bool {
 	return false
 }
 
-// Waiting implements gateway.Dialect.
-func (Headers) Waiting(http.Header) (int, bool) {
+// QueueLength implements gateway.Dialect.
+func (Headers) QueueLength(http.Header) (int, bool) {
 	return 0, false
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -34,7 +34,7 @@
 	Decode func(text []byte) (*fleet.RoutingTable, error)
 	// List is the platform's list of targets; nil where configurations list them.
 	List   keeperclient.TargetList
-	Meters *gateway.Meters
+	Meters *gateway.Metrics
 
 	gateway gateway.Gateway
 	uplink  keeperclient.Client
@@ -78,16 +78,16 @@
 func (s *Service) assemble() {
 	g, u := &s.gateway, &s.uplink
 	g.Settings, g.Name, g.Zone, g.Listen = *s.Settings.Routes, s.Settings.Name, s.Settings.Zone, s.Listen
-	g.Clock, g.Log, g.Dialect, g.Meters, g.State = s.Clock, s.Log, s.Dialect, s.Meters, u.State
-	g.Informed = u.Informed
+	g.Clock, g.Log, g.Dialect, g.Metrics, g.State = s.Clock, s.Log, s.Dialect, s.Meters, u.State
+	g.StateIsFresh = u.Informed
 	u.Name, u.Zone, u.Inc = s.Settings.Name, s.Settings.Zone, uint64(s.Clock.Now().UnixNano())
 	u.Clock, u.Log, u.Secret, u.Lease = s.Clock, s.Log, s.Secret, s.Settings.Routes.Lease
 	u.Decode, u.List, u.Reads = s.Decode, s.List, s.Settings.Routes.Reads
-	u.Changed, u.Load, u.Heard = g.SetTargets, g.Load, g.Heard
+	u.Changed, u.Load, u.Heard = g.SetTargets, g.Load, g.SetFleetLoad
 	wake := make(chan struct{}, 1)
-	g.Wake, u.Wake = wake, wake
-	u.Quarantine, u.Ruled = g.Quarantine, g.Ruled
-	u.Warming, u.Seat, u.Held = g.SetWarming, g.LeaseSeat, g.Seat
+	g.PollLeader, u.Wake = wake, wake
+	u.Quarantine, u.Ruled = g.QuarantineReport, g.ApplyRestrictions
+	u.Warming, u.Seat, u.Held = g.SetColdUntil, g.SetWarmupLease, g.WarmupLease
 	// Targets that configurations list keep their names, and nobody tells their starts.
 	g.Guard = quarantine.Guard{Owner: message.ClaimOwner(u.Name, u.Inc), IDsReused: s.List == nil}
 	s.Meters.AddCounter("lf_list_damaged_total", "Damaged entries in this router's own readings of the list of targets.",
