--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// aloneStart is how long a router that starts alone is without a configuration: the
+	// singleStartTime is how long a router that starts alone is without a configuration: the
 	// leader answers its first question.
-	aloneStart = 100 * time.Millisecond
-	// fleetStart is how long after its start a router has a configuration where the whole
+	singleStartTime = 100 * time.Millisecond
+	// fleetStartTime is how long after its start a router has a configuration where the whole
 	// fleet has started: keepers that may have promised a leader wait out its lease before
 	// another one leads.
-	fleetStart = 1200 * time.Millisecond
-	// longestStart bounds when a caller may come back where it takes longer still, as long
+	fleetStartTime = 1200 * time.Millisecond
+	// maxStartRetryAfter bounds when a caller may come back where it takes longer still, as long
 	// again as it has taken.
-	longestStart = time.Second
-	// startSpread spreads callers that come back, so that they are not all there at once.
-	startSpread = 300 * time.Millisecond
+	maxStartRetryAfter = time.Second
+	// startRetryJitter spreads callers that come back, so that they are not all there at once.
+	startRetryJitter = 300 * time.Millisecond
 )
 
-// startBack returns when a caller may come back that reached a router without a
+// startRetryAfter returns when a caller may come back that reached a router without a
 // configuration. One that starts alone has it at once, and all others serve. Otherwise the
 // whole fleet has started: callers that are sent to another router before it serves are
 // refused there as well, many for the last time.
-func (g *Gateway) startBack(q *request) time.Duration {
-	without := g.Clock.Now().Sub(g.started)
-	if without < aloneStart {
-		return soon
+func (g *Gateway) startRetryAfter(q *request) time.Duration {
+	without := g.Clock.Now().Sub(g.startedAt)
+	if without < singleStartTime {
+		return minRetryAfter
 	}
-	back := max(fleetStart-without, min(without, longestStart))
-	return back + time.Duration(xxhash.Sum64String(q.id)%uint64(startSpread))
+	back := max(fleetStartTime-without, min(without, maxStartRetryAfter))
+	return back + time.Duration(xxhash.Sum64String(q.id)%uint64(startRetryJitter))
 }
 
 // admit finds a request's route and account.
 func (g *Gateway) admit(q *request, s keeperclient.State) (refusal, bool) {
 	if s.Table == nil || !g.ready.Load() {
-		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonNoConfig, back: g.startBack(q)}, false
+		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonNoConfig, retryAfter: g.startRetryAfter(q)}, false
 	}
 	path, _, _ := strings.Cut(q.r.RequestURI, "?")
 	route, ok := s.Table.Route(q.r.Host, path)
@@ -57,25 +57,25 @@
 	if refused, ok := g.checkKey(q, s); !ok {
 		return refused, false
 	}
-	q.until = q.arrived.Add(route.Timeout)
+	q.deadline = q.arrivedAt.Add(route.Timeout)
 	if left, ok := g.Dialect.TimeLeft(q.r.Header); ok && left < route.Timeout {
-		q.until = q.arrived.Add(left)
+		q.deadline = q.arrivedAt.Add(left)
 	}
 	q.pool = route.PoolFor(xxhash.Sum64String(q.id))
 	if route.PrefixCached {
 		var output int
 		q.parts, output = g.Dialect.Prompt(q.r.Header)
-		q.tokens = cost(q.parts, output)
+		q.cost = tokenCost(q.parts, output)
 	}
 	return refusal{}, true
 }
 
-func cost(parts []placement.PromptPart, output int) float64 {
+func tokenCost(parts []placement.PromptPart, output int) float64 {
 	const generated = 2
-	return float64(generated*output + tokensOf(parts))
+	return float64(generated*output + totalTokens(parts))
 }
 
-func tokensOf(parts []placement.PromptPart) int {
+func totalTokens(parts []placement.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		tokens += p.Tokens
@@ -91,7 +91,7 @@
 		return refusal{}, true
 	}
 	if !g.Clock.Now().Before(s.KeysUntil) {
-		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonKeysUnverifiable, back: soon}, false
+		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonKeysUnverifiable, retryAfter: minRetryAfter}, false
 	}
 	holder, ok := s.Table.KeyOwner(g.Dialect.APIKey(q.r.Header))
 	if !ok {
@@ -107,15 +107,15 @@
 	if q.r.ContentLength == 0 {
 		return refusal{}, true
 	}
-	if g.Settings.Memory > 0 && g.held.Load() > g.Settings.Memory/heldPart {
-		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindCapacityExhausted, reason: fleet.ReasonBodyMemoryFull, back: moment}, false
+	if g.Settings.Memory > 0 && g.bodyBytes.Load() > g.Settings.Memory/bodyMemoryDivisor {
+		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindCapacityExhausted, reason: fleet.ReasonBodyMemoryFull, retryAfter: noCapacityRetryAfter}, false
 	}
 	limit := int64(s.Table.Limits.MaxBodyBytes)
 	if limit <= 0 {
 		limit = 4 << 20
 	}
 	rc := http.NewResponseController(q.w)
-	if err := rc.SetReadDeadline(time.Now().Add(q.until.Sub(q.arrived))); err != nil {
+	if err := rc.SetReadDeadline(time.Now().Add(q.deadline.Sub(q.arrivedAt))); err != nil {
 		g.Log.Debug("no read deadline", "request", q.id, "error", err)
 	}
 	body, err := readAll(http.MaxBytesReader(q.w.ResponseWriter, q.r.Body, limit), min(q.r.ContentLength, limit))
@@ -124,7 +124,7 @@
 	case errors.As(err, &large):
 		return refusal{status: http.StatusRequestEntityTooLarge, kind: fleet.KindTooLarge, reason: fleet.ReasonBodyTooLarge}, false
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, io.ErrUnexpectedEOF):
-		return refusal{status: http.StatusRequestTimeout, kind: fleet.KindMalformed, reason: fleet.ReasonBodyIncomplete, back: soon, err: err}, false
+		return refusal{status: http.StatusRequestTimeout, kind: fleet.KindMalformed, reason: fleet.ReasonBodyIncomplete, retryAfter: minRetryAfter, err: err}, false
 	case err != nil:
 		return refusal{status: http.StatusBadRequest, kind: fleet.KindMalformed, reason: fleet.ReasonBodyReadFailed, err: err}, false
 	}
@@ -132,7 +132,7 @@
 		g.Log.Debug("no read deadline", "request", q.id, "error", err)
 	}
 	q.body = body
-	g.held.Add(int64(len(body)))
+	g.bodyBytes.Add(int64(len(body)))
 	return refusal{}, true
 }
 
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -29,25 +29,25 @@
 		r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "/", nil)
 		require.NoError(t, err)
 		return &request{
-			r: r, route: route, pool: "p", account: "x", tokens: 100, until: now.Add(route.Timeout),
+			r: r, route: route, pool: "p", account: "x", cost: 100, deadline: now.Add(route.Timeout),
 			parts: []placement.PromptPart{{ID: 1, Tokens: 10}},
 		}
 	}
 	q := newRequest()
-	_, _, ok := g.choose(now, q)
+	_, _, ok := g.chooseTarget(now, q)
 	require.True(t, ok, "there is room")
-	q.sent++
+	q.attempts++
 	for range 8 {
 		within := newRequest()
-		within.within = true
-		_, _, ok := g.choose(now, within)
+		within.withinShare = true
+		_, _, ok := g.chooseTarget(now, within)
 		require.True(t, ok)
 	}
-	_, refused, ok := g.choose(now, newRequest())
+	_, refused, ok := g.chooseTarget(now, newRequest())
 	require.False(t, ok)
 	require.Equal(t, fleet.ReasonOverShare, refused.reason)
 	require.Positive(t, refused.load)
-	_, _, ok = g.choose(now, q)
+	_, _, ok = g.chooseTarget(now, q)
 	require.True(t, ok)
 }
 
@@ -57,21 +57,21 @@
 // Cause: the time to come back held for a router that starts alone.
 func TestACallerOfAFleetThatStartsComesBackLater(t *testing.T) {
 	c := &clock.MockClock{Time: time.Unix(1e9, 0)}
-	g := &Gateway{Clock: c, started: c.Time}
+	g := &Gateway{Clock: c, startedAt: c.Time}
 	refused := func() refusal {
 		r, ok := g.admit(&request{}, keeperclient.State{})
 		require.False(t, ok)
 		require.Equal(t, fleet.ReasonNoConfig, r.reason)
 		return r
 	}
-	require.Equal(t, soon, refused().back, "all others serve")
-	for _, without := range []time.Duration{aloneStart, 140 * time.Millisecond, 400 * time.Millisecond, fleetStart} {
-		c.Time = g.started.Add(without)
-		back := refused().back
-		require.GreaterOrEqual(t, without+back, fleetStart, "the fleet does not serve before")
-		require.Less(t, back, fleetStart+startSpread)
+	require.Equal(t, minRetryAfter, refused().retryAfter, "all others serve")
+	for _, without := range []time.Duration{singleStartTime, 140 * time.Millisecond, 400 * time.Millisecond, fleetStartTime} {
+		c.Time = g.startedAt.Add(without)
+		back := refused().retryAfter
+		require.GreaterOrEqual(t, without+back, fleetStartTime, "the fleet does not serve before")
+		require.Less(t, back, fleetStartTime+startRetryJitter)
 	}
-	c.Time = g.started.Add(time.Minute)
-	require.GreaterOrEqual(t, refused().back, longestStart)
-	require.Less(t, refused().back, longestStart+startSpread)
+	c.Time = g.startedAt.Add(time.Minute)
+	require.GreaterOrEqual(t, refused().retryAfter, maxStartRetryAfter)
+	require.Less(t, refused().retryAfter, maxStartRetryAfter+startRetryJitter)
 }
--- a/internal/gateway/connmanager.go
+++ b/internal/gateway/connmanager.go
@@ -18,72 +18,72 @@
 )
 
 const (
-	// headerTime, idleTime and headerSize hold where a configuration states none.
-	headerTime = 5 * time.Second
-	idleTime   = 15 * time.Second
-	headerSize = 32 << 10
-	// mostUnread bounds the requests that are being read or judged. A router that
+	// defaultHeaderTimeout, idleTime and headerSize hold where a configuration states none.
+	defaultHeaderTimeout  = 5 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
+	defaultMaxHeaderBytes = 32 << 10
+	// maxUnreadRequests bounds the requests that are being read or judged. A router that
 	// gets more than it can work on would else divide its processor among all of
 	// them, and its talk with the keepers would come to a stand: configurations
 	// would not come in force, and its lease on keys would lapse. The rest wait,
 	// unread, in their order.
-	mostUnread = 16
-	// unreadTime is how long a request may count as being read: a caller that
+	maxUnreadRequests = 16
+	// defaultUnreadTimeout is how long a request may count as being read: a caller that
 	// sends slowly must not hold others up.
-	unreadTime = 100 * time.Millisecond
-	// acceptPause is kept after an accept that failed for want of descriptors.
-	acceptPause = 5 * time.Millisecond
+	defaultUnreadTimeout = 100 * time.Millisecond
+	// acceptRetryDelay is kept after an accept that failed for want of descriptors.
+	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// callers takes callers' connections in and hands them to a server with the
+// connManager takes callers' connections in and hands them to a server with the
 // limits in force. Limits that change hold for new connections; those that are
 // open go on under the old ones.
 //
 // Refused callers open a connection each time they come back, and may leave it
 // open. Without a bound, idle ones use up descriptors and memory until no caller
 // gets in: above the bound, those that were idle the longest are closed.
-type callers struct {
-	handler http.Handler
-	most    int // connections
-	server  func(handler http.Handler) *http.Server
-	log     hclog.Logger
-	// unreadFor and freshFor are how long a request counts as being read, and a connection as
+type connManager struct {
+	handler   http.Handler
+	maxConns  int // connections
+	newServer func(handler http.Handler) *http.Server
+	log       hclog.Logger
+	// unreadTimeout and freshFor are how long a request counts as being read, and a connection as
 	// fresh; 0 is unreadTime and freshTime.
-	unreadFor, freshFor time.Duration
+	unreadTimeout, freshTimeout time.Duration
 	// end, if set, is when the grace of a stop ends: nothing is waited for behind it.
-	end atomic.Pointer[time.Time]
-	// closing, if set, is told when connections that are in use are closed.
-	closing func()
+	graceEnd atomic.Pointer[time.Time]
+	// onClose, if set, is told when connections that are in use are closed.
+	onClose func()
 
-	mu      sync.Mutex
-	limits  fleet.CallerLimits
-	servers []*http.Server
-	feed    *feed
-	open    map[net.Conn]*caller
-	unread  chan struct{} // a token for each request that is read or judged
+	mu        sync.Mutex
+	limits    fleet.CallerLimits
+	servers   []*http.Server
+	listener  *connListener
+	conns     map[net.Conn]*connInfo
+	readSlots chan struct{} // a token for each request that is read or judged
 
-	fresh    int       // connections whose first request is not judged yet
-	counted  time.Time // when these were counted last
-	shed     int       // connections refused unread
-	shedTold int       // of these, that a line has told of
+	freshCount      int       // connections whose first request is not judged yet
+	freshCountedAt  time.Time // when these were counted last
+	shedConns       int       // connections refused unread
+	loggedShedConns int       // of these, that a line has told of
 
-	pressure pressure
+	overload overloadDetector
 }
 
 // A caller is an open connection.
-type caller struct {
-	since time.Time   // when it was accepted
-	fresh bool        // its first request is not judged yet
-	idle  time.Time   // since when; zero while in use
-	begun bool        // its request is being judged or carried
-	limit *time.Timer // gives its token back; nil while it holds none
+type connInfo struct {
+	acceptedAt    time.Time   // when it was accepted
+	fresh         bool        // its first request is not judged yet
+	idleSince     time.Time   // since when; zero while in use
+	inRequest     bool        // its request is being judged or carried
+	readSlotTimer *time.Timer // gives its token back; nil while it holds none
 }
 
 // run accepts until the listener closes.
-func (c *callers) run(l net.Listener, limits func() fleet.CallerLimits) error {
+func (c *connManager) run(l net.Listener, limits func() fleet.CallerLimits) error {
 	defer c.close()
 	for {
-		c.look(l)
+		c.checkAcceptQueue(l)
 		conn, err := l.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
@@ -92,32 +92,32 @@
 			// Too many descriptors, or a caller that left at once. One that can
 			// not be accepted now may be soon.
 			c.evictIdle(1)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if now := time.Now(); c.overfull(now) {
-			c.noteShed(now)
-			shed(conn)
+		if now := time.Now(); c.tooManyFresh(now) {
+			c.recordShed(now)
+			shedConn(conn)
 			continue
 		}
-		c.take(conn, limits(), l.Addr())
+		c.addConn(conn, limits(), l.Addr())
 	}
 }
 
-func (c *callers) take(conn net.Conn, limits fleet.CallerLimits, addr net.Addr) {
-	conn = watched(conn)
+func (c *connManager) addConn(conn net.Conn, limits fleet.CallerLimits, addr net.Addr) {
+	conn = trackReads(conn)
 	c.mu.Lock()
-	if c.feed == nil || c.limits != limits {
-		c.serve(limits, addr)
+	if c.listener == nil || c.limits != limits {
+		c.startServer(limits, addr)
 	}
-	if c.open == nil {
-		c.open = make(map[net.Conn]*caller)
-		c.unread = make(chan struct{}, mostUnread)
+	if c.conns == nil {
+		c.conns = make(map[net.Conn]*connInfo)
+		c.readSlots = make(chan struct{}, maxUnreadRequests)
 	}
-	c.open[conn] = &caller{since: time.Now(), fresh: true}
-	c.fresh++
-	over := len(c.open) - c.most
-	f := c.feed
+	c.conns[conn] = &connInfo{acceptedAt: time.Now(), fresh: true}
+	c.freshCount++
+	over := len(c.conns) - c.maxConns
+	f := c.listener
 	c.mu.Unlock()
 	if over > 0 {
 		c.evictIdle(over)
@@ -125,23 +125,23 @@
 	f.conns <- conn
 }
 
-// serve starts a server with new limits.
-func (c *callers) serve(limits fleet.CallerLimits, addr net.Addr) {
-	if c.feed != nil {
-		_ = c.feed.Close() // ends its server's accepting, not its connections
+// startServer starts a server with new limits.
+func (c *connManager) startServer(limits fleet.CallerLimits, addr net.Addr) {
+	if c.listener != nil {
+		_ = c.listener.Close() // ends its server's accepting, not its connections
 	}
-	s := c.server(c.handler)
-	s.ReadHeaderTimeout = orDefault(limits.HeaderTimeout, headerTime)
-	s.IdleTimeout = orDefault(limits.IdleTimeout, idleTime)
-	s.MaxHeaderBytes = orDefault(limits.MaxHeaderBytes, headerSize)
-	s.ConnState = c.note
-	s.ConnContext = withConn
-	f := newFeed(addr)
-	c.limits, c.feed = limits, f
+	s := c.newServer(c.handler)
+	s.ReadHeaderTimeout = orDefault(limits.HeaderTimeout, defaultHeaderTimeout)
+	s.IdleTimeout = orDefault(limits.IdleTimeout, defaultIdleTimeout)
+	s.MaxHeaderBytes = orDefault(limits.MaxHeaderBytes, defaultMaxHeaderBytes)
+	s.ConnState = c.onStateChange
+	s.ConnContext = contextWithConn
+	f := newConnListener(addr)
+	c.limits, c.listener = limits, f
 	c.servers = append(c.servers, s)
 	go func() {
 		_ = s.Serve(f) // ends when the feed closes
-		f.drop()
+		f.closePending()
 	}()
 }
 
@@ -152,77 +152,77 @@
 	return fallback
 }
 
-// note keeps which connections are open and since when they are idle. Where a
+// onStateChange keeps which connections are open and since when they are idle. Where a
 // request begins, it waits until few enough others are being read: the library
 // calls it from the connection's own goroutine before it parses.
-func (c *callers) note(conn net.Conn, s http.ConnState) {
-	if s == http.StateActive && !c.await(conn) {
+func (c *connManager) onStateChange(conn net.Conn, s http.ConnState) {
+	if s == http.StateActive && !c.acquireReadSlot(conn) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.open[conn]
+	known := c.conns[conn]
 	if known == nil { // it was evicted
 		if s == http.StateActive {
-			<-c.unread
+			<-c.readSlots
 		}
 		return
 	}
 	switch s {
 	case http.StateIdle:
-		known.idle, known.begun = time.Now(), false
-		untouch(conn)
-		c.settle(known)
+		known.idleSince, known.inRequest = time.Now(), false
+		clearRequestStarted(conn)
+		c.finishReading(known)
 	case http.StateActive:
-		known.limit = time.AfterFunc(orDefault(c.unreadFor, unreadTime), func() { c.settled(conn) })
+		known.readSlotTimer = time.AfterFunc(orDefault(c.unreadTimeout, defaultUnreadTimeout), func() { c.releaseReadSlot(conn) })
 	case http.StateClosed, http.StateHijacked:
-		c.settle(known)
-		delete(c.open, conn)
+		c.finishReading(known)
+		delete(c.conns, conn)
 	default:
 	}
 }
 
-// await waits for a request's turn. Its connection counts as in use before that:
+// acquireReadSlot waits for a request's turn. Its connection counts as in use before that:
 // a request of which a byte was read must not be evicted. It reports
 // false if that was too late.
-func (c *callers) await(conn net.Conn) bool {
+func (c *connManager) acquireReadSlot(conn net.Conn) bool {
 	c.mu.Lock()
-	known := c.open[conn]
+	known := c.conns[conn]
 	if known != nil {
-		known.idle, known.begun = time.Time{}, true
+		known.idleSince, known.inRequest = time.Time{}, true
 	}
 	c.mu.Unlock()
 	if known == nil {
 		return false
 	}
 	from := time.Now()
-	c.unread <- struct{}{}
+	c.readSlots <- struct{}{}
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pressure.waited(now, now.Sub(from)) {
-		c.logBehind(now, "requests")
+	if c.overload.recordWait(now, now.Sub(from)) {
+		c.logOverload(now, "requests")
 	}
 	return true
 }
 
 // look notes whether connections wait to be accepted.
-func (c *callers) look(l net.Listener) {
+func (c *connManager) checkAcceptQueue(l net.Listener) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pressure.lookDue(now) && c.pressure.look(now, queued(l)) {
-		c.logBehind(now, "connections")
+	if c.overload.queueCheckDue(now) && c.overload.recordQueueCheck(now, hasPendingConn(l)) {
+		c.logOverload(now, "connections")
 	}
 }
 
-func (c *callers) logBehind(now time.Time, waits string) {
+func (c *connManager) logOverload(now time.Time, waits string) {
 	c.log.Warn("behind: new callers are better off elsewhere", "waits", waits,
-		"connections", len(c.open), "shed", c.shed, "for", c.pressure.until.Sub(now).Milliseconds())
+		"connections", len(c.conns), "shed", c.shedConns, "for", c.overload.overloadedUntil.Sub(now).Milliseconds())
 }
 
-// queued reports whether a connection waits to be accepted.
-func queued(l net.Listener) bool {
+// hasPendingConn reports whether a connection waits to be accepted.
+func hasPendingConn(l net.Listener) bool {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
 		return false
@@ -238,36 +238,36 @@
 	return ctlErr == nil && err == nil && n > 0
 }
 
-// behind reports whether requests wait unread for so long that new callers are
+// isOverloaded reports whether requests wait unread for so long that new callers are
 // better off elsewhere.
-func (c *callers) behind() bool {
+func (c *connManager) isOverloaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pressure.behind(time.Now())
+	return c.overload.isOverloaded(time.Now())
 }
 
-// settled notes that the request of a connection was read and judged.
-func (c *callers) settled(conn net.Conn) {
+// releaseReadSlot notes that the request of a connection was read and judged.
+func (c *connManager) releaseReadSlot(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known := c.open[conn]; known != nil {
-		c.settle(known)
+	if known := c.conns[conn]; known != nil {
+		c.finishReading(known)
 	}
 }
 
-func (c *callers) settle(known *caller) {
-	c.judged(known)
-	if known.limit != nil {
-		known.limit.Stop()
-		known.limit = nil
-		<-c.unread
+func (c *connManager) finishReading(known *connInfo) {
+	c.clearFresh(known)
+	if known.readSlotTimer != nil {
+		known.readSlotTimer.Stop()
+		known.readSlotTimer = nil
+		<-c.readSlots
 	}
 }
 
 // evictIdle closes connections that have been idle the longest.
-func (c *callers) evictIdle(count int) {
+func (c *connManager) evictIdle(count int) {
 	for range count {
-		conn := c.oldestIdle()
+		conn := c.removeOldestIdle()
 		if conn == nil {
 			return
 		}
@@ -275,47 +275,47 @@
 	}
 }
 
-func (c *callers) oldestIdle() net.Conn {
+func (c *connManager) removeOldestIdle() net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var oldest net.Conn
 	var since time.Time
-	for conn, known := range c.open {
-		if !known.idle.IsZero() && (oldest == nil || known.idle.Before(since)) && !requested(conn) {
-			oldest, since = conn, known.idle
+	for conn, known := range c.conns {
+		if !known.idleSince.IsZero() && (oldest == nil || known.idleSince.Before(since)) && !hasRequestBytes(conn) {
+			oldest, since = conn, known.idleSince
 		}
 	}
 	if oldest != nil {
-		c.settle(c.open[oldest])
-		delete(c.open, oldest)
+		c.finishReading(c.conns[oldest])
+		delete(c.conns, oldest)
 	}
 	return oldest
 }
 
-// count returns how many connections are open.
-func (c *callers) count() int {
+// connCount returns how many connections are open.
+func (c *connManager) connCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.open)
+	return len(c.conns)
 }
 
-// connKey is the key of a caller's connection in the context of its requests.
-type connKey struct{}
+// connContextKey is the key of a caller's connection in the context of its requests.
+type connContextKey struct{}
 
-func withConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+func contextWithConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// left reports whether a request's caller has closed its connection. The
+// callerLeft reports whether a request's caller has closed its connection. The
 // library tells so by the request's context, but only once it gets to read: a
 // router that is behind would send a request on that nobody waits for.
-func left(ctx context.Context) bool {
-	c := connOf(ctx)
+func callerLeft(ctx context.Context) bool {
+	c := connFromContext(ctx)
 	return ctx.Err() != nil || c != nil && target.Closed(c)
 }
 
-// connOf returns the caller's connection of a request's context, or nil.
-func connOf(ctx context.Context) net.Conn {
-	c, _ := ctx.Value(connKey{}).(net.Conn)
+// connFromContext returns the caller's connection of a request's context, or nil.
+func connFromContext(ctx context.Context) net.Conn {
+	c, _ := ctx.Value(connContextKey{}).(net.Conn)
 	return c
 }
--- a/internal/gateway/connmanager_test.go
+++ b/internal/gateway/connmanager_test.go
@@ -17,22 +17,22 @@
 	"laburnumfall/internal/fleet"
 )
 
-func startCallers(t *testing.T, most int, limits func() fleet.CallerLimits, h http.Handler) (*callers, string) {
+func startCallers(t *testing.T, most int, limits func() fleet.CallerLimits, h http.Handler) (*connManager, string) {
 	c := newCallers(most, h)
 	return c, c.start(t, limits)
 }
 
-func newCallers(most int, h http.Handler) *callers {
-	return &callers{
-		handler: h,
-		most:    most,
-		server:  func(h http.Handler) *http.Server { return &http.Server{Handler: h} },
-		log:     hclog.NewNullLogger(),
+func newCallers(most int, h http.Handler) *connManager {
+	return &connManager{
+		handler:   h,
+		maxConns:  most,
+		newServer: func(h http.Handler) *http.Server { return &http.Server{Handler: h} },
+		log:       hclog.NewNullLogger(),
 	}
 }
 
 // start has connections taken at an address.
-func (c *callers) start(t *testing.T, limits func() fleet.CallerLimits) string {
+func (c *connManager) start(t *testing.T, limits func() fleet.CallerLimits) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	done := make(chan error, 1)
@@ -83,17 +83,17 @@
 		require.Eventually(t, c.allIdle, 5*time.Second, time.Millisecond) // they are so in the order of their answers
 		conns = append(conns, conn)
 	}
-	require.Eventually(t, func() bool { return c.count() <= most+1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return c.connCount() <= most+1 }, 5*time.Second, time.Millisecond)
 	require.NoError(t, ask(conns[len(conns)-1]), "the newest is still open")
 	require.Error(t, ask(conns[0]), "the one that was idle the longest is closed")
 }
 
 // allIdle reports whether no open connection is in use.
-func (c *callers) allIdle() bool {
+func (c *connManager) allIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, known := range c.open {
-		if known.idle.IsZero() {
+	for _, known := range c.conns {
+		if known.idleSince.IsZero() {
 			return false
 		}
 	}
@@ -130,9 +130,9 @@
 		inside.Add(-1)
 		w.WriteHeader(http.StatusNoContent)
 	}))
-	c.unreadFor = time.Hour // or one that gets no processor meanwhile counts no more
+	c.unreadTimeout = time.Hour // or one that gets no processor meanwhile counts no more
 	address := c.start(t, noLimits)
-	const callers = 6 * mostUnread
+	const callers = 6 * maxUnreadRequests
 	done := make(chan error, callers)
 	for range callers {
 		conn := dialCaller(t, address)
@@ -147,7 +147,7 @@
 	for range callers {
 		require.NoError(t, <-done)
 	}
-	require.LessOrEqual(t, most.Load(), int64(mostUnread))
+	require.LessOrEqual(t, most.Load(), int64(maxUnreadRequests))
 }
 
 // Symptom: callers wait behind one that sends nothing.
@@ -160,7 +160,7 @@
 			w.WriteHeader(http.StatusNoContent)
 		}
 	}))
-	for range 2 * mostUnread {
+	for range 2 * maxUnreadRequests {
 		_, err := io.WriteString(dialCaller(t, address), "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\npart")
 		require.NoError(t, err)
 	}
@@ -175,7 +175,7 @@
 // Cause: a connection counts as idle until its request's turn has come.
 func TestARequestThatWaitsToBeReadIsNotClosed(t *testing.T) {
 	release := make(chan struct{})
-	c, address := startCallers(t, mostUnread+1, noLimits, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	c, address := startCallers(t, maxUnreadRequests+1, noLimits, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			<-release
 		}
@@ -183,11 +183,11 @@
 	}))
 	kept := dialCaller(t, address)
 	require.NoError(t, ask(kept))
-	for range mostUnread {
+	for range maxUnreadRequests {
 		_, err := io.WriteString(dialCaller(t, address), "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n")
 		require.NoError(t, err)
 	}
-	require.Eventually(t, func() bool { return len(c.unread) == mostUnread }, 5*time.Second, 10*time.Microsecond)
+	require.Eventually(t, func() bool { return len(c.readSlots) == maxUnreadRequests }, 5*time.Second, 10*time.Microsecond)
 	done := make(chan error, 1)
 	go func() { done <- ask(kept) }()
 	time.Sleep(20 * time.Millisecond)
@@ -209,10 +209,10 @@
 	conn, err := l.Accept()
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }() // the test is over
-	ctx := withConn(context.Background(), conn)
-	require.False(t, left(ctx))
+	ctx := contextWithConn(context.Background(), conn)
+	require.False(t, callerLeft(ctx))
 	require.NoError(t, caller.Close())
-	require.Eventually(t, func() bool { return left(ctx) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return callerLeft(ctx) }, 5*time.Second, time.Millisecond)
 	require.NoError(t, ctx.Err())
 }
 
@@ -233,11 +233,11 @@
 }
 
 func stopWhileCallersComeIn(t *testing.T, end *time.Time) {
-	c := &callers{
-		handler: answerNothing, most: 1000, log: hclog.NewNullLogger(),
-		server: func(h http.Handler) *http.Server { return &http.Server{Handler: h} },
+	c := &connManager{
+		handler: answerNothing, maxConns: 1000, log: hclog.NewNullLogger(),
+		newServer: func(h http.Handler) *http.Server { return &http.Server{Handler: h} },
 	}
-	c.end.Store(end)
+	c.graceEnd.Store(end)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	done := make(chan error, 1)
@@ -272,7 +272,7 @@
 // Cause: a feed that closes drops what it holds.
 func TestAFeedThatClosesGivesOutWhatItHolds(t *testing.T) {
 	for range 100 {
-		f := newFeed(nil)
+		f := newConnListener(nil)
 		a, b := net.Pipe()
 		require.NoError(t, b.Close())
 		f.conns <- a
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -65,7 +65,7 @@
 }
 
 func TestLastID(t *testing.T) {
-	require.Equal(t, "8", lastID([]byte("id: 7\ndata: a\n\nid:8\ndata: id: 9\n\ndata: b\n\n")))
-	require.Empty(t, lastID([]byte("data: a\n\n")))
-	require.Empty(t, lastID(nil))
+	require.Equal(t, "8", lastEventID([]byte("id: 7\ndata: a\n\nid:8\ndata: id: 9\n\ndata: b\n\n")))
+	require.Empty(t, lastEventID([]byte("data: a\n\n")))
+	require.Empty(t, lastEventID(nil))
 }
--- a/internal/gateway/evict_test.go
+++ b/internal/gateway/evict_test.go
@@ -40,19 +40,19 @@
 	kept := dialCaller(t, l.Addr().String())
 	conn, err := l.Accept()
 	require.NoError(t, err)
-	conn = watched(conn)
-	c := &callers{open: map[net.Conn]*caller{conn: {idle: time.Now()}}}
+	conn = trackReads(conn)
+	c := &connManager{conns: map[net.Conn]*connInfo{conn: {idleSince: time.Now()}}}
 	_, err = io.WriteString(kept, "GET / HTTP/1.1\r\n")
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return !target.Quiet(conn) }, 5*time.Second, time.Millisecond)
-	require.Nil(t, c.oldestIdle(), "its request is waited for")
+	require.Nil(t, c.removeOldestIdle(), "its request is waited for")
 }
 
-func touchedAny(c *callers) bool {
+func touchedAny(c *connManager) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn := range c.open {
-		if touched(conn) {
+	for conn := range c.conns {
+		if requestStarted(conn) {
 			return true
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,13 +37,13 @@
 const (
 	// sweepPeriod is how often unused connections are looked through.
 	sweepPeriod = time.Second
-	// connBytes is about what a caller's connection holds: a goroutine's stack
+	// connMemory is about what a caller's connection holds: a goroutine's stack
 	// and buffers. connPart is the part of the memory, and of the descriptors,
 	// as a divisor, that connections of callers may take.
-	connBytes = 32 << 10
-	connPart  = 4
-	// fewestConns is the least bound on callers' connections.
-	fewestConns = 64
+	connMemory        = 32 << 10
+	connBudgetDivisor = 4
+	// minConns is the least bound on callers' connections.
+	minConns = 64
 )
 
 // A Gateway serves one router's callers. Set the exported fields, then call Run.
@@ -66,26 +66,26 @@
 	Guard      quarantine.Guard
 	PollLeader chan<- struct{}
 
-	pool    upstream.Pool
-	callers *callers
+	pool  upstream.Pool
+	conns *connManager
 
-	mu        sync.Mutex // guards the decisions below
-	placer    placement.Placer
-	budgets   map[string]*retry.Budget
-	shares    quota.Shares
-	desk      admission.Controller          // set with the first choice
-	throttles map[string]*throttle.Throttle // of plain services, by pool
-	ruled     chan struct{}                 // closed when the leader has told of held requests
-	probing   map[fleet.Incarnation]bool    // targets that are looked for after a cut
+	mu                  sync.Mutex // guards the decisions below
+	placer              placement.Placer
+	retryBudgets        map[string]*retry.Budget
+	shares              quota.Shares
+	controller          admission.Controller          // set with the first choice
+	throttles           map[string]*throttle.Throttle // of plain services, by pool
+	restrictionsChanged chan struct{}                 // closed when the leader has told of held requests
+	probing             map[fleet.Incarnation]bool    // targets that are looked for after a cut
 
-	started    time.Time   // set by Run
-	ready      atomic.Bool // has a configuration and targets
-	stopping   atomic.Pointer[time.Time]
-	over       atomic.Bool   // its grace is over
-	uninformed atomic.Int64  // until when requests wait for Informed, by Clock in Unix nanoseconds
-	count      atomic.Uint64 // of requests that the router names
-	active     atomic.Int64
-	held       atomic.Int64 // bytes of bodies
+	startedAt         time.Time   // set by Run
+	ready             atomic.Bool // has a configuration and targets
+	stoppingSince     atomic.Pointer[time.Time]
+	graceExpired      atomic.Bool   // its grace is over
+	freshnessDeadline atomic.Int64  // until when requests wait for Informed, by Clock in Unix nanoseconds
+	requestCount      atomic.Uint64 // of requests that the router names
+	active            atomic.Int64
+	bodyBytes         atomic.Int64 // bytes of bodies
 }
 
 // SetTargets puts a configuration and the targets in force. It may be called at
@@ -104,7 +104,7 @@
 	if s.Table != nil {
 		g.shares.Capacity = s.Table.Capacity
 	}
-	g.missing(g.Clock.Now(), targets)
+	g.recordUnlistedTargets(g.Clock.Now(), targets)
 	g.ready.Store(s.Table != nil && len(targets) > 0)
 }
 
@@ -151,7 +151,7 @@
 // grace of the settings.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.pool.Clock = g.Clock
-	g.started = g.Clock.Now()
+	g.startedAt = g.Clock.Now()
 	// Callers' connections are ended by their idle time; probes would only cost
 	// four system calls each.
 	lc := net.ListenConfig{KeepAlive: -1}
@@ -159,29 +159,29 @@
 	if err != nil {
 		return fmt.Errorf("listen for callers (free the address or change listen): %w", err)
 	}
-	g.callers = &callers{
-		handler: g, most: g.mostConns(), server: g.newServer, log: g.Log,
-		closing: func() { g.over.Store(true) },
+	g.conns = &connManager{
+		handler: g, maxConns: g.maxConns(), newServer: g.newServer, log: g.Log,
+		onClose: func() { g.graceExpired.Store(true) },
 	}
-	g.Metrics.watch(g)
+	g.Metrics.registerGauges(g)
 	group, sweepCtx := errgroup.WithContext(context.WithoutCancel(ctx))
 	sweepCtx, stop := context.WithCancel(sweepCtx)
 	group.Go(func() error {
-		defer g.awaitLines()
-		return g.callers.run(listener, g.limits)
+		defer g.awaitEndLogs()
+		return g.conns.run(listener, g.callerLimits)
 	})
 	if g.Settings.Ready != "" {
-		group.Go(func() error { return g.tellBalancer(sweepCtx) })
+		group.Go(func() error { return g.serveReadiness(sweepCtx) })
 	}
 	group.Go(func() error { return g.sweep(sweepCtx) })
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
-			g.stop()
+			g.drain()
 		case <-sweepCtx.Done():
 		}
 		stop()
-		g.callers.letIn(listener)
+		g.conns.drainAcceptQueue(listener)
 		_ = listener.Close() // ends its accepting
 		g.pool.Close()
 		return nil
@@ -193,27 +193,27 @@
 	return &http.Server{Handler: h, ErrorLog: g.Log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
 }
 
-// mostConns bounds the connections of callers.
-func (g *Gateway) mostConns() int {
-	most := g.Settings.Files / connPart
-	if byMemory := int(g.Settings.Memory / connBytes / connPart); most == 0 || byMemory < most {
+// maxConns bounds the connections of callers.
+func (g *Gateway) maxConns() int {
+	most := g.Settings.Files / connBudgetDivisor
+	if byMemory := int(g.Settings.Memory / connMemory / connBudgetDivisor); most == 0 || byMemory < most {
 		most = byMemory
 	}
-	return max(most, fewestConns)
+	return max(most, minConns)
 }
 
-// limits returns what the configuration in force lets callers do.
-func (g *Gateway) limits() fleet.CallerLimits {
+// callerLimits returns what the configuration in force lets callers do.
+func (g *Gateway) callerLimits() fleet.CallerLimits {
 	if s := g.State(); s.Table != nil {
 		return s.Table.Limits
 	}
 	return fleet.CallerLimits{}
 }
 
-// tellBalancer answers the balancer until ctx ends.
-func (g *Gateway) tellBalancer(ctx context.Context) error {
-	server := g.newServer(http.HandlerFunc(g.serveReady))
-	server.ReadHeaderTimeout = headerTime
+// serveReadiness answers the balancer until ctx ends.
+func (g *Gateway) serveReadiness(ctx context.Context) error {
+	server := g.newServer(http.HandlerFunc(g.handleReadiness))
+	server.ReadHeaderTimeout = defaultHeaderTimeout
 	server.Addr = g.Settings.Ready
 	defer context.AfterFunc(ctx, func() { _ = server.Close() })() // it holds nothing
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
@@ -230,23 +230,23 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			g.pool.Sweep(g.Clock.Now(), g.takes)
-			g.callers.tellShed()
+			g.pool.Sweep(g.Clock.Now(), g.accepts)
+			g.conns.logShed()
 		}
 	}
 }
 
-func (g *Gateway) takes(target fleet.Incarnation) bool {
+func (g *Gateway) accepts(target fleet.Incarnation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.placer.Accepts(target)
 }
 
-// serveReady tells the balancer whether to send callers here. A router whose
+// handleReadiness tells the balancer whether to send callers here. A router whose
 // lease on keys has lapsed can serve few of them; others can.
-func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	status := http.StatusOK
-	if !g.Ready() || g.callers.behind() {
+	if !g.Ready() || g.conns.isOverloaded() {
 		status = http.StatusServiceUnavailable
 	}
 	w.WriteHeader(status)
@@ -257,5 +257,5 @@
 	s := g.State()
 	keyed := s.Table != nil && len(s.Table.KeyOwners) > 0
 	lapsed := keyed && !g.Clock.Now().Before(s.KeysUntil)
-	return g.ready.Load() && g.stopping.Load() == nil && !lapsed
+	return g.ready.Load() && g.stoppingSince.Load() == nil && !lapsed
 }
--- a/internal/gateway/hangwatchdog_test.go
+++ b/internal/gateway/hangwatchdog_test.go
@@ -22,10 +22,10 @@
 		answers bool
 		givenUp bool
 	}{
-		"in time":              {due: hangLate / 2, givenUp: true},
-		"late":                 {due: 2 * hangLate},
-		"the answer is there":  {due: hangLate / 2, answers: true},
-		"late, and it's there": {due: 2 * hangLate, answers: true},
+		"in time":              {due: maxTimerDelay / 2, givenUp: true},
+		"late":                 {due: 2 * maxTimerDelay},
+		"the answer is there":  {due: maxTimerDelay / 2, answers: true},
+		"late, and it's there": {due: 2 * maxTimerDelay, answers: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -46,14 +46,14 @@
 				require.NoError(t, err)
 				require.Eventually(t, func() bool { return !conn.Quiet() }, time.Second, time.Millisecond)
 			}
-			q := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, MaxAttempts: 2, Timeout: time.Minute}, arrived: now.Time, until: now.Time.Add(time.Minute), sent: 1}
-			w := &hangWatch{gateway: g, request: q, choice: &placement.Choice{}, conn: conn}
+			q := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, MaxAttempts: 2, Timeout: time.Minute}, arrivedAt: now.Time, deadline: now.Time.Add(time.Minute), attempts: 1}
+			w := &hangWatchdog{gateway: g, request: q, choice: &placement.Choice{}, conn: conn}
 			w.start()
 			require.NotNil(t, w.timer)
-			w.due = now.Time.Add(-tt.due)
+			w.dueAt = now.Time.Add(-tt.due)
 			w.fire()
-			require.Equal(t, !tt.answers && !tt.givenUp, w.due.After(now.Time), "the target gets its time anew")
-			require.Equal(t, tt.givenUp, w.end())
+			require.Equal(t, !tt.answers && !tt.givenUp, w.dueAt.After(now.Time), "the target gets its time anew")
+			require.Equal(t, tt.givenUp, w.stop())
 		})
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -6,26 +6,26 @@
 )
 
 // feed is a listener of connections that were accepted elsewhere.
-type feed struct {
-	conns  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
-	addr   net.Addr
+type connListener struct {
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
+	addr      net.Addr
 }
 
-// newFeed returns a feed that listens at an address.
+// newConnListener returns a feed that listens at an address.
 //
 // It is buffered. Else accepting waits for all else that runs after each two
 // connections, and the queue of the port grows until nobody in it waits any more:
 // on one of 55 routers, with ten times the usual callers, 4,900 timeouts became 560
 // by the buffer and by shedding (a day each).
-func newFeed(addr net.Addr) *feed {
-	return &feed{conns: make(chan net.Conn, mostFresh), closed: make(chan struct{}), addr: addr}
+func newConnListener(addr net.Addr) *connListener {
+	return &connListener{conns: make(chan net.Conn, maxFreshConns), closed: make(chan struct{}), addr: addr}
 }
 
 // Accept implements net.Listener. What the feed holds when it closes is still given
 // out: nobody else would answer it.
-func (f *feed) Accept() (net.Conn, error) {
+func (f *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-f.conns:
 		return c, nil
@@ -44,9 +44,9 @@
 	}
 }
 
-// drop closes what a closed feed still holds, since its server was closed before it
+// closePending closes what a closed feed still holds, since its server was closed before it
 // began.
-func (f *feed) drop() {
+func (f *connListener) closePending() {
 	for {
 		conn, err := f.Accept()
 		if err != nil {
@@ -57,12 +57,12 @@
 }
 
 // Addr implements net.Listener.
-func (f *feed) Addr() net.Addr {
+func (f *connListener) Addr() net.Addr {
 	return f.addr
 }
 
 // Close implements net.Listener.
-func (f *feed) Close() error {
-	f.once.Do(func() { close(f.closed) })
+func (f *connListener) Close() error {
+	f.closeOnce.Do(func() { close(f.closed) })
 	return nil
 }
--- a/internal/gateway/longevent_test.go
+++ b/internal/gateway/longevent_test.go
@@ -34,9 +34,9 @@
 	require.NoError(t, err)
 	require.Equal(t, "id: 1\n\n", string(piece))
 	piece, err = e.next()
-	require.ErrorIs(t, err, errLongEvent)
+	require.ErrorIs(t, err, errEventTooLong)
 	require.Empty(t, piece, "what is no whole event reaches no caller")
-	require.Less(t, source.read, 2*longestEvent)
+	require.Less(t, source.read, 2*maxEventBytes)
 }
 
 // Whatever a target streams, however it is cut: whole events come first, all bytes come
@@ -58,7 +58,7 @@
 		var got strings.Builder
 		for {
 			piece, err := e.next()
-			require.NotContains(t, lastID(piece), "\n")
+			require.NotContains(t, lastEventID(piece), "\n")
 			got.Write(piece)
 			if err != nil {
 				require.ErrorIs(t, err, end)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -14,14 +14,14 @@
 // Metrics are a gateway's metrics. Make them with NewMetrics. Labels are bounded: by the
 // statuses, reasons and ends of attempts that there are.
 type Metrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	ends     *prometheus.CounterVec
-	sends    *prometheus.CounterVec
-	first    *prometheus.HistogramVec
-	whole    *prometheus.HistogramVec
-	choice   prometheus.Histogram
-	cuts     prometheus.Counter
+	registry      *prometheus.Registry
+	requests      *prometheus.CounterVec
+	ends          *prometheus.CounterVec
+	sends         *prometheus.CounterVec
+	firstByteTime *prometheus.HistogramVec
+	requestTime   *prometheus.HistogramVec
+	choiceTime    prometheus.Histogram
+	interruptions prometheus.Counter
 }
 
 // NewMetrics registers the metrics.
@@ -39,20 +39,20 @@
 		sends: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lf_sends_total", Help: "Attempts at targets by result.",
 		}, []string{"result"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstByteTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "lf_first_byte_seconds", Help: "Time to the first byte of an answer, by status.", Buckets: times,
 		}, []string{"status"}),
-		whole: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		requestTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "lf_request_seconds", Help: "Time of a whole request, by status.", Buckets: times,
 		}, []string{"status"}),
-		choice: prometheus.NewHistogram(prometheus.HistogramOpts{
+		choiceTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "lf_choice_seconds", Help: "Time to choose a target, or to refuse for lack of room.", Buckets: brief,
 		}),
-		cuts: prometheus.NewCounter(prometheus.CounterOpts{
+		interruptions: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "lf_cut_total", Help: "Exchanges that targets cut, as those that end do.",
 		}),
 	}
-	m.registry.MustRegister(m.requests, m.ends, m.sends, m.first, m.whole, m.choice, m.cuts)
+	m.registry.MustRegister(m.requests, m.ends, m.sends, m.firstByteTime, m.requestTime, m.choiceTime, m.interruptions)
 	return m
 }
 
@@ -70,18 +70,18 @@
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-func (m *Metrics) done(status int, reason fleet.Reason, took time.Duration, q *request) {
+func (m *Metrics) recordEnd(status int, reason fleet.Reason, took time.Duration, q *request) {
 	label := strconv.Itoa(status)
 	m.requests.WithLabelValues(label).Inc()
 	m.ends.WithLabelValues(string(reason)).Inc()
-	m.whole.WithLabelValues(label).Observe(took.Seconds())
-	if q.begun {
-		m.first.WithLabelValues(label).Observe(q.first.Sub(q.arrived).Seconds())
+	m.requestTime.WithLabelValues(label).Observe(took.Seconds())
+	if q.responseStarted {
+		m.firstByteTime.WithLabelValues(label).Observe(q.firstByteAt.Sub(q.arrivedAt).Seconds())
 	}
 }
 
-// watch adds what can be read off the gateway at any time.
-func (m *Metrics) watch(g *Gateway) {
+// registerGauges adds what can be read off the gateway at any time.
+func (m *Metrics) registerGauges(g *Gateway) {
 	m.addGauge("lf_routes_number", "Number of the configuration of routes in force; 0 is none.", func() float64 {
 		if s := g.State(); s.Table != nil {
 			return float64(s.Table.Number)
@@ -97,7 +97,7 @@
 		return float64(g.placer.AcceptingCount())
 	})
 	m.addGauge("lf_ready", "Whether the balancer is told to send callers here.", func() float64 {
-		if !g.Ready() || g.callers.behind() {
+		if !g.Ready() || g.conns.isOverloaded() {
 			return 0
 		}
 		return 1
@@ -108,7 +108,7 @@
 		return float64(g.Guard.QuarantinedCount())
 	})
 	m.addGauge("lf_active", "Requests in progress.", func() float64 { return float64(g.active.Load()) })
-	m.addGauge("lf_connections", "Open connections of callers.", func() float64 { return float64(g.callers.count()) })
-	m.AddCounter("lf_shed_total", "Callers refused unread, since the router was behind.", func() float64 { return float64(g.callers.shedCount()) })
-	m.addGauge("lf_body_bytes", "Bytes of bodies of requests in progress.", func() float64 { return float64(g.held.Load()) })
+	m.addGauge("lf_connections", "Open connections of callers.", func() float64 { return float64(g.conns.connCount()) })
+	m.AddCounter("lf_shed_total", "Callers refused unread, since the router was behind.", func() float64 { return float64(g.conns.shedCount()) })
+	m.addGauge("lf_body_bytes", "Bytes of bodies of requests in progress.", func() float64 { return float64(g.bodyBytes.Load()) })
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -18,14 +18,14 @@
 		behind bool
 	}{
 		{"no wait", 0, false},
-		{"a short one", behindAfter - time.Millisecond, false},
-		{"a long one", behindAfter, true},
+		{"a short one", overloadThreshold - time.Millisecond, false},
+		{"a long one", overloadThreshold, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var p pressure
-			require.Equal(t, tc.behind, p.waited(noon, tc.wait))
-			require.Equal(t, tc.behind, p.behind(noon))
-			require.False(t, p.behind(noon.Add(relief)))
+			var p overloadDetector
+			require.Equal(t, tc.behind, p.recordWait(noon, tc.wait))
+			require.Equal(t, tc.behind, p.isOverloaded(noon))
+			require.False(t, p.isOverloaded(noon.Add(minOverloadPeriod)))
 		})
 	}
 }
@@ -37,20 +37,20 @@
 // Cause: nothing tells the balancer that the router is behind; each request that
 // it reads is read soon.
 func TestAQueueOfConnectionsThatIsNeverEmptyIsPressure(t *testing.T) {
-	var p pressure
+	var p overloadDetector
 	now := noon
-	for now.Sub(noon) < behindAfter {
-		require.False(t, p.look(now, true))
-		now = now.Add(lookPeriod)
+	for now.Sub(noon) < overloadThreshold {
+		require.False(t, p.recordQueueCheck(now, true))
+		now = now.Add(queueCheckInterval)
 	}
-	require.True(t, p.look(now, true))
-	require.True(t, p.behind(now))
+	require.True(t, p.recordQueueCheck(now, true))
+	require.True(t, p.isOverloaded(now))
 }
 
 func TestAQueueThatIsEmptyAtTimesIsNoPressure(t *testing.T) {
-	var p pressure
+	var p overloadDetector
 	for i := range 100 {
-		require.False(t, p.look(noon.Add(time.Duration(i)*lookPeriod), i%5 != 0))
+		require.False(t, p.recordQueueCheck(noon.Add(time.Duration(i)*queueCheckInterval), i%5 != 0))
 	}
 }
 
@@ -58,9 +58,9 @@
 // Sequence: two connections wait at once, some time later two more.
 // Cause: the time between counts as if the queue had never been empty.
 func TestLooksFarApartAreNotOneStretch(t *testing.T) {
-	var p pressure
+	var p overloadDetector
 	for i := range 100 {
-		require.False(t, p.look(noon.Add(time.Duration(i)*10*looksApart), true))
+		require.False(t, p.recordQueueCheck(noon.Add(time.Duration(i)*10*maxQueueCheckGap), true))
 	}
 }
 
@@ -69,30 +69,30 @@
 // behind at once.
 // Cause: the relief is the same however often that happens.
 func TestReliefGrowsWhereTheLoadComesBack(t *testing.T) {
-	var p pressure
+	var p overloadDetector
 	now := noon
-	for _, want := range []time.Duration{relief, 2 * relief, 4 * relief, mostRelief, mostRelief} {
-		require.True(t, p.waited(now, time.Second))
-		require.False(t, p.waited(now, time.Second), "it is behind already")
-		require.Equal(t, want, p.until.Sub(now))
-		now = p.until
+	for _, want := range []time.Duration{minOverloadPeriod, 2 * minOverloadPeriod, 4 * minOverloadPeriod, maxOverloadPeriod, maxOverloadPeriod} {
+		require.True(t, p.recordWait(now, time.Second))
+		require.False(t, p.recordWait(now, time.Second), "it is behind already")
+		require.Equal(t, want, p.overloadedUntil.Sub(now))
+		now = p.overloadedUntil
 	}
-	now = now.Add(2 * mostRelief)
-	require.True(t, p.waited(now, time.Second))
-	require.Equal(t, relief, p.until.Sub(now), "long ago does not count")
+	now = now.Add(2 * maxOverloadPeriod)
+	require.True(t, p.recordWait(now, time.Second))
+	require.Equal(t, minOverloadPeriod, p.overloadedUntil.Sub(now), "long ago does not count")
 }
 
 func TestQueuedConnectionsAreSeen(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() }) // nothing is on it
-	require.False(t, queued(l))
+	require.False(t, hasPendingConn(l))
 	dialCaller(t, l.Addr().String())
-	require.Eventually(t, func() bool { return queued(l) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return hasPendingConn(l) }, 5*time.Second, time.Millisecond)
 	conn, err := l.Accept()
 	require.NoError(t, err)
 	require.NoError(t, conn.Close())
-	require.False(t, queued(l))
+	require.False(t, hasPendingConn(l))
 }
 
 // Symptom and cause as above; here the connections are accepted, and what waits is
@@ -102,10 +102,10 @@
 	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release })
 	c, address := startCallers(t, 1000, noLimits, handler)
 	t.Cleanup(func() { close(release) })
-	require.False(t, c.behind())
-	for range 20 * mostUnread {
+	require.False(t, c.isOverloaded())
+	for range 20 * maxUnreadRequests {
 		_, err := dialCaller(t, address).Write([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 		require.NoError(t, err)
 	}
-	require.Eventually(t, c.behind, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, c.isOverloaded, 10*time.Second, 5*time.Millisecond)
 }
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -28,7 +28,7 @@
 		switch p {
 		case target.Ended:
 			g.Guard.RecordTermination(g.Clock.Now(), in.Incarnation)
-			g.wake()
+			g.pollLeader()
 		case target.Here:
 			now := g.Clock.Now()
 			g.Guard.RecordAlive(now, now.Add(-target.LookSlack), in.Incarnation)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -9,103 +9,103 @@
 )
 
 const (
-	// rulingTime is how long a request waits for the leader's word on it: the time of a
+	// permitTimeout is how long a request waits for the leader's word on it: the time of a
 	// report and its answer, several times over.
-	rulingTime = 600 * time.Millisecond
-	// rulingPoll is how often the leader is asked meanwhile.
-	rulingPoll = 50 * time.Millisecond
-	// rulingBack is when a caller may come back whose request got no word.
-	rulingBack = time.Second
+	permitTimeout = 600 * time.Millisecond
+	// permitPollInterval is how often the leader is asked meanwhile.
+	permitPollInterval = 50 * time.Millisecond
+	// minQuarantineRetryAfter is when a caller may come back whose request got no word.
+	minQuarantineRetryAfter = time.Second
 )
 
-// holdBack decides whether a request may be sent to a target now. One under which targets
+// awaitQuarantineDecision decides whether a request may be sent to a target now. One under which targets
 // have ended waits for the leader's word: its next copy may take another target away from
 // everybody, and the copies at other routers are not known here.
-func (g *Gateway) holdBack(q *request) (refusal, bool) {
-	q.verdict, q.cut = quarantine.Decision{}, false
+func (g *Gateway) awaitQuarantineDecision(q *request) (refusal, bool) {
+	q.decision, q.interrupted = quarantine.Decision{}, false
 	g.mu.Lock()
 	if g.Guard.Idle() {
 		g.mu.Unlock()
 		return refusal{}, true
 	}
-	q.verdict = g.Guard.Check(g.Clock.Now(), q.print())
-	if q.verdict.Action == quarantine.AwaitPermit {
-		g.Guard.RequestPermit(q.print())
-		defer g.unask(q)
+	q.decision = g.Guard.Check(g.Clock.Now(), q.fingerprint())
+	if q.decision.Action == quarantine.AwaitPermit {
+		g.Guard.RequestPermit(q.fingerprint())
+		defer g.cancelPermitRequest(q)
 	}
-	g.Guard.MarkSent(q.verdict, q.print())
+	g.Guard.MarkSent(q.decision, q.fingerprint())
 	g.mu.Unlock()
-	for end := time.Now().Add(rulingTime); q.verdict.Action == quarantine.AwaitPermit && time.Now().Before(end); {
-		g.awaitRuling(q)
+	for end := time.Now().Add(permitTimeout); q.decision.Action == quarantine.AwaitPermit && time.Now().Before(end); {
+		g.awaitRestrictions(q)
 		g.mu.Lock()
-		q.verdict = g.Guard.Check(g.Clock.Now(), q.print())
-		g.Guard.MarkSent(q.verdict, q.print())
+		q.decision = g.Guard.Check(g.Clock.Now(), q.fingerprint())
+		g.Guard.MarkSent(q.decision, q.fingerprint())
 		g.mu.Unlock()
 	}
-	if q.verdict.Action == quarantine.Allow {
+	if q.decision.Action == quarantine.Allow {
 		return refusal{}, true
 	}
-	back := max(q.verdict.RetryAfter, rulingBack)
+	back := max(q.decision.RetryAfter, minQuarantineRetryAfter)
 	return refusal{
-		status: http.StatusServiceUnavailable, kind: fleet.KindQuarantined, reason: fleet.ReasonQuarantined, back: back, ends: q.verdict.TerminationCount, print: q.print(),
+		status: http.StatusServiceUnavailable, kind: fleet.KindQuarantined, reason: fleet.ReasonQuarantined, retryAfter: back, terminationCount: q.decision.TerminationCount, fingerprint: q.fingerprint(),
 	}, false
 }
 
-// awaitRuling waits until the leader has told something, for rulingPoll at most.
-func (g *Gateway) awaitRuling(q *request) {
+// awaitRestrictions waits until the leader has told something, for rulingPoll at most.
+func (g *Gateway) awaitRestrictions(q *request) {
 	g.mu.Lock()
-	if g.ruled == nil {
-		g.ruled = make(chan struct{})
+	if g.restrictionsChanged == nil {
+		g.restrictionsChanged = make(chan struct{})
 	}
-	heard := g.ruled
-	g.wake()
+	heard := g.restrictionsChanged
+	g.pollLeader()
 	g.mu.Unlock()
-	timer := time.NewTimer(rulingPoll)
+	timer := time.NewTimer(permitPollInterval)
 	defer timer.Stop()
 	select {
 	case <-heard:
 	case <-timer.C:
 	case <-q.r.Context().Done():
-		g.leave(q, nil)
+		g.abortCanceled(q, nil)
 	}
 }
 
-func (g *Gateway) unask(q *request) {
+func (g *Gateway) cancelPermitRequest(q *request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Guard.CancelPermitRequest(q.print())
+	g.Guard.CancelPermitRequest(q.fingerprint())
 }
 
-// giveBack ends a request's permit, if it ran under one. What a cut means is told once it is
+// returnPermit ends a request's permit, if it ran under one. What a cut means is told once it is
 // known whether the target has ended.
-func (g *Gateway) giveBack(q *request, out outcome, unsent bool) {
-	if q.verdict.PermitID == 0 {
+func (g *Gateway) returnPermit(q *request, out attemptOutcome, unsent bool) {
+	if q.decision.PermitID == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
 	switch {
-	case q.cut:
+	case q.interrupted:
 		return
 	case out.reason == fleet.ReasonNoConnection:
-		g.Guard.ReturnUnreachable(now, q.verdict, q.print())
+		g.Guard.ReturnUnreachable(now, q.decision, q.fingerprint())
 	default:
-		g.Guard.ReturnPermit(now, q.verdict, q.print(), unsent)
+		g.Guard.ReturnPermit(now, q.decision, q.fingerprint(), unsent)
 	}
-	g.wake()
+	g.pollLeader()
 }
 
-// noteWhole notes a whole answer: its request does not end targets. A failure is none, since
+// recordCompletion notes a whole answer: its request does not end targets. A failure is none, since
 // a target may make it without running the request.
-func (g *Gateway) noteWhole(q *request, status int) {
+func (g *Gateway) recordCompletion(q *request, status int) {
 	if status >= http.StatusMultipleChoices {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.Guard.Idle() {
-		g.Guard.RecordCompletion(g.Clock.Now(), q.print())
+		g.Guard.RecordCompletion(g.Clock.Now(), q.fingerprint())
 	}
 }
 
@@ -122,23 +122,23 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.Guard.ApplyUpdate(now, asked, term, r)
-	if g.ruled != nil {
-		close(g.ruled)
-		g.ruled = nil
+	if g.restrictionsChanged != nil {
+		close(g.restrictionsChanged)
+		g.restrictionsChanged = nil
 	}
 }
 
-// wake has the leader asked at once.
-func (g *Gateway) wake() {
+// pollLeader has the leader asked at once.
+func (g *Gateway) pollLeader() {
 	select {
 	case g.PollLeader <- struct{}{}:
 	default: // it is about to be, or nobody asks
 	}
 }
 
-// missing takes the list of targets: one that cut an exchange, did not leave, and is not
+// recordUnlistedTargets takes the list of targets: one that cut an exchange, did not leave, and is not
 // listed any more has ended.
-func (g *Gateway) missing(now time.Time, targets []fleet.Instance) {
+func (g *Gateway) recordUnlistedTargets(now time.Time, targets []fleet.Instance) {
 	doubts := g.Guard.UnconfirmedTargets(now)
 	if len(doubts) == 0 {
 		return
@@ -150,7 +150,7 @@
 	for _, target := range doubts {
 		if !listed[target] {
 			g.Guard.RecordTermination(now, target)
-			g.wake()
+			g.pollLeader()
 		}
 	}
 }
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// soon and moment are when a caller may come back that was refused before any
+	// minRetryAfter and moment are when a caller may come back that was refused before any
 	// decision: at another router, or once a place may have come free.
-	soon   = admission.MinRetryAfter
-	moment = admission.NoCapacityRetryAfter
-	// drainTime and drainBytes bound what is read of a refused request.
-	drainTime  = 500 * time.Millisecond
-	drainBytes = 8 << 20
+	minRetryAfter        = admission.MinRetryAfter
+	noCapacityRetryAfter = admission.NoCapacityRetryAfter
+	// refusedBodyTimeout and drainBytes bound what is read of a refused request.
+	refusedBodyTimeout = 500 * time.Millisecond
+	maxRefusedBody     = 8 << 20
 )
 
 // A refusal is an answer of the router's own.
 type refusal struct {
-	status int
-	kind   fleet.ErrorKind
-	reason fleet.Reason
-	back   time.Duration // after which the caller may come back; 0 is never
-	wait   time.Duration // predicted
-	queue  time.Duration // of that, for the work of others
-	load   float64       // part of the target's slots that is taken
-	excess float64       // of the account over others that lack service
-	ends   int           // of targets, under the request
-	print  quarantine.Fingerprint
-	err    error
+	status           int
+	kind             fleet.ErrorKind
+	reason           fleet.Reason
+	retryAfter       time.Duration // after which the caller may come back; 0 is never
+	predictedTTFB    time.Duration // predicted
+	queueTime        time.Duration // of that, for the work of others
+	load             float64       // part of the target's slots that is taken
+	excess           float64       // of the account over others that lack service
+	terminationCount int           // of targets, under the request
+	fingerprint      quarantine.Fingerprint
+	err              error
 }
 
 // refusalBody is its body.
@@ -49,17 +49,17 @@
 
 // refuse answers a request that was sent to no target.
 func (g *Gateway) refuse(q *request, r refusal) {
-	g.logEnd(q, r.status, r.reason, r.err, "back", r.back.Milliseconds(), "wait", r.wait.Milliseconds(), "queue", r.queue.Milliseconds(), "load", r.load, "excess", r.excess, "ends", r.ends, "print", r.print)
+	g.logEnd(q, r.status, r.reason, r.err, "back", r.retryAfter.Milliseconds(), "wait", r.predictedTTFB.Milliseconds(), "queue", r.queueTime.Milliseconds(), "load", r.load, "excess", r.excess, "ends", r.terminationCount, "print", r.fingerprint)
 	remedy := "mend the request"
 	h := q.w.Header()
-	if r.back > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(r.back.Seconds(), 'f', 3, 64))
+	if r.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 3, 64))
 		remedy = "come back after Retry-After"
 	}
-	g.answer(q, r.status, fleet.OutcomeNotRun, refusalBody{Kind: r.kind, Message: string(r.reason), Remedy: remedy})
+	g.respond(q, r.status, fleet.OutcomeNotRun, refusalBody{Kind: r.kind, Message: string(r.reason), Remedy: remedy})
 }
 
-func (g *Gateway) answer(q *request, status int, o fleet.Outcome, body refusalBody) {
+func (g *Gateway) respond(q *request, status int, o fleet.Outcome, body refusalBody) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		g.Log.Error("an answer cannot be encoded", "request", q.id, "error", err)
@@ -75,21 +75,21 @@
 		g.Log.Debug("the caller took no answer", "request", q.id, "error", err)
 	}
 	if q.r.ContentLength != 0 && q.body == nil {
-		g.drainCaller(q)
+		g.discardRequestBody(q)
 	}
 }
 
-// drainCaller reads the body of a request that was answered without it. A
+// discardRequestBody reads the body of a request that was answered without it. A
 // connection that closes with unread bytes is reset, and the caller may never
 // see its answer; the library reads them only where it keeps the connection.
-func (g *Gateway) drainCaller(q *request) {
+func (g *Gateway) discardRequestBody(q *request) {
 	rc := http.NewResponseController(q.w)
 	err := rc.Flush()
 	if err == nil {
-		err = rc.SetReadDeadline(time.Now().Add(drainTime))
+		err = rc.SetReadDeadline(time.Now().Add(refusedBodyTimeout))
 	}
 	if err == nil {
-		_, err = io.CopyN(io.Discard, q.r.Body, drainBytes)
+		_, err = io.CopyN(io.Discard, q.r.Body, maxRefusedBody)
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
 		g.Log.Debug("the body of a refused request was not read", "request", q.id, "error", err)
@@ -97,11 +97,11 @@
 }
 
 // end refuses a request, or breaks its answer off if that has begun.
-func (g *Gateway) end(q *request, r refusal) {
-	if q.begun {
-		g.breakOff(q, r.reason, r.err)
+func (g *Gateway) refuseOrAbort(q *request, r refusal) {
+	if q.responseStarted {
+		g.abortResponse(q, r.reason, r.err)
 	}
-	if q.ran {
+	if q.mayHaveRun {
 		g.giveUp(q, r.reason, r.err)
 		return
 	}
@@ -114,41 +114,41 @@
 func (g *Gateway) giveUp(q *request, reason fleet.Reason, err error) {
 	switch {
 	case q.r.Context().Err() != nil:
-		g.leave(q, err)
-	case q.begun:
-		g.breakOff(q, reason, err)
-	case !q.ran:
-		g.refuse(q, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: reason, back: moment, err: err})
-	case !g.Clock.Now().Before(q.until):
+		g.abortCanceled(q, err)
+	case q.responseStarted:
+		g.abortResponse(q, reason, err)
+	case !q.mayHaveRun:
+		g.refuse(q, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: reason, retryAfter: noCapacityRetryAfter, err: err})
+	case !g.Clock.Now().Before(q.deadline):
 		g.logEnd(q, http.StatusGatewayTimeout, reason, err)
-		g.answer(q, http.StatusGatewayTimeout, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindDeadline, Message: string(reason), Remedy: "it may have run; ask for less or wait longer"})
+		g.respond(q, http.StatusGatewayTimeout, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindDeadline, Message: string(reason), Remedy: "it may have run; ask for less or wait longer"})
 	default:
 		g.logEnd(q, http.StatusBadGateway, reason, err)
-		g.answer(q, http.StatusBadGateway, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindTargetFailed, Message: string(reason), Remedy: "it may have run; send it again only if that does no harm"})
+		g.respond(q, http.StatusBadGateway, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindTargetFailed, Message: string(reason), Remedy: "it may have run; send it again only if that does no harm"})
 	}
 }
 
-// leave ends a request whose caller has gone, or was cut off since the grace of a stop
+// abortCanceled ends a request whose caller has gone, or was cut off since the grace of a stop
 // is over: both look alike to what carries it.
-func (g *Gateway) leave(q *request, err error) {
+func (g *Gateway) abortCanceled(q *request, err error) {
 	reason := fleet.ReasonCallerLeft
-	if g.over.Load() {
+	if g.graceExpired.Load() {
 		reason = fleet.ReasonGraceExpired
 	}
 	g.logEnd(q, 0, reason, err)
 	panic(http.ErrAbortHandler)
 }
 
-// breakOff ends an answer that has begun so that it cannot look whole: the
+// abortResponse ends an answer that has begun so that it cannot look whole: the
 // connection closes before the end of the body.
-func (g *Gateway) breakOff(q *request, reason fleet.Reason, err error) {
+func (g *Gateway) abortResponse(q *request, reason fleet.Reason, err error) {
 	g.logEnd(q, 0, fleet.ReasonTruncatedPrefix+reason, err)
 	panic(http.ErrAbortHandler)
 }
 
-// endLevel returns the level of the line of a request's end: that of one that failed
+// endLogLevel returns the level of the line of a request's end: that of one that failed
 // is kept where others are dropped.
-func endLevel(status int) hclog.Level {
+func endLogLevel(status int) hclog.Level {
 	if status == 0 || status >= http.StatusBadRequest {
 		return hclog.Warn
 	}
@@ -164,18 +164,18 @@
 	now := g.Clock.Now()
 	args := []any{
 		"request", q.id, "status", status, "reason", reason, "route", route, "pool", q.pool, "account", q.account,
-		"sent", q.sent, "took", now.Sub(q.arrived).Milliseconds(), "aim", aim.Milliseconds(), "within", q.within,
+		"sent", q.attempts, "took", now.Sub(q.arrivedAt).Milliseconds(), "aim", aim.Milliseconds(), "within", q.withinShare,
 	}
-	if q.begun {
-		args = append(args, "first", q.first.Sub(q.arrived).Milliseconds())
+	if q.responseStarted {
+		args = append(args, "first", q.firstByteAt.Sub(q.arrivedAt).Milliseconds())
 	}
 	if len(q.parts) > 0 {
 		own := q.parts[len(q.parts)-1].Tokens
-		args = append(args, "own", own, "shared", tokensOf(q.parts)-own)
+		args = append(args, "own", own, "shared", totalTokens(q.parts)-own)
 	}
 	if err != nil {
 		args = append(args, "error", err)
 	}
-	g.Log.Log(endLevel(status), "done", append(args, more...)...)
-	g.Metrics.done(status, reason, now.Sub(q.arrived), q)
+	g.Log.Log(endLogLevel(status), "done", append(args, more...)...)
+	g.Metrics.recordEnd(status, reason, now.Sub(q.arrivedAt), q)
 }
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -15,11 +15,11 @@
 )
 
 // fill opens connections until the router is overfull.
-func fill(t *testing.T, c *callers, address string) {
-	for range mostFresh {
+func fill(t *testing.T, c *connManager, address string) {
+	for range maxFreshConns {
 		dialCaller(t, address)
 	}
-	require.Eventually(t, func() bool { return c.overfull(time.Now()) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return c.tooManyFresh(time.Now()) }, 5*time.Second, time.Millisecond)
 }
 
 // Symptom: all requests that come in through one router time out, those too that
@@ -29,7 +29,7 @@
 // Cause: nothing answers a caller before its request was read.
 func TestCallersBeyondWhatIsReadAreShedAtOnce(t *testing.T) {
 	c := newCallers(1000, answerNothing)
-	c.freshFor = time.Hour // or the first count no more before the last have come
+	c.freshTimeout = time.Hour // or the first count no more before the last have come
 	address := c.start(t, noLimits)
 	require.NoError(t, ask(dialCaller(t, address)))
 	fill(t, c, address)
@@ -42,11 +42,11 @@
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Equal(t, "0.020", resp.Header.Get("Retry-After"))
 	require.True(t, resp.Close)
-	require.True(t, c.behind())
+	require.True(t, c.isOverloaded())
 	c.mu.Lock()
-	c.freshFor = 0 // as usual
+	c.freshTimeout = 0 // as usual
 	c.mu.Unlock()
-	require.Eventually(t, func() bool { return !c.overfull(time.Now()) }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return !c.tooManyFresh(time.Now()) }, 10*time.Second, 10*time.Millisecond)
 	require.NoError(t, ask(dialCaller(t, address)), "those that send nothing hold nobody up for long")
 }
 
@@ -54,13 +54,13 @@
 // Cause: what is refused unread has no request to write a line of.
 func TestShedCallersAreToldOf(t *testing.T) {
 	var lines bytes.Buffer
-	c := &callers{log: hclog.New(&hclog.LoggerOptions{JSONFormat: true, Output: &lines})}
+	c := &connManager{log: hclog.New(&hclog.LoggerOptions{JSONFormat: true, Output: &lines})}
 	now := time.Now()
-	c.noteShed(now)
-	c.noteShed(now)
+	c.recordShed(now)
+	c.recordShed(now)
 	lines.Reset()
-	c.tellShed()
-	c.tellShed()
+	c.logShed()
+	c.logShed()
 	require.Equal(t, 1, strings.Count(lines.String(), "callers refused unread"))
 	require.Contains(t, lines.String(), `"count":2`)
 	require.Equal(t, 2, c.shedCount())
@@ -70,7 +70,7 @@
 	for _, tc := range []struct {
 		name, sent, want string
 	}{
-		{"a request has begun", "GET / HTTP/1.1\r\n", string(shedAnswer)},
+		{"a request has begun", "GET / HTTP/1.1\r\n", string(shedResponse)},
 		{"nothing was sent", "", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 				_, err = bufio.NewReader(io.LimitReader(conn, 1)).ReadByte()
 				require.NoError(t, err)
 			}
-			shed(conn)
+			shedConn(conn)
 			got, err := io.ReadAll(caller)
 			require.NoError(t, err)
 			require.Equal(t, tc.want, string(got))
@@ -100,23 +100,23 @@
 // Cause: connections count as unjudged for longer than that.
 func TestRequestsInProgressDoNotShedOthers(t *testing.T) {
 	release := make(chan struct{})
-	var c *callers
+	var c *connManager
 	c, address := startCallers(t, 1000, noLimits, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c.settled(connOf(r.Context()))
+		c.releaseReadSlot(connFromContext(r.Context()))
 		<-release
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	t.Cleanup(func() { close(release) })
-	for range 2 * mostFresh {
+	for range 2 * maxFreshConns {
 		_, err := io.WriteString(dialCaller(t, address), "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		require.NoError(t, err)
-		require.False(t, c.overfull(time.Now()))
+		require.False(t, c.tooManyFresh(time.Now()))
 		require.Eventually(t, func() bool { return c.countFresh() == 0 }, 5*time.Second, 10*time.Microsecond)
 	}
 }
 
-func (c *callers) countFresh() int {
+func (c *connManager) countFresh() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fresh
+	return c.freshCount
 }
--- a/internal/gateway/shedmemory_test.go
+++ b/internal/gateway/shedmemory_test.go
@@ -40,7 +40,7 @@
 	seen.Add(1)
 	for _, conn := range taken {
 		go func() {
-			finish(conn)
+			drainAndClose(conn)
 			finished.Done()
 			seen.Wait()
 		}()
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -21,18 +21,18 @@
 	c, l, done := closable(t)
 	first := dialCaller(t, l.Addr().String())
 	require.NoError(t, ask(first))
-	for range mostUnread {
-		c.unread <- struct{}{} // others are being read
+	for range maxUnreadRequests {
+		c.readSlots <- struct{}{} // others are being read
 	}
 	waits := dialCaller(t, l.Addr().String())
 	_, err := io.WriteString(waits, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return c.count() == 2 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return c.connCount() == 2 }, 5*time.Second, time.Millisecond)
 	time.Sleep(50 * time.Millisecond) // it has begun to read
 	require.NoError(t, l.Close())
 	time.Sleep(50 * time.Millisecond) // and the router has begun to close
-	for range mostUnread {
-		<-c.unread
+	for range maxUnreadRequests {
+		<-c.readSlots
 	}
 	requireAnswer(t, waits)
 	require.NoError(t, <-done)
@@ -44,7 +44,7 @@
 	half := dialCaller(t, l.Addr().String())
 	_, err := io.WriteString(half, "GET / HTTP/1.1\r\nHost: h\r\n")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return c.count() == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return c.connCount() == 1 }, 5*time.Second, time.Millisecond)
 	time.Sleep(50 * time.Millisecond) // it has begun to read
 	require.NoError(t, l.Close())
 	time.Sleep(50 * time.Millisecond) // and the router has begun to close
@@ -68,10 +68,10 @@
 	}
 	closed := make(chan error, 1)
 	go func() {
-		(&callers{}).letIn(l)
+		(&connManager{}).drainAcceptQueue(l)
 		closed <- l.Close()
 	}()
-	time.Sleep(letInFor / 5)
+	time.Sleep(acceptQueueTimeout / 5)
 	c.mu.Unlock()
 	for _, conn := range conns {
 		requireAnswer(t, conn)
@@ -87,10 +87,10 @@
 func TestStoppingAnswersACallerThatHasJustConnected(t *testing.T) {
 	c, l, done := closable(t)
 	conn := dialCaller(t, l.Addr().String())
-	require.Eventually(t, func() bool { return c.count() == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return c.connCount() == 1 }, 5*time.Second, time.Millisecond)
 	c.mu.Lock()
-	for _, known := range c.open {
-		known.since = time.Now().Add(5 * time.Second) // it stays new, however slow this machine is
+	for _, known := range c.conns {
+		known.acceptedAt = time.Now().Add(5 * time.Second) // it stays new, however slow this machine is
 	}
 	c.mu.Unlock()
 	require.NoError(t, l.Close())
@@ -139,7 +139,7 @@
 	half := dialCaller(t, l.Addr().String())
 	_, err := io.WriteString(half, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\npart")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return c.count() == 1 && c.unanswered() == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return c.connCount() == 1 && c.unansweredCount() == 1 }, 5*time.Second, time.Millisecond)
 	require.NoError(t, l.Close())
 	requireEnd(t, done)
 }
@@ -150,7 +150,7 @@
 func TestConnectionsWithoutARequestAreNotWaitedFor(t *testing.T) {
 	c, address := startCallers(t, 1000, noLimits, answerNothing)
 	require.NoError(t, ask(dialCaller(t, address)))
-	require.Eventually(t, func() bool { return c.unanswered() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return c.unansweredCount() == 0 }, 10*time.Second, time.Millisecond)
 }
 
 // Symptom: a router that was told to stop ends as if it hung: with an error, and without
@@ -158,29 +158,29 @@
 // Sequence: the end of its grace comes while callers stand in its queue.
 // Cause: they were let in for their own time, behind the end of the grace.
 func TestNothingIsWaitedForBehindTheGrace(t *testing.T) {
-	var c callers
+	var c connManager
 	now := time.Now()
-	require.Equal(t, now.Add(time.Second), c.within(now, time.Second), "not told to stop")
+	require.Equal(t, now.Add(time.Second), c.deadlineWithinGrace(now, time.Second), "not told to stop")
 	for left, want := range map[time.Duration]time.Duration{
 		time.Minute: time.Second, time.Millisecond: time.Millisecond, -time.Second: -time.Second,
 	} {
 		end := now.Add(left)
-		c.end.Store(&end)
-		require.Equal(t, now.Add(want), c.within(now, time.Second))
+		c.graceEnd.Store(&end)
+		require.Equal(t, now.Add(want), c.deadlineWithinGrace(now, time.Second))
 	}
 }
 
 // closable runs callers until their listener closes.
-func closable(t *testing.T) (*callers, net.Listener, chan error) {
+func closable(t *testing.T) (*connManager, net.Listener, chan error) {
 	return closableWith(t, answerNothing)
 }
 
-func closableWith(t *testing.T, h http.Handler) (*callers, net.Listener, chan error) {
+func closableWith(t *testing.T, h http.Handler) (*connManager, net.Listener, chan error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	c := &callers{
-		handler: h, most: 1000, log: hclog.NewNullLogger(),
-		server: func(h http.Handler) *http.Server { return &http.Server{Handler: h} },
+	c := &connManager{
+		handler: h, maxConns: 1000, log: hclog.NewNullLogger(),
+		newServer: func(h http.Handler) *http.Server { return &http.Server{Handler: h} },
 	}
 	done := make(chan error, 1)
 	go func() { done <- c.run(l, noLimits) }()
--- a/internal/gateway/throttle.go
+++ b/internal/gateway/throttle.go
@@ -8,10 +8,10 @@
 	"laburnumfall/internal/upstream"
 )
 
-// longQueue is the part of a route's aim, as a divisor, that the requests waiting at
+// longQueueDivisor is the part of a route's aim, as a divisor, that the requests waiting at
 // a plain service may take before its queue counts as long: the other half is for the
 // way, and for the request itself.
-const longQueue = 2
+const longQueueDivisor = 2
 
 // throttle returns what bounds requests to a plain service.
 func (g *Gateway) throttle(pool string) *throttle.Throttle {
@@ -26,9 +26,9 @@
 	return t
 }
 
-// keptBack counts a request to a plain service, and reports whether it is surplus
+// exceedsThrottle counts a request to a plain service, and reports whether it is surplus
 // that the service would refuse. Engines' work is shared by tokens instead.
-func (g *Gateway) keptBack(now time.Time, q *request) bool {
+func (g *Gateway) exceedsThrottle(now time.Time, q *request) bool {
 	if q.route.PrefixCached {
 		return false
 	}
@@ -39,8 +39,8 @@
 	return !g.throttle(q.pool).Allow(now, name)
 }
 
-// noteCrowd takes from a target's answer whether it had room.
-func (g *Gateway) noteCrowd(q *request, target fleet.Incarnation, a *upstream.Answer) {
+// recordQueueLength takes from a target's answer whether it had room.
+func (g *Gateway) recordQueueLength(q *request, target fleet.Incarnation, a *upstream.Answer) {
 	waiting, told := g.Dialect.QueueLength(a.Header)
 	unrun := g.Dialect.NotRun(a.Status, a.Header)
 	g.mu.Lock()
@@ -49,7 +49,7 @@
 	long := false
 	if told {
 		g.placer.SetReportedQueue(now, target, waiting)
-		long = q.route.LatencyObjective > 0 && g.placer.QueueTime(now, target, waiting) > q.route.LatencyObjective/longQueue
+		long = q.route.LatencyObjective > 0 && g.placer.QueueTime(now, target, waiting) > q.route.LatencyObjective/longQueueDivisor
 	}
 	if q.route.PrefixCached || unrun && g.Dialect.AddressReused(a.Status) {
 		return
