--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -16,112 +16,113 @@
 )
 
 const (
-	// singleStartTime is how long a router that starts alone is without a configuration: the
-	// leader answers its first question.
+	// singleStartTime is how long a router has no configuration after it is started alone. The
+	// leader answers its first request.
 	singleStartTime = 100 * time.Millisecond
-	// fleetStartTime is how long after its start a router has a configuration where the whole
-	// fleet has started: keepers that may have promised a leader wait out its lease before
-	// another one leads.
+	// fleetStartTime is how long a router has no configuration after the whole fleet is started.
+	// Keepers that may have granted a lease to a leader before the restart wait for it to expire
+	// before they elect another one.
 	fleetStartTime = 1200 * time.Millisecond
-	// maxStartRetryAfter bounds when a caller may come back where it takes longer still, as long
-	// again as it has taken.
+	// maxStartRetryAfter bounds the delay of callers when the start takes longer than
+	// fleetStartTime. Up to this bound the delay is as long as the start has taken so far.
 	maxStartRetryAfter = time.Second
-	// startRetryJitter spreads callers that come back, so that they are not all there at once.
+	// startRetryJitter spreads callers that retry, so that they do not all arrive at once.
 	startRetryJitter = 300 * time.Millisecond
 )
 
-// startRetryAfter returns when a caller may come back that reached a router without a
-// configuration. One that starts alone has it at once, and all others serve. Otherwise the
-// whole fleet has started: callers that are sent to another router before it serves are
-// refused there as well, many for the last time.
-func (g *Gateway) startRetryAfter(q *request) time.Duration {
-	without := g.Clock.Now().Sub(g.startedAt)
-	if without < singleStartTime {
+// startRetryAfter returns when a caller may retry that reached a router without a configuration. In
+// the first singleStartTime the router has probably been started alone: the caller may retry at
+// once, since all other routers serve. After that, the whole fleet has probably been started. A
+// caller that retries before another router serves is refused there as well, and many callers then
+// give up.
+func (g *Gateway) startRetryAfter(req *request) time.Duration {
+	sinceStart := g.Clock.Now().Sub(g.startedAt)
+	if sinceStart < singleStartTime {
 		return minRetryAfter
 	}
-	back := max(fleetStartTime-without, min(without, maxStartRetryAfter))
-	return back + time.Duration(xxhash.Sum64String(q.id)%uint64(startRetryJitter))
+	retryAfter := max(fleetStartTime-sinceStart, min(sinceStart, maxStartRetryAfter))
+	return retryAfter + time.Duration(xxhash.Sum64String(req.id)%uint64(startRetryJitter))
 }
 
-// admit finds a request's route and account.
-func (g *Gateway) admit(q *request, s keeperclient.State) (refusal, bool) {
-	if s.Table == nil || !g.ready.Load() {
-		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonNoConfig, retryAfter: g.startRetryAfter(q)}, false
+// admit sets the route, account, deadline, pool and cost of a request, or refuses it.
+func (g *Gateway) admit(req *request, state keeperclient.State) (refusal, bool) {
+	if state.Table == nil || !g.ready.Load() {
+		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonNoConfig, retryAfter: g.startRetryAfter(req)}, false
 	}
-	path, _, _ := strings.Cut(q.r.RequestURI, "?")
-	route, ok := s.Table.Route(q.r.Host, path)
+	path, _, _ := strings.Cut(req.r.RequestURI, "?")
+	route, ok := state.Table.Route(req.r.Host, path)
 	if !ok {
 		return refusal{status: http.StatusNotFound, kind: fleet.KindEventUnavailable, reason: fleet.ReasonNoRoute}, false
 	}
-	q.route = route
-	if refused, ok := g.checkKey(q, s); !ok {
+	req.route = route
+	if refused, ok := g.checkKey(req, state); !ok {
 		return refused, false
 	}
-	q.deadline = q.arrivedAt.Add(route.Timeout)
-	if left, ok := g.Dialect.TimeLeft(q.r.Header); ok && left < route.Timeout {
-		q.deadline = q.arrivedAt.Add(left)
+	req.deadline = req.arrivedAt.Add(route.Timeout)
+	if timeLeft, ok := g.Dialect.TimeLeft(req.r.Header); ok && timeLeft < route.Timeout {
+		req.deadline = req.arrivedAt.Add(timeLeft)
 	}
-	q.pool = route.PoolFor(xxhash.Sum64String(q.id))
+	req.pool = route.PoolFor(xxhash.Sum64String(req.id))
 	if route.PrefixCached {
-		var output int
-		q.parts, output = g.Dialect.Prompt(q.r.Header)
-		q.cost = tokenCost(q.parts, output)
+		var maxOutput int
+		req.parts, maxOutput = g.Dialect.Prompt(req.r.Header)
+		req.cost = tokenCost(req.parts, maxOutput)
 	}
 	return refusal{}, true
 }
 
-func tokenCost(parts []placement.PromptPart, output int) float64 {
-	const generated = 2
-	return float64(generated*output + totalTokens(parts))
+func tokenCost(parts []placement.PromptPart, maxOutput int) float64 {
+	const outputWeight = 2
+	return float64(outputWeight*maxOutput + totalTokens(parts))
 }
 
 func totalTokens(parts []placement.PromptPart) int {
 	tokens := 0
-	for _, p := range parts {
-		tokens += p.Tokens
+	for _, part := range parts {
+		tokens += part.Tokens
 	}
 	return tokens
 }
 
-// checkKey finds the account of a request's key. It is asked again before each
-// attempt: a key may be withdrawn, or this router lose its lease on keys, while
-// a request is on its way.
-func (g *Gateway) checkKey(q *request, s keeperclient.State) (refusal, bool) {
-	if q.route.Keyless {
+// checkKey sets the account of a request from its API key. It is called before each attempt, since
+// the key may be revoked, or this router's lease on keys may lapse, while the request is in
+// progress.
+func (g *Gateway) checkKey(req *request, state keeperclient.State) (refusal, bool) {
+	if req.route.Keyless {
 		return refusal{}, true
 	}
-	if !g.Clock.Now().Before(s.KeysUntil) {
+	if !g.Clock.Now().Before(state.KeysUntil) {
 		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonKeysUnverifiable, retryAfter: minRetryAfter}, false
 	}
-	holder, ok := s.Table.KeyOwner(g.Dialect.APIKey(q.r.Header))
+	owner, ok := state.Table.KeyOwner(g.Dialect.APIKey(req.r.Header))
 	if !ok {
 		return refusal{status: http.StatusUnauthorized, kind: fleet.KindUnknownKey, reason: fleet.ReasonUnknownKey}, false
 	}
-	q.account = holder.Account
+	req.account = owner.Account
 	return refusal{}, true
 }
 
-// readBody reads a whole body, so that it can be sent a second time and is
-// framed anew for the target whatever framing the caller used.
-func (g *Gateway) readBody(q *request, s keeperclient.State) (refusal, bool) {
-	if q.r.ContentLength == 0 {
+// readBody reads the complete body, so that it can be sent to a second target, and with a
+// Content-Length even if the caller used chunked encoding.
+func (g *Gateway) readBody(req *request, state keeperclient.State) (refusal, bool) {
+	if req.r.ContentLength == 0 {
 		return refusal{}, true
 	}
 	if g.Settings.Memory > 0 && g.bodyBytes.Load() > g.Settings.Memory/bodyMemoryDivisor {
 		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindCapacityExhausted, reason: fleet.ReasonBodyMemoryFull, retryAfter: noCapacityRetryAfter}, false
 	}
-	limit := int64(s.Table.Limits.MaxBodyBytes)
+	limit := int64(state.Table.Limits.MaxBodyBytes)
 	if limit <= 0 {
 		limit = 4 << 20
 	}
-	rc := http.NewResponseController(q.w)
-	if err := rc.SetReadDeadline(time.Now().Add(q.deadline.Sub(q.arrivedAt))); err != nil {
-		g.Log.Debug("no read deadline", "request", q.id, "error", err)
+	rc := http.NewResponseController(req.w)
+	if err := rc.SetReadDeadline(time.Now().Add(req.deadline.Sub(req.arrivedAt))); err != nil {
+		g.Log.Debug("read deadline for the request body not set", "request", req.id, "error", err)
 	}
-	body, err := readAll(http.MaxBytesReader(q.w.ResponseWriter, q.r.Body, limit), min(q.r.ContentLength, limit))
-	var large *http.MaxBytesError
+	body, err := readAll(http.MaxBytesReader(req.w.ResponseWriter, req.r.Body, limit), min(req.r.ContentLength, limit))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return refusal{status: http.StatusRequestEntityTooLarge, kind: fleet.KindTooLarge, reason: fleet.ReasonBodyTooLarge}, false
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, io.ErrUnexpectedEOF):
 		return refusal{status: http.StatusRequestTimeout, kind: fleet.KindMalformed, reason: fleet.ReasonBodyIncomplete, retryAfter: minRetryAfter, err: err}, false
@@ -129,14 +130,14 @@
 		return refusal{status: http.StatusBadRequest, kind: fleet.KindMalformed, reason: fleet.ReasonBodyReadFailed, err: err}, false
 	}
 	if err := rc.SetReadDeadline(time.Time{}); err != nil {
-		g.Log.Debug("no read deadline", "request", q.id, "error", err)
+		g.Log.Debug("read deadline for the request body not cleared", "request", req.id, "error", err)
 	}
-	q.body = body
+	req.body = body
 	g.bodyBytes.Add(int64(len(body)))
 	return refusal{}, true
 }
 
-// readAll reads a body. One of known length is read in as few pieces as come.
+// readAll reads a body. If its length is known, it is read with as few reads as possible.
 func readAll(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(r)
@@ -145,8 +146,7 @@
 	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
-	// The end must be seen too: the library watches for callers that leave only
-	// from then on.
+	// Read up to io.EOF: net/http detects that the caller closes its connection only after that.
 	_, err := r.Read(make([]byte, 1))
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -33,10 +33,10 @@
 			parts: []placement.PromptPart{{ID: 1, Tokens: 10}},
 		}
 	}
-	q := newRequest()
-	_, _, ok := g.chooseTarget(now, q)
+	req := newRequest()
+	_, _, ok := g.chooseTarget(now, req)
 	require.True(t, ok, "there is room")
-	q.attempts++
+	req.attempts++
 	for range 8 {
 		within := newRequest()
 		within.withinShare = true
@@ -47,7 +47,7 @@
 	require.False(t, ok)
 	require.Equal(t, fleet.ReasonOverShare, refused.reason)
 	require.Positive(t, refused.load)
-	_, _, ok = g.chooseTarget(now, q)
+	_, _, ok = g.chooseTarget(now, req)
 	require.True(t, ok)
 }
 
--- a/internal/gateway/connmanager.go
+++ b/internal/gateway/connmanager.go
@@ -18,41 +18,40 @@
 )
 
 const (
-	// defaultHeaderTimeout, idleTime and headerSize hold where a configuration states none.
+	// defaultHeaderTimeout, defaultIdleTimeout and defaultMaxHeaderBytes apply if the configuration
+	// does not set these limits.
 	defaultHeaderTimeout  = 5 * time.Second
 	defaultIdleTimeout    = 15 * time.Second
 	defaultMaxHeaderBytes = 32 << 10
-	// maxUnreadRequests bounds the requests that are being read or judged. A router that
-	// gets more than it can work on would else divide its processor among all of
-	// them, and its talk with the keepers would come to a stand: configurations
-	// would not come in force, and its lease on keys would lapse. The rest wait,
-	// unread, in their order.
+	// maxUnreadRequests bounds the requests that are read and checked at the same time; the others
+	// wait unread in order of arrival. Without the bound, an overloaded router would divide its
+	// processor among all requests, and its communication with the keepers would stall: new
+	// configurations would not be applied, and its lease on API keys would lapse.
 	maxUnreadRequests = 16
-	// defaultUnreadTimeout is how long a request may count as being read: a caller that
-	// sends slowly must not hold others up.
+	// defaultUnreadTimeout is how long a request may occupy a read slot, so that a caller that
+	// sends slowly does not delay others.
 	defaultUnreadTimeout = 100 * time.Millisecond
-	// acceptRetryDelay is kept after an accept that failed for want of descriptors.
+	// acceptRetryDelay is the delay after accept failed, such as for lack of file descriptors.
 	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// connManager takes callers' connections in and hands them to a server with the
-// limits in force. Limits that change hold for new connections; those that are
-// open go on under the old ones.
+// connManager accepts callers' connections and passes them to an HTTP server with the limits in
+// force. Changed limits apply to new connections; open connections keep their limits.
 //
-// Refused callers open a connection each time they come back, and may leave it
-// open. Without a bound, idle ones use up descriptors and memory until no caller
-// gets in: above the bound, those that were idle the longest are closed.
+// Refused callers open a new connection for each retry and may leave the old one open. Without a
+// bound, idle connections would use up file descriptors and memory until no caller can connect.
+// When there are more than maxConns connections, those that have been idle the longest are closed.
 type connManager struct {
 	handler   http.Handler
-	maxConns  int // connections
+	maxConns  int
 	newServer func(handler http.Handler) *http.Server
 	log       hclog.Logger
-	// unreadTimeout and freshFor are how long a request counts as being read, and a connection as
-	// fresh; 0 is unreadTime and freshTime.
+	// unreadTimeout is how long a request may occupy a read slot, and freshTimeout is how long a
+	// connection counts as fresh. If they are 0, the default constants apply.
 	unreadTimeout, freshTimeout time.Duration
-	// end, if set, is when the grace of a stop ends: nothing is waited for behind it.
+	// graceEnd, if set, is the end of the grace period of a shutdown. No wait lasts longer.
 	graceEnd atomic.Pointer[time.Time]
-	// onClose, if set, is told when connections that are in use are closed.
+	// onClose, if set, is called before connections are closed whose requests are in progress.
 	onClose func()
 
 	mu        sync.Mutex
@@ -60,37 +59,37 @@
 	servers   []*http.Server
 	listener  *connListener
 	conns     map[net.Conn]*connInfo
-	readSlots chan struct{} // a token for each request that is read or judged
+	readSlots chan struct{} // one element per request that is being read and checked
 
-	freshCount      int       // connections whose first request is not judged yet
-	freshCountedAt  time.Time // when these were counted last
-	shedConns       int       // connections refused unread
-	loggedShedConns int       // of these, that a line has told of
+	freshCount      int       // connections whose first request has not been read and checked
+	freshCountedAt  time.Time // last time that freshCount was recounted
+	shedConns       int       // connections that were refused without reading their request
+	loggedShedConns int       // of shedConns, those that have been logged
 
 	overload overloadDetector
 }
 
-// A caller is an open connection.
+// connInfo describes an open connection of a caller.
 type connInfo struct {
-	acceptedAt    time.Time   // when it was accepted
-	fresh         bool        // its first request is not judged yet
-	idleSince     time.Time   // since when; zero while in use
-	inRequest     bool        // its request is being judged or carried
-	readSlotTimer *time.Timer // gives its token back; nil while it holds none
+	acceptedAt    time.Time
+	fresh         bool        // its first request has not been read and checked
+	idleSince     time.Time   // zero while in use
+	inRequest     bool        // a request is waiting, being read or in progress
+	readSlotTimer *time.Timer // releases the read slot; nil if it has none
 }
 
-// run accepts until the listener closes.
-func (c *connManager) run(l net.Listener, limits func() fleet.CallerLimits) error {
+// run accepts connections until the listener closes.
+func (c *connManager) run(listener net.Listener, currentLimits func() fleet.CallerLimits) error {
 	defer c.close()
 	for {
-		c.checkAcceptQueue(l)
-		conn, err := l.Accept()
+		c.checkAcceptQueue(listener)
+		conn, err := listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			// Too many descriptors, or a caller that left at once. One that can
-			// not be accepted now may be soon.
+			// The process has too many open files, or the caller closed its connection at once.
+			// Accept may succeed after a delay.
 			c.evictIdle(1)
 			time.Sleep(acceptRetryDelay)
 			continue
@@ -100,7 +99,7 @@
 			shedConn(conn)
 			continue
 		}
-		c.addConn(conn, limits(), l.Addr())
+		c.addConn(conn, currentLimits(), listener.Addr())
 	}
 }
 
@@ -116,32 +115,32 @@
 	}
 	c.conns[conn] = &connInfo{acceptedAt: time.Now(), fresh: true}
 	c.freshCount++
-	over := len(c.conns) - c.maxConns
-	f := c.listener
+	excess := len(c.conns) - c.maxConns
+	listener := c.listener
 	c.mu.Unlock()
-	if over > 0 {
-		c.evictIdle(over)
+	if excess > 0 {
+		c.evictIdle(excess)
 	}
-	f.conns <- conn
+	listener.conns <- conn
 }
 
-// startServer starts a server with new limits.
+// startServer starts an HTTP server with new limits for the connections that follow.
 func (c *connManager) startServer(limits fleet.CallerLimits, addr net.Addr) {
 	if c.listener != nil {
-		_ = c.listener.Close() // ends its server's accepting, not its connections
+		_ = c.listener.Close() // its server keeps its open connections
 	}
-	s := c.newServer(c.handler)
-	s.ReadHeaderTimeout = orDefault(limits.HeaderTimeout, defaultHeaderTimeout)
-	s.IdleTimeout = orDefault(limits.IdleTimeout, defaultIdleTimeout)
-	s.MaxHeaderBytes = orDefault(limits.MaxHeaderBytes, defaultMaxHeaderBytes)
-	s.ConnState = c.onStateChange
-	s.ConnContext = contextWithConn
-	f := newConnListener(addr)
-	c.limits, c.listener = limits, f
-	c.servers = append(c.servers, s)
+	server := c.newServer(c.handler)
+	server.ReadHeaderTimeout = orDefault(limits.HeaderTimeout, defaultHeaderTimeout)
+	server.IdleTimeout = orDefault(limits.IdleTimeout, defaultIdleTimeout)
+	server.MaxHeaderBytes = orDefault(limits.MaxHeaderBytes, defaultMaxHeaderBytes)
+	server.ConnState = c.onStateChange
+	server.ConnContext = contextWithConn
+	listener := newConnListener(addr)
+	c.limits, c.listener = limits, listener
+	c.servers = append(c.servers, server)
 	go func() {
-		_ = s.Serve(f) // ends when the feed closes
-		f.closePending()
+		_ = server.Serve(listener) // ends when the listener closes
+		listener.closePending()
 	}()
 }
 
@@ -152,126 +151,126 @@
 	return fallback
 }
 
-// onStateChange keeps which connections are open and since when they are idle. Where a
-// request begins, it waits until few enough others are being read: the library
-// calls it from the connection's own goroutine before it parses.
-func (c *connManager) onStateChange(conn net.Conn, s http.ConnState) {
-	if s == http.StateActive && !c.acquireReadSlot(conn) {
+// onStateChange tracks which connections are open and which are idle. For a new request, it waits
+// for a read slot. This delays the request, since net/http calls it in the goroutine of the
+// connection before it parses the request.
+func (c *connManager) onStateChange(conn net.Conn, state http.ConnState) {
+	if state == http.StateActive && !c.acquireReadSlot(conn) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.conns[conn]
-	if known == nil { // it was evicted
-		if s == http.StateActive {
+	info := c.conns[conn]
+	if info == nil { // it has been evicted
+		if state == http.StateActive {
 			<-c.readSlots
 		}
 		return
 	}
-	switch s {
+	switch state {
 	case http.StateIdle:
-		known.idleSince, known.inRequest = time.Now(), false
+		info.idleSince, info.inRequest = time.Now(), false
 		clearRequestStarted(conn)
-		c.finishReading(known)
+		c.finishReading(info)
 	case http.StateActive:
-		known.readSlotTimer = time.AfterFunc(orDefault(c.unreadTimeout, defaultUnreadTimeout), func() { c.releaseReadSlot(conn) })
+		info.readSlotTimer = time.AfterFunc(orDefault(c.unreadTimeout, defaultUnreadTimeout), func() { c.releaseReadSlot(conn) })
 	case http.StateClosed, http.StateHijacked:
-		c.finishReading(known)
+		c.finishReading(info)
 		delete(c.conns, conn)
 	default:
 	}
 }
 
-// acquireReadSlot waits for a request's turn. Its connection counts as in use before that:
-// a request of which a byte was read must not be evicted. It reports
-// false if that was too late.
+// acquireReadSlot waits for a free read slot. The connection counts as in use during the wait, so
+// that it is not evicted after a part of its request has been read. It returns false if it has
+// already been evicted.
 func (c *connManager) acquireReadSlot(conn net.Conn) bool {
 	c.mu.Lock()
-	known := c.conns[conn]
-	if known != nil {
-		known.idleSince, known.inRequest = time.Time{}, true
+	info := c.conns[conn]
+	if info != nil {
+		info.idleSince, info.inRequest = time.Time{}, true
 	}
 	c.mu.Unlock()
-	if known == nil {
+	if info == nil {
 		return false
 	}
-	from := time.Now()
+	startedAt := time.Now()
 	c.readSlots <- struct{}{}
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.overload.recordWait(now, now.Sub(from)) {
+	if c.overload.recordWait(now, now.Sub(startedAt)) {
 		c.logOverload(now, "requests")
 	}
 	return true
 }
 
-// look notes whether connections wait to be accepted.
-func (c *connManager) checkAcceptQueue(l net.Listener) {
+// checkAcceptQueue updates the overload detector with the state of the accept queue.
+func (c *connManager) checkAcceptQueue(listener net.Listener) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.overload.queueCheckDue(now) && c.overload.recordQueueCheck(now, hasPendingConn(l)) {
+	if c.overload.queueCheckDue(now) && c.overload.recordQueueCheck(now, hasPendingConn(listener)) {
 		c.logOverload(now, "connections")
 	}
 }
 
-func (c *connManager) logOverload(now time.Time, waits string) {
-	c.log.Warn("behind: new callers are better off elsewhere", "waits", waits,
+func (c *connManager) logOverload(now time.Time, waiting string) {
+	c.log.Warn("behind: new callers are better off elsewhere", "waits", waiting,
 		"connections", len(c.conns), "shed", c.shedConns, "for", c.overload.overloadedUntil.Sub(now).Milliseconds())
 }
 
-// hasPendingConn reports whether a connection waits to be accepted.
-func hasPendingConn(l net.Listener) bool {
-	sc, ok := l.(syscall.Conn)
+// hasPendingConn reports whether the listener's accept queue has a connection.
+func hasPendingConn(listener net.Listener) bool {
+	syscallConn, ok := listener.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := sc.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
-		return false // it closes
+		return false // the listener is being closed
 	}
-	n := 0
-	ctlErr := raw.Control(func(fd uintptr) {
-		n, err = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
+	readyCount := 0
+	controlErr := rawConn.Control(func(fd uintptr) {
+		readyCount, err = unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
 	})
-	return ctlErr == nil && err == nil && n > 0
+	return controlErr == nil && err == nil && readyCount > 0
 }
 
-// isOverloaded reports whether requests wait unread for so long that new callers are
-// better off elsewhere.
+// isOverloaded reports whether this router is overloaded, so that new callers should connect to
+// other routers.
 func (c *connManager) isOverloaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.overload.isOverloaded(time.Now())
 }
 
-// releaseReadSlot notes that the request of a connection was read and judged.
+// releaseReadSlot records that the current request of a connection has been read and checked.
 func (c *connManager) releaseReadSlot(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known := c.conns[conn]; known != nil {
-		c.finishReading(known)
+	if info := c.conns[conn]; info != nil {
+		c.finishReading(info)
 	}
 }
 
-func (c *connManager) finishReading(known *connInfo) {
-	c.clearFresh(known)
-	if known.readSlotTimer != nil {
-		known.readSlotTimer.Stop()
-		known.readSlotTimer = nil
+func (c *connManager) finishReading(info *connInfo) {
+	c.clearFresh(info)
+	if info.readSlotTimer != nil {
+		info.readSlotTimer.Stop()
+		info.readSlotTimer = nil
 		<-c.readSlots
 	}
 }
 
-// evictIdle closes connections that have been idle the longest.
-func (c *connManager) evictIdle(count int) {
-	for range count {
+// evictIdle closes up to maxCount connections, those that have been idle the longest first.
+func (c *connManager) evictIdle(maxCount int) {
+	for range maxCount {
 		conn := c.removeOldestIdle()
 		if conn == nil {
 			return
 		}
-		_ = conn.Close() // its server's reader sees it
+		_ = conn.Close() // the server sees the error when it reads
 	}
 }
 
@@ -279,10 +278,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var oldest net.Conn
-	var since time.Time
-	for conn, known := range c.conns {
-		if !known.idleSince.IsZero() && (oldest == nil || known.idleSince.Before(since)) && !hasRequestBytes(conn) {
-			oldest, since = conn, known.idleSince
+	var idleSince time.Time
+	for conn, info := range c.conns {
+		if !info.idleSince.IsZero() && (oldest == nil || info.idleSince.Before(idleSince)) && !hasRequestBytes(conn) {
+			oldest, idleSince = conn, info.idleSince
 		}
 	}
 	if oldest != nil {
@@ -292,30 +291,30 @@
 	return oldest
 }
 
-// connCount returns how many connections are open.
+// connCount returns the number of open connections.
 func (c *connManager) connCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
 }
 
-// connContextKey is the key of a caller's connection in the context of its requests.
+// connContextKey is the context key of the connection that a request came in on.
 type connContextKey struct{}
 
-func contextWithConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connContextKey{}, c)
+func contextWithConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-// callerLeft reports whether a request's caller has closed its connection. The
-// library tells so by the request's context, but only once it gets to read: a
-// router that is behind would send a request on that nobody waits for.
+// callerLeft reports whether a request's caller has closed its connection. It checks the socket,
+// because net/http cancels the context only once it reads from the connection. An overloaded router
+// would otherwise send requests to targets after their callers have left.
 func callerLeft(ctx context.Context) bool {
-	c := connFromContext(ctx)
-	return ctx.Err() != nil || c != nil && target.Closed(c)
+	conn := connFromContext(ctx)
+	return ctx.Err() != nil || conn != nil && target.Closed(conn)
 }
 
-// connFromContext returns the caller's connection of a request's context, or nil.
+// connFromContext returns the connection that a request came in on, or nil.
 func connFromContext(ctx context.Context) net.Conn {
-	c, _ := ctx.Value(connContextKey{}).(net.Conn)
-	return c
+	conn, _ := ctx.Value(connContextKey{}).(net.Conn)
+	return conn
 }
--- a/internal/gateway/connmanager_test.go
+++ b/internal/gateway/connmanager_test.go
@@ -92,8 +92,8 @@
 func (c *connManager) allIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, known := range c.conns {
-		if known.idleSince.IsZero() {
+	for _, info := range c.conns {
+		if info.idleSince.IsZero() {
 			return false
 		}
 	}
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -8,51 +8,52 @@
 	"laburnumfall/internal/placement"
 )
 
-// A Dialect knows the headers in which callers and targets speak. It reads and
-// writes them and decides nothing.
+// A Dialect reads and writes the headers that callers and targets use. It makes no decisions.
 type Dialect interface {
-	// RequestID returns the request's ID where callers name one; else the router does.
-	RequestID(h http.Header) string
-	// RequestIDHeader is the header by which targets' answers bear the ID of their
-	// request, or "" where they bear none. Connections to such targets are not
-	// used again, since nothing tells whose answer comes.
+	// RequestID returns the ID that the caller gave to its request, or "" to have the router
+	// generate one.
+	RequestID(header http.Header) string
+	// RequestIDHeader returns the name of the header in which a target's response repeats the ID of
+	// its request, or "" if responses have none. Without the ID a late response could be taken for
+	// that of the next request, so connections to such targets are not reused.
 	RequestIDHeader() string
-	// SetResponseHeaders tells a caller in an answer's headers whose it is, and what became
-	// of the request.
-	SetResponseHeaders(h http.Header, id string, o fleet.Outcome)
-	// TimeLeft returns how long the caller will wait, if it says so.
-	TimeLeft(h http.Header) (time.Duration, bool)
-	// APIKey returns the key of the caller's account.
-	APIKey(h http.Header) string
-	// Prompt returns the parts of a request's prompt and the most tokens that
-	// may be generated.
-	Prompt(h http.Header) (parts []placement.PromptPart, output int)
-	// SetRequestHeaders turns a caller's headers into those for a target.
-	SetRequestHeaders(h http.Header, i AttemptInfo)
-	// NotRun reports whether a target's answer says that it did not run the
-	// request and will not.
-	NotRun(status int, h http.Header) bool
-	// AddressReused reports whether another target has the address by now.
+	// SetResponseHeaders sets the headers that identify the request and report its outcome to the
+	// caller.
+	SetResponseHeaders(header http.Header, requestID string, outcome fleet.Outcome)
+	// TimeLeft returns how long the caller will wait. It returns false if the caller did not say
+	// so.
+	TimeLeft(header http.Header) (time.Duration, bool)
+	// APIKey returns the caller's API key.
+	APIKey(header http.Header) string
+	// Prompt returns the parts of a request's prompt and the maximum number of generated tokens.
+	Prompt(header http.Header) (parts []placement.PromptPart, maxOutput int)
+	// SetRequestHeaders changes a caller's headers into those for a target.
+	SetRequestHeaders(header http.Header, attempt AttemptInfo)
+	// NotRun reports whether a target confirms in its response that it did not and will not run the
+	// request.
+	NotRun(status int, header http.Header) bool
+	// AddressReused reports whether a response comes from another target that now has the address.
 	AddressReused(status int) bool
-	// Signed reports whether an answer bears its target's signature.
-	Signed(h http.Header) bool
-	// QueueLength returns how many requests wait at a target, if its answer says so.
-	QueueLength(h http.Header) (int, bool)
+	// Signed reports whether a response has its target's signature.
+	Signed(header http.Header) bool
+	// QueueLength returns how many requests are queued at a target. It returns false if the
+	// response does not report it.
+	QueueLength(header http.Header) (int, bool)
 }
 
-// An AttemptInfo is what a target is told beside the caller's request.
+// An AttemptInfo is what a router adds to a caller's request when it sends it to a target.
 type AttemptInfo struct {
 	// Target is the ID of the only target that may run the request.
 	Target string
-	// RequestID is the request's.
+	// RequestID is the ID of the request.
 	RequestID string
-	// Account is the client account, or "" for a route without keys.
+	// Account is the client account, or "" if the route requires no API key.
 	Account string
 	// TimeLeft is how long the caller will still wait.
 	TimeLeft time.Duration
-	// CopyFrom is the address of the engine from which this one may copy the parts
-	// of the prompt that it lacks, or "".
+	// CopyFrom is the address of an engine from which the target may copy the parts of the prompt
+	// that it has not cached, or "".
 	CopyFrom string
-	// LastEventID is the ID of the last event that the caller has, or "".
+	// LastEventID is the ID of the last event that the caller received, or "".
 	LastEventID string
 }
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -9,89 +9,90 @@
 )
 
 const (
-	// unansweredTimeout bounds how long requests that are being read, or wait for that, are
-	// waited for once nothing else is in progress: as long as callers wait to be read.
+	// unansweredTimeout bounds how long a shutdown waits for requests that are being read or wait
+	// for it, once no others are in progress. It is as long as callers wait for their request to be
+	// read.
 	unansweredTimeout = time.Second
-	// unansweredPollInterval is how often they are counted.
+	// unansweredPollInterval is the interval between checks for such requests.
 	unansweredPollInterval = 5 * time.Millisecond
-	// acceptQueueTimeout bounds how long callers that stand in the queue of new connections are
-	// let in before it closes, which resets those that are left.
+	// acceptQueueTimeout bounds how long connections are accepted from the accept queue before the
+	// listener closes, which resets those that remain.
 	acceptQueueTimeout      = 100 * time.Millisecond
 	acceptQueuePollInterval = time.Millisecond
 )
 
-// drainAcceptQueue waits, within bounds, until no connection waits to be accepted.
-func (c *connManager) drainAcceptQueue(l net.Listener) {
-	for end := c.deadlineWithinGrace(time.Now(), acceptQueueTimeout); hasPendingConn(l) && time.Now().Before(end); {
+// drainAcceptQueue waits for a limited time until the accept queue is empty.
+func (c *connManager) drainAcceptQueue(listener net.Listener) {
+	for deadline := c.deadlineWithinGrace(time.Now(), acceptQueueTimeout); hasPendingConn(listener) && time.Now().Before(deadline); {
 		time.Sleep(acceptQueuePollInterval)
 	}
 }
 
-// deadlineWithinGrace returns when something ends that may take so long from now on: not behind the
-// end of the grace, of which the rest is for the process to end.
-func (c *connManager) deadlineWithinGrace(now time.Time, most time.Duration) time.Time {
-	end := now.Add(most)
-	if grace := c.graceEnd.Load(); grace != nil && grace.Before(end) {
-		return *grace
+// deadlineWithinGrace returns the end of a wait of the given length. It is not later than graceEnd,
+// since the process needs the time after that to exit.
+func (c *connManager) deadlineWithinGrace(now time.Time, limit time.Duration) time.Time {
+	deadline := now.Add(limit)
+	if graceEnd := c.graceEnd.Load(); graceEnd != nil && graceEnd.Before(deadline) {
+		return *graceEnd
 	}
-	return end
+	return deadline
 }
 
-// close answers what was begun to be read, and ends all connections.
+// close waits for requests that have begun to arrive, and then closes all connections.
 //
-// A server that closes waits until it accepts no more, and that may wait for the lock:
-// it is not held meanwhile. With it, a router that was told to stop hung until it was
-// killed if a connection came at that moment.
+// The lock is not held while servers are closed. A server waits on close until its Accept returns,
+// which may need the lock, so a router that was stopped while a connection arrived would hang until
+// it is killed.
 func (c *connManager) close() {
-	began := time.Now()
-	unanswered := c.awaitUnanswered(began)
+	startedAt := time.Now()
+	unanswered := c.awaitUnanswered(startedAt)
 	c.mu.Lock()
 	servers, open := c.servers, len(c.conns)
 	c.mu.Unlock()
 	if c.onClose != nil {
 		c.onClose()
 	}
-	for _, s := range servers {
-		_ = s.Close() // what is left has outlived the grace
+	for _, server := range servers {
+		_ = server.Close() // remaining requests have exceeded the grace period
 	}
-	c.log.Info("callers' connections closed", "connections", open, "unanswered", unanswered, "took", time.Since(began).Milliseconds())
+	c.log.Info("callers' connections closed", "connections", open, "unanswered", unanswered, "took", time.Since(startedAt).Milliseconds())
 }
 
-// awaitUnanswered waits, within bounds, until no request is left of which the router may have
-// read a part: its caller cannot know whether it ran. It returns how many are left.
+// awaitUnanswered waits for a limited time until there are no requests that the router may have
+// read in part, since their callers could not know whether they ran. It returns how many are left.
 func (c *connManager) awaitUnanswered(now time.Time) int {
-	end := c.deadlineWithinGrace(now, unansweredTimeout)
-	for time.Now().Before(end) && c.hasUnanswered() {
+	deadline := c.deadlineWithinGrace(now, unansweredTimeout)
+	for time.Now().Before(deadline) && c.hasUnanswered() {
 		time.Sleep(unansweredPollInterval)
 	}
 	return c.unansweredCount()
 }
 
-// unansweredCount counts the requests that have come, in part or whole, and have no answer:
-// those that a target has, those that are being read or wait for it, those of which no
-// server knows yet, and those that follow their connections at any moment.
+// unansweredCount counts the connections with a request that has arrived at least in part and has
+// no response: requests at targets, requests that are being read or wait for it, requests that the
+// server has not noticed yet, and those that will probably arrive at once on new connections.
 func (c *connManager) unansweredCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	n := 0
-	for conn, known := range c.conns {
-		if known.mayHaveRequest(conn, now) || !target.Quiet(conn) {
-			n++
+	count := 0
+	for conn, info := range c.conns {
+		if info.mayHaveRequest(conn, now) || !target.Quiet(conn) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// hasUnanswered reports whether any request has no answer. It is asked often: a system call for
-// each connection would take what those requests need, so that is only made where nothing
-// else tells, and until the first that has one.
+// hasUnanswered reports whether any request has no response. It is called often, and a system call
+// for each connection would take processor time from these requests. It makes system calls only if
+// no tracked state shows a request, and stops at the first connection that has one.
 func (c *connManager) hasUnanswered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	for conn, known := range c.conns {
-		if known.mayHaveRequest(conn, now) {
+	for conn, info := range c.conns {
+		if info.mayHaveRequest(conn, now) {
 			return true
 		}
 	}
@@ -103,21 +104,21 @@
 	return false
 }
 
-// mayHaveRequest reports whether this router knows without asking the system that a connection has
-// a request without an answer, or may have one at any moment.
-func (k *connInfo) mayHaveRequest(conn net.Conn, now time.Time) bool {
-	follows := k.fresh && now.Sub(k.acceptedAt) < requestStartTimeout
-	return follows || k.inRequest || requestStarted(conn)
+// mayHaveRequest reports whether, without a system call, the connection has a request without a
+// response, or is so new that one will probably arrive at once.
+func (i *connInfo) mayHaveRequest(conn net.Conn, now time.Time) bool {
+	justAccepted := i.fresh && now.Sub(i.acceptedAt) < requestStartTimeout
+	return justAccepted || i.inRequest || requestStarted(conn)
 }
 
-// hasRequestBytes reports whether a part of a request has come on a connection: read, or not
-// yet. The library tells of it only once it has read a whole head.
+// hasRequestBytes reports whether a part of a request has arrived on a connection, read or unread.
+// net/http reports a request only after it has read its complete header.
 func hasRequestBytes(conn net.Conn) bool {
 	return requestStarted(conn) || !target.Quiet(conn)
 }
 
-// A callerConn is a caller's connection that knows whether a part of a request was
-// read: the library tells only once it has a whole head.
+// A callerConn is a caller's connection that tracks whether a part of a request has been read,
+// which net/http reports only after it has read the complete header.
 type callerConn struct {
 	*net.TCPConn
 
@@ -125,8 +126,8 @@
 }
 
 // Read implements net.Conn.
-func (c *callerConn) Read(b []byte) (int, error) {
-	n, err := c.TCPConn.Read(b)
+func (c *callerConn) Read(buffer []byte) (int, error) {
+	n, err := c.TCPConn.Read(buffer)
 	if n > 0 {
 		c.requestStarted.Store(true)
 	}
@@ -134,20 +135,20 @@
 }
 
 func trackReads(conn net.Conn) net.Conn {
-	if tcp, ok := conn.(*net.TCPConn); ok {
-		return &callerConn{TCPConn: tcp}
+	if tcpConn, ok := conn.(*net.TCPConn); ok {
+		return &callerConn{TCPConn: tcpConn}
 	}
 	return conn
 }
 
 func requestStarted(conn net.Conn) bool {
-	c, ok := conn.(*callerConn)
-	return ok && c.requestStarted.Load()
+	tracked, ok := conn.(*callerConn)
+	return ok && tracked.requestStarted.Load()
 }
 
-// clearRequestStarted notes that the request of which a part was read has its answer.
+// clearRequestStarted records that the request on a connection has been answered.
 func clearRequestStarted(conn net.Conn) {
-	if c, ok := conn.(*callerConn); ok {
-		c.requestStarted.Store(false)
+	if tracked, ok := conn.(*callerConn); ok {
+		tracked.requestStarted.Store(false)
 	}
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -6,43 +6,43 @@
 	"io"
 )
 
-// An eventReader cuts a stream into whole events, each with the empty line that
-// ends it. A target may break off in the middle of an event: what is not whole
-// must reach no caller that could go on elsewhere.
+// An eventReader splits a stream into complete events, each including the blank line that ends it.
+// A target may end a stream in the middle of an event. That part must not be forwarded, since the
+// stream may be resumed at another target.
 type eventReader struct {
 	source io.Reader
 
 	buf     []byte
-	pending []byte // read and not yet returned
+	pending []byte // read but not yet returned
 	err     error
 }
 
 const (
 	eventBufferSize = 8 << 10
-	// maxEventBytes bounds what is held of one event, in bytes: a thousand times what
-	// engines send.
+	// maxEventBytes bounds the size of an event in bytes. It is a thousand times the size of the
+	// events that engines send.
 	maxEventBytes = 1 << 20
 )
 
-// errEventTooLong says that an event does not end.
-var errEventTooLong = errors.New("an event of the stream is too long")
+// errEventTooLong reports that an event exceeds maxEventBytes.
+var errEventTooLong = errors.New("event in the target's stream exceeds 1 MiB")
 
 var eventSeparator = []byte("\n\n")
 
-// next returns all whole events that are there, waiting for the first. Behind
-// the last it returns what is left, which may be nothing, and the error of the
-// source; io.EOF is the end of a whole stream.
+// next returns all complete events that have been read, and waits for the first one. At the end of
+// the stream it returns the remaining bytes, if any, with the error of the source, which is io.EOF
+// if the stream is complete.
 func (e *eventReader) next() ([]byte, error) {
 	for {
 		if end := bytes.LastIndex(e.pending, eventSeparator); end >= 0 {
-			whole := e.pending[:end+len(eventSeparator)]
+			complete := e.pending[:end+len(eventSeparator)]
 			e.pending = e.pending[end+len(eventSeparator):]
-			return whole, nil
+			return complete, nil
 		}
 		if e.err != nil {
-			rest := e.pending
+			incomplete := e.pending
 			e.pending = nil
-			return rest, e.err
+			return incomplete, e.err
 		}
 		if len(e.pending) > maxEventBytes {
 			return nil, errEventTooLong
@@ -55,21 +55,21 @@
 	if cap(e.buf)-len(e.pending) < eventBufferSize/2 {
 		e.buf = make([]byte, 2*len(e.pending)+eventBufferSize)
 	}
-	kept := copy(e.buf[:cap(e.buf)], e.pending)
-	n, err := e.source.Read(e.buf[kept:cap(e.buf)])
-	e.pending = e.buf[:kept+n]
+	copied := copy(e.buf[:cap(e.buf)], e.pending)
+	n, err := e.source.Read(e.buf[copied:cap(e.buf)])
+	e.pending = e.buf[:copied+n]
 	e.err = err
 }
 
-// lastEventID returns the ID of the last event of a piece, or "" if none has one.
-func lastEventID(piece []byte) string {
+// lastEventID returns the ID of the last event in a chunk that has one, or "".
+func lastEventID(chunk []byte) string {
 	id := ""
-	for len(piece) > 0 {
-		line, rest, _ := bytes.Cut(piece, []byte("\n"))
+	for len(chunk) > 0 {
+		line, rest, _ := bytes.Cut(chunk, []byte("\n"))
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			id = string(bytes.TrimSpace(value))
 		}
-		piece = rest
+		chunk = rest
 	}
 	return id
 }
--- a/internal/gateway/freshness.go
+++ b/internal/gateway/freshness.go
@@ -3,32 +3,33 @@
 import "time"
 
 const (
-	// freshnessTimeout is how long requests wait at most until this router is informed, and newsPoll
-	// how often that is looked up. Within newsPause after such a wait there is no other one: a
-	// router that is always late still serves.
+	// freshnessTimeout is how long requests wait at most for fresh state, and freshnessPollInterval
+	// is how often they check for it. After such a wait, no other one starts for freshnessCooldown,
+	// so that a router whose state is never fresh still serves.
 	freshnessTimeout      = 250 * time.Millisecond
 	freshnessPollInterval = 2 * time.Millisecond
 	freshnessCooldown     = 2 * time.Second
 )
 
-// awaitFreshState waits until this router knows what the fleet does, within bounds. After a
-// standstill it would else send work to targets that have left meanwhile, or by a key that
-// was withdrawn.
+// awaitFreshState waits for a limited time until the state from the keepers is fresh. After the
+// process was suspended, it could otherwise send requests to targets that have left, or accept a
+// key that has been revoked.
 func (g *Gateway) awaitFreshState(now time.Time) {
 	if g.StateIsFresh == nil || g.StateIsFresh(now) {
 		return
 	}
-	end := g.startFreshnessWait(now)
-	for now.Before(end) && !g.StateIsFresh(now) {
+	deadline := g.startFreshnessWait(now)
+	for now.Before(deadline) && !g.StateIsFresh(now) {
 		time.Sleep(freshnessPollInterval)
 		now = g.Clock.Now()
 	}
 }
 
-// startFreshnessWait returns until when requests wait for news: all of them until the same moment.
+// startFreshnessWait returns the end of the current wait for fresh state, which all waiting
+// requests share. It starts a new wait if the last one ended more than freshnessCooldown ago.
 func (g *Gateway) startFreshnessWait(now time.Time) time.Time {
-	before := g.freshnessDeadline.Load()
-	if now.UnixNano() > before+int64(freshnessCooldown) && g.freshnessDeadline.CompareAndSwap(before, now.Add(freshnessTimeout).UnixNano()) {
+	previous := g.freshnessDeadline.Load()
+	if now.UnixNano() > previous+int64(freshnessCooldown) && g.freshnessDeadline.CompareAndSwap(previous, now.Add(freshnessTimeout).UnixNano()) {
 		return now.Add(freshnessTimeout)
 	}
 	return time.Unix(0, g.freshnessDeadline.Load())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway serves the requests of routes: it reads them from callers,
-// sends each to a target, and passes the answer on as it comes.
+// Package gateway serves the requests of routes: it reads them from callers, sends each to a
+// target, and forwards the response while it arrives.
 //
-// What may be sent again follows from the route alone. Once a byte of a request
-// that must not be repeated may have been read, only the target's word that it
-// did not run permits a second target.
+// The route alone decides whether a request may be retried. Once a target may have read a byte of a
+// request that must run at most once, the request goes to a second target only if the first one
+// confirms that it did not run it.
 package gateway
 
 import (
@@ -35,18 +35,18 @@
 )
 
 const (
-	// sweepPeriod is how often unused connections are looked through.
+	// sweepPeriod is the interval between sweeps of unused connections to targets.
 	sweepPeriod = time.Second
-	// connMemory is about what a caller's connection holds: a goroutine's stack
-	// and buffers. connPart is the part of the memory, and of the descriptors,
-	// as a divisor, that connections of callers may take.
+	// connMemory is the approximate memory of a caller's connection: a goroutine's stack and
+	// buffers. Callers' connections may take one part in connBudgetDivisor of the memory and of the
+	// file descriptors.
 	connMemory        = 32 << 10
 	connBudgetDivisor = 4
-	// minConns is the least bound on callers' connections.
+	// minConns is the smallest limit on callers' connections.
 	minConns = 64
 )
 
-// A Gateway serves one router's callers. Set the exported fields, then call Run.
+// A Gateway serves the callers of one router. Set the exported fields, then call Run.
 type Gateway struct {
 	Settings settings.Routes
 	Name     string
@@ -55,91 +55,91 @@
 	Clock    clock.Clock
 	Log      hclog.Logger
 	Dialect  Dialect
-	// State is what the keepers said last.
+	// State returns the most recent state received from the keepers.
 	State   func() keeperclient.State
 	Metrics *Metrics
-	// StateIsFresh, if set, tells whether this router knows what the fleet does, or has to ask
-	// first, after a standstill of its process.
+	// StateIsFresh, if set, reports whether State is up to date. After the process was suspended it
+	// is false until the keepers have answered.
 	StateIsFresh func(now time.Time) bool
-	// Guard decides which requests are held back, and PollLeader asks for the leader's word at
-	// once. It may be full.
+	// Guard decides which requests are quarantined. A send on PollLeader makes the router contact
+	// the leader at once; sends are skipped while the channel is full.
 	Guard      quarantine.Guard
 	PollLeader chan<- struct{}
 
 	pool  upstream.Pool
 	conns *connManager
 
-	mu                  sync.Mutex // guards the decisions below
+	mu                  sync.Mutex // guards the fields down to probing, and Guard
 	placer              placement.Placer
 	retryBudgets        map[string]*retry.Budget
 	shares              quota.Shares
-	controller          admission.Controller          // set with the first choice
-	throttles           map[string]*throttle.Throttle // of plain services, by pool
-	restrictionsChanged chan struct{}                 // closed when the leader has told of held requests
-	probing             map[fleet.Incarnation]bool    // targets that are looked for after a cut
+	controller          admission.Controller          // set by the first call of chooseTarget
+	throttles           map[string]*throttle.Throttle // of pools without engines, by pool
+	restrictionsChanged chan struct{}                 // closed when the leader's restrictions arrive
+	probing             map[fleet.Incarnation]bool    // targets that are probed after an interruption
 
 	startedAt         time.Time   // set by Run
-	ready             atomic.Bool // has a configuration and targets
+	ready             atomic.Bool // a configuration and targets are in force
 	stoppingSince     atomic.Pointer[time.Time]
-	graceExpired      atomic.Bool   // its grace is over
-	freshnessDeadline atomic.Int64  // until when requests wait for Informed, by Clock in Unix nanoseconds
-	requestCount      atomic.Uint64 // of requests that the router names
+	graceExpired      atomic.Bool   // the grace period of a shutdown is over
+	freshnessDeadline atomic.Int64  // end of the latest wait for fresh state, by Clock in Unix nanoseconds
+	requestCount      atomic.Uint64 // requests that got an ID from this router
 	active            atomic.Int64
-	bodyBytes         atomic.Int64 // bytes of bodies
+	bodyBytes         atomic.Int64 // size of the request bodies in memory
 }
 
-// SetTargets puts a configuration and the targets in force. It may be called at
-// any time.
-func (g *Gateway) SetTargets(s keeperclient.State, targets []fleet.Instance) {
+// SetTargets applies the latest configuration and list of targets. It may be called at any time.
+func (g *Gateway) SetTargets(state keeperclient.State, targets []fleet.Instance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.placer.Zone = g.Zone
-	g.placer.Routers = s.Routers
-	if s.Table != nil {
+	g.placer.Routers = state.Routers
+	if state.Table != nil {
 		g.placer.Warmup.Ratio, g.placer.Warmup.Slack = g.Settings.WarmupRatio, g.Settings.WarmupSlack
-		g.placer.SetPools(s.Table.Pools)
+		g.placer.SetPools(state.Table.Pools)
 	}
-	g.placer.SetEvacuated(s.Evacuated)
+	g.placer.SetEvacuated(state.Evacuated)
 	g.placer.SetTargets(g.Clock.Now(), targets)
-	if s.Table != nil {
-		g.shares.Capacity = s.Table.Capacity
+	if state.Table != nil {
+		g.shares.Capacity = state.Table.Capacity
 	}
 	g.recordUnlistedTargets(g.Clock.Now(), targets)
-	g.ready.Store(s.Table != nil && len(targets) > 0)
+	g.ready.Store(state.Table != nil && len(targets) > 0)
 }
 
-// SetColdUntil takes until when targets are cold. It may be called at any time.
-func (g *Gateway) SetColdUntil(until map[fleet.Incarnation]time.Time) {
+// SetColdUntil sets until when targets are cold. It may be called at any time.
+func (g *Gateway) SetColdUntil(coldUntil map[fleet.Incarnation]time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.SetColdUntil(until)
+	g.placer.SetColdUntil(coldUntil)
 }
 
-// SetWarmupLease takes the part of what cold targets get that is this router's from when it
-// asked. It may be called at any time.
-func (g *Gateway) SetWarmupLease(asked time.Time, s warmup.Lease) {
+// SetWarmupLease sets this router's lease on a part of the requests that cold targets may get. The
+// lease begins at requestedAt, when the router asked for it. It may be called at any time.
+func (g *Gateway) SetWarmupLease(requestedAt time.Time, lease warmup.Lease) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.Warmup.SetLease(asked, s)
+	g.placer.Warmup.SetLease(requestedAt, lease)
 }
 
-// WarmupLease returns that part while it holds. It may be called at any time.
+// WarmupLease returns the lease that SetWarmupLease set, as long as it has not expired. It may be
+// called at any time.
 func (g *Gateway) WarmupLease(now time.Time) warmup.Lease {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.placer.Warmup.CurrentLease(now)
 }
 
-// Load returns what this router's callers ask for and what waits at targets. It
-// may be called at any time.
+// Load returns the demand of this router's callers and its backlog at targets. It may be called at
+// any time.
 func (g *Gateway) Load(now time.Time) ([]message.Demand, []message.Backlog) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.shares.Demand(now), g.placer.Backlog()
 }
 
-// SetFleetLoad takes the same of all routers, and of all others. It may be called at
-// any time.
+// SetFleetLoad sets the demand at all routers and the backlog of all other routers. It may be
+// called at any time.
 func (g *Gateway) SetFleetLoad(now time.Time, demand []message.Demand, others []message.Backlog) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -147,15 +147,15 @@
 	g.placer.SetRemoteBacklog(now, others)
 }
 
-// Run serves until ctx ends, and then finishes what is in progress within the
-// grace of the settings.
+// Run serves until ctx ends, and then drains: requests in progress have until the end of the
+// configured grace period.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.pool.Clock = g.Clock
 	g.startedAt = g.Clock.Now()
-	// Callers' connections are ended by their idle time; probes would only cost
-	// four system calls each.
-	lc := net.ListenConfig{KeepAlive: -1}
-	listener, err := lc.Listen(ctx, "tcp4", g.Listen)
+	// The idle timeout closes callers' connections. TCP keep-alive would only cost four system
+	// calls per connection.
+	listenConfig := net.ListenConfig{KeepAlive: -1}
+	listener, err := listenConfig.Listen(ctx, "tcp4", g.Listen)
 	if err != nil {
 		return fmt.Errorf("listen for callers (free the address or change listen): %w", err)
 	}
@@ -164,60 +164,60 @@
 		onClose: func() { g.graceExpired.Store(true) },
 	}
 	g.Metrics.registerGauges(g)
-	group, sweepCtx := errgroup.WithContext(context.WithoutCancel(ctx))
-	sweepCtx, stop := context.WithCancel(sweepCtx)
+	group, helperCtx := errgroup.WithContext(context.WithoutCancel(ctx))
+	helperCtx, cancelHelpers := context.WithCancel(helperCtx)
 	group.Go(func() error {
 		defer g.awaitEndLogs()
 		return g.conns.run(listener, g.callerLimits)
 	})
 	if g.Settings.Ready != "" {
-		group.Go(func() error { return g.serveReadiness(sweepCtx) })
+		group.Go(func() error { return g.serveReadiness(helperCtx) })
 	}
-	group.Go(func() error { return g.sweep(sweepCtx) })
+	group.Go(func() error { return g.sweep(helperCtx) })
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
 			g.drain()
-		case <-sweepCtx.Done():
+		case <-helperCtx.Done():
 		}
-		stop()
+		cancelHelpers()
 		g.conns.drainAcceptQueue(listener)
-		_ = listener.Close() // ends its accepting
+		_ = listener.Close() // stops accepting
 		g.pool.Close()
 		return nil
 	})
 	return group.Wait()
 }
 
-func (g *Gateway) newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ErrorLog: g.Log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
+func (g *Gateway) newServer(handler http.Handler) *http.Server {
+	return &http.Server{Handler: handler, ErrorLog: g.Log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
 }
 
-// maxConns bounds the connections of callers.
+// maxConns returns the limit on callers' connections.
 func (g *Gateway) maxConns() int {
-	most := g.Settings.Files / connBudgetDivisor
-	if byMemory := int(g.Settings.Memory / connMemory / connBudgetDivisor); most == 0 || byMemory < most {
-		most = byMemory
+	limit := g.Settings.Files / connBudgetDivisor
+	if byMemory := int(g.Settings.Memory / connMemory / connBudgetDivisor); limit == 0 || byMemory < limit {
+		limit = byMemory
 	}
-	return max(most, minConns)
+	return max(limit, minConns)
 }
 
-// callerLimits returns what the configuration in force lets callers do.
+// callerLimits returns the limits of the configuration in force.
 func (g *Gateway) callerLimits() fleet.CallerLimits {
-	if s := g.State(); s.Table != nil {
-		return s.Table.Limits
+	if state := g.State(); state.Table != nil {
+		return state.Table.Limits
 	}
 	return fleet.CallerLimits{}
 }
 
-// serveReadiness answers the balancer until ctx ends.
+// serveReadiness answers the load balancer's readiness checks until ctx ends.
 func (g *Gateway) serveReadiness(ctx context.Context) error {
 	server := g.newServer(http.HandlerFunc(g.handleReadiness))
 	server.ReadHeaderTimeout = defaultHeaderTimeout
 	server.Addr = g.Settings.Ready
-	defer context.AfterFunc(ctx, func() { _ = server.Close() })() // it holds nothing
+	defer context.AfterFunc(ctx, func() { _ = server.Close() })() // no request is in progress that matters
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("listen for the balancer (free the address): %w", err)
+		return fmt.Errorf("listen for readiness checks of the load balancer (free the address): %w", err)
 	}
 	return nil
 }
@@ -242,8 +242,8 @@
 	return g.placer.Accepts(target)
 }
 
-// handleReadiness tells the balancer whether to send callers here. A router whose
-// lease on keys has lapsed can serve few of them; others can.
+// handleReadiness answers a readiness check of the load balancer. A router whose lease on API keys
+// has lapsed can serve few callers, while others can serve them, so it is not ready.
 func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	status := http.StatusOK
 	if !g.Ready() || g.conns.isOverloaded() {
@@ -252,10 +252,11 @@
 	w.WriteHeader(status)
 }
 
-// Ready reports whether callers are served here.
+// Ready reports whether this router can serve callers: it has a configuration, targets and a valid
+// lease on API keys, and is not shutting down.
 func (g *Gateway) Ready() bool {
-	s := g.State()
-	keyed := s.Table != nil && len(s.Table.KeyOwners) > 0
-	lapsed := keyed && !g.Clock.Now().Before(s.KeysUntil)
-	return g.ready.Load() && g.stoppingSince.Load() == nil && !lapsed
+	state := g.State()
+	hasKeys := state.Table != nil && len(state.Table.KeyOwners) > 0
+	leaseLapsed := hasKeys && !g.Clock.Now().Before(state.KeysUntil)
+	return g.ready.Load() && g.stoppingSince.Load() == nil && !leaseLapsed
 }
--- a/internal/gateway/hang.go
+++ b/internal/gateway/hang.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// hangDivisor is the part of the time that a request has left, as a divisor, after
-	// which an attempt without any answer is given up if another target may be tried:
-	// the other attempt has as long.
+	// hangDivisor is the fraction of a request's remaining time after which an attempt without any
+	// response is abandoned if the request may be retried. With 2, the retry has as much time as
+	// the first attempt had.
 	hangDivisor = 2
-	// hangPredictionFactor is how many times as long as predicted an answer may take before that.
-	// Within it, the target is slow, and the request would only run twice.
+	// hangPredictionFactor bounds this time from below: an attempt is abandoned only if the time is
+	// at least this multiple of the predicted time to first byte. Otherwise the target may only be
+	// slow, and the request would run twice without need.
 	hangPredictionFactor = 4
-	// maxTimerDelay is how late a timer may fire in a process that runs.
+	// maxTimerDelay is how late a timer may fire before it counts as a sign that the process was
+	// suspended.
 	maxTimerDelay = 100 * time.Millisecond
 )
 
-// errAttemptAbandoned says that an attempt was given up for another target.
-var errAttemptAbandoned = errors.New("no answer so far: another target is tried")
+// errAttemptAbandoned reports that an attempt was abandoned in favor of a retry.
+var errAttemptAbandoned = errors.New("no response in time, retrying at another target")
 
-// sendWithWatchdog sends a request to a target. A target that takes a request and never
-// answers would cost the caller all its time; where the request may run twice, and
-// has an attempt left, it is given up in time for another target. GivenUp says so; the
-// retry budget has been asked then.
-func (g *Gateway) sendWithWatchdog(ctx context.Context, q *request, c *placement.Choice, conn *upstream.Conn) (a *upstream.Answer, givenUp bool, err error) {
-	w := &hangWatchdog{gateway: g, request: q, choice: c, conn: conn}
-	w.start()
-	a, err = g.pool.Send(ctx, c.Target.Incarnation, conn, g.targetRequest(q, c), q.deadline)
-	if !w.stop() {
-		return a, false, err
+// sendWithWatchdog sends a request to a target and returns its response. A target that accepts a
+// request and never answers would use up all the caller's time. If the request may be retried, the
+// attempt is therefore abandoned early enough for another target; abandoned is then true, and the
+// retry budget has been charged.
+func (g *Gateway) sendWithWatchdog(ctx context.Context, req *request, choice *placement.Choice, conn *upstream.Conn) (response *upstream.Answer, abandoned bool, err error) {
+	watchdog := &hangWatchdog{gateway: g, request: req, choice: choice, conn: conn}
+	watchdog.start()
+	response, err = g.pool.Send(ctx, choice.Target.Incarnation, conn, g.targetRequest(req, choice), req.deadline)
+	if !watchdog.stop() {
+		return response, false, err
 	}
-	if a != nil {
-		a.Close()
+	if response != nil {
+		response.Close()
 	}
 	return nil, true, errAttemptAbandoned
 }
 
-// A hangWatch ends an attempt whose target gives no answer for too long.
+// A hangWatchdog abandons an attempt whose target does not begin to respond in time.
 type hangWatchdog struct {
 	gateway *Gateway
 	request *request
@@ -50,26 +52,26 @@
 	conn    *upstream.Conn
 
 	mu           sync.Mutex
-	dueAt        time.Time // when the target counts as hanging
+	dueAt        time.Time // when the attempt is abandoned
 	timer        *time.Timer
-	attemptEnded bool // the attempt has
+	attemptEnded bool
 	abandoned    bool
 }
 
 func (w *hangWatchdog) start() {
 	now := w.gateway.Clock.Now()
-	limit, ok := w.request.hangTimeout(now, w.choice)
+	timeout, ok := w.request.hangTimeout(now, w.choice)
 	if !ok {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.dueAt = now.Add(limit)
-	w.timer = time.AfterFunc(limit, w.fire)
+	w.dueAt = now.Add(timeout)
+	w.timer = time.AfterFunc(timeout, w.fire)
 }
 
-// fire gives the attempt up, unless an answer has begun to arrive. A timer that fires late
-// tells of a standstill of this process, not of the target: that gets its time anew.
+// fire abandons the attempt unless a response has begun to arrive. If the timer fires late, the
+// process was suspended and the target is not to blame, so the timer starts again.
 func (w *hangWatchdog) fire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -78,19 +80,19 @@
 		return
 	}
 	if now.Sub(w.dueAt) > maxTimerDelay {
-		if limit, ok := w.request.hangTimeout(now, w.choice); ok {
-			w.dueAt = now.Add(limit)
-			w.timer.Reset(limit)
+		if timeout, ok := w.request.hangTimeout(now, w.choice); ok {
+			w.dueAt = now.Add(timeout)
+			w.timer.Reset(timeout)
 		}
 		return
 	}
 	if w.gateway.allowRetry(w.request) {
 		w.abandoned = true
-		_ = w.conn.Close() // the reader sees it
+		_ = w.conn.Close() // the reader gets an error
 	}
 }
 
-// stop stops the watch and reports whether the attempt was given up.
+// stop stops the watchdog and reports whether the attempt was abandoned.
 func (w *hangWatchdog) stop() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -101,13 +103,13 @@
 	return w.abandoned
 }
 
-// hangTimeout returns how long an attempt may be without an answer, and false if it may
-// take all the time there is.
-func (q *request) hangTimeout(now time.Time, c *placement.Choice) (time.Duration, bool) {
-	if !q.route.Repeatable() || q.possibleRuns() >= q.route.MaxAttempts {
+// hangTimeout returns how long an attempt may take without a response, and false if it is not
+// limited.
+func (req *request) hangTimeout(now time.Time, choice *placement.Choice) (time.Duration, bool) {
+	if !req.route.Repeatable() || req.possibleRuns() >= req.route.MaxAttempts {
 		return 0, false
 	}
-	left := min(q.deadline.Sub(now), q.route.AbandonAfter()-now.Sub(q.arrivedAt))
-	limit := left / hangDivisor
-	return limit, limit > 0 && limit >= hangPredictionFactor*c.PredictedTTFB
+	timeLeft := min(req.deadline.Sub(now), req.route.AbandonAfter()-now.Sub(req.arrivedAt))
+	timeout := timeLeft / hangDivisor
+	return timeout, timeout > 0 && timeout >= hangPredictionFactor*choice.PredictedTTFB
 }
--- a/internal/gateway/hangwatchdog_test.go
+++ b/internal/gateway/hangwatchdog_test.go
@@ -46,8 +46,8 @@
 				require.NoError(t, err)
 				require.Eventually(t, func() bool { return !conn.Quiet() }, time.Second, time.Millisecond)
 			}
-			q := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, MaxAttempts: 2, Timeout: time.Minute}, arrivedAt: now.Time, deadline: now.Time.Add(time.Minute), attempts: 1}
-			w := &hangWatchdog{gateway: g, request: q, choice: &placement.Choice{}, conn: conn}
+			req := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, MaxAttempts: 2, Timeout: time.Minute}, arrivedAt: now.Time, deadline: now.Time.Add(time.Minute), attempts: 1}
+			w := &hangWatchdog{gateway: g, request: req, choice: &placement.Choice{}, conn: conn}
 			w.start()
 			require.NotNil(t, w.timer)
 			w.dueAt = now.Time.Add(-tt.due)
--- a/internal/gateway/interruption.go
+++ b/internal/gateway/interruption.go
@@ -8,37 +8,38 @@
 	"laburnumfall/internal/target"
 )
 
-// fingerprint returns the fingerprint of a request. It is made only where it is asked for.
-func (q *request) fingerprint() quarantine.Fingerprint {
-	if q.cachedFingerprint == "" {
-		q.cachedFingerprint = quarantine.FingerprintInput{
-			Account: q.account, Method: q.r.Method, Destination: q.r.Host + q.r.RequestURI, Body: q.body,
+// fingerprint returns the fingerprint of a request. It is computed on first use, since most
+// requests need none.
+func (req *request) fingerprint() quarantine.Fingerprint {
+	if req.cachedFingerprint == "" {
+		req.cachedFingerprint = quarantine.FingerprintInput{
+			Account: req.account, Method: req.r.Method, Destination: req.r.Host + req.r.RequestURI, Body: req.body,
 		}.Fingerprint()
 	}
-	return q.cachedFingerprint
+	return req.cachedFingerprint
 }
 
-// recordInterruption takes note of an exchange that a target cut. If the target ended under it, the
-// request may have been why.
-func (g *Gateway) recordInterruption(q *request, c *placement.Choice, started time.Time, err error) {
+// recordInterruption records that a target closed the connection before the end of its response. If
+// the target has ended, the request may have caused it.
+func (g *Gateway) recordInterruption(req *request, choice *placement.Choice, started time.Time, err error) {
 	if !target.Cut(err) {
 		return
 	}
-	g.Log.Warn("cut by the target", "request", q.id, "account", q.account, "route", q.route.Name, "print", q.fingerprint(),
-		"target", c.Target.ID, "born", c.Target.StartMillis, "error", err)
+	g.Log.Warn("cut by the target", "request", req.id, "account", req.account, "route", req.route.Name, "print", req.fingerprint(),
+		"target", choice.Target.ID, "born", choice.Target.StartMillis, "error", err)
 	g.Metrics.interruptions.Inc()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.placer.Accepts(c.Target.Incarnation) {
-		return // it leaves, and was expected to end
+	if !g.placer.Accepts(choice.Target.Incarnation) {
+		return // the target is leaving and was expected to end
 	}
-	q.interrupted = true
-	doubt := g.Guard.RecordInterruption(g.Clock.Now(), quarantine.Execution{
-		Fingerprint: q.fingerprint(), Account: q.account, Destination: q.route.Name, Pool: q.pool, Target: c.Target.Incarnation, SentAt: started, PermitID: q.decision.PermitID,
+	req.interrupted = true
+	unconfirmed := g.Guard.RecordInterruption(g.Clock.Now(), quarantine.Execution{
+		Fingerprint: req.fingerprint(), Account: req.account, Destination: req.route.Name, Pool: req.pool, Target: choice.Target.Incarnation, SentAt: started, PermitID: req.decision.PermitID,
 	})
-	if !doubt {
+	if !unconfirmed {
 		g.pollLeader()
 		return
 	}
-	g.probe(c.Target)
+	g.probe(choice.Target)
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// feed is a listener of connections that were accepted elsewhere.
+// connListener is a net.Listener for connections that were accepted elsewhere.
 type connListener struct {
 	conns     chan net.Conn
 	closed    chan struct{}
@@ -13,56 +13,56 @@
 	addr      net.Addr
 }
 
-// newConnListener returns a feed that listens at an address.
+// newConnListener returns a listener that reports addr as its address.
 //
-// It is buffered. Else accepting waits for all else that runs after each two
-// connections, and the queue of the port grows until nobody in it waits any more:
-// on one of 55 routers, with ten times the usual callers, 4,900 timeouts became 560
-// by the buffer and by shedding (a day each).
+// It buffers connections. Without a buffer, accepting would wait for other goroutines after every
+// two connections, and the kernel's accept queue would grow until the callers in it have left. In
+// runs of a day each with ten times the usual callers at one of 55 routers, the buffer and load
+// shedding reduced 4,900 timeouts to 560.
 func newConnListener(addr net.Addr) *connListener {
 	return &connListener{conns: make(chan net.Conn, maxFreshConns), closed: make(chan struct{}), addr: addr}
 }
 
-// Accept implements net.Listener. What the feed holds when it closes is still given
-// out: nobody else would answer it.
-func (f *connListener) Accept() (net.Conn, error) {
+// Accept implements net.Listener. Connections that are buffered when the listener closes are still
+// returned, since nothing else would answer them.
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-f.conns:
-		return c, nil
+	case conn := <-l.conns:
+		return conn, nil
 	default:
 	}
 	select {
-	case c := <-f.conns:
-		return c, nil
-	case <-f.closed:
+	case conn := <-l.conns:
+		return conn, nil
+	case <-l.closed:
 	}
 	select {
-	case c := <-f.conns:
-		return c, nil
+	case conn := <-l.conns:
+		return conn, nil
 	default:
 		return nil, net.ErrClosed
 	}
 }
 
-// closePending closes what a closed feed still holds, since its server was closed before it
-// began.
-func (f *connListener) closePending() {
+// closePending closes the connections that are buffered in a closed listener, if its server was
+// closed before it began to accept.
+func (l *connListener) closePending() {
 	for {
-		conn, err := f.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		_ = conn.Close() // nothing of it was read
+		_ = conn.Close() // nothing has been read from it
 	}
 }
 
 // Addr implements net.Listener.
-func (f *connListener) Addr() net.Addr {
-	return f.addr
+func (l *connListener) Addr() net.Addr {
+	return l.addr
 }
 
 // Close implements net.Listener.
-func (f *connListener) Close() error {
-	f.closeOnce.Do(func() { close(f.closed) })
+func (l *connListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -11,8 +11,8 @@
 	"laburnumfall/internal/fleet"
 )
 
-// Metrics are a gateway's metrics. Make them with NewMetrics. Labels are bounded: by the
-// statuses, reasons and ends of attempts that there are.
+// Metrics are the metrics of a gateway. Create them with NewMetrics. The values of their labels
+// come from fixed sets of statuses, reasons and attempt results, so their number is bounded.
 type Metrics struct {
 	registry      *prometheus.Registry
 	requests      *prometheus.CounterVec
@@ -24,10 +24,10 @@
 	interruptions prometheus.Counter
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates the metrics and registers them in a registry of their own.
 func NewMetrics() *Metrics {
-	times := prometheus.ExponentialBuckets(0.005, 2, 12) // to 10 s
-	brief := prometheus.ExponentialBuckets(1e-6, 4, 8)   // to 16 ms
+	requestBuckets := prometheus.ExponentialBuckets(0.005, 2, 12) // 5 ms to 10 s
+	choiceBuckets := prometheus.ExponentialBuckets(1e-6, 4, 8)    // 1 µs to 16 ms
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -40,13 +40,13 @@
 			Name: "lf_sends_total", Help: "Attempts at targets by result.",
 		}, []string{"result"}),
 		firstByteTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "lf_first_byte_seconds", Help: "Time to the first byte of an answer, by status.", Buckets: times,
+			Name: "lf_first_byte_seconds", Help: "Time to the first byte of an answer, by status.", Buckets: requestBuckets,
 		}, []string{"status"}),
 		requestTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "lf_request_seconds", Help: "Time of a whole request, by status.", Buckets: times,
+			Name: "lf_request_seconds", Help: "Time of a whole request, by status.", Buckets: requestBuckets,
 		}, []string{"status"}),
 		choiceTime: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "lf_choice_seconds", Help: "Time to choose a target, or to refuse for lack of room.", Buckets: brief,
+			Name: "lf_choice_seconds", Help: "Time to choose a target, or to refuse for lack of room.", Buckets: choiceBuckets,
 		}),
 		interruptions: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "lf_cut_total", Help: "Exchanges that targets cut, as those that end do.",
@@ -56,12 +56,12 @@
 	return m
 }
 
-// AddCounter adds a counter that is kept elsewhere.
+// AddCounter adds a counter whose value is read from a function.
 func (m *Metrics) AddCounter(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, value))
 }
 
-// Handler serves the metrics as text.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
@@ -70,21 +70,21 @@
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-func (m *Metrics) recordEnd(status int, reason fleet.Reason, took time.Duration, q *request) {
+func (m *Metrics) recordEnd(status int, reason fleet.Reason, duration time.Duration, req *request) {
 	label := strconv.Itoa(status)
 	m.requests.WithLabelValues(label).Inc()
 	m.ends.WithLabelValues(string(reason)).Inc()
-	m.requestTime.WithLabelValues(label).Observe(took.Seconds())
-	if q.responseStarted {
-		m.firstByteTime.WithLabelValues(label).Observe(q.firstByteAt.Sub(q.arrivedAt).Seconds())
+	m.requestTime.WithLabelValues(label).Observe(duration.Seconds())
+	if req.responseStarted {
+		m.firstByteTime.WithLabelValues(label).Observe(req.firstByteAt.Sub(req.arrivedAt).Seconds())
 	}
 }
 
-// registerGauges adds what can be read off the gateway at any time.
+// registerGauges adds the metrics that are read from the gateway when they are collected.
 func (m *Metrics) registerGauges(g *Gateway) {
 	m.addGauge("lf_routes_number", "Number of the configuration of routes in force; 0 is none.", func() float64 {
-		if s := g.State(); s.Table != nil {
-			return float64(s.Table.Number)
+		if state := g.State(); state.Table != nil {
+			return float64(state.Table.Number)
 		}
 		return 0
 	})
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -3,73 +3,71 @@
 import "time"
 
 const (
-	// overloadThreshold is how long a request may wait unread before its router counts
-	// as behind: a quarter of the second after which callers give an unread request
-	// up.
+	// overloadThreshold is how long a request may wait unread before its router counts as
+	// overloaded. It is a quarter of the second after which callers abandon an unread request.
 	overloadThreshold = 250 * time.Millisecond
-	// minOverloadPeriod is for how long a router that is behind takes no new callers. The
-	// balancer asks each second and believes the second miss; the rest is for what
-	// is open already to be answered.
+	// minOverloadPeriod is how long an overloaded router reports that it is not ready. The load
+	// balancer checks every second and takes a router out of rotation after the second failed
+	// check. The remaining time is for requests on open connections.
 	minOverloadPeriod = 3 * time.Second
-	// queueCheckInterval is how often the queue of new connections is looked at, and
-	// looksApart how far apart two looks may be that count as one stretch.
+	// queueCheckInterval is the interval between checks of the accept queue. If two checks are more
+	// than maxQueueCheckGap apart, the queue may have been empty between them.
 	queueCheckInterval = 50 * time.Millisecond
 	maxQueueCheckGap   = 4 * queueCheckInterval
-	// maxOverloadPeriod bounds it where the load comes back each time.
+	// maxOverloadPeriod bounds the period when the overload recurs each time.
 	maxOverloadPeriod = 4 * minOverloadPeriod
 )
 
-// A pressure tells whether a router is behind with its callers.
+// An overloadDetector decides whether a router is overloaded by its callers.
 //
-// Callers are spread by who they are: one large account may come in through one
-// router of many, and ask for more than its processor can even refuse. Requests
-// then wait unread until their callers have left, and everything that the router
-// still does is for nobody, while the routers beside it idle. A router that is
-// behind tells the balancer not to send it new callers and announces the close of
-// open connections, so that they come back through others.
+// The load balancer assigns callers to routers by their identity, so a large account may come in
+// through one router of many and send more requests than its processor can even refuse. Requests
+// then wait unread until their callers have left, and all further work of this router is wasted
+// while other routers idle. An overloaded router reports to the load balancer that it is not ready,
+// and closes connections after their responses, so that callers reconnect through other routers.
 type overloadDetector struct {
-	overloadedUntil time.Time // when new callers are taken again
-	repeatUntil     time.Time // until when the relief after next counts as a return
-	repeats         int       // reliefs one shortly after the other
+	overloadedUntil time.Time // end of the overload period
+	repeatUntil     time.Time // an overload before this time counts as a repeat
+	repeats         int       // number of consecutive repeats
 
-	queueCheckedAt     time.Time // when the queue of new connections was looked at last
-	queueNonEmptySince time.Time // since when it was never seen empty
+	queueCheckedAt     time.Time // time of the last check of the accept queue
+	queueNonEmptySince time.Time // time since which every check found the accept queue non-empty
 }
 
-// queueCheckDue reports whether the queue of new connections is to be looked at.
-func (p *overloadDetector) queueCheckDue(now time.Time) bool {
-	return now.Sub(p.queueCheckedAt) >= queueCheckInterval
+// queueCheckDue reports whether it is time to check the accept queue.
+func (d *overloadDetector) queueCheckDue(now time.Time) bool {
+	return now.Sub(d.queueCheckedAt) >= queueCheckInterval
 }
 
-// recordQueueCheck notes whether new connections wait to be accepted. It reports whether the
-// router has got behind by that. Where the queue is never empty, each connection
-// in it is as old as the queue takes, and its caller mostly gone.
-func (p *overloadDetector) recordQueueCheck(now time.Time, waiting bool) bool {
-	apart := now.Sub(p.queueCheckedAt) > maxQueueCheckGap
-	p.queueCheckedAt = now
-	if !waiting || apart {
-		p.queueNonEmptySince = now
+// recordQueueCheck records whether the accept queue has connections, and reports whether an
+// overload period begins. If the queue is never empty, each connection in it has waited for as long
+// as the queue takes to be processed, and most of their callers have left.
+func (d *overloadDetector) recordQueueCheck(now time.Time, nonEmpty bool) bool {
+	gapTooLong := now.Sub(d.queueCheckedAt) > maxQueueCheckGap
+	d.queueCheckedAt = now
+	if !nonEmpty || gapTooLong {
+		d.queueNonEmptySince = now
 	}
-	return p.recordWait(now, now.Sub(p.queueNonEmptySince))
+	return d.recordWait(now, now.Sub(d.queueNonEmptySince))
 }
 
-// recordWait notes how long a request waited unread. It reports whether the router
-// has got behind by that.
-func (p *overloadDetector) recordWait(now time.Time, wait time.Duration) bool {
-	if wait < overloadThreshold || now.Before(p.overloadedUntil) {
+// recordWait records how long a request waited unread, and reports whether an overload period
+// begins.
+func (d *overloadDetector) recordWait(now time.Time, wait time.Duration) bool {
+	if wait < overloadThreshold || now.Before(d.overloadedUntil) {
 		return false
 	}
-	if now.After(p.repeatUntil) {
-		p.repeats = 0
+	if now.After(d.repeatUntil) {
+		d.repeats = 0
 	}
-	length := min(minOverloadPeriod<<min(p.repeats, 4), maxOverloadPeriod)
-	p.repeats++
-	p.overloadedUntil = now.Add(length)
-	p.repeatUntil = p.overloadedUntil.Add(length)
+	period := min(minOverloadPeriod<<min(d.repeats, 4), maxOverloadPeriod)
+	d.repeats++
+	d.overloadedUntil = now.Add(period)
+	d.repeatUntil = d.overloadedUntil.Add(period)
 	return true
 }
 
-// isOverloaded reports whether new callers are better off elsewhere.
-func (p *overloadDetector) isOverloaded(now time.Time) bool {
-	return now.Before(p.overloadedUntil)
+// isOverloaded reports whether an overload period is in progress.
+func (d *overloadDetector) isOverloaded(now time.Time) bool {
+	return now.Before(d.overloadedUntil)
 }
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -7,35 +7,35 @@
 	"laburnumfall/internal/target"
 )
 
-// probe finds out whether a target that cut an exchange has ended, or only closed a
-// connection. Callers hold the lock.
-func (g *Gateway) probe(in fleet.Instance) {
-	if g.probing[in.Incarnation] {
+// probe finds out in the background whether a target that interrupted an exchange has ended, or
+// only closed the connection. The caller holds g.mu.
+func (g *Gateway) probe(instance fleet.Instance) {
+	if g.probing[instance.Incarnation] {
 		return
 	}
 	if g.probing == nil {
 		g.probing = make(map[fleet.Incarnation]bool)
 	}
-	g.probing[in.Incarnation] = true
+	g.probing[instance.Incarnation] = true
 	go func() {
-		began := g.Clock.Now()
-		p := target.Look(in.Address)
-		g.Log.Info("target looked for after a cut", "target", in.ID, "born", in.StartMillis, "address", in.Address, "presence", p,
-			"took", g.Clock.Now().Sub(began).Milliseconds())
+		startedAt := g.Clock.Now()
+		presence := target.Look(instance.Address)
+		g.Log.Info("target looked for after a cut", "target", instance.ID, "born", instance.StartMillis, "address", instance.Address, "presence", presence,
+			"took", g.Clock.Now().Sub(startedAt).Milliseconds())
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.probing, in.Incarnation)
-		switch p {
+		delete(g.probing, instance.Incarnation)
+		switch presence {
 		case target.Ended:
-			g.Guard.RecordTermination(g.Clock.Now(), in.Incarnation)
+			g.Guard.RecordTermination(g.Clock.Now(), instance.Incarnation)
 			g.pollLeader()
 		case target.Here:
 			now := g.Clock.Now()
-			g.Guard.RecordAlive(now, now.Add(-target.LookSlack), in.Incarnation)
-			if slices.Contains(g.Guard.UnconfirmedTargets(now), in.Incarnation) {
-				g.probe(in) // it has cut another one since
+			g.Guard.RecordAlive(now, now.Add(-target.LookSlack), instance.Incarnation)
+			if slices.Contains(g.Guard.UnconfirmedTargets(now), instance.Incarnation) {
+				g.probe(instance) // it has interrupted another exchange since the probe
 			}
-		case target.Unknown: // the list of targets will tell
+		case target.Unknown: // the list of targets will show whether it has ended
 		}
 	}()
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -9,145 +9,148 @@
 )
 
 const (
-	// permitTimeout is how long a request waits for the leader's word on it: the time of a
-	// report and its answer, several times over.
+	// permitTimeout is how long a request waits for the leader's decision: several times as long as
+	// a report to the leader and its response take.
 	permitTimeout = 600 * time.Millisecond
-	// permitPollInterval is how often the leader is asked meanwhile.
+	// permitPollInterval is the interval between reports to the leader during that wait.
 	permitPollInterval = 50 * time.Millisecond
-	// minQuarantineRetryAfter is when a caller may come back whose request got no word.
+	// minQuarantineRetryAfter is the earliest time for a caller to retry a request that was
+	// quarantined or got no permit.
 	minQuarantineRetryAfter = time.Second
 )
 
-// awaitQuarantineDecision decides whether a request may be sent to a target now. One under which targets
-// have ended waits for the leader's word: its next copy may take another target away from
-// everybody, and the copies at other routers are not known here.
-func (g *Gateway) awaitQuarantineDecision(q *request) (refusal, bool) {
-	q.decision, q.interrupted = quarantine.Decision{}, false
+// awaitQuarantineDecision decides whether a request may be sent to a target now. If targets have
+// ended while they ran such a request, it waits for a permit of the leader: one more run could end
+// another target, and this router does not know which copies other routers are running.
+func (g *Gateway) awaitQuarantineDecision(req *request) (refusal, bool) {
+	req.decision, req.interrupted = quarantine.Decision{}, false
 	g.mu.Lock()
 	if g.Guard.Idle() {
 		g.mu.Unlock()
 		return refusal{}, true
 	}
-	q.decision = g.Guard.Check(g.Clock.Now(), q.fingerprint())
-	if q.decision.Action == quarantine.AwaitPermit {
-		g.Guard.RequestPermit(q.fingerprint())
-		defer g.cancelPermitRequest(q)
+	req.decision = g.Guard.Check(g.Clock.Now(), req.fingerprint())
+	if req.decision.Action == quarantine.AwaitPermit {
+		g.Guard.RequestPermit(req.fingerprint())
+		defer g.cancelPermitRequest(req)
 	}
-	g.Guard.MarkSent(q.decision, q.fingerprint())
+	g.Guard.MarkSent(req.decision, req.fingerprint())
 	g.mu.Unlock()
-	for end := time.Now().Add(permitTimeout); q.decision.Action == quarantine.AwaitPermit && time.Now().Before(end); {
-		g.awaitRestrictions(q)
+	for deadline := time.Now().Add(permitTimeout); req.decision.Action == quarantine.AwaitPermit && time.Now().Before(deadline); {
+		g.awaitRestrictions(req)
 		g.mu.Lock()
-		q.decision = g.Guard.Check(g.Clock.Now(), q.fingerprint())
-		g.Guard.MarkSent(q.decision, q.fingerprint())
+		req.decision = g.Guard.Check(g.Clock.Now(), req.fingerprint())
+		g.Guard.MarkSent(req.decision, req.fingerprint())
 		g.mu.Unlock()
 	}
-	if q.decision.Action == quarantine.Allow {
+	if req.decision.Action == quarantine.Allow {
 		return refusal{}, true
 	}
-	back := max(q.decision.RetryAfter, minQuarantineRetryAfter)
+	retryAfter := max(req.decision.RetryAfter, minQuarantineRetryAfter)
 	return refusal{
-		status: http.StatusServiceUnavailable, kind: fleet.KindQuarantined, reason: fleet.ReasonQuarantined, retryAfter: back, terminationCount: q.decision.TerminationCount, fingerprint: q.fingerprint(),
+		status: http.StatusServiceUnavailable, kind: fleet.KindQuarantined, reason: fleet.ReasonQuarantined, retryAfter: retryAfter, terminationCount: req.decision.TerminationCount, fingerprint: req.fingerprint(),
 	}, false
 }
 
-// awaitRestrictions waits until the leader has told something, for rulingPoll at most.
-func (g *Gateway) awaitRestrictions(q *request) {
+// awaitRestrictions waits until the leader's restrictions arrive, but at most for
+// permitPollInterval.
+func (g *Gateway) awaitRestrictions(req *request) {
 	g.mu.Lock()
 	if g.restrictionsChanged == nil {
 		g.restrictionsChanged = make(chan struct{})
 	}
-	heard := g.restrictionsChanged
+	changed := g.restrictionsChanged
 	g.pollLeader()
 	g.mu.Unlock()
 	timer := time.NewTimer(permitPollInterval)
 	defer timer.Stop()
 	select {
-	case <-heard:
+	case <-changed:
 	case <-timer.C:
-	case <-q.r.Context().Done():
-		g.abortCanceled(q, nil)
+	case <-req.r.Context().Done():
+		g.abortCanceled(req, nil)
 	}
 }
 
-func (g *Gateway) cancelPermitRequest(q *request) {
+func (g *Gateway) cancelPermitRequest(req *request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Guard.CancelPermitRequest(q.fingerprint())
+	g.Guard.CancelPermitRequest(req.fingerprint())
 }
 
-// returnPermit ends a request's permit, if it ran under one. What a cut means is told once it is
-// known whether the target has ended.
-func (g *Gateway) returnPermit(q *request, out attemptOutcome, unsent bool) {
-	if q.decision.PermitID == 0 {
+// returnPermit returns the permit that a request ran under, if any. After an interruption the
+// permit is kept until it is known whether the target has ended.
+func (g *Gateway) returnPermit(req *request, outcome attemptOutcome, unsent bool) {
+	if req.decision.PermitID == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
 	switch {
-	case q.interrupted:
+	case req.interrupted:
 		return
-	case out.reason == fleet.ReasonNoConnection:
-		g.Guard.ReturnUnreachable(now, q.decision, q.fingerprint())
+	case outcome.reason == fleet.ReasonNoConnection:
+		g.Guard.ReturnUnreachable(now, req.decision, req.fingerprint())
 	default:
-		g.Guard.ReturnPermit(now, q.decision, q.fingerprint(), unsent)
+		g.Guard.ReturnPermit(now, req.decision, req.fingerprint(), unsent)
 	}
 	g.pollLeader()
 }
 
-// recordCompletion notes a whole answer: its request does not end targets. A failure is none, since
-// a target may make it without running the request.
-func (g *Gateway) recordCompletion(q *request, status int) {
+// recordCompletion records a complete response, which shows that the request does not end targets.
+// An error response shows nothing, since the target may send it without running the request.
+func (g *Gateway) recordCompletion(req *request, status int) {
 	if status >= http.StatusMultipleChoices {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.Guard.Idle() {
-		g.Guard.RecordCompletion(g.Clock.Now(), q.fingerprint())
+		g.Guard.RecordCompletion(g.Clock.Now(), req.fingerprint())
 	}
 }
 
-// QuarantineReport returns what the leader is to be told of requests that end targets. It may be
-// called at any time.
+// QuarantineReport returns the report to the leader about requests that targets ended under. It may
+// be called at any time.
 func (g *Gateway) QuarantineReport(now time.Time) quarantine.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.Guard.Report(now)
 }
 
-// ApplyRestrictions takes the leader's answer to that, as it was at asked. It may be called at any time.
-func (g *Gateway) ApplyRestrictions(now, asked time.Time, term uint64, r quarantine.RestrictionUpdate) {
+// ApplyRestrictions applies the leader's response to the report that was made at reportedAt. It may
+// be called at any time.
+func (g *Gateway) ApplyRestrictions(now, reportedAt time.Time, term uint64, update quarantine.RestrictionUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Guard.ApplyUpdate(now, asked, term, r)
+	g.Guard.ApplyUpdate(now, reportedAt, term, update)
 	if g.restrictionsChanged != nil {
 		close(g.restrictionsChanged)
 		g.restrictionsChanged = nil
 	}
 }
 
-// pollLeader has the leader asked at once.
+// pollLeader makes the router contact the leader at once.
 func (g *Gateway) pollLeader() {
 	select {
 	case g.PollLeader <- struct{}{}:
-	default: // it is about to be, or nobody asks
+	default: // a poll is already pending, or PollLeader is not set
 	}
 }
 
-// recordUnlistedTargets takes the list of targets: one that cut an exchange, did not leave, and is not
-// listed any more has ended.
+// recordUnlistedTargets records the termination of targets that interrupted an exchange, were not
+// leaving, and are no longer listed.
 func (g *Gateway) recordUnlistedTargets(now time.Time, targets []fleet.Instance) {
-	doubts := g.Guard.UnconfirmedTargets(now)
-	if len(doubts) == 0 {
+	unconfirmed := g.Guard.UnconfirmedTargets(now)
+	if len(unconfirmed) == 0 {
 		return
 	}
 	listed := make(map[fleet.Incarnation]bool, len(targets))
-	for _, in := range targets {
-		listed[in.Incarnation] = true
+	for _, instance := range targets {
+		listed[instance.Incarnation] = true
 	}
-	for _, target := range doubts {
+	for _, target := range unconfirmed {
 		if !listed[target] {
 			g.Guard.RecordTermination(now, target)
 			g.pollLeader()
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -16,138 +16,138 @@
 )
 
 const (
-	// minRetryAfter and moment are when a caller may come back that was refused before any
-	// decision: at another router, or once a place may have come free.
+	// minRetryAfter and noCapacityRetryAfter are when a caller may retry that was refused before
+	// admission control: the first if another router can serve it, the second if capacity has to
+	// become free.
 	minRetryAfter        = admission.MinRetryAfter
 	noCapacityRetryAfter = admission.NoCapacityRetryAfter
-	// refusedBodyTimeout and drainBytes bound what is read of a refused request.
+	// refusedBodyTimeout and maxRefusedBody bound how much of a refused request's body is read.
 	refusedBodyTimeout = 500 * time.Millisecond
 	maxRefusedBody     = 8 << 20
 )
 
-// A refusal is an answer of the router's own.
+// A refusal describes the response to a request that this router refuses.
 type refusal struct {
 	status           int
 	kind             fleet.ErrorKind
 	reason           fleet.Reason
-	retryAfter       time.Duration // after which the caller may come back; 0 is never
-	predictedTTFB    time.Duration // predicted
-	queueTime        time.Duration // of that, for the work of others
-	load             float64       // part of the target's slots that is taken
-	excess           float64       // of the account over others that lack service
-	terminationCount int           // of targets, under the request
+	retryAfter       time.Duration // 0 if the caller must not retry
+	predictedTTFB    time.Duration // of the best target
+	queueTime        time.Duration // part of predictedTTFB caused by other requests
+	load             float64       // of the best target: running requests divided by slots
+	excess           float64       // service of the account relative to underserved ones
+	terminationCount int           // targets that ended while they ran such a request
 	fingerprint      quarantine.Fingerprint
 	err              error
 }
 
-// refusalBody is its body.
+// refusalBody is the body of the response to a refused or failed request.
 type refusalBody struct {
 	Kind    fleet.ErrorKind `json:"kind"`
 	Message string          `json:"message"`
 	Remedy  string          `json:"remedy"`
 }
 
-// refuse answers a request that was sent to no target.
-func (g *Gateway) refuse(q *request, r refusal) {
-	g.logEnd(q, r.status, r.reason, r.err, "back", r.retryAfter.Milliseconds(), "wait", r.predictedTTFB.Milliseconds(), "queue", r.queueTime.Milliseconds(), "load", r.load, "excess", r.excess, "ends", r.terminationCount, "print", r.fingerprint)
+// refuse answers a request that no target has run.
+func (g *Gateway) refuse(req *request, refused refusal) {
+	g.logEnd(req, refused.status, refused.reason, refused.err, "back", refused.retryAfter.Milliseconds(), "wait", refused.predictedTTFB.Milliseconds(), "queue", refused.queueTime.Milliseconds(), "load", refused.load, "excess", refused.excess, "ends", refused.terminationCount, "print", refused.fingerprint)
 	remedy := "mend the request"
-	h := q.w.Header()
-	if r.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', 3, 64))
+	header := req.w.Header()
+	if refused.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
 		remedy = "come back after Retry-After"
 	}
-	g.respond(q, r.status, fleet.OutcomeNotRun, refusalBody{Kind: r.kind, Message: string(r.reason), Remedy: remedy})
+	g.respond(req, refused.status, fleet.OutcomeNotRun, refusalBody{Kind: refused.kind, Message: string(refused.reason), Remedy: remedy})
 }
 
-func (g *Gateway) respond(q *request, status int, o fleet.Outcome, body refusalBody) {
+func (g *Gateway) respond(req *request, status int, outcome fleet.Outcome, body refusalBody) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		g.Log.Error("an answer cannot be encoded", "request", q.id, "error", err)
+		g.Log.Error("an answer cannot be encoded", "request", req.id, "error", err)
 		data = nil
 	}
-	h := q.w.Header()
-	g.Dialect.SetResponseHeaders(h, q.id, o)
-	h.Set("Content-Type", "application/json")
-	h.Set("Content-Length", strconv.Itoa(len(data)))
-	h["Date"] = nil
-	q.w.WriteHeader(status)
-	if _, err := q.w.Write(data); err != nil {
-		g.Log.Debug("the caller took no answer", "request", q.id, "error", err)
+	header := req.w.Header()
+	g.Dialect.SetResponseHeaders(header, req.id, outcome)
+	header.Set("Content-Type", "application/json")
+	header.Set("Content-Length", strconv.Itoa(len(data)))
+	header["Date"] = nil
+	req.w.WriteHeader(status)
+	if _, err := req.w.Write(data); err != nil {
+		g.Log.Debug("response not written to the caller", "request", req.id, "error", err)
 	}
-	if q.r.ContentLength != 0 && q.body == nil {
-		g.discardRequestBody(q)
+	if req.r.ContentLength != 0 && req.body == nil {
+		g.discardRequestBody(req)
 	}
 }
 
-// discardRequestBody reads the body of a request that was answered without it. A
-// connection that closes with unread bytes is reset, and the caller may never
-// see its answer; the library reads them only where it keeps the connection.
-func (g *Gateway) discardRequestBody(q *request) {
-	rc := http.NewResponseController(q.w)
+// discardRequestBody reads the body of a request that was answered before its body was read.
+// Closing a connection with unread bytes resets it, and the caller may never see the response. The
+// net/http server reads the rest of a body only if it keeps the connection.
+func (g *Gateway) discardRequestBody(req *request) {
+	rc := http.NewResponseController(req.w)
 	err := rc.Flush()
 	if err == nil {
 		err = rc.SetReadDeadline(time.Now().Add(refusedBodyTimeout))
 	}
 	if err == nil {
-		_, err = io.CopyN(io.Discard, q.r.Body, maxRefusedBody)
+		_, err = io.CopyN(io.Discard, req.r.Body, maxRefusedBody)
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		g.Log.Debug("the body of a refused request was not read", "request", q.id, "error", err)
+		g.Log.Debug("body of a refused request not read completely", "request", req.id, "error", err)
 	}
 }
 
-// end refuses a request, or breaks its answer off if that has begun.
-func (g *Gateway) refuseOrAbort(q *request, r refusal) {
-	if q.responseStarted {
-		g.abortResponse(q, r.reason, r.err)
+// refuseOrAbort refuses a request, or aborts its response if that has already begun.
+func (g *Gateway) refuseOrAbort(req *request, refused refusal) {
+	if req.responseStarted {
+		g.abortResponse(req, refused.reason, refused.err)
 	}
-	if q.mayHaveRun {
-		g.giveUp(q, r.reason, r.err)
+	if req.mayHaveRun {
+		g.giveUp(req, refused.reason, refused.err)
 		return
 	}
-	g.refuse(q, r)
+	g.refuse(req, refused)
 }
 
-// giveUp gives a request that can not be sent again its final answer: a promise
-// that it has not run, where that is known, and else a failure that promises
-// nothing.
-func (g *Gateway) giveUp(q *request, reason fleet.Reason, err error) {
+// giveUp ends a request that cannot be retried. If it is known that no target ran it, it is
+// refused; otherwise it gets an error that leaves open whether it ran.
+func (g *Gateway) giveUp(req *request, reason fleet.Reason, err error) {
 	switch {
-	case q.r.Context().Err() != nil:
-		g.abortCanceled(q, err)
-	case q.responseStarted:
-		g.abortResponse(q, reason, err)
-	case !q.mayHaveRun:
-		g.refuse(q, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: reason, retryAfter: noCapacityRetryAfter, err: err})
-	case !g.Clock.Now().Before(q.deadline):
-		g.logEnd(q, http.StatusGatewayTimeout, reason, err)
-		g.respond(q, http.StatusGatewayTimeout, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindDeadline, Message: string(reason), Remedy: "it may have run; ask for less or wait longer"})
+	case req.r.Context().Err() != nil:
+		g.abortCanceled(req, err)
+	case req.responseStarted:
+		g.abortResponse(req, reason, err)
+	case !req.mayHaveRun:
+		g.refuse(req, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: reason, retryAfter: noCapacityRetryAfter, err: err})
+	case !g.Clock.Now().Before(req.deadline):
+		g.logEnd(req, http.StatusGatewayTimeout, reason, err)
+		g.respond(req, http.StatusGatewayTimeout, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindDeadline, Message: string(reason), Remedy: "it may have run; ask for less or wait longer"})
 	default:
-		g.logEnd(q, http.StatusBadGateway, reason, err)
-		g.respond(q, http.StatusBadGateway, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindTargetFailed, Message: string(reason), Remedy: "it may have run; send it again only if that does no harm"})
+		g.logEnd(req, http.StatusBadGateway, reason, err)
+		g.respond(req, http.StatusBadGateway, fleet.OutcomeUnknown, refusalBody{Kind: fleet.KindTargetFailed, Message: string(reason), Remedy: "it may have run; send it again only if that does no harm"})
 	}
 }
 
-// abortCanceled ends a request whose caller has gone, or was cut off since the grace of a stop
-// is over: both look alike to what carries it.
-func (g *Gateway) abortCanceled(q *request, err error) {
+// abortCanceled ends a request whose caller left or whose connection was closed at the end of the
+// grace period. Both cancel the context of the request.
+func (g *Gateway) abortCanceled(req *request, err error) {
 	reason := fleet.ReasonCallerLeft
 	if g.graceExpired.Load() {
 		reason = fleet.ReasonGraceExpired
 	}
-	g.logEnd(q, 0, reason, err)
+	g.logEnd(req, 0, reason, err)
 	panic(http.ErrAbortHandler)
 }
 
-// abortResponse ends an answer that has begun so that it cannot look whole: the
-// connection closes before the end of the body.
-func (g *Gateway) abortResponse(q *request, reason fleet.Reason, err error) {
-	g.logEnd(q, 0, fleet.ReasonTruncatedPrefix+reason, err)
+// abortResponse ends a response that has begun in such a way that the caller sees that it is
+// incomplete: the connection closes before the end of the body.
+func (g *Gateway) abortResponse(req *request, reason fleet.Reason, err error) {
+	g.logEnd(req, 0, fleet.ReasonTruncatedPrefix+reason, err)
 	panic(http.ErrAbortHandler)
 }
 
-// endLogLevel returns the level of the line of a request's end: that of one that failed
-// is kept where others are dropped.
+// endLogLevel returns the level of the log line for the end of a request. Failed requests are
+// logged at Warn, since lines at Info may be dropped.
 func endLogLevel(status int) hclog.Level {
 	if status == 0 || status >= http.StatusBadRequest {
 		return hclog.Warn
@@ -155,27 +155,27 @@
 	return hclog.Info
 }
 
-// logEnd writes the line of a request's end.
-func (g *Gateway) logEnd(q *request, status int, reason fleet.Reason, err error, more ...any) {
-	route, aim := "", time.Duration(0)
-	if q.route != nil {
-		route, aim = q.route.Name, q.route.LatencyObjective
+// logEnd logs the end of a request and records it in the metrics.
+func (g *Gateway) logEnd(req *request, status int, reason fleet.Reason, err error, extra ...any) {
+	route, objective := "", time.Duration(0)
+	if req.route != nil {
+		route, objective = req.route.Name, req.route.LatencyObjective
 	}
 	now := g.Clock.Now()
 	args := []any{
-		"request", q.id, "status", status, "reason", reason, "route", route, "pool", q.pool, "account", q.account,
-		"sent", q.attempts, "took", now.Sub(q.arrivedAt).Milliseconds(), "aim", aim.Milliseconds(), "within", q.withinShare,
+		"request", req.id, "status", status, "reason", reason, "route", route, "pool", req.pool, "account", req.account,
+		"sent", req.attempts, "took", now.Sub(req.arrivedAt).Milliseconds(), "aim", objective.Milliseconds(), "within", req.withinShare,
 	}
-	if q.responseStarted {
-		args = append(args, "first", q.firstByteAt.Sub(q.arrivedAt).Milliseconds())
+	if req.responseStarted {
+		args = append(args, "first", req.firstByteAt.Sub(req.arrivedAt).Milliseconds())
 	}
-	if len(q.parts) > 0 {
-		own := q.parts[len(q.parts)-1].Tokens
-		args = append(args, "own", own, "shared", totalTokens(q.parts)-own)
+	if len(req.parts) > 0 {
+		ownTokens := req.parts[len(req.parts)-1].Tokens
+		args = append(args, "own", ownTokens, "shared", totalTokens(req.parts)-ownTokens)
 	}
 	if err != nil {
 		args = append(args, "error", err)
 	}
-	g.Log.Log(endLogLevel(status), "done", append(args, more...)...)
-	g.Metrics.recordEnd(status, reason, now.Sub(q.arrivedAt), q)
+	g.Log.Log(endLogLevel(status), "done", append(args, extra...)...)
+	g.Metrics.recordEnd(status, reason, now.Sub(req.arrivedAt), req)
 }
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -13,172 +13,172 @@
 	"laburnumfall/internal/upstream"
 )
 
-// forwardBuffered reads an answer and passes it on. One of unknown or large size is
-// passed on as it comes.
-func (g *Gateway) forwardBuffered(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) attemptOutcome {
-	g.recordFirstByte(q, c)
-	if a.Length > maxBufferedResponse {
-		return g.forwardUnbuffered(q, c, started, a)
-	}
-	body, err := io.ReadAll(io.LimitReader(a, maxBufferedResponse+1))
+// forwardBuffered reads a response completely and then forwards it. A response of more than
+// maxBufferedResponse bytes is forwarded while it arrives.
+func (g *Gateway) forwardBuffered(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer) attemptOutcome {
+	g.recordFirstByte(req, choice)
+	if response.Length > maxBufferedResponse {
+		return g.forwardUnbuffered(req, choice, started, response)
+	}
+	body, err := io.ReadAll(io.LimitReader(response, maxBufferedResponse+1))
 	if err != nil {
-		g.endAttempt(c, placement.Failed)
-		g.logSend(q, c, started, fleet.AttemptTruncated, err)
-		g.recordInterruption(q, c, started, err)
-		q.responseStarted = false
-		return g.retryOrFail(q, fleet.ReasonAnswerTruncated, err)
-	}
-	if !a.Whole() && len(body) > maxBufferedResponse {
-		return g.forwardUnbuffered(q, c, started, a, body...)
-	}
-	g.recordStatus(c, a.Status)
-	g.recordCompletion(q, a.Status)
-	g.logSend(q, c, started, fleet.AttemptAnswered, nil, "status", a.Status)
-	a.Close() // kept for the next request before the caller takes its time
-	g.copyHeaders(q, a)
-	if q.r.Method != http.MethodHead && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified {
-		q.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	}
-	q.w.WriteHeader(a.Status)
-	if _, err := q.w.Write(body); err != nil {
-		g.logEnd(q, 0, fleet.ReasonAnswerWriteFailed, err)
+		g.endAttempt(choice, placement.Failed)
+		g.logSend(req, choice, started, fleet.AttemptTruncated, err)
+		g.recordInterruption(req, choice, started, err)
+		req.responseStarted = false
+		return g.retryOrFail(req, fleet.ReasonAnswerTruncated, err)
+	}
+	if !response.Whole() && len(body) > maxBufferedResponse {
+		return g.forwardUnbuffered(req, choice, started, response, body...)
+	}
+	g.recordStatus(choice, response.Status)
+	g.recordCompletion(req, response.Status)
+	g.logSend(req, choice, started, fleet.AttemptAnswered, nil, "status", response.Status)
+	response.Close() // releases the connection to the target before a slow caller reads the response
+	g.copyHeaders(req, response)
+	if req.r.Method != http.MethodHead && response.Status != http.StatusNoContent && response.Status != http.StatusNotModified {
+		req.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	}
+	req.w.WriteHeader(response.Status)
+	if _, err := req.w.Write(body); err != nil {
+		g.logEnd(req, 0, fleet.ReasonAnswerWriteFailed, err)
 		return attemptOutcome{next: stepDone}
 	}
-	g.logEnd(q, a.Status, fleet.ReasonAnswered, nil)
+	g.logEnd(req, response.Status, fleet.ReasonAnswered, nil)
 	return attemptOutcome{next: stepDone}
 }
 
-// recordStatus tells the placer how a target did. A caller's own mistake is no failure
-// of the target.
-func (g *Gateway) recordStatus(c *placement.Choice, status int) {
-	const failure = 500
-	if status >= failure {
-		g.endAttempt(c, placement.Failed)
+// recordStatus ends an attempt by the status of its response. A client error does not count as a
+// failure of the target.
+func (g *Gateway) recordStatus(choice *placement.Choice, status int) {
+	const minServerError = 500
+	if status >= minServerError {
+		g.endAttempt(choice, placement.Failed)
 		return
 	}
-	g.endAttempt(c, placement.Served)
+	g.endAttempt(choice, placement.Served)
 }
 
-func (g *Gateway) forwardUnbuffered(q *request, c *placement.Choice, started time.Time, a *upstream.Answer, begin ...byte) attemptOutcome {
-	g.copyHeaders(q, a)
-	if a.Length >= 0 {
-		q.w.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
+func (g *Gateway) forwardUnbuffered(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer, start ...byte) attemptOutcome {
+	g.copyHeaders(req, response)
+	if response.Length >= 0 {
+		req.w.Header().Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
-	q.w.WriteHeader(a.Status)
-	_, err := q.w.Write(begin)
+	req.w.WriteHeader(response.Status)
+	_, err := req.w.Write(start)
 	if err == nil {
-		_, err = io.Copy(q.w, a)
+		_, err = io.Copy(req.w, response)
 	}
 	switch {
-	case err != nil && callerLeft(q.r.Context()):
-		g.endAttempt(c, placement.Canceled)
-		g.logSend(q, c, started, fleet.AttemptCallerLeft, err)
+	case err != nil && callerLeft(req.r.Context()):
+		g.endAttempt(choice, placement.Canceled)
+		g.logSend(req, choice, started, fleet.AttemptCallerLeft, err)
 		return attemptOutcome{next: stepFail, reason: fleet.ReasonCallerLeft, err: err}
 	case err != nil:
-		g.endAttempt(c, placement.Failed)
-		g.logSend(q, c, started, fleet.AttemptTruncated, err)
-		g.recordInterruption(q, c, started, err)
+		g.endAttempt(choice, placement.Failed)
+		g.logSend(req, choice, started, fleet.AttemptTruncated, err)
+		g.recordInterruption(req, choice, started, err)
 		return attemptOutcome{next: stepFail, reason: fleet.ReasonAnswerTruncated, err: err}
 	}
-	g.recordStatus(c, a.Status)
-	g.recordCompletion(q, a.Status)
-	g.logSend(q, c, started, fleet.AttemptAnswered, nil, "status", a.Status)
-	g.logEnd(q, a.Status, fleet.ReasonAnswered, nil)
+	g.recordStatus(choice, response.Status)
+	g.recordCompletion(req, response.Status)
+	g.logSend(req, choice, started, fleet.AttemptAnswered, nil, "status", response.Status)
+	g.logEnd(req, response.Status, fleet.ReasonAnswered, nil)
 	return attemptOutcome{next: stepDone}
 }
 
-// forwardStream passes events on as they come. If the stream breaks off and may be
-// resumed, it goes on at another target after the last event that was passed on.
-func (g *Gateway) forwardStream(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) attemptOutcome {
-	rc := http.NewResponseController(q.w)
-	events := eventReader{source: a}
+// forwardStream forwards events while they arrive. If the stream ends early and is resumable, it is
+// resumed at another target after the last event that was forwarded.
+func (g *Gateway) forwardStream(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer) attemptOutcome {
+	rc := http.NewResponseController(req.w)
+	events := eventReader{source: response}
 	for {
-		piece, err := events.next()
+		chunk, err := events.next()
 		if err != nil && !errors.Is(err, io.EOF) {
-			g.endAttempt(c, placement.Failed)
-			g.logSend(q, c, started, fleet.AttemptTruncated, err, "after", q.lastEventID)
-			g.recordInterruption(q, c, started, err)
-			return g.retryOrFail(q, fleet.ReasonStreamTruncated, err)
+			g.endAttempt(choice, placement.Failed)
+			g.logSend(req, choice, started, fleet.AttemptTruncated, err, "after", req.lastEventID)
+			g.recordInterruption(req, choice, started, err)
+			return g.retryOrFail(req, fleet.ReasonStreamTruncated, err)
 		}
-		if !q.responseStarted {
-			g.copyHeaders(q, a)
-			q.w.WriteHeader(a.Status)
+		if !req.responseStarted {
+			g.copyHeaders(req, response)
+			req.w.WriteHeader(response.Status)
 		}
-		g.recordFirstByte(q, c)
-		if len(piece) > 0 {
-			if writeErr := g.writeEvents(q, rc, piece); writeErr != nil {
-				g.endAttempt(c, placement.Canceled)
-				g.logSend(q, c, started, fleet.AttemptCallerLeft, writeErr)
+		g.recordFirstByte(req, choice)
+		if len(chunk) > 0 {
+			if writeErr := g.writeEvents(req, rc, chunk); writeErr != nil {
+				g.endAttempt(choice, placement.Canceled)
+				g.logSend(req, choice, started, fleet.AttemptCallerLeft, writeErr)
 				return attemptOutcome{next: stepFail, reason: fleet.ReasonStreamWriteFailed, err: writeErr}
 			}
 		}
 		if err != nil {
-			g.endAttempt(c, placement.Served)
-			g.recordCompletion(q, a.Status)
-			g.logSend(q, c, started, fleet.AttemptAnswered, nil, "status", a.Status)
-			g.logEnd(q, a.Status, fleet.ReasonAnswered, nil)
+			g.endAttempt(choice, placement.Served)
+			g.recordCompletion(req, response.Status)
+			g.logSend(req, choice, started, fleet.AttemptAnswered, nil, "status", response.Status)
+			g.logEnd(req, response.Status, fleet.ReasonAnswered, nil)
 			return attemptOutcome{next: stepDone}
 		}
 	}
 }
 
-func (g *Gateway) writeEvents(q *request, rc *http.ResponseController, piece []byte) error {
-	if _, err := q.w.Write(piece); err != nil {
+func (g *Gateway) writeEvents(req *request, rc *http.ResponseController, chunk []byte) error {
+	if _, err := req.w.Write(chunk); err != nil {
 		return err
 	}
-	if id := lastEventID(piece); id != "" {
-		q.lastEventID = id
+	if id := lastEventID(chunk); id != "" {
+		req.lastEventID = id
 	}
 	return rc.Flush()
 }
 
-// first notes that an answer has begun.
-func (g *Gateway) recordFirstByte(q *request, c *placement.Choice) {
+// recordFirstByte records that the response has begun.
+func (g *Gateway) recordFirstByte(req *request, choice *placement.Choice) {
 	now := g.Clock.Now()
-	if !q.responseStarted {
-		q.responseStarted, q.firstByteAt = true, now
+	if !req.responseStarted {
+		req.responseStarted, req.firstByteAt = true, now
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.RecordFirstByte(now, c)
+	g.placer.RecordFirstByte(now, choice)
 }
 
-// isStream reports whether an answer is a stream of events.
-func (q *request) isStream(a *upstream.Answer) bool {
-	kind := a.Header.Get("Content-Type")
-	return a.Status == http.StatusOK && (q.route.Kind == fleet.RouteStream || strings.HasPrefix(kind, "text/event-stream"))
+// isStream reports whether a response is a stream of events.
+func (req *request) isStream(response *upstream.Answer) bool {
+	contentType := response.Header.Get("Content-Type")
+	return response.Status == http.StatusOK && (req.route.Kind == fleet.RouteStream || strings.HasPrefix(contentType, "text/event-stream"))
 }
 
-// copyHeaders passes a target's headers on, but those that concern only its
-// connection. The library must add none of its own.
-func (g *Gateway) copyHeaders(q *request, a *upstream.Answer) {
-	h := q.w.Header()
-	for name, values := range a.Header {
-		h[name] = values
+// copyHeaders copies the headers of a target's response, except for hop-by-hop headers. It also
+// prevents net/http from adding Content-Type and Date headers.
+func (g *Gateway) copyHeaders(req *request, response *upstream.Answer) {
+	header := req.w.Header()
+	for name, values := range response.Header {
+		header[name] = values
 	}
-	removeHopByHopHeaders(h)
-	g.Dialect.SetResponseHeaders(h, q.id, fleet.OutcomeRan)
-	if announce, _ := g.shutdownActions(g.Clock.Now()); announce || g.conns.isOverloaded() {
-		h.Set("Connection", "close")
+	removeHopByHopHeaders(header)
+	g.Dialect.SetResponseHeaders(header, req.id, fleet.OutcomeRan)
+	if announceClose, _ := g.shutdownActions(g.Clock.Now()); announceClose || g.conns.isOverloaded() {
+		header.Set("Connection", "close")
 	}
-	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil
+	if header.Get("Content-Type") == "" {
+		header["Content-Type"] = nil
 	}
-	if h.Get("Date") == "" {
-		h["Date"] = nil
+	if header.Get("Date") == "" {
+		header["Date"] = nil
 	}
 }
 
-// hopByHopHeaders are the headers that concern one connection only.
+// hopByHopHeaders are the headers that apply to a single connection only.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-func removeHopByHopHeaders(h http.Header) {
-	for _, list := range h["Connection"] {
-		for _, name := range strings.Split(list, ",") {
-			h.Del(strings.TrimSpace(name))
+func removeHopByHopHeaders(header http.Header) {
+	for _, connectionOptions := range header["Connection"] {
+		for _, name := range strings.Split(connectionOptions, ",") {
+			header.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopByHopHeaders {
-		h.Del(name)
+		header.Del(name)
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -12,172 +12,173 @@
 	"laburnumfall/internal/upstream"
 )
 
-// nextStep is what follows an attempt.
+// nextStep is what to do after an attempt.
 type nextStep uint8
 
 const (
-	stepDone           nextStep = iota // the caller has its answer
-	stepTryElsewhere                   // nothing was sent: another target may be tried
-	stepRetryIfAllowed                 // another target may be tried, within bounds
-	stepRetry                          // another target is to be tried, and was found within bounds
+	stepDone           nextStep = iota // the caller got its response
+	stepTryElsewhere                   // nothing was sent: try another target
+	stepRetryIfAllowed                 // retry if the attempts and the retry budget allow it
+	stepRetry                          // retry; the retry budget has been charged already
 	stepFail                           // the request may have run and must not run again
 )
 
-// attemptOutcome is how an attempt ended.
+// attemptOutcome is the result of an attempt.
 type attemptOutcome struct {
 	next   nextStep
 	reason fleet.Reason
 	err    error
-	notRun bool // no target has run it
+	notRun bool // no target has run the request
 }
 
-// maxBufferedResponse is the size up to which an answer is read whole before any of it is
-// passed on, so that one that breaks off can be asked for again.
+// maxBufferedResponse is the size in bytes up to which a response is read completely before any of
+// it is forwarded, so that the request can be retried if the target closes the connection early.
 const maxBufferedResponse = 256 << 10
 
-// send sends a request to the chosen target and passes its answer on.
-func (g *Gateway) send(q *request, c *placement.Choice) attemptOutcome {
-	ctx := q.r.Context()
+// send sends a request to the chosen target and forwards its response.
+func (g *Gateway) send(req *request, choice *placement.Choice) attemptOutcome {
+	ctx := req.r.Context()
 	started := g.Clock.Now()
-	q.triedTargets = append(q.triedTargets, c.Target.Incarnation)
-	conn, err := g.pool.Get(ctx, c.Target.Incarnation, c.Target.Address)
+	req.triedTargets = append(req.triedTargets, choice.Target.Incarnation)
+	conn, err := g.pool.Get(ctx, choice.Target.Incarnation, choice.Target.Address)
 	if err != nil {
 		if ctx.Err() != nil {
-			g.endAttempt(c, placement.Canceled)
+			g.endAttempt(choice, placement.Canceled)
 			return attemptOutcome{next: stepFail, reason: fleet.ReasonCallerLeft, err: err}
 		}
-		g.endAttempt(c, placement.ConnectFailed)
-		g.logSend(q, c, started, fleet.AttemptConnectFailed, err)
+		g.endAttempt(choice, placement.ConnectFailed)
+		g.logSend(req, choice, started, fleet.AttemptConnectFailed, err)
 		return attemptOutcome{next: stepTryElsewhere, reason: fleet.ReasonNoConnection, err: err, notRun: true}
 	}
-	if !g.confirmSend(c) {
-		g.pool.Return(c.Target.Incarnation, conn)
-		g.endAttempt(c, placement.Canceled)
-		g.logSend(q, c, started, fleet.AttemptTargetClosed, nil)
+	if !g.confirmSend(choice) {
+		g.pool.Return(choice.Target.Incarnation, conn)
+		g.endAttempt(choice, placement.Canceled)
+		g.logSend(req, choice, started, fleet.AttemptTargetClosed, nil)
 		return attemptOutcome{next: stepTryElsewhere, reason: fleet.ReasonTargetClosed, notRun: true}
 	}
-	q.attempts++
-	answer, givenUp, err := g.sendWithWatchdog(ctx, q, c, conn)
-	if givenUp {
-		q.mayHaveRun = true
-		g.endAttempt(c, placement.Failed)
-		g.logSend(q, c, started, fleet.AttemptNoAnswer, err)
+	req.attempts++
+	response, abandoned, err := g.sendWithWatchdog(ctx, req, choice, conn)
+	if abandoned {
+		req.mayHaveRun = true
+		g.endAttempt(choice, placement.Failed)
+		g.logSend(req, choice, started, fleet.AttemptNoAnswer, err)
 		return attemptOutcome{next: stepRetry, reason: fleet.ReasonNoAnswer, err: err}
 	}
 	if err != nil {
-		return g.handleNoResponse(q, c, started, err)
+		return g.handleNoResponse(req, choice, started, err)
 	}
-	defer answer.Close()
-	g.recordQueueLength(q, c.Target.Incarnation, answer)
-	return g.handleResponse(q, c, started, answer)
+	defer response.Close()
+	g.recordTargetLoad(req, choice.Target.Incarnation, response)
+	return g.handleResponse(req, choice, started, response)
 }
 
-// confirmSend reports whether a request may still go to the target of its choice: it may have
-// taken long to reach it, or this process may have stood still.
-func (g *Gateway) confirmSend(c *placement.Choice) bool {
+// confirmSend reports whether a request may still be sent to the chosen target. Connecting may have
+// taken long, or the process may have been suspended.
+func (g *Gateway) confirmSend(choice *placement.Choice) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.placer.ConfirmSend(g.Clock.Now(), c)
+	return g.placer.ConfirmSend(g.Clock.Now(), choice)
 }
 
-// targetRequest makes the request for a target of a caller's.
-func (g *Gateway) targetRequest(q *request, c *placement.Choice) upstream.Request {
-	h := make(http.Header, len(q.r.Header)+4)
-	for name, values := range q.r.Header {
-		h[name] = values
+// targetRequest returns the request to send to the chosen target.
+func (g *Gateway) targetRequest(req *request, choice *placement.Choice) upstream.Request {
+	header := make(http.Header, len(req.r.Header)+4)
+	for name, values := range req.r.Header {
+		header[name] = values
 	}
-	removeHopByHopHeaders(h)
-	h.Del("Content-Length")
-	h.Del("Expect")
-	g.Dialect.SetRequestHeaders(h, AttemptInfo{
-		Target: c.Target.ID, RequestID: q.id, Account: q.account, TimeLeft: q.deadline.Sub(g.Clock.Now()), LastEventID: q.lastEventID, CopyFrom: c.CopyFrom,
+	removeHopByHopHeaders(header)
+	header.Del("Content-Length")
+	header.Del("Expect")
+	g.Dialect.SetRequestHeaders(header, AttemptInfo{
+		Target: choice.Target.ID, RequestID: req.id, Account: req.account, TimeLeft: req.deadline.Sub(g.Clock.Now()), LastEventID: req.lastEventID, CopyFrom: choice.CopyFrom,
 	})
 	return upstream.Request{
-		Method: q.r.Method, Path: q.r.RequestURI, Host: q.r.Host, Header: h, Body: q.body,
-		ID: q.id, IDHeader: g.Dialect.RequestIDHeader(),
+		Method: req.r.Method, Path: req.r.RequestURI, Host: req.r.Host, Header: header, Body: req.body,
+		ID: req.id, IDHeader: g.Dialect.RequestIDHeader(),
 	}
 }
 
-// handleNoResponse judges an attempt without an answer: the target may have run it.
-func (g *Gateway) handleNoResponse(q *request, c *placement.Choice, started time.Time, err error) attemptOutcome {
-	if q.r.Context().Err() != nil {
-		g.endAttempt(c, placement.Canceled)
-		g.logSend(q, c, started, fleet.AttemptCallerLeft, err)
+// handleNoResponse ends an attempt without a response. The target may have run it.
+func (g *Gateway) handleNoResponse(req *request, choice *placement.Choice, started time.Time, err error) attemptOutcome {
+	if req.r.Context().Err() != nil {
+		g.endAttempt(choice, placement.Canceled)
+		g.logSend(req, choice, started, fleet.AttemptCallerLeft, err)
 		return attemptOutcome{next: stepFail, reason: fleet.ReasonCallerLeft, err: err}
 	}
-	q.mayHaveRun = true
-	g.endAttempt(c, placement.Failed)
-	g.logSend(q, c, started, fleet.AttemptNoAnswer, err)
-	g.recordInterruption(q, c, started, err)
-	return g.retryOrFail(q, fleet.ReasonNoAnswer, err)
+	req.mayHaveRun = true
+	g.endAttempt(choice, placement.Failed)
+	g.logSend(req, choice, started, fleet.AttemptNoAnswer, err)
+	g.recordInterruption(req, choice, started, err)
+	return g.retryOrFail(req, fleet.ReasonNoAnswer, err)
 }
 
-// retryOrFail judges a request that may have run.
-func (g *Gateway) retryOrFail(q *request, reason fleet.Reason, err error) attemptOutcome {
-	if q.route.Repeatable() {
+// retryOrFail returns the outcome of a failed attempt that may have run.
+func (g *Gateway) retryOrFail(req *request, reason fleet.Reason, err error) attemptOutcome {
+	if req.route.Repeatable() {
 		return attemptOutcome{next: stepRetryIfAllowed, reason: reason, err: err}
 	}
 	return attemptOutcome{next: stepFail, reason: reason, err: err}
 }
 
-// take passes an answer on, or judges it.
-func (g *Gateway) handleResponse(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) attemptOutcome {
-	const success, failure = 200, 500
+// handleResponse forwards a response to the caller, or discards it if it is invalid or the request
+// is to be retried.
+func (g *Gateway) handleResponse(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer) attemptOutcome {
+	const minSuccess, minServerError = 200, 500
 	switch {
-	case g.Dialect.NotRun(a.Status, a.Header):
-		return g.handleNotRun(q, c, started, a)
-	case a.Status < 300 && a.Status >= success && !g.Dialect.Signed(a.Header):
-		q.mayHaveRun = true
-		g.endAttempt(c, placement.Failed)
-		g.logSend(q, c, started, fleet.AttemptUnsigned, nil)
-		return g.retryOrFail(q, fleet.ReasonUnsigned, nil)
-	case q.responseStarted && !q.isStream(a):
-		q.mayHaveRun = true
-		g.endAttempt(c, placement.Failed)
-		g.logSend(q, c, started, fleet.AttemptTargetFailed, nil, "status", a.Status)
-		return g.retryOrFail(q, fleet.ReasonStreamNotResumable, nil)
-	case q.isStream(a):
-		q.mayHaveRun = true
-		return g.forwardStream(q, c, started, a)
+	case g.Dialect.NotRun(response.Status, response.Header):
+		return g.handleNotRun(req, choice, started, response)
+	case response.Status < 300 && response.Status >= minSuccess && !g.Dialect.Signed(response.Header):
+		req.mayHaveRun = true
+		g.endAttempt(choice, placement.Failed)
+		g.logSend(req, choice, started, fleet.AttemptUnsigned, nil)
+		return g.retryOrFail(req, fleet.ReasonUnsigned, nil)
+	case req.responseStarted && !req.isStream(response):
+		req.mayHaveRun = true
+		g.endAttempt(choice, placement.Failed)
+		g.logSend(req, choice, started, fleet.AttemptTargetFailed, nil, "status", response.Status)
+		return g.retryOrFail(req, fleet.ReasonStreamNotResumable, nil)
+	case req.isStream(response):
+		req.mayHaveRun = true
+		return g.forwardStream(req, choice, started, response)
 	}
-	q.mayHaveRun = true
-	if a.Status >= failure && q.route.Repeatable() && q.possibleRuns() < q.route.MaxAttempts {
-		if g.allowRetry(q) {
-			g.endAttempt(c, placement.Failed)
-			g.logSend(q, c, started, fleet.AttemptTargetFailed, nil, "status", a.Status)
+	req.mayHaveRun = true
+	if response.Status >= minServerError && req.route.Repeatable() && req.possibleRuns() < req.route.MaxAttempts {
+		if g.allowRetry(req) {
+			g.endAttempt(choice, placement.Failed)
+			g.logSend(req, choice, started, fleet.AttemptTargetFailed, nil, "status", response.Status)
 			return attemptOutcome{next: stepRetry, reason: fleet.ReasonTargetFailed}
 		}
 	}
-	return g.forwardBuffered(q, c, started, a)
+	return g.forwardBuffered(req, choice, started, response)
 }
 
-// handleNotRun judges an answer that says that the request was not run.
-func (g *Gateway) handleNotRun(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) attemptOutcome {
-	discardBody(a)
-	if g.Dialect.AddressReused(a.Status) {
-		q.misaddressed++
-		g.endAttempt(c, placement.ConnectFailed)
-		g.logSend(q, c, started, fleet.AttemptAddressReused, nil, "status", a.Status)
+// handleNotRun ends an attempt with a response that says that the target did not run the request.
+func (g *Gateway) handleNotRun(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer) attemptOutcome {
+	discardBody(response)
+	if g.Dialect.AddressReused(response.Status) {
+		req.misaddressed++
+		g.endAttempt(choice, placement.ConnectFailed)
+		g.logSend(req, choice, started, fleet.AttemptAddressReused, nil, "status", response.Status)
 		return attemptOutcome{next: stepRetryIfAllowed, reason: fleet.ReasonAddressReused, notRun: true}
 	}
-	g.endAttempt(c, placement.Refused)
-	g.logSend(q, c, started, fleet.AttemptNotRun, nil, "status", a.Status)
+	g.endAttempt(choice, placement.Refused)
+	g.logSend(req, choice, started, fleet.AttemptNotRun, nil, "status", response.Status)
 	return attemptOutcome{next: stepRetryIfAllowed, reason: fleet.ReasonNotRun, notRun: true}
 }
 
-// discardBody reads the rest of a small answer, so that its connection can be kept.
-func discardBody(a *upstream.Answer) {
-	// One that breaks off is not kept.
-	_, _ = io.Copy(io.Discard, io.LimitReader(a, maxBufferedResponse))
+// discardBody reads the rest of a small response, so that its connection can be reused.
+func discardBody(response *upstream.Answer) {
+	// After a read error the connection is not reused.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response, maxBufferedResponse))
 }
 
-// logSend writes the line of one attempt.
-func (g *Gateway) logSend(q *request, c *placement.Choice, started time.Time, result fleet.AttemptResult, err error, more ...any) {
+// logSend logs the result of an attempt and counts it in the metrics.
+func (g *Gateway) logSend(req *request, choice *placement.Choice, started time.Time, result fleet.AttemptResult, err error, extra ...any) {
 	now := g.Clock.Now()
 	args := []any{
-		"request", q.id, "target", c.Target.ID, "born", c.Target.StartMillis, "zone", c.Target.Zone, "pool", c.Target.Pool, "result", result,
-		"try", q.attempts, "home", c.IsOwner, "copy", c.CopyFrom, "load", c.Load, "queue", c.QueueTime.Milliseconds(), "unread", c.PrefillTokens, "predicted", c.PredictedTTFB.Milliseconds(),
-		"first", c.TTFB.Milliseconds(), "took", now.Sub(started).Milliseconds(), "left", q.deadline.Sub(now).Milliseconds(),
+		"request", req.id, "target", choice.Target.ID, "born", choice.Target.StartMillis, "zone", choice.Target.Zone, "pool", choice.Target.Pool, "result", result,
+		"try", req.attempts, "home", choice.IsOwner, "copy", choice.CopyFrom, "load", choice.Load, "queue", choice.QueueTime.Milliseconds(), "unread", choice.PrefillTokens, "predicted", choice.PredictedTTFB.Milliseconds(),
+		"first", choice.TTFB.Milliseconds(), "took", now.Sub(started).Milliseconds(), "left", req.deadline.Sub(now).Milliseconds(),
 	}
 	if err != nil {
 		args = append(args, "error", err)
@@ -186,6 +187,6 @@
 	if result != fleet.AttemptAnswered {
 		level = hclog.Warn
 	}
-	g.Log.Log(level, "send", append(args, more...)...)
+	g.Log.Log(level, "send", append(args, extra...)...)
 	g.Metrics.sends.WithLabelValues(string(result)).Inc()
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// bodyMemoryDivisor is the part of the process's memory that bodies may take.
+	// bodyMemoryDivisor limits request bodies to this fraction of the process's memory.
 	bodyMemoryDivisor = 8
-	// maxUnreachable bounds how many targets in a row may turn out to be gone before the
-	// caller is asked to come back, and unreachedFor how long they may take: a target that
-	// has ended refuses within a round trip, one whose VM is dark says nothing.
+	// maxUnreachable is how many targets in a row may be unreachable before the caller is asked to
+	// retry later, and maxUnreachableTime is how long these attempts may take together. The time
+	// limit matters because a target that has ended refuses connections within a round trip, but
+	// one whose VM is down does not answer at all.
 	maxUnreachable     = 12
 	maxUnreachableTime = 600 * time.Millisecond
 )
 
-// A request is one caller's request in progress.
+// A request is a caller's request in progress.
 type request struct {
 	w                 *deadlineWriter
 	r                 *http.Request
@@ -32,212 +33,215 @@
 	account           string
 	body              []byte
 	parts             []placement.PromptPart
-	cost              float64 // that the request costs: one each to read, two to generate
-	withinShare       bool    // its account's share
-	charged           bool    // its account has paid for it
-	throttled         bool    // that a crowded service would refuse
+	cost              float64 // in tokens: one per prompt token, two per generated token
+	withinShare       bool    // the account's demand does not exceed its fair share
+	charged           bool    // the account has been charged
+	throttled         bool    // the request exceeds the throttle of its pool
 	arrivedAt         time.Time
-	deadline          time.Time // when the caller or the route gives up
-	attempts          int       // attempts that a target may have read
-	misaddressed      int       // of these, met by another target at the address
-	mayHaveRun        bool      // one of them may have run
+	deadline          time.Time // when the caller's or the route's time is up
+	attempts          int       // how often the request was sent to a target that may have read it
+	misaddressed      int       // of attempts, those that reached another target at a reused address
+	mayHaveRun        bool      // an attempt may have run
 	triedTargets      []fleet.Incarnation
-	lastEventID       string                 // ID of the last event that the caller has
-	responseStarted   bool                   // an answer has begun
-	cachedFingerprint quarantine.Fingerprint // its fingerprint, once it was asked for
-	decision          quarantine.Decision    // by which it is sent
-	interrupted       bool                   // a target that was to stay cut the last attempt
-	firstByteAt       time.Time              // when it began
+	lastEventID       string                 // of the last event that was written to the caller
+	responseStarted   bool                   // the response to the caller has begun
+	cachedFingerprint quarantine.Fingerprint // set by fingerprint
+	decision          quarantine.Decision    // quarantine decision for the next attempt
+	interrupted       bool                   // a target that was not leaving interrupted the last attempt
+	firstByteAt       time.Time              // when the response began
 }
 
-// ServeHTTP takes one caller's request to its end.
+// ServeHTTP serves one caller's request until its end.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
 	now := g.Clock.Now()
-	announce, refuse := g.shutdownActions(now)
-	if announce || g.conns.isOverloaded() {
+	announceClose, refuseNew := g.shutdownActions(now)
+	if announceClose || g.conns.isOverloaded() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{w: &deadlineWriter{ResponseWriter: w}, r: r, id: g.Dialect.RequestID(r.Header), arrivedAt: now}
-	g.setWriteTimeout(q, defaultHeaderTimeout)
-	if q.id == "" {
-		q.id = g.Name + "-" + strconv.FormatInt(now.UnixNano(), 36) + "-" + strconv.FormatUint(g.requestCount.Add(1), 36)
+	req := &request{w: &deadlineWriter{ResponseWriter: w}, r: r, id: g.Dialect.RequestID(r.Header), arrivedAt: now}
+	g.setWriteTimeout(req, defaultHeaderTimeout)
+	if req.id == "" {
+		req.id = g.Name + "-" + strconv.FormatInt(now.UnixNano(), 36) + "-" + strconv.FormatUint(g.requestCount.Add(1), 36)
 	}
-	if refuse {
-		g.refuse(q, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindStopping, reason: fleet.ReasonStopping, retryAfter: minRetryAfter})
+	if refuseNew {
+		g.refuse(req, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindStopping, reason: fleet.ReasonStopping, retryAfter: minRetryAfter})
 		return
 	}
 	g.awaitFreshState(now)
-	s := g.State()
-	if refused, ok := g.admit(q, s); !ok {
-		g.refuse(q, refused)
+	state := g.State()
+	if refused, ok := g.admit(req, state); !ok {
+		g.refuse(req, refused)
 		return
 	}
-	if refused, ok := g.readBody(q, s); !ok {
-		g.refuse(q, refused)
+	if refused, ok := g.readBody(req, state); !ok {
+		g.refuse(req, refused)
 		return
 	}
-	defer g.bodyBytes.Add(-int64(len(q.body)))
-	g.setWriteTimeout(q, q.deadline.Sub(now)+writeGrace)
-	g.forward(q)
+	defer g.bodyBytes.Add(-int64(len(req.body)))
+	g.setWriteTimeout(req, req.deadline.Sub(now)+writeGrace)
+	g.forward(req)
 }
 
-// forward sends a request to one target after the other until one answers it, or
-// it may not be sent again.
-func (g *Gateway) forward(q *request) {
-	g.countRequest(q)
-	var since time.Time // when the first of the targets was tried that could not be reached
-	for unreached := 0; ; {
+// forward sends a request to targets, one after the other, until one answers it or it must not be
+// sent again.
+func (g *Gateway) forward(req *request) {
+	g.countRequest(req)
+	var firstUnreachableAt time.Time // start of the attempts at unreachable targets
+	for unreachableCount := 0; ; {
 		now := g.Clock.Now()
-		if callerLeft(q.r.Context()) {
-			g.abortCanceled(q, nil)
+		if callerLeft(req.r.Context()) {
+			g.abortCanceled(req, nil)
 		}
-		g.conns.releaseReadSlot(connFromContext(q.r.Context()))
-		if !now.Before(q.deadline) {
-			g.giveUp(q, fleet.ReasonDeadlineExceeded, nil)
+		g.conns.releaseReadSlot(connFromContext(req.r.Context()))
+		if !now.Before(req.deadline) {
+			g.giveUp(req, fleet.ReasonDeadlineExceeded, nil)
 			return
 		}
 		g.awaitFreshState(now)
-		if refused, ok := g.checkKey(q, g.State()); !ok {
-			g.refuseOrAbort(q, refused)
+		if refused, ok := g.checkKey(req, g.State()); !ok {
+			g.refuseOrAbort(req, refused)
 			return
 		}
-		if refused, ok := g.awaitQuarantineDecision(q); !ok {
-			g.refuseOrAbort(q, refused)
+		if refused, ok := g.awaitQuarantineDecision(req); !ok {
+			g.refuseOrAbort(req, refused)
 			return
 		}
-		now = g.Clock.Now() // it may have waited
-		choice, refused, ok := g.chooseTarget(now, q)
+		now = g.Clock.Now() // the quarantine decision may have taken time
+		choice, refused, ok := g.chooseTarget(now, req)
 		g.Metrics.choiceTime.Observe(g.Clock.Now().Sub(now).Seconds())
 		if !ok {
-			g.returnPermit(q, attemptOutcome{}, true)
-			g.refuseOrAbort(q, refused)
+			g.returnPermit(req, attemptOutcome{}, true)
+			g.refuseOrAbort(req, refused)
 			return
 		}
-		sent := q.attempts
-		out := g.send(q, choice)
-		if out.notRun {
-			g.refund(q)
+		attemptsBefore := req.attempts
+		outcome := g.send(req, choice)
+		if outcome.notRun {
+			g.refund(req)
 		}
-		g.returnPermit(q, out, q.attempts == sent)
-		switch out.next {
+		g.returnPermit(req, outcome, req.attempts == attemptsBefore)
+		switch outcome.next {
 		case stepDone:
 			return
 		case stepTryElsewhere:
-			if unreached == 0 {
-				since = now
+			if unreachableCount == 0 {
+				firstUnreachableAt = now
 			}
-			unreached++
-			if unreached >= maxUnreachable || g.Clock.Now().Sub(since) >= maxUnreachableTime {
-				g.refuseOrAbort(q, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: fleet.ReasonNoTargetReachable, retryAfter: noCapacityRetryAfter, err: out.err})
+			unreachableCount++
+			if unreachableCount >= maxUnreachable || g.Clock.Now().Sub(firstUnreachableAt) >= maxUnreachableTime {
+				g.refuseOrAbort(req, refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: fleet.ReasonNoTargetReachable, retryAfter: noCapacityRetryAfter, err: outcome.err})
 				return
 			}
 		case stepRetry:
 		case stepRetryIfAllowed:
-			if !g.allowRetry(q) {
-				g.giveUp(q, out.reason, out.err)
+			if !g.allowRetry(req) {
+				g.giveUp(req, outcome.reason, outcome.err)
 				return
 			}
 		case stepFail:
-			g.giveUp(q, out.reason, out.err)
+			g.giveUp(req, outcome.reason, outcome.err)
 			return
 		}
 	}
 }
 
-// setWriteTimeout bounds how long a caller may take to read its answer.
-func (g *Gateway) setWriteTimeout(q *request, most time.Duration) {
-	if err := q.w.setDeadline(time.Now().Add(most)); err != nil {
-		g.Log.Debug("no write deadline", "request", q.id, "error", err)
+// setWriteTimeout bounds how long a caller may take to read its response.
+func (g *Gateway) setWriteTimeout(req *request, timeout time.Duration) {
+	if err := req.w.setDeadline(time.Now().Add(timeout)); err != nil {
+		g.Log.Debug("write deadline for the response not set", "request", req.id, "error", err)
 	}
 }
 
-// chooseTarget picks a target, or refuses the request.
-func (g *Gateway) chooseTarget(now time.Time, q *request) (*placement.Choice, refusal, bool) {
+// chooseTarget chooses a target, or returns the reason to refuse the request.
+func (g *Gateway) chooseTarget(now time.Time, req *request) (*placement.Choice, refusal, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.controller.Placer == nil {
 		g.controller = admission.NewController(&g.placer, &g.shares)
 	}
-	choice, no := g.controller.Decide(now, admission.Request{
-		Placement: placement.Request{Pool: q.pool, Parts: q.parts, Avoid: q.triedTargets, OnlyTarget: q.decision.PermitTarget}, Route: q.route, Account: q.account,
-		Cost: q.cost, Deadline: q.deadline, WithinShare: q.withinShare, Throttled: q.throttled, SentBefore: q.attempts > 0, Charged: q.charged,
+	choice, rejection := g.controller.Decide(now, admission.Request{
+		Placement: placement.Request{Pool: req.pool, Parts: req.parts, Avoid: req.triedTargets, OnlyTarget: req.decision.PermitTarget}, Route: req.route, Account: req.account,
+		Cost: req.cost, Deadline: req.deadline, WithinShare: req.withinShare, Throttled: req.throttled, SentBefore: req.attempts > 0, Charged: req.charged,
 	})
-	if no != nil {
-		return nil, admissionRefusal(*no), false
+	if rejection != nil {
+		return nil, admissionRefusal(*rejection), false
 	}
-	q.charged = true
+	req.charged = true
 	return choice, refusal{}, true
 }
 
-// admissionRefusal makes the answer of a decision's refusal. Work beyond an account's share is
-// the account's to hold back; all else is the fleet's want of room.
-func admissionRefusal(no admission.Refusal) refusal {
-	r := refusal{
-		status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: no.Reason, retryAfter: no.RetryAfter,
-		predictedTTFB: no.PredictedTTFB, queueTime: no.QueueTime, load: no.Load, excess: no.Excess,
+// admissionRefusal returns the response for a request that admission control rejected. Status 429
+// says that the account is over its fair share; any other rejection means that the fleet has no
+// capacity.
+func admissionRefusal(rejection admission.Refusal) refusal {
+	refused := refusal{
+		status: http.StatusServiceUnavailable, kind: fleet.KindNoTarget, reason: rejection.Reason, retryAfter: rejection.RetryAfter,
+		predictedTTFB: rejection.PredictedTTFB, queueTime: rejection.QueueTime, load: rejection.Load, excess: rejection.Excess,
 	}
-	if no.Reason == fleet.ReasonOverShare {
-		r.status, r.kind = http.StatusTooManyRequests, fleet.KindQueueFull
+	if rejection.Reason == fleet.ReasonOverShare {
+		refused.status, refused.kind = http.StatusTooManyRequests, fleet.KindQueueFull
 	}
-	return r
+	return refused
 }
 
-// refund gives an account back what it paid for an attempt that no target ran. Where many
-// targets are gone, a request may meet several: an account whose requests come in through many
-// routers, each of which finds that out by itself, would seem to be served what it never got.
-func (g *Gateway) refund(q *request) {
-	if !q.charged || q.cost == 0 {
+// refund returns an account's charge for an attempt that no target ran. When many targets have
+// ended, each request may try several of them. Without refunds, an account whose requests come in
+// through many routers, which all try the ended targets, would be charged for service that it did
+// not get.
+func (g *Gateway) refund(req *request) {
+	if !req.charged || req.cost == 0 {
 		return
 	}
-	q.charged = false
+	req.charged = false
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shares.Refund(g.Clock.Now(), q.account, q.cost)
+	g.shares.Refund(g.Clock.Now(), req.account, req.cost)
 }
 
-func (g *Gateway) endAttempt(c *placement.Choice, r placement.Result) {
+func (g *Gateway) endAttempt(choice *placement.Choice, result placement.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.EndAttempt(g.Clock.Now(), c, r)
+	g.placer.EndAttempt(g.Clock.Now(), choice, result)
 }
 
 func (g *Gateway) retryBudget(pool string) *retry.Budget {
 	if g.retryBudgets == nil {
 		g.retryBudgets = make(map[string]*retry.Budget)
 	}
-	b := g.retryBudgets[pool]
-	if b == nil {
-		b = &retry.Budget{Ratio: g.Settings.RetryRatio, Slack: g.Settings.RetrySlack, Window: g.Settings.RetryWindow}
-		g.retryBudgets[pool] = b
+	budget := g.retryBudgets[pool]
+	if budget == nil {
+		budget = &retry.Budget{Ratio: g.Settings.RetryRatio, Slack: g.Settings.RetrySlack, Window: g.Settings.RetryWindow}
+		g.retryBudgets[pool] = budget
 	}
-	return b
+	return budget
 }
 
-// countRequest counts a request towards the retry budget and its account's share.
-func (g *Gateway) countRequest(q *request) {
+// countRequest counts a request towards the retry budget, the throttle of its pool and the share of
+// its account.
+func (g *Gateway) countRequest(req *request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
-	g.retryBudget(q.pool).CountRequest(now)
-	q.throttled = g.exceedsThrottle(now, q)
-	q.withinShare = q.cost == 0 || g.shares.CountRequest(now, q.account, q.cost)
+	g.retryBudget(req.pool).CountRequest(now)
+	req.throttled = g.exceedsThrottle(now, req)
+	req.withinShare = req.cost == 0 || g.shares.CountRequest(now, req.account, req.cost)
 }
 
-// possibleRuns returns how many targets may have run the request. Another one that has the address by
-// now has not.
-func (q *request) possibleRuns() int {
-	return q.attempts - q.misaddressed
+// possibleRuns returns how many targets may have run the request. Attempts that reached another
+// target at a reused address do not count.
+func (req *request) possibleRuns() int {
+	return req.attempts - req.misaddressed
 }
 
-// allowRetry reports whether a request may go to one more target, and takes that
-// from the budget that all routers share.
-func (g *Gateway) allowRetry(q *request) bool {
-	if q.possibleRuns() >= q.route.MaxAttempts {
+// allowRetry reports whether a request may be retried, and if so takes one retry from the budget
+// that all routers share.
+func (g *Gateway) allowRetry(req *request) bool {
+	if req.possibleRuns() >= req.route.MaxAttempts {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.retryBudget(q.pool).Allow(g.Clock.Now(), g.placer.Routers)
+	return g.retryBudget(req.pool).Allow(g.Clock.Now(), g.placer.Routers)
 }
--- a/internal/gateway/shed.go
+++ b/internal/gateway/shed.go
@@ -14,42 +14,45 @@
 )
 
 const (
-	// maxFreshConns bounds the connections whose first request is not judged yet. At
-	// half a millisecond of processor a request, and a fifth of a core, that is a
-	// wait of 320 ms, under half of the second for which callers wait to be read.
+	// maxFreshConns bounds the connections whose first request has not been read and checked. A
+	// request takes half a millisecond of processor time, so with a fifth of a core the last one
+	// waits 320 ms. Callers wait one second for their request to be read.
 	maxFreshConns = 128
-	// defaultFreshTimeout is how long a connection counts so; one that sends nothing for that
-	// long takes no processor.
+	// defaultFreshTimeout is how long a connection counts as fresh. A connection that sends nothing
+	// for that long takes no processor time.
 	defaultFreshTimeout = time.Second
-	// freshRecountInterval is how often connections are counted anew at most.
+	// freshRecountInterval is the minimum interval between recounts of fresh connections.
 	freshRecountInterval = 50 * time.Millisecond
-	// shedRetryAfter is when a caller that is shed may come back: at once. Most often a place is
-	// free again by then. The balancer sends callers by who they are, and where the router
-	// stays behind they meet it again until the balancer has believed that; those that wait
-	// for it are late, while the others would have been served.
+	// shedRetryAfter is when a shed caller may retry. It is short because the router usually has
+	// capacity again by then. The load balancer assigns callers to routers by their identity, so if
+	// the router stays overloaded, callers reach it again until the load balancer takes it out of
+	// rotation. A longer delay that covers this time would make all callers late, also those whom
+	// an early retry serves.
 	shedRetryAfter = 20 * time.Millisecond
-	// requestStartTimeout is how long a request may take to follow its connection.
+	// requestStartTimeout is how long after its connection is accepted the first bytes of a request
+	// may arrive.
 	requestStartTimeout = 50 * time.Millisecond
-	// lingerTime is how long a connection stays open behind its refusal. One that
-	// closes with unread bytes is reset, and the caller may not see its answer.
+	// lingerTime is how long a connection stays open after it was refused. Closing it with unread
+	// bytes would reset it, and the caller might not see the response.
 	lingerTime = 300 * time.Millisecond
-	// lingerBytes are read at its end: a request of usual size.
+	// lingerBytes is how much is read before the close. A request of usual size fits.
 	lingerBytes = 32 << 10
 )
 
-// shedResponse refuses a request that was not read.
+// shedResponse is the response to a request that is shed.
 var shedResponse = []byte("HTTP/1.1 " + strconv.Itoa(http.StatusServiceUnavailable) + " Service Unavailable\r\n" +
 	"Retry-After: " + strconv.FormatFloat(shedRetryAfter.Seconds(), 'f', 3, 64) + "\r\n" +
 	"Lf-Outcome: " + string(fleet.OutcomeNotRun) + "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 
-// lingerBuffers are where requests are read that nobody looks at. A buffer on the stack of
-// each one's goroutine made that grow to twice the size, and the runtime gives stacks back
-// only once it has collected garbage, which takes long where the processor is used up.
+// lingerBuffers holds the buffers for reading shed requests. A buffer on the stack would make the
+// stack of each goroutine grow to twice the buffer's size, and the runtime frees stacks only during
+// garbage collection, which takes long when the processor is saturated.
 var lingerBuffers = sync.Pool{New: func() any { return new([lingerBytes]byte) }}
 
-// shedConn refuses a connection's request unread: that takes far fewer system calls than
-// reading it. Where more callers come than a router can even refuse, it would else read
-// each of them too late, for nobody; other routers have room.
+// shedConn refuses the request of a connection without reading it, which takes far fewer system
+// calls than reading it. If callers arrive faster than the router can even refuse their requests,
+// it would otherwise read each request after its caller has left, although other routers have spare
+// capacity.
 func shedConn(conn net.Conn) {
 	if target.Quiet(conn) {
 		time.AfterFunc(requestStartTimeout, func() { refuseUnread(conn) })
@@ -58,45 +61,45 @@
 	refuseUnread(conn)
 }
 
-// refuseUnread answers a connection's request, if there is one by now.
+// refuseUnread answers a connection's request, or closes the connection if no request has arrived.
 func refuseUnread(conn net.Conn) {
 	if target.Quiet(conn) {
-		_ = conn.Close() // no request to answer: it can be sent elsewhere
+		_ = conn.Close() // no request is lost; the caller can send it elsewhere
 		return
 	}
 	if _, err := conn.Write(shedResponse); err != nil {
-		_ = conn.Close() // the caller has gone
+		_ = conn.Close() // the caller has left
 		return
 	}
-	if c, ok := conn.(*net.TCPConn); ok {
-		_ = c.CloseWrite() // what fails here fails again at the close
+	if tcpConn, ok := conn.(*net.TCPConn); ok {
+		_ = tcpConn.CloseWrite() // an error here recurs at Close
 	}
 	time.AfterFunc(lingerTime, func() { drainAndClose(conn) })
 }
 
-// finish reads what has come on a connection, without waiting, and closes it.
+// drainAndClose reads without blocking what has arrived on a connection, and closes it.
 func drainAndClose(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the answer is out
-	sc, ok := conn.(*net.TCPConn)
+	defer func() { _ = conn.Close() }() // the response has been sent
+	tcpConn, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
-	raw, err := sc.SyscallConn()
+	rawConn, err := tcpConn.SyscallConn()
 	if err != nil {
-		return // it is closed
+		return // the connection is closed
 	}
-	buf, ok := lingerBuffers.Get().(*[lingerBytes]byte)
+	buffer, ok := lingerBuffers.Get().(*[lingerBytes]byte)
 	if !ok {
-		return // the pool holds nothing else
+		return // never happens: the pool holds only such buffers
 	}
-	defer lingerBuffers.Put(buf)
-	_ = raw.Control(func(fd uintptr) {
-		_, _ = unix.Read(int(fd), buf[:]) // what is not there is not waited for
+	defer lingerBuffers.Put(buffer)
+	_ = rawConn.Control(func(fd uintptr) {
+		_, _ = unix.Read(int(fd), buffer[:]) // the descriptor is non-blocking
 	})
 }
 
-// tooManyFresh reports whether so many callers wait to be read that the next one is
-// better shed.
+// tooManyFresh reports whether so many callers wait for their first request to be read that the
+// next connection must be shed.
 func (c *connManager) tooManyFresh(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +112,7 @@
 	return c.freshCount >= maxFreshConns
 }
 
-// recordShed counts a connection that is refused unread.
+// recordShed counts a connection that is shed.
 func (c *connManager) recordShed(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,8 +122,8 @@
 	}
 }
 
-// logShed writes how many were refused unread since it last did: of none of them is
-// there a line, and nobody could tell afterwards why they were refused.
+// logShed logs how many connections have been shed since the last call. Individual shed requests
+// are not logged, so this line is the only record of their refusal.
 func (c *connManager) logShed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,31 +133,33 @@
 	c.loggedShedConns = c.shedConns
 }
 
-// shedCount returns how many connections were refused unread.
+// shedCount returns how many connections have been shed.
 func (c *connManager) shedCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.shedConns
 }
 
-// recountFresh counts the connections that wait for their first request to be judged.
+// recountFresh recounts the fresh connections. Those that have been fresh for longer than the
+// timeout no longer count.
 func (c *connManager) recountFresh(now time.Time) {
 	c.freshCountedAt = now
 	c.freshCount = 0
-	for _, known := range c.conns {
-		if known.fresh && now.Sub(known.acceptedAt) > orDefault(c.freshTimeout, defaultFreshTimeout) {
-			known.fresh = false
+	for _, info := range c.conns {
+		if info.fresh && now.Sub(info.acceptedAt) > orDefault(c.freshTimeout, defaultFreshTimeout) {
+			info.fresh = false
 		}
-		if known.fresh {
+		if info.fresh {
 			c.freshCount++
 		}
 	}
 }
 
-// clearFresh notes that a connection's first request was judged, or will never be.
-func (c *connManager) clearFresh(known *connInfo) {
-	if known.fresh {
-		known.fresh = false
+// clearFresh records that the first request of a connection has been read and checked, or that the
+// connection is idle or closed.
+func (c *connManager) clearFresh(info *connInfo) {
+	if info.fresh {
+		info.fresh = false
 		c.freshCount--
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -3,49 +3,50 @@
 import "time"
 
 const (
-	// acceptAfterStop is how long a stopping router goes on taking requests: until the
-	// balancer has surely noticed that it is not ready, and callers with open
-	// connections have been told to open new ones.
+	// acceptAfterStop is how long a stopping router still accepts requests. By then the load
+	// balancer has surely noticed that the router is not ready, and callers with open connections
+	// have been asked to reconnect.
 	acceptAfterStop = 2800 * time.Millisecond
-	// exitMargin is kept from the end of the grace, for the process to end.
+	// exitMargin is the part of the grace period that is reserved for the process to exit.
 	exitMargin       = 400 * time.Millisecond
 	stopPollInterval = 20 * time.Millisecond
-	// endLogTimeout is how long requests that were cut may take to log that.
+	// endLogTimeout bounds how long a shutdown waits for aborted requests to log their end.
 	endLogTimeout = 100 * time.Millisecond
 )
 
-// drain serves on until nothing is in progress or the grace is nearly over.
-// Callers' open connections are kept until then: closing one could cross a
-// request on its way. Each answer from now on announces its connection's close.
+// drain serves requests for at least acceptAfterStop, and then until none are in progress or the
+// grace period is nearly over. Callers' connections stay open until then, since a request may
+// already be on its way on a connection that is closed. Each response from now on announces that
+// its connection closes.
 func (g *Gateway) drain() {
-	started := g.Clock.Now()
-	g.stoppingSince.Store(&started)
-	end := started.Add(g.Settings.Grace - exitMargin)
-	g.conns.graceEnd.Store(&end)
-	g.Log.Info("stopping", "active", g.active.Load(), "connections", g.conns.connCount(), "until", end)
-	for now := started; now.Before(end); now = g.Clock.Now() {
-		if now.Sub(started) > acceptAfterStop && g.active.Load() == 0 {
+	startedAt := g.Clock.Now()
+	g.stoppingSince.Store(&startedAt)
+	deadline := startedAt.Add(g.Settings.Grace - exitMargin)
+	g.conns.graceEnd.Store(&deadline)
+	g.Log.Info("stopping", "active", g.active.Load(), "connections", g.conns.connCount(), "until", deadline)
+	for now := startedAt; now.Before(deadline); now = g.Clock.Now() {
+		if now.Sub(startedAt) > acceptAfterStop && g.active.Load() == 0 {
 			break
 		}
 		time.Sleep(stopPollInterval)
 	}
 	g.Log.Info("stopped", "active", g.active.Load(), "connections", g.conns.connCount(), "unanswered", g.conns.unansweredCount(),
-		"took", g.Clock.Now().Sub(started).Milliseconds())
+		"took", g.Clock.Now().Sub(startedAt).Milliseconds())
 }
 
-// awaitEndLogs lets requests that were cut write the line of their end.
+// awaitEndLogs waits for a limited time until aborted requests have logged their end.
 func (g *Gateway) awaitEndLogs() {
-	for end := time.Now().Add(endLogTimeout); g.active.Load() > 0 && time.Now().Before(end); {
+	for deadline := time.Now().Add(endLogTimeout); g.active.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(endLogTimeout / 20)
 	}
 }
 
-// closing reports whether answers announce the end of their connection, and
-// whether new requests are refused.
-func (g *Gateway) shutdownActions(now time.Time) (announce, refuse bool) {
-	started := g.stoppingSince.Load()
-	if started == nil {
+// shutdownActions reports whether responses announce that their connection closes, and whether new
+// requests are refused.
+func (g *Gateway) shutdownActions(now time.Time) (announceClose, refuseNew bool) {
+	stoppingSince := g.stoppingSince.Load()
+	if stoppingSince == nil {
 		return false, false
 	}
-	return true, now.Sub(*started) > acceptAfterStop
+	return true, now.Sub(*stoppingSince) > acceptAfterStop
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -89,8 +89,8 @@
 	conn := dialCaller(t, l.Addr().String())
 	require.Eventually(t, func() bool { return c.connCount() == 1 }, 5*time.Second, time.Millisecond)
 	c.mu.Lock()
-	for _, known := range c.conns {
-		known.acceptedAt = time.Now().Add(5 * time.Second) // it stays new, however slow this machine is
+	for _, info := range c.conns {
+		info.acceptedAt = time.Now().Add(5 * time.Second) // it stays new, however slow this machine is
 	}
 	c.mu.Unlock()
 	require.NoError(t, l.Close())
--- a/internal/gateway/throttle.go
+++ b/internal/gateway/throttle.go
@@ -8,51 +8,52 @@
 	"laburnumfall/internal/upstream"
 )
 
-// longQueueDivisor is the part of a route's aim, as a divisor, that the requests waiting at
-// a plain service may take before its queue counts as long: the other half is for the
-// way, and for the request itself.
+// longQueueDivisor is the fraction of a route's latency objective that requests queued at a target
+// without engines may take before its queue counts as long. The rest of the time is for the network
+// and for the request itself.
 const longQueueDivisor = 2
 
-// throttle returns what bounds requests to a plain service.
+// throttle returns the throttle of a pool without engines.
 func (g *Gateway) throttle(pool string) *throttle.Throttle {
 	if g.throttles == nil {
 		g.throttles = make(map[string]*throttle.Throttle)
 	}
-	t := g.throttles[pool]
-	if t == nil {
-		t = &throttle.Throttle{}
-		g.throttles[pool] = t
+	serviceThrottle := g.throttles[pool]
+	if serviceThrottle == nil {
+		serviceThrottle = &throttle.Throttle{}
+		g.throttles[pool] = serviceThrottle
 	}
-	return t
+	return serviceThrottle
 }
 
-// exceedsThrottle counts a request to a plain service, and reports whether it is surplus
-// that the service would refuse. Engines' work is shared by tokens instead.
-func (g *Gateway) exceedsThrottle(now time.Time, q *request) bool {
-	if q.route.PrefixCached {
+// exceedsThrottle counts a request to a pool without engines, and reports whether the pool would
+// probably refuse it for lack of capacity. Requests to engines are not throttled; their capacity is
+// shared by tokens.
+func (g *Gateway) exceedsThrottle(now time.Time, req *request) bool {
+	if req.route.PrefixCached {
 		return false
 	}
-	name := q.account
-	if q.route.Keyless {
-		name = q.route.Name
+	flow := req.account
+	if req.route.Keyless {
+		flow = req.route.Name
 	}
-	return !g.throttle(q.pool).Allow(now, name)
+	return !g.throttle(req.pool).Allow(now, flow)
 }
 
-// recordQueueLength takes from a target's answer whether it had room.
-func (g *Gateway) recordQueueLength(q *request, target fleet.Incarnation, a *upstream.Answer) {
-	waiting, told := g.Dialect.QueueLength(a.Header)
-	unrun := g.Dialect.NotRun(a.Status, a.Header)
+// recordTargetLoad records from a response whether the target had spare capacity.
+func (g *Gateway) recordTargetLoad(req *request, target fleet.Incarnation, response *upstream.Answer) {
+	queueLength, reported := g.Dialect.QueueLength(response.Header)
+	notRun := g.Dialect.NotRun(response.Status, response.Header)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
-	long := false
-	if told {
-		g.placer.SetReportedQueue(now, target, waiting)
-		long = q.route.LatencyObjective > 0 && g.placer.QueueTime(now, target, waiting) > q.route.LatencyObjective/longQueueDivisor
+	queueIsLong := false
+	if reported {
+		g.placer.SetReportedQueue(now, target, queueLength)
+		queueIsLong = req.route.LatencyObjective > 0 && g.placer.QueueTime(now, target, queueLength) > req.route.LatencyObjective/longQueueDivisor
 	}
-	if q.route.PrefixCached || unrun && g.Dialect.AddressReused(a.Status) {
+	if req.route.PrefixCached || notRun && g.Dialect.AddressReused(response.Status) {
 		return
 	}
-	g.throttle(q.pool).RecordAnswer(now, unrun || long)
+	g.throttle(req.pool).RecordAnswer(now, notRun || queueIsLong)
 }
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// writeGrace is how long after its route's time a caller may still read.
+// writeGrace is how long after its deadline a request's response may still be written.
 const writeGrace = time.Second
 
-// A callerWriter writes an answer to its caller within a deadline: a caller that reads
-// nothing would hold its target, and memory, until it closes. What is written late still has
-// writeSlack: after a standstill of this process the deadline may be over before the first
-// byte of an answer that is ready.
+// A deadlineWriter writes a response to a caller within a deadline. Otherwise a caller that does
+// not read would occupy a target, and memory, until it closes the connection. A write after the
+// deadline still gets writeGrace, since after a suspension of the process the deadline may have
+// passed before a response that is ready can be written.
 type deadlineWriter struct {
 	http.ResponseWriter
 
 	deadline time.Time
 }
 
-// Unwrap returns the writer of the connection, for http.ResponseController.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *deadlineWriter) Unwrap() http.ResponseWriter {
 	return w.ResponseWriter
 }
@@ -31,23 +31,23 @@
 }
 
 // Write implements http.ResponseWriter.
-func (w *deadlineWriter) Write(p []byte) (int, error) {
+func (w *deadlineWriter) Write(data []byte) (int, error) {
 	w.extendDeadline()
-	return w.ResponseWriter.Write(p)
+	return w.ResponseWriter.Write(data)
 }
 
 // extendDeadline extends a deadline that has passed.
 func (w *deadlineWriter) extendDeadline() {
 	if now := time.Now(); w.deadline.Before(now) {
-		_ = w.setDeadline(now.Add(writeGrace)) // without it the write fails, and says so
+		_ = w.setDeadline(now.Add(writeGrace)) // if this fails, the write fails and returns the error
 	}
 }
 
-// limit sets the deadline.
-func (w *deadlineWriter) setDeadline(until time.Time) error {
-	if err := http.NewResponseController(w.ResponseWriter).SetWriteDeadline(until); err != nil {
-		return fmt.Errorf("set the deadline for writing to the caller: %w", err)
+// setDeadline sets the write deadline of the connection.
+func (w *deadlineWriter) setDeadline(deadline time.Time) error {
+	if err := http.NewResponseController(w.ResponseWriter).SetWriteDeadline(deadline); err != nil {
+		return fmt.Errorf("set the write deadline of the connection to the caller: %w", err)
 	}
-	w.deadline = until
+	w.deadline = deadline
 	return nil
 }
