--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -65,8 +65,8 @@
 	req.pool = route.PoolFor(xxhash.Sum64String(req.id))
 	if route.PrefixCached {
 		var maxOutput int
-		req.parts, maxOutput = g.Dialect.Prompt(req.r.Header)
-		req.cost = tokenCost(req.parts, maxOutput)
+		req.promptParts, maxOutput = g.Dialect.Prompt(req.r.Header)
+		req.cost = tokenCost(req.promptParts, maxOutput)
 	}
 	return refusal{}, true
 }
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -30,7 +30,7 @@
 		require.NoError(t, err)
 		return &request{
 			r: r, route: route, pool: "p", account: "x", cost: 100, deadline: now.Add(route.Timeout),
-			parts: []placement.PromptPart{{ID: 1, Tokens: 10}},
+			promptParts: []placement.PromptPart{{ID: 1, Tokens: 10}},
 		}
 	}
 	req := newRequest()
--- a/internal/gateway/connmanager.go
+++ b/internal/gateway/connmanager.go
@@ -54,12 +54,12 @@
 	// onClose, if set, is called before connections are closed whose requests are in progress.
 	onClose func()
 
-	mu        sync.Mutex
-	limits    fleet.CallerLimits
-	servers   []*http.Server
-	listener  *connListener
-	conns     map[net.Conn]*connInfo
-	readSlots chan struct{} // one element per request that is being read and checked
+	mu             sync.Mutex
+	limits         fleet.CallerLimits
+	servers        []*http.Server
+	serverListener *connListener
+	conns          map[net.Conn]*connInfo
+	readSlots      chan struct{} // one element per request that is being read and checked
 
 	freshCount      int       // connections whose first request has not been read and checked
 	freshCountedAt  time.Time // last time that freshCount was recounted
@@ -106,7 +106,7 @@
 func (c *connManager) addConn(conn net.Conn, limits fleet.CallerLimits, addr net.Addr) {
 	conn = trackReads(conn)
 	c.mu.Lock()
-	if c.listener == nil || c.limits != limits {
+	if c.serverListener == nil || c.limits != limits {
 		c.startServer(limits, addr)
 	}
 	if c.conns == nil {
@@ -116,18 +116,18 @@
 	c.conns[conn] = &connInfo{acceptedAt: time.Now(), fresh: true}
 	c.freshCount++
 	excess := len(c.conns) - c.maxConns
-	listener := c.listener
+	serverListener := c.serverListener
 	c.mu.Unlock()
 	if excess > 0 {
 		c.evictIdle(excess)
 	}
-	listener.conns <- conn
+	serverListener.conns <- conn
 }
 
 // startServer starts an HTTP server with new limits for the connections that follow.
 func (c *connManager) startServer(limits fleet.CallerLimits, addr net.Addr) {
-	if c.listener != nil {
-		_ = c.listener.Close() // its server keeps its open connections
+	if c.serverListener != nil {
+		_ = c.serverListener.Close() // its server keeps its open connections
 	}
 	server := c.newServer(c.handler)
 	server.ReadHeaderTimeout = orDefault(limits.HeaderTimeout, defaultHeaderTimeout)
@@ -136,7 +136,7 @@
 	server.ConnState = c.onStateChange
 	server.ConnContext = contextWithConn
 	listener := newConnListener(addr)
-	c.limits, c.listener = limits, listener
+	c.limits, c.serverListener = limits, listener
 	c.servers = append(c.servers, server)
 	go func() {
 		_ = server.Serve(listener) // ends when the listener closes
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,8 +66,8 @@
 	Guard      quarantine.Guard
 	PollLeader chan<- struct{}
 
-	pool  upstream.Pool
-	conns *connManager
+	connPool upstream.Pool
+	conns    *connManager
 
 	mu                  sync.Mutex // guards the fields down to probing, and Guard
 	placer              placement.Placer
@@ -84,7 +84,7 @@
 	graceExpired      atomic.Bool   // the grace period of a shutdown is over
 	freshnessDeadline atomic.Int64  // end of the latest wait for fresh state, by Clock in Unix nanoseconds
 	requestCount      atomic.Uint64 // requests that got an ID from this router
-	active            atomic.Int64
+	activeRequests    atomic.Int64
 	bodyBytes         atomic.Int64 // size of the request bodies in memory
 }
 
@@ -150,7 +150,7 @@
 // Run serves until ctx ends, and then drains: requests in progress have until the end of the
 // configured grace period.
 func (g *Gateway) Run(ctx context.Context) error {
-	g.pool.Clock = g.Clock
+	g.connPool.Clock = g.Clock
 	g.startedAt = g.Clock.Now()
 	// The idle timeout closes callers' connections. TCP keep-alive would only cost four system
 	// calls per connection.
@@ -183,7 +183,7 @@
 		cancelHelpers()
 		g.conns.drainAcceptQueue(listener)
 		_ = listener.Close() // stops accepting
-		g.pool.Close()
+		g.connPool.Close()
 		return nil
 	})
 	return group.Wait()
@@ -230,7 +230,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			g.pool.Sweep(g.Clock.Now(), g.accepts)
+			g.connPool.Sweep(g.Clock.Now(), g.accepts)
 			g.conns.logShed()
 		}
 	}
--- a/internal/gateway/hang.go
+++ b/internal/gateway/hang.go
@@ -34,7 +34,7 @@
 func (g *Gateway) sendWithWatchdog(ctx context.Context, req *request, choice *placement.Choice, conn *upstream.Conn) (response *upstream.Answer, abandoned bool, err error) {
 	watchdog := &hangWatchdog{gateway: g, request: req, choice: choice, conn: conn}
 	watchdog.start()
-	response, err = g.pool.Send(ctx, choice.Target.Incarnation, conn, g.targetRequest(req, choice), req.deadline)
+	response, err = g.connPool.Send(ctx, choice.Target.Incarnation, conn, g.targetRequest(req, choice), req.deadline)
 	if !watchdog.stop() {
 		return response, false, err
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -16,8 +16,8 @@
 type Metrics struct {
 	registry      *prometheus.Registry
 	requests      *prometheus.CounterVec
-	ends          *prometheus.CounterVec
-	sends         *prometheus.CounterVec
+	endReasons    *prometheus.CounterVec
+	attempts      *prometheus.CounterVec
 	firstByteTime *prometheus.HistogramVec
 	requestTime   *prometheus.HistogramVec
 	choiceTime    prometheus.Histogram
@@ -33,10 +33,10 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lf_requests_total", Help: "Callers' requests by status; 0 is one that was broken off or left.",
 		}, []string{"status"}),
-		ends: prometheus.NewCounterVec(prometheus.CounterOpts{
+		endReasons: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lf_ends_total", Help: "Callers' requests by why they ended, as in the line of their end.",
 		}, []string{"reason"}),
-		sends: prometheus.NewCounterVec(prometheus.CounterOpts{
+		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lf_sends_total", Help: "Attempts at targets by result.",
 		}, []string{"result"}),
 		firstByteTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -52,7 +52,7 @@
 			Name: "lf_cut_total", Help: "Exchanges that targets cut, as those that end do.",
 		}),
 	}
-	m.registry.MustRegister(m.requests, m.ends, m.sends, m.firstByteTime, m.requestTime, m.choiceTime, m.interruptions)
+	m.registry.MustRegister(m.requests, m.endReasons, m.attempts, m.firstByteTime, m.requestTime, m.choiceTime, m.interruptions)
 	return m
 }
 
@@ -73,7 +73,7 @@
 func (m *Metrics) recordEnd(status int, reason fleet.Reason, duration time.Duration, req *request) {
 	label := strconv.Itoa(status)
 	m.requests.WithLabelValues(label).Inc()
-	m.ends.WithLabelValues(string(reason)).Inc()
+	m.endReasons.WithLabelValues(string(reason)).Inc()
 	m.requestTime.WithLabelValues(label).Observe(duration.Seconds())
 	if req.responseStarted {
 		m.firstByteTime.WithLabelValues(label).Observe(req.firstByteAt.Sub(req.arrivedAt).Seconds())
@@ -107,7 +107,7 @@
 		defer g.mu.Unlock()
 		return float64(g.Guard.QuarantinedCount())
 	})
-	m.addGauge("lf_active", "Requests in progress.", func() float64 { return float64(g.active.Load()) })
+	m.addGauge("lf_active", "Requests in progress.", func() float64 { return float64(g.activeRequests.Load()) })
 	m.addGauge("lf_connections", "Open connections of callers.", func() float64 { return float64(g.conns.connCount()) })
 	m.AddCounter("lf_shed_total", "Callers refused unread, since the router was behind.", func() float64 { return float64(g.conns.shedCount()) })
 	m.addGauge("lf_body_bytes", "Bytes of bodies of requests in progress.", func() float64 { return float64(g.bodyBytes.Load()) })
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -8,7 +8,7 @@
 )
 
 // probe finds out in the background whether a target that interrupted an exchange has ended, or
-// only closed the connection. The caller holds g.mu.
+// only closed the connection. g.mu must be held.
 func (g *Gateway) probe(instance fleet.Instance) {
 	if g.probing[instance.Incarnation] {
 		return
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -169,9 +169,9 @@
 	if req.responseStarted {
 		args = append(args, "first", req.firstByteAt.Sub(req.arrivedAt).Milliseconds())
 	}
-	if len(req.parts) > 0 {
-		ownTokens := req.parts[len(req.parts)-1].Tokens
-		args = append(args, "own", ownTokens, "shared", totalTokens(req.parts)-ownTokens)
+	if len(req.promptParts) > 0 {
+		ownTokens := req.promptParts[len(req.promptParts)-1].Tokens
+		args = append(args, "own", ownTokens, "shared", totalTokens(req.promptParts)-ownTokens)
 	}
 	if err != nil {
 		args = append(args, "error", err)
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -59,13 +59,13 @@
 	g.endAttempt(choice, placement.Served)
 }
 
-func (g *Gateway) forwardUnbuffered(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer, start ...byte) attemptOutcome {
+func (g *Gateway) forwardUnbuffered(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer, bodyStart ...byte) attemptOutcome {
 	g.copyHeaders(req, response)
 	if response.Length >= 0 {
 		req.w.Header().Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
 	req.w.WriteHeader(response.Status)
-	_, err := req.w.Write(start)
+	_, err := req.w.Write(bodyStart)
 	if err == nil {
 		_, err = io.Copy(req.w, response)
 	}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -40,7 +40,7 @@
 	ctx := req.r.Context()
 	started := g.Clock.Now()
 	req.triedTargets = append(req.triedTargets, choice.Target.Incarnation)
-	conn, err := g.pool.Get(ctx, choice.Target.Incarnation, choice.Target.Address)
+	conn, err := g.connPool.Get(ctx, choice.Target.Incarnation, choice.Target.Address)
 	if err != nil {
 		if ctx.Err() != nil {
 			g.endAttempt(choice, placement.Canceled)
@@ -51,7 +51,7 @@
 		return attemptOutcome{next: stepTryElsewhere, reason: fleet.ReasonNoConnection, err: err, notRun: true}
 	}
 	if !g.confirmSend(choice) {
-		g.pool.Return(choice.Target.Incarnation, conn)
+		g.connPool.Return(choice.Target.Incarnation, conn)
 		g.endAttempt(choice, placement.Canceled)
 		g.logSend(req, choice, started, fleet.AttemptTargetClosed, nil)
 		return attemptOutcome{next: stepTryElsewhere, reason: fleet.ReasonTargetClosed, notRun: true}
@@ -188,5 +188,5 @@
 		level = hclog.Warn
 	}
 	g.Log.Log(level, "send", append(args, extra...)...)
-	g.Metrics.sends.WithLabelValues(string(result)).Inc()
+	g.Metrics.attempts.WithLabelValues(string(result)).Inc()
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -32,7 +32,7 @@
 	pool              string
 	account           string
 	body              []byte
-	parts             []placement.PromptPart
+	promptParts       []placement.PromptPart
 	cost              float64 // in tokens: one per prompt token, two per generated token
 	withinShare       bool    // the account's demand does not exceed its fair share
 	charged           bool    // the account has been charged
@@ -53,8 +53,8 @@
 
 // ServeHTTP serves one caller's request until its end.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.active.Add(1)
-	defer g.active.Add(-1)
+	g.activeRequests.Add(1)
+	defer g.activeRequests.Add(-1)
 	now := g.Clock.Now()
 	announceClose, refuseNew := g.shutdownActions(now)
 	if announceClose || g.conns.isOverloaded() {
@@ -162,7 +162,7 @@
 		g.controller = admission.NewController(&g.placer, &g.shares)
 	}
 	choice, rejection := g.controller.Decide(now, admission.Request{
-		Placement: placement.Request{Pool: req.pool, Parts: req.parts, Avoid: req.triedTargets, OnlyTarget: req.decision.PermitTarget}, Route: req.route, Account: req.account,
+		Placement: placement.Request{Pool: req.pool, Parts: req.promptParts, Avoid: req.triedTargets, OnlyTarget: req.decision.PermitTarget}, Route: req.route, Account: req.account,
 		Cost: req.cost, Deadline: req.deadline, WithinShare: req.withinShare, Throttled: req.throttled, SentBefore: req.attempts > 0, Charged: req.charged,
 	})
 	if rejection != nil {
--- a/internal/gateway/shed.go
+++ b/internal/gateway/shed.go
@@ -16,7 +16,8 @@
 const (
 	// maxFreshConns bounds the connections whose first request has not been read and checked. A
 	// request takes half a millisecond of processor time, so with a fifth of a core the last one
-	// waits 320 ms. Callers wait one second for their request to be read.
+	// waits 320 ms. This is less than half of the second that callers wait for their request to be
+	// read.
 	maxFreshConns = 128
 	// defaultFreshTimeout is how long a connection counts as fresh. A connection that sends nothing
 	// for that long takes no processor time.
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -14,8 +14,8 @@
 	endLogTimeout = 100 * time.Millisecond
 )
 
-// drain serves requests for at least acceptAfterStop, and then until none are in progress or the
-// grace period is nearly over. Callers' connections stay open until then, since a request may
+// drain serves requests for acceptAfterStop and then until none are in progress, but ends shortly
+// before the grace period does. Callers' connections stay open until then, since a request may
 // already be on its way on a connection that is closed. Each response from now on announces that
 // its connection closes.
 func (g *Gateway) drain() {
@@ -23,20 +23,20 @@
 	g.stoppingSince.Store(&startedAt)
 	deadline := startedAt.Add(g.Settings.Grace - exitMargin)
 	g.conns.graceEnd.Store(&deadline)
-	g.Log.Info("stopping", "active", g.active.Load(), "connections", g.conns.connCount(), "until", deadline)
+	g.Log.Info("stopping", "active", g.activeRequests.Load(), "connections", g.conns.connCount(), "until", deadline)
 	for now := startedAt; now.Before(deadline); now = g.Clock.Now() {
-		if now.Sub(startedAt) > acceptAfterStop && g.active.Load() == 0 {
+		if now.Sub(startedAt) > acceptAfterStop && g.activeRequests.Load() == 0 {
 			break
 		}
 		time.Sleep(stopPollInterval)
 	}
-	g.Log.Info("stopped", "active", g.active.Load(), "connections", g.conns.connCount(), "unanswered", g.conns.unansweredCount(),
+	g.Log.Info("stopped", "active", g.activeRequests.Load(), "connections", g.conns.connCount(), "unanswered", g.conns.unansweredCount(),
 		"took", g.Clock.Now().Sub(startedAt).Milliseconds())
 }
 
 // awaitEndLogs waits for a limited time until aborted requests have logged their end.
 func (g *Gateway) awaitEndLogs() {
-	for deadline := time.Now().Add(endLogTimeout); g.active.Load() > 0 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(endLogTimeout); g.activeRequests.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(endLogTimeout / 20)
 	}
 }
