--- a/internal/gateway/atmostonce_test.go
+++ b/internal/gateway/atmostonce_test.go
@@ -19,118 +19,119 @@
 	"laburnumfall/internal/standin"
 )
 
-// onceRequests is how many requests each seed of the property below sends.
-const onceRequests = 240
+// requestsPerSeed is how many requests the random tests send per seed.
+const requestsPerSeed = 240
 
-// Each request gets one answer, its own and whole; what may not be repeated runs once
-// at most; what was told not to have run never does. Whatever targets do, in any
-// mixture, with many requests at a time.
-func TestOnceOnlyThroughRoutesUnderAnyFaults(t *testing.T) {
-	names := slices.Sorted(maps.Keys(misdeeds))
+// Guards against wrong responses and repeated runs under concurrent random faults of targets. Each
+// request gets its own response, complete or visibly truncated. Requests on at-most-once routes run
+// at most once, and requests that are reported as not run never run.
+func TestAtMostOnceUnderRandomFaults(t *testing.T) {
+	faultNames := slices.Sorted(maps.Keys(targetFaults))
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			b := newBed(t)
+			bed := newTestbed(t)
 			var mu sync.Mutex
 			attempts := map[string]int{}
-			b.site.Fault = func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+			bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
 				id := r.Header.Get("X-Attempt-Id")
 				if id == "" {
 					return false
 				}
 				mu.Lock()
 				attempts[id]++
-				h := fnv.New64a()
-				_, _ = fmt.Fprint(h, seed, id, attempts[id]) // a hash takes all
+				hash := fnv.New64a()
+				_, _ = fmt.Fprint(hash, seed, id, attempts[id]) // a hash never returns an error
 				mu.Unlock()
-				draw := rand.New(rand.NewPCG(h.Sum64(), seed))
-				if draw.IntN(2) == 0 {
+				random := rand.New(rand.NewPCG(hash.Sum64(), seed))
+				if random.IntN(2) == 0 {
 					return false
 				}
-				name := names[draw.IntN(len(names))]
+				name := faultNames[random.IntN(len(faultNames))]
 				if name == "broken stream" && !strings.HasSuffix(r.URL.Path, "stream") {
 					name = "short"
 				}
-				misdeeds[name](s, w, r)
+				targetFaults[name](target, w, r)
 				return true
 			}
-			answers := b.flood(onceRequests)
+			responses := bed.sendRequests(requestsPerSeed)
 			runs := map[string]int{}
-			for _, r := range b.runs() {
-				runs[r.Header.Get("X-Attempt-Id")]++
+			for _, run := range bed.runs() {
+				runs[run.Header.Get("X-Attempt-Id")]++
 			}
 			served := 0
-			for id, a := range answers {
-				a.check(t, id, runs[id])
-				if a.status == http.StatusOK {
+			for id, response := range responses {
+				response.check(t, id, runs[id])
+				if response.status == http.StatusOK {
 					served++
 				}
 			}
-			require.Greater(t, served, onceRequests/4)
+			require.Greater(t, served, requestsPerSeed/4)
 		})
 	}
 }
 
-// An onceAnswer is what a caller got.
-type onceAnswer struct {
-	path   string
-	status int
-	text   string
-	whole  bool
+// A callerResponse is the response that a caller received.
+type callerResponse struct {
+	path     string
+	status   int
+	body     string
+	complete bool
 }
 
-func (a onceAnswer) check(t *testing.T, id string, runs int) {
+func (response callerResponse) check(t *testing.T, id string, runCount int) {
 	t.Helper()
-	repeatable := strings.HasPrefix(a.path, "/whole/") || strings.HasPrefix(a.path, "/resume/")
+	repeatable := strings.HasPrefix(response.path, "/whole/") || strings.HasPrefix(response.path, "/resume/")
 	if !repeatable {
-		require.LessOrEqual(t, runs, 1, "%s %s", id, a.path)
+		require.LessOrEqual(t, runCount, 1, "%s %s", id, response.path)
 	}
-	require.LessOrEqual(t, runs, 2, "%s: more than its attempts", id)
-	switch a.status {
+	require.LessOrEqual(t, runCount, 2, "%s: more than its attempts", id)
+	switch response.status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		require.Zero(t, runs, "%s %s was told that it has not run", id, a.path)
+		require.Zero(t, runCount, "%s %s was told that it has not run", id, response.path)
 	case http.StatusOK:
-		require.Positive(t, runs)
+		require.Positive(t, runCount)
 		want := "ran " + id + " x"
-		if strings.HasSuffix(a.path, "stream") {
+		if strings.HasSuffix(response.path, "stream") {
 			want = ""
 			for i := 1; i <= standin.SiteEvents; i++ {
 				want += fmt.Sprintf("id: %d\ndata: piece %d\n\n", i, i)
 			}
 		}
-		if a.whole {
-			require.Equal(t, want, a.text, "%s %s", id, a.path)
+		if response.complete {
+			require.Equal(t, want, response.body, "%s %s", id, response.path)
 		} else {
-			require.True(t, strings.HasPrefix(want, a.text), "%s %s: %q", id, a.path, a.text)
+			require.True(t, strings.HasPrefix(want, response.body), "%s %s: %q", id, response.path, response.body)
 		}
 	}
 }
 
-// flood sends requests on all kinds of routes, many at a time.
-func (b *bed) flood(count int) map[string]onceAnswer {
+// sendRequests sends requests on routes of all kinds, up to 24 at a time, and returns the responses
+// by request ID.
+func (bed *testbed) sendRequests(count int) map[string]callerResponse {
 	paths := []string{"/once/x", "/twice/x", "/whole/x", "/resume/stream", "/stream/stream"}
-	answers := make(map[string]onceAnswer, count)
+	responses := make(map[string]callerResponse, count)
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	gate := make(chan struct{}, 24)
+	var requests sync.WaitGroup
+	concurrency := make(chan struct{}, 24)
 	for i := range count {
 		path := paths[i%len(paths)]
-		req := b.request(context.Background(), http.MethodPost, path, "x", "Authorization", "Bearer good-key")
-		gate <- struct{}{}
-		all.Go(func() {
-			defer func() { <-gate }()
-			a := onceAnswer{path: path}
-			resp, err := b.client.Do(req)
+		req := bed.newRequest(context.Background(), http.MethodPost, path, "x", "Authorization", "Bearer good-key")
+		concurrency <- struct{}{}
+		requests.Go(func() {
+			defer func() { <-concurrency }()
+			response := callerResponse{path: path}
+			resp, err := bed.client.Do(req)
 			if err == nil {
-				text, readErr := io.ReadAll(resp.Body)
-				_ = resp.Body.Close() // it was read
-				a.status, a.text, a.whole = resp.StatusCode, string(text), readErr == nil
+				body, readErr := io.ReadAll(resp.Body)
+				_ = resp.Body.Close() // it has been read
+				response.status, response.body, response.complete = resp.StatusCode, string(body), readErr == nil
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			answers[req.Header.Get("X-Attempt-Id")] = a
+			responses[req.Header.Get("X-Attempt-Id")] = response
 		})
 	}
-	all.Wait()
-	time.Sleep(50 * time.Millisecond) // a request that runs later would show now
-	return answers
+	requests.Wait()
+	time.Sleep(50 * time.Millisecond) // so that a late run is counted
+	return responses
 }
--- a/internal/gateway/charge_test.go
+++ b/internal/gateway/charge_test.go
@@ -10,36 +10,36 @@
 	"laburnumfall/internal/standin"
 )
 
-// Guards against an account that pays for each target that is gone: its routers would hold it
-// back for service that it never got.
-func TestAnAccountPaysForWhatRanOnly(t *testing.T) {
+// Guards against charging an account for each ended target that a request was sent to. Its requests
+// would then be rejected for service that it never got.
+func TestRefundsRequestsThatDidNotRun(t *testing.T) {
 	for name, tt := range map[string]struct {
-		gone int // of two targets
-		pays bool
+		endedCount int // of two targets
+		charged    bool
 	}{
-		"none is gone": {pays: true},
-		"one is gone":  {gone: 1, pays: true},
-		"both are":     {gone: 2},
+		"no target has ended":     {charged: true},
+		"one target has ended":    {endedCount: 1, charged: true},
+		"both targets have ended": {endedCount: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			moved := b.targets[:tt.gone]
-			b.site.Fault = func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-				if slices.Contains(moved, s) {
-					misdeeds["moved"](s, w, r)
+			bed := newTestbed(t)
+			endedTargets := bed.targets[:tt.endedCount]
+			bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+				if slices.Contains(endedTargets, target) {
+					targetFaults["moved"](target, w, r)
 					return true
 				}
 				return false
 			}
 			const requests, tokens = 10, 100
 			for range requests {
-				_, _, err := b.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key",
+				_, _, err := bed.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key",
 					"X-Model", "m", "X-Token-Count", "100,0", "X-Prefix-Hash", "5c1e07a2:60,91bd3f06:40")
 				require.NoError(t, err)
 			}
-			demand, _ := b.gateway.Load(b.gateway.Clock.Now())
+			demand, _ := bed.gateway.Load(bed.gateway.Clock.Now())
 			require.Len(t, demand, 1)
-			if !tt.pays {
+			if !tt.charged {
 				require.Zero(t, demand[0].Served)
 				return
 			}
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -14,12 +14,10 @@
 	"laburnumfall/internal/placement"
 )
 
-// Symptom: callers get 502 for requests that may be sent again, though another
-// target is there.
-// Sequence: a request beyond its account's share is sent, since there is room; the
-// target fails; by then there is no more room.
-// Cause: the second attempt is held against the share once more.
-func TestASecondAttemptIsNotHeldAgainstTheShareAgain(t *testing.T) {
+// Guards against status 502 for a retryable request although another target is available. The first
+// attempt was admitted over the account's share because there was capacity; when its target fails,
+// there is none left, and the retry must not be charged against the share again.
+func TestRetryIsNotRejectedAsOverShare(t *testing.T) {
 	g := &Gateway{Clock: clock.NewRealClock()}
 	now := g.Clock.Now()
 	table := &fleet.RoutingTable{Capacity: 1000, Pools: map[string]fleet.Pool{"p": {Engine: &fleet.Engine{}}}}
@@ -35,12 +33,12 @@
 	}
 	req := newRequest()
 	_, _, ok := g.chooseTarget(now, req)
-	require.True(t, ok, "there is room")
+	require.True(t, ok, "there is capacity")
 	req.attempts++
 	for range 8 {
-		within := newRequest()
-		within.withinShare = true
-		_, _, ok := g.chooseTarget(now, within)
+		other := newRequest()
+		other.withinShare = true
+		_, _, ok := g.chooseTarget(now, other)
 		require.True(t, ok)
 	}
 	_, refused, ok := g.chooseTarget(now, newRequest())
@@ -51,27 +49,26 @@
 	require.True(t, ok)
 }
 
-// Symptom: after a restart of everything callers are refused twice in a row, and give up.
-// Sequence: a router that has just started refuses a caller, who comes back at once, to
-// another one that has just started.
-// Cause: the time to come back held for a router that starts alone.
-func TestACallerOfAFleetThatStartsComesBackLater(t *testing.T) {
-	c := &clock.MockClock{Time: time.Unix(1e9, 0)}
-	g := &Gateway{Clock: c, startedAt: c.Time}
-	refused := func() refusal {
+// Guards against refusing callers twice in a row after the whole fleet was restarted, so that they
+// give up. The delay suited to a router that restarts alone sent them to another router that had
+// just started.
+func TestRetryAfterDuringFleetStart(t *testing.T) {
+	mockClock := &clock.MockClock{Time: time.Unix(1e9, 0)}
+	g := &Gateway{Clock: mockClock, startedAt: mockClock.Time}
+	refuse := func() refusal {
 		r, ok := g.admit(&request{}, keeperclient.State{})
 		require.False(t, ok)
 		require.Equal(t, fleet.ReasonNoConfig, r.reason)
 		return r
 	}
-	require.Equal(t, minRetryAfter, refused().retryAfter, "all others serve")
-	for _, without := range []time.Duration{singleStartTime, 140 * time.Millisecond, 400 * time.Millisecond, fleetStartTime} {
-		c.Time = g.startedAt.Add(without)
-		back := refused().retryAfter
-		require.GreaterOrEqual(t, without+back, fleetStartTime, "the fleet does not serve before")
-		require.Less(t, back, fleetStartTime+startRetryJitter)
+	require.Equal(t, minRetryAfter, refuse().retryAfter, "all other routers serve")
+	for _, sinceStart := range []time.Duration{singleStartTime, 140 * time.Millisecond, 400 * time.Millisecond, fleetStartTime} {
+		mockClock.Time = g.startedAt.Add(sinceStart)
+		retryAfter := refuse().retryAfter
+		require.GreaterOrEqual(t, sinceStart+retryAfter, fleetStartTime, "no router serves earlier")
+		require.Less(t, retryAfter, fleetStartTime+startRetryJitter)
 	}
-	c.Time = g.startedAt.Add(time.Minute)
-	require.GreaterOrEqual(t, refused().retryAfter, maxStartRetryAfter)
-	require.Less(t, refused().retryAfter, maxStartRetryAfter+startRetryJitter)
+	mockClock.Time = g.startedAt.Add(time.Minute)
+	require.GreaterOrEqual(t, refuse().retryAfter, maxStartRetryAfter)
+	require.Less(t, refuse().retryAfter, maxStartRetryAfter+startRetryJitter)
 }
--- a/internal/gateway/endedtargets_test.go
+++ b/internal/gateway/endedtargets_test.go
@@ -11,40 +11,40 @@
 	"laburnumfall/internal/standin"
 )
 
-// Guards against callers that are refused while targets idle: others have just ended, and the
-// list of targets still shows them.
-func TestTargetsThatAreGoneCostNoAnswer(t *testing.T) {
-	const more, gone = 8, 7
-	for name, end := range map[string]func(b *bed, s *standin.SiteTarget){
-		"nobody listens":       func(b *bed, s *standin.SiteTarget) { b.site.Remove(s) },
-		"another one is there": func(*bed, *standin.SiteTarget) {},
+// Guards against refusing callers while targets are idle, because several targets have just ended
+// and the list of targets still has them.
+func TestServesDespiteEndedTargets(t *testing.T) {
+	const addedCount, endedCount = 8, 7
+	for name, endTarget := range map[string]func(bed *testbed, target *standin.SiteTarget){
+		"address is closed": func(bed *testbed, target *standin.SiteTarget) { bed.site.Remove(target) },
+		"address is reused": func(*testbed, *standin.SiteTarget) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			for i := range more {
-				target, err := b.site.Add(fmt.Sprintf("more-%d", i), "plain", "z1", "127.0.0.1:0", 4)
+			bed := newTestbed(t)
+			for i := range addedCount {
+				target, err := bed.site.Add(fmt.Sprintf("more-%d", i), "plain", "z1", "127.0.0.1:0", 4)
 				require.NoError(t, err)
-				b.targets = append(b.targets, target)
+				bed.targets = append(bed.targets, target)
 			}
-			b.apply()
-			moved := b.targets[:gone]
-			b.site.Fault = func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-				if slices.Contains(moved, s) {
-					misdeeds["moved"](s, w, r)
+			bed.applyTargets()
+			endedTargets := bed.targets[:endedCount]
+			bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+				if slices.Contains(endedTargets, target) {
+					targetFaults["moved"](target, w, r)
 					return true
 				}
 				return false
 			}
-			for _, target := range moved {
-				end(b, target)
+			for _, target := range endedTargets {
+				endTarget(bed, target)
 			}
 			const requests = 20
 			for range requests {
-				resp, text, err := b.do(http.MethodPost, "/once/x", "x")
+				resp, body, err := bed.do(http.MethodPost, "/once/x", "x")
 				require.NoError(t, err)
-				require.Equal(t, http.StatusOK, resp.StatusCode, text)
+				require.Equal(t, http.StatusOK, resp.StatusCode, body)
 			}
-			require.Len(t, b.runs(), requests)
+			require.Len(t, bed.runs(), requests)
 		})
 	}
 }
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -11,34 +11,33 @@
 	"pgregory.net/rapid"
 )
 
-// chunks reads a text in pieces of given sizes, and then ends with an error.
-type chunks struct {
-	text  string
-	sizes []int
-	end   error
+// chunkedReader reads a text in chunks of the given sizes, and then returns an error.
+type chunkedReader struct {
+	text   string
+	sizes  []int
+	endErr error
 }
 
 // Read implements io.Reader.
-func (c *chunks) Read(b []byte) (int, error) {
-	if c.text == "" {
-		return 0, c.end
+func (r *chunkedReader) Read(buffer []byte) (int, error) {
+	if r.text == "" {
+		return 0, r.endErr
 	}
-	size := len(c.text)
-	if len(c.sizes) > 0 {
-		size = min(size, c.sizes[0])
-		c.sizes = c.sizes[1:]
+	size := len(r.text)
+	if len(r.sizes) > 0 {
+		size = min(size, r.sizes[0])
+		r.sizes = r.sizes[1:]
 	}
-	n := copy(b, c.text[:size])
-	c.text = c.text[n:]
+	n := copy(buffer, r.text[:size])
+	r.text = r.text[n:]
 	return n, nil
 }
 
-var errCut = errors.New("cut")
+var errInterrupted = errors.New("cut")
 
-// TestEventsAreWholeHoweverTheyCome checks that every piece ends with an event,
-// that nothing is lost or doubled, and that the rest of a cut stream is told from
-// whole events.
-func TestEventsAreWholeHoweverTheyCome(t *testing.T) {
+// TestReadsCompleteEvents checks that every chunk ends with a complete event, that no bytes are
+// lost or repeated, and that the incomplete rest of an interrupted stream is returned separately.
+func TestReadsCompleteEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := ""
 		for i := range rapid.IntRange(0, 30).Draw(t, "events") {
@@ -46,25 +45,25 @@
 			text += fmt.Sprintf("id: %d\ndata: %s\n\n", i, data)
 		}
 		partial := rapid.SampledFrom([]string{"", "id: 99\ndata: pie", "d"}).Draw(t, "partial")
-		end := rapid.SampledFrom([]error{io.EOF, errCut}).Draw(t, "end")
+		endErr := rapid.SampledFrom([]error{io.EOF, errInterrupted}).Draw(t, "end")
 		sizes := rapid.SliceOf(rapid.IntRange(1, 5000)).Draw(t, "sizes")
-		e := eventReader{source: &chunks{text: text + partial, sizes: sizes, end: end}}
+		events := eventReader{source: &chunkedReader{text: text + partial, sizes: sizes, endErr: endErr}}
 		var got strings.Builder
 		for {
-			piece, err := e.next()
+			chunk, err := events.next()
 			if err != nil {
-				require.ErrorIs(t, err, end)
-				require.Equal(t, partial, string(piece))
+				require.ErrorIs(t, err, endErr)
+				require.Equal(t, partial, string(chunk))
 				break
 			}
-			require.True(t, strings.HasSuffix(string(piece), "\n\n"))
-			got.Write(piece)
+			require.True(t, strings.HasSuffix(string(chunk), "\n\n"))
+			got.Write(chunk)
 		}
 		require.Equal(t, text, got.String())
 	})
 }
 
-func TestLastID(t *testing.T) {
+func TestLastEventID(t *testing.T) {
 	require.Equal(t, "8", lastEventID([]byte("id: 7\ndata: a\n\nid:8\ndata: id: 9\n\ndata: b\n\n")))
 	require.Empty(t, lastEventID([]byte("data: a\n\n")))
 	require.Empty(t, lastEventID(nil))
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -1,7 +1,8 @@
 package gateway
 
-// Guarded returns how many targets the gateway does not know to have ended or to be there.
-func (g *Gateway) Guarded() int {
+// UnconfirmedTargetCount returns for how many targets that interrupted an exchange it is not known
+// whether they have ended.
+func (g *Gateway) UnconfirmedTargetCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.Guard.UnconfirmedTargets(g.Clock.Now()))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,55 +34,55 @@
 "limits":{"max_header_bytes":16384,"max_body_bytes":100000,"header_timeout_ms":3000,"idle_timeout_ms":15000,"tokens_per_s":100000},
 "tenants":[{"name":"acme","api_keys":["good-key"],"priority":1}]}`
 
-// bed is a gateway before two targets of a stand-in platform.
-type bed struct {
-	t       testing.TB
-	site    *standin.Site
-	targets []*standin.SiteTarget
-	gateway *gateway.Gateway
-	address string
-	ready   string
-	state   atomic.Pointer[keeperclient.State]
-	stop    context.CancelFunc
-	stopped chan error
-	client  *http.Client
-	ids     int
+// A testbed is a gateway with two targets of a simulated platform.
+type testbed struct {
+	t            testing.TB
+	site         *standin.Site
+	targets      []*standin.SiteTarget
+	gateway      *gateway.Gateway
+	address      string
+	readyAddress string
+	state        atomic.Pointer[keeperclient.State]
+	cancel       context.CancelFunc
+	stopped      chan error
+	client       *http.Client
+	requestCount int
 }
 
-func newBed(t testing.TB) *bed {
+func newTestbed(t testing.TB) *testbed {
 	site, err := standin.StartSite("127.0.0.1:0")
 	require.NoError(t, err)
-	b := &bed{t: t, site: site, address: freeAddress(t), ready: freeAddress(t), stopped: make(chan error, 1)}
+	bed := &testbed{t: t, site: site, address: freeAddress(t), readyAddress: freeAddress(t), stopped: make(chan error, 1)}
 	for i := range 2 {
 		target, err := site.Add(fmt.Sprintf("i-%d", i), "plain", "z1", "127.0.0.1:0", 4)
 		require.NoError(t, err)
-		b.targets = append(b.targets, target)
+		bed.targets = append(bed.targets, target)
 	}
 	table, err := platform.Decode([]byte(testConfig))
 	require.NoError(t, err)
-	real := clock.NewRealClock()
-	b.state.Store(&keeperclient.State{Table: table, KeysUntil: real.Now().Add(time.Hour), Routers: 1})
-	b.gateway = &gateway.Gateway{
+	realClock := clock.NewRealClock()
+	bed.state.Store(&keeperclient.State{Table: table, KeysUntil: realClock.Now().Add(time.Hour), Routers: 1})
+	bed.gateway = &gateway.Gateway{
 		Settings: settings.Routes{
-			Ready: b.ready, Grace: 5 * time.Second, Memory: 1 << 28,
+			Ready: bed.readyAddress, Grace: 5 * time.Second, Memory: 1 << 28,
 			RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second,
 		},
-		Zone: "z1", Listen: b.address, Clock: real, Log: hclog.NewNullLogger(), Dialect: platform.Headers{},
-		State: func() keeperclient.State { return *b.state.Load() }, Metrics: gateway.NewMetrics(),
+		Zone: "z1", Listen: bed.address, Clock: realClock, Log: hclog.NewNullLogger(), Dialect: platform.Headers{},
+		State: func() keeperclient.State { return *bed.state.Load() }, Metrics: gateway.NewMetrics(),
 	}
-	b.apply()
+	bed.applyTargets()
 	ctx, cancel := context.WithCancel(context.Background())
-	b.stop = cancel
-	go func() { b.stopped <- b.gateway.Run(ctx) }()
-	b.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
+	bed.cancel = cancel
+	go func() { bed.stopped <- bed.gateway.Run(ctx) }()
+	bed.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	t.Cleanup(func() {
-		b.client.CloseIdleConnections()
+		bed.client.CloseIdleConnections()
 		cancel()
 		site.Close()
 	})
-	require.Eventually(t, func() bool { return len(b.stopped) > 0 || b.isReady() == http.StatusOK }, 5*time.Second, 5*time.Millisecond)
-	require.Empty(t, b.stopped, "it ended before it was asked to")
-	return b
+	require.Eventually(t, func() bool { return len(bed.stopped) > 0 || bed.readyStatus() == http.StatusOK }, 5*time.Second, 5*time.Millisecond)
+	require.Empty(t, bed.stopped, "the gateway stopped early")
+	return bed
 }
 
 func freeAddress(t testing.TB) string {
@@ -91,34 +91,34 @@
 	return address
 }
 
-func (b *bed) apply() {
+func (bed *testbed) applyTargets() {
 	var list []fleet.Instance
-	for _, t := range b.targets {
-		list = append(list, fleet.Instance{Incarnation: fleet.Incarnation{ID: t.ID, StartMillis: t.Born}, Pool: t.Pool, Address: t.Address, Zone: fleet.Zone(t.Zone), Slots: t.Slots})
+	for _, target := range bed.targets {
+		list = append(list, fleet.Instance{Incarnation: fleet.Incarnation{ID: target.ID, StartMillis: target.Born}, Pool: target.Pool, Address: target.Address, Zone: fleet.Zone(target.Zone), Slots: target.Slots})
 	}
-	b.gateway.SetTargets(*b.state.Load(), list)
+	bed.gateway.SetTargets(*bed.state.Load(), list)
 }
 
-func (b *bed) isReady() int {
-	resp, err := http.Get("http://" + b.ready)
+func (bed *testbed) readyStatus() int {
+	resp, err := http.Get("http://" + bed.readyAddress)
 	if err != nil {
 		return 0
 	}
-	_ = resp.Body.Close() // only the status counts
+	_ = resp.Body.Close() // only the status matters
 	return resp.StatusCode
 }
 
-// request makes a request with an ID of its own.
-func (b *bed) request(ctx context.Context, method, path, body string, header ...string) *http.Request {
+// newRequest creates a request with a unique ID.
+func (bed *testbed) newRequest(ctx context.Context, method, path, body string, header ...string) *http.Request {
 	var reader io.Reader
 	if body != "" {
 		reader = strings.NewReader(body)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+b.address+path, reader)
-	require.NoError(b.t, err)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+bed.address+path, reader)
+	require.NoError(bed.t, err)
 	req.Host = "h.example"
-	b.ids++
-	req.Header.Set("X-Attempt-Id", fmt.Sprintf("id-%d", b.ids))
+	bed.requestCount++
+	req.Header.Set("X-Attempt-Id", fmt.Sprintf("id-%d", bed.requestCount))
 	req.Header.Set("X-Deadline-Ms", "4000")
 	for i := 0; i < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
@@ -126,113 +126,111 @@
 	return req
 }
 
-func (b *bed) do(method, path, body string, header ...string) (*http.Response, string, error) {
-	resp, err := b.client.Do(b.request(context.Background(), method, path, body, header...))
-	require.NoError(b.t, err)
-	defer func() { _ = resp.Body.Close() }() // it was read
-	text, err := io.ReadAll(resp.Body)
-	return resp, string(text), err
+func (bed *testbed) do(method, path, body string, header ...string) (*http.Response, string, error) {
+	resp, err := bed.client.Do(bed.newRequest(context.Background(), method, path, body, header...))
+	require.NoError(bed.t, err)
+	defer func() { _ = resp.Body.Close() }() // it has been read
+	responseBody, err := io.ReadAll(resp.Body)
+	return resp, string(responseBody), err
 }
 
-func (b *bed) runs() (all []standin.SiteRun) {
-	for _, t := range b.targets {
-		all = append(all, t.Runs()...)
+func (bed *testbed) runs() (runs []standin.SiteRun) {
+	for _, target := range bed.targets {
+		runs = append(runs, target.Runs()...)
 	}
-	return all
+	return runs
 }
 
-func TestAnswerIsPassedOnUnchanged(t *testing.T) {
-	b := newBed(t)
-	resp, text, err := b.do(http.MethodPost, "/once/a/b?c=%20d", "hello", "X-Tenant", "forged", "X-Pin-Ms", "9", "X-Other", "kept", "Te", "trailers")
+func TestForwardsResponseUnchanged(t *testing.T) {
+	bed := newTestbed(t)
+	resp, body, err := bed.do(http.MethodPost, "/once/a/b?c=%20d", "hello", "X-Tenant", "forged", "X-Pin-Ms", "9", "X-Other", "kept", "Te", "trailers")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.Equal(t, "ran id-1 hello", text)
+	require.Equal(t, "ran id-1 hello", body)
 	require.Empty(t, resp.Header.Get("Keep-Alive"))
-	runs := b.runs()
+	runs := bed.runs()
 	require.Len(t, runs, 1)
 	require.Equal(t, "/once/a/b?c=%20d", runs[0].Path)
-	h := runs[0].Header
-	require.Empty(t, h.Get("X-Tenant"), "a caller cannot name its account")
-	require.Empty(t, h.Get("X-Pin-Ms"))
-	require.Empty(t, h.Get("Te"))
-	require.Equal(t, "kept", h.Get("X-Other"))
-	require.Contains(t, resp.Header.Get("X-Server-Signature"), h.Get("X-Expect-Instance"))
+	header := runs[0].Header
+	require.Empty(t, header.Get("X-Tenant"), "a caller cannot choose its account")
+	require.Empty(t, header.Get("X-Pin-Ms"))
+	require.Empty(t, header.Get("Te"))
+	require.Equal(t, "kept", header.Get("X-Other"))
+	require.Contains(t, resp.Header.Get("X-Server-Signature"), header.Get("X-Expect-Instance"))
 }
 
-func TestKeys(t *testing.T) {
-	b := newBed(t)
-	resp, _, _ := b.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer bad-key")
+func TestChecksAPIKey(t *testing.T) {
+	bed := newTestbed(t)
+	resp, _, _ := bed.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer bad-key")
 	require.Equal(t, http.StatusUnauthorized, resp.StatusCode)
-	resp, text, err := b.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key")
+	resp, body, err := bed.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.Equal(t, standin.SiteEvents, strings.Count(text, "data: piece"))
-	run := b.runs()[0]
+	require.Equal(t, standin.SiteEvents, strings.Count(body, "data: piece"))
+	run := bed.runs()[0]
 	require.Equal(t, "acme", run.Header.Get("X-Tenant"))
 	require.Empty(t, run.Header.Get("Authorization"))
 	require.NotEmpty(t, run.Header.Get("X-Deadline-Ms"))
 }
 
-// Symptom: a withdrawn key goes on working at a router that is cut off.
-// Sequence: the router's lease on keys lapses.
-// Cause: the router judges keys by a configuration that may have been replaced.
-func TestWithoutALeaseNoKeyCountsAndKeylessRoutesGoOn(t *testing.T) {
-	b := newBed(t)
-	s := *b.state.Load()
-	s.KeysUntil = time.Time{}
-	b.state.Store(&s)
-	resp, _, _ := b.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key")
+// Guards against accepting revoked API keys at a router that is cut off from the keepers. Its lease
+// on keys has lapsed, so its configuration may be out of date.
+func TestRejectsKeysAfterLeaseLapsed(t *testing.T) {
+	bed := newTestbed(t)
+	state := *bed.state.Load()
+	state.KeysUntil = time.Time{}
+	bed.state.Store(&state)
+	resp, _, _ := bed.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	resp, _, _ = b.do(http.MethodGet, "/whole/x", "")
+	resp, _, _ = bed.do(http.MethodGet, "/whole/x", "")
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.Equal(t, http.StatusServiceUnavailable, b.isReady(), "callers are better off elsewhere")
-	require.Len(t, b.runs(), 1)
+	require.Equal(t, http.StatusServiceUnavailable, bed.readyStatus(), "the router is not ready")
+	require.Len(t, bed.runs(), 1)
 }
 
-func TestRefusals(t *testing.T) {
-	b := newBed(t)
-	resp, _, _ := b.do(http.MethodGet, "/nowhere/", "")
+func TestRefusesInvalidRequests(t *testing.T) {
+	bed := newTestbed(t)
+	resp, _, _ := bed.do(http.MethodGet, "/nowhere/", "")
 	require.Equal(t, http.StatusNotFound, resp.StatusCode)
-	resp, _, _ = b.do(http.MethodPost, "/once/x", strings.Repeat("x", 100001))
+	resp, _, _ = bed.do(http.MethodPost, "/once/x", strings.Repeat("x", 100001))
 	require.Equal(t, http.StatusRequestEntityTooLarge, resp.StatusCode)
-	s := *b.state.Load()
-	b.state.Store(&keeperclient.State{})
-	resp, _, _ = b.do(http.MethodGet, "/nowhere/", "")
-	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "what is not known is not denied")
-	b.state.Store(&s)
-	require.Empty(t, b.runs())
+	state := *bed.state.Load()
+	bed.state.Store(&keeperclient.State{})
+	resp, _, _ = bed.do(http.MethodGet, "/nowhere/", "")
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "without a configuration, no route is reported as missing")
+	bed.state.Store(&state)
+	require.Empty(t, bed.runs())
 }
 
-func TestChunkedBodyIsFramedAnew(t *testing.T) {
-	b := newBed(t)
-	req := b.request(context.Background(), http.MethodPost, "/once/x", "")
+func TestForwardsChunkedBody(t *testing.T) {
+	bed := newTestbed(t)
+	req := bed.newRequest(context.Background(), http.MethodPost, "/once/x", "")
 	req.Body = io.NopCloser(io.MultiReader(strings.NewReader("one "), strings.NewReader("two")))
 	req.ContentLength = -1
-	resp, err := b.client.Do(req)
+	resp, err := bed.client.Do(req)
 	require.NoError(t, err)
-	defer func() { _ = resp.Body.Close() }() // it is read to its end
-	text, err := io.ReadAll(resp.Body)
+	defer func() { _ = resp.Body.Close() }() // it is read completely
+	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	require.Equal(t, "ran id-1 one two", string(text))
+	require.Equal(t, "ran id-1 one two", string(body))
 }
 
-// Symptom: callers see a reset where they were refused.
-// Sequence: a request with a body of usual size, on a connection that it does not
-// want kept, is refused without its body.
-// Cause: the connection closes with unread bytes.
-func TestARefusedCallerSeesItsAnswer(t *testing.T) {
-	b := newBed(t)
+// Guards against callers that see a connection reset instead of a refusal. The request is refused
+// before its body is read, on a connection that is not reused, and closing it with unread bytes
+// resets it.
+func TestRefusalReachesCallerBeforeConnectionCloses(t *testing.T) {
+	bed := newTestbed(t)
 	body := strings.Repeat("x", 90000)
 	for range 200 {
-		c, err := net.Dial("tcp4", b.address)
+		conn, err := net.Dial("tcp4", bed.address)
 		require.NoError(t, err)
-		_, err = fmt.Fprintf(c, "POST /stream/stream HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: id\r\n"+
+		_, err = fmt.Fprintf(conn, "POST /stream/stream HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: id\r\n"+
 			"Authorization: Bearer bad-key\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		require.NoError(t, err)
-		text, err := io.ReadAll(c)
+		response, err := io.ReadAll(conn)
 		require.NoError(t, err)
-		require.Contains(t, string(text), "HTTP/1.1 401")
-		require.NoError(t, c.Close())
+		require.Contains(t, string(response), "HTTP/1.1 401")
+		require.NoError(t, conn.Close())
 	}
 }
--- a/internal/gateway/hangwatchdog_test.go
+++ b/internal/gateway/hangwatchdog_test.go
@@ -14,46 +14,46 @@
 	"laburnumfall/internal/upstream"
 )
 
-// Guards against an attempt that is given up, and run again elsewhere, because its router
-// stood still.
-func TestATimerThatFiresLateGivesNoAttemptUp(t *testing.T) {
+// Guards against abandoning an attempt and running the request again because the router's process
+// was suspended.
+func TestLateTimerDoesNotAbandonAttempt(t *testing.T) {
 	for name, tt := range map[string]struct {
-		due     time.Duration // before now
-		answers bool
-		givenUp bool
+		overdue   time.Duration // how long the timer has been due
+		responds  bool
+		abandoned bool
 	}{
-		"in time":              {due: maxTimerDelay / 2, givenUp: true},
-		"late":                 {due: 2 * maxTimerDelay},
-		"the answer is there":  {due: maxTimerDelay / 2, answers: true},
-		"late, and it's there": {due: 2 * maxTimerDelay, answers: true},
+		"on time":                  {overdue: maxTimerDelay / 2, abandoned: true},
+		"late":                     {overdue: 2 * maxTimerDelay},
+		"response has begun":       {overdue: maxTimerDelay / 2, responds: true},
+		"late, response has begun": {overdue: 2 * maxTimerDelay, responds: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp4", "127.0.0.1:0")
+			listener, err := net.Listen("tcp4", "127.0.0.1:0")
 			require.NoError(t, err)
-			defer func() { require.NoError(t, l.Close()) }()
-			now := &clock.MockClock{Time: time.Unix(1e9, 0)}
-			g := &Gateway{Clock: now}
+			defer func() { require.NoError(t, listener.Close()) }()
+			mockClock := &clock.MockClock{Time: time.Unix(1e9, 0)}
+			g := &Gateway{Clock: mockClock}
 			g.Settings.RetrySlack, g.Settings.RetryWindow = 10, time.Minute
 			g.placer.Routers = 1
-			conn, err := (&upstream.Pool{Clock: now}).Get(context.Background(), fleet.Incarnation{ID: "a"}, l.Addr().String())
+			conn, err := (&upstream.Pool{Clock: mockClock}).Get(context.Background(), fleet.Incarnation{ID: "a"}, listener.Addr().String())
 			require.NoError(t, err)
-			defer func() { _ = conn.Close() }() // it may have been given up
-			there, err := l.Accept()
+			defer func() { _ = conn.Close() }() // it may have been closed already
+			targetConn, err := listener.Accept()
 			require.NoError(t, err)
-			defer func() { require.NoError(t, there.Close()) }()
-			if tt.answers {
-				_, err := there.Write([]byte("H"))
+			defer func() { require.NoError(t, targetConn.Close()) }()
+			if tt.responds {
+				_, err := targetConn.Write([]byte("H"))
 				require.NoError(t, err)
 				require.Eventually(t, func() bool { return !conn.Quiet() }, time.Second, time.Millisecond)
 			}
-			req := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, MaxAttempts: 2, Timeout: time.Minute}, arrivedAt: now.Time, deadline: now.Time.Add(time.Minute), attempts: 1}
-			w := &hangWatchdog{gateway: g, request: req, choice: &placement.Choice{}, conn: conn}
-			w.start()
-			require.NotNil(t, w.timer)
-			w.dueAt = now.Time.Add(-tt.due)
-			w.fire()
-			require.Equal(t, !tt.answers && !tt.givenUp, w.dueAt.After(now.Time), "the target gets its time anew")
-			require.Equal(t, tt.givenUp, w.stop())
+			req := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, MaxAttempts: 2, Timeout: time.Minute}, arrivedAt: mockClock.Time, deadline: mockClock.Time.Add(time.Minute), attempts: 1}
+			watchdog := &hangWatchdog{gateway: g, request: req, choice: &placement.Choice{}, conn: conn}
+			watchdog.start()
+			require.NotNil(t, watchdog.timer)
+			watchdog.dueAt = mockClock.Time.Add(-tt.overdue)
+			watchdog.fire()
+			require.Equal(t, !tt.responds && !tt.abandoned, watchdog.dueAt.After(mockClock.Time), "the timer starts again")
+			require.Equal(t, tt.abandoned, watchdog.stop())
 		})
 	}
 }
--- a/internal/gateway/longevent_test.go
+++ b/internal/gateway/longevent_test.go
@@ -9,63 +9,62 @@
 	"github.com/stretchr/testify/require"
 )
 
-// xs are bytes without end. It counts what is read.
-type xs struct{ read int }
+// endlessReader returns bytes without end and counts them.
+type endlessReader struct{ bytesRead int }
 
 // Read implements io.Reader.
-func (x *xs) Read(b []byte) (int, error) {
-	for i := range b {
-		b[i] = 'x'
+func (r *endlessReader) Read(buffer []byte) (int, error) {
+	for i := range buffer {
+		buffer[i] = 'x'
 	}
-	x.read += len(b)
-	if x.read > 64<<20 {
-		return 0, errors.New("nobody bounds this")
+	r.bytesRead += len(buffer)
+	if r.bytesRead > 64<<20 {
+		return 0, errors.New("reader is not bounded")
 	}
-	return len(b), nil
+	return len(buffer), nil
 }
 
-// Symptom: a router grows until it is killed.
-// Sequence: a target streams bytes without the end of an event.
-// Cause: events are passed on whole, so what comes is held until the event ends.
-func TestAnEventWithoutEndBreaksTheStream(t *testing.T) {
-	source := &xs{}
-	e := eventReader{source: io.MultiReader(strings.NewReader("id: 1\n\nid: 2\ndata: "), source)}
-	piece, err := e.next()
+// Guards against unbounded memory use when a target streams bytes that never end an event. Events
+// are buffered until they are complete.
+func TestRejectsEndlessEvent(t *testing.T) {
+	source := &endlessReader{}
+	events := eventReader{source: io.MultiReader(strings.NewReader("id: 1\n\nid: 2\ndata: "), source)}
+	chunk, err := events.next()
 	require.NoError(t, err)
-	require.Equal(t, "id: 1\n\n", string(piece))
-	piece, err = e.next()
+	require.Equal(t, "id: 1\n\n", string(chunk))
+	chunk, err = events.next()
 	require.ErrorIs(t, err, errEventTooLong)
-	require.Empty(t, piece, "what is no whole event reaches no caller")
-	require.Less(t, source.read, 2*maxEventBytes)
+	require.Empty(t, chunk, "an incomplete event is not returned")
+	require.Less(t, source.bytesRead, 2*maxEventBytes)
 }
 
-// Whatever a target streams, however it is cut: whole events come first, all bytes come
-// once, and the ID of the last one fits in a header.
+// FuzzEvents checks for any stream and any sizes of reads that complete events come first, that all
+// bytes come once, and that the ID of the last event fits into a header.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n", uint16(3), true)
 	f.Add("\n\n\n\n\n", uint16(1), false)
 	f.Add("id: \xff\r\x00\n\nid:", uint16(2), true)
-	f.Fuzz(func(t *testing.T, text string, size uint16, whole bool) {
-		end := io.EOF
-		if !whole {
-			end = errCut
+	f.Fuzz(func(t *testing.T, text string, rawSize uint16, complete bool) {
+		endErr := io.EOF
+		if !complete {
+			endErr = errInterrupted
 		}
 		sizes := make([]int, 0, len(text))
-		for n := int(size)%97 + 1; len(sizes) < cap(sizes); {
-			sizes = append(sizes, n)
+		for readSize := int(rawSize)%97 + 1; len(sizes) < cap(sizes); {
+			sizes = append(sizes, readSize)
 		}
-		e := eventReader{source: &chunks{text: text, sizes: sizes, end: end}}
+		events := eventReader{source: &chunkedReader{text: text, sizes: sizes, endErr: endErr}}
 		var got strings.Builder
 		for {
-			piece, err := e.next()
-			require.NotContains(t, lastEventID(piece), "\n")
-			got.Write(piece)
+			chunk, err := events.next()
+			require.NotContains(t, lastEventID(chunk), "\n")
+			got.Write(chunk)
 			if err != nil {
-				require.ErrorIs(t, err, end)
-				require.NotContains(t, string(piece), "\n\n")
+				require.ErrorIs(t, err, endErr)
+				require.NotContains(t, string(chunk), "\n\n")
 				break
 			}
-			require.True(t, strings.HasSuffix(string(piece), "\n\n"))
+			require.True(t, strings.HasSuffix(string(chunk), "\n\n"))
 		}
 		require.Equal(t, text, got.String())
 	})
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -9,103 +9,97 @@
 	"github.com/stretchr/testify/require"
 )
 
-var noon = time.Unix(1e9, 0)
+var testStart = time.Unix(1e9, 0)
 
-func TestPressureByHowLongRequestsWait(t *testing.T) {
+func TestOverloadAfterLongWait(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		wait   time.Duration
-		behind bool
+		name       string
+		wait       time.Duration
+		overloaded bool
 	}{
 		{"no wait", 0, false},
-		{"a short one", overloadThreshold - time.Millisecond, false},
-		{"a long one", overloadThreshold, true},
+		{"short wait", overloadThreshold - time.Millisecond, false},
+		{"long wait", overloadThreshold, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var p overloadDetector
-			require.Equal(t, tc.behind, p.recordWait(noon, tc.wait))
-			require.Equal(t, tc.behind, p.isOverloaded(noon))
-			require.False(t, p.isOverloaded(noon.Add(minOverloadPeriod)))
+			var detector overloadDetector
+			require.Equal(t, tc.overloaded, detector.recordWait(testStart, tc.wait))
+			require.Equal(t, tc.overloaded, detector.isOverloaded(testStart))
+			require.False(t, detector.isOverloaded(testStart.Add(minOverloadPeriod)))
 		})
 	}
 }
 
-// Symptom: the failed requests of a whole fleet are those of one router.
-// Sequence: the clients of a large account come in through one router, more of
-// them than its processor can refuse; its queue of new connections grows until
-// each in it is older than its caller waits.
-// Cause: nothing tells the balancer that the router is behind; each request that
-// it reads is read soon.
-func TestAQueueOfConnectionsThatIsNeverEmptyIsPressure(t *testing.T) {
-	var p overloadDetector
-	now := noon
-	for now.Sub(noon) < overloadThreshold {
-		require.False(t, p.recordQueueCheck(now, true))
+// Guards against an overload that the load balancer does not notice. Callers arrive faster than the
+// router can refuse them, and the accept queue grows until its connections are older than callers
+// wait. Requests that are read are answered soon, so only the queue shows the overload.
+func TestOverloadWhileQueueIsNeverEmpty(t *testing.T) {
+	var detector overloadDetector
+	now := testStart
+	for now.Sub(testStart) < overloadThreshold {
+		require.False(t, detector.recordQueueCheck(now, true))
 		now = now.Add(queueCheckInterval)
 	}
-	require.True(t, p.recordQueueCheck(now, true))
-	require.True(t, p.isOverloaded(now))
+	require.True(t, detector.recordQueueCheck(now, true))
+	require.True(t, detector.isOverloaded(now))
 }
 
-func TestAQueueThatIsEmptyAtTimesIsNoPressure(t *testing.T) {
-	var p overloadDetector
+func TestNoOverloadIfQueueEmptiesRegularly(t *testing.T) {
+	var detector overloadDetector
 	for i := range 100 {
-		require.False(t, p.recordQueueCheck(noon.Add(time.Duration(i)*queueCheckInterval), i%5 != 0))
+		require.False(t, detector.recordQueueCheck(testStart.Add(time.Duration(i)*queueCheckInterval), i%5 != 0))
 	}
 }
 
-// Symptom: a router without load sends its callers away.
-// Sequence: two connections wait at once, some time later two more.
-// Cause: the time between counts as if the queue had never been empty.
-func TestLooksFarApartAreNotOneStretch(t *testing.T) {
-	var p overloadDetector
+// Guards against an idle router that reports an overload. Two connections wait at the same time,
+// and some time later two more; the queue was empty in between.
+func TestNoOverloadFromDistantQueueChecks(t *testing.T) {
+	var detector overloadDetector
 	for i := range 100 {
-		require.False(t, p.recordQueueCheck(noon.Add(time.Duration(i)*10*maxQueueCheckGap), true))
+		require.False(t, detector.recordQueueCheck(testStart.Add(time.Duration(i)*10*maxQueueCheckGap), true))
 	}
 }
 
-// Symptom: a router flaps between taking all callers and none.
-// Sequence: each time it is ready again the same callers come back and it is
-// behind at once.
-// Cause: the relief is the same however often that happens.
-func TestReliefGrowsWhereTheLoadComesBack(t *testing.T) {
-	var p overloadDetector
-	now := noon
+// Guards against a router that alternates between accepting all callers and none. The same callers
+// come back as soon as it is ready again, so the overload period has to grow.
+func TestOverloadPeriodGrowsOnRepeat(t *testing.T) {
+	var detector overloadDetector
+	now := testStart
 	for _, want := range []time.Duration{minOverloadPeriod, 2 * minOverloadPeriod, 4 * minOverloadPeriod, maxOverloadPeriod, maxOverloadPeriod} {
-		require.True(t, p.recordWait(now, time.Second))
-		require.False(t, p.recordWait(now, time.Second), "it is behind already")
-		require.Equal(t, want, p.overloadedUntil.Sub(now))
-		now = p.overloadedUntil
+		require.True(t, detector.recordWait(now, time.Second))
+		require.False(t, detector.recordWait(now, time.Second), "it is overloaded already")
+		require.Equal(t, want, detector.overloadedUntil.Sub(now))
+		now = detector.overloadedUntil
 	}
 	now = now.Add(2 * maxOverloadPeriod)
-	require.True(t, p.recordWait(now, time.Second))
-	require.Equal(t, minOverloadPeriod, p.overloadedUntil.Sub(now), "long ago does not count")
+	require.True(t, detector.recordWait(now, time.Second))
+	require.Equal(t, minOverloadPeriod, detector.overloadedUntil.Sub(now), "an overload long ago does not count")
 }
 
-func TestQueuedConnectionsAreSeen(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+func TestDetectsPendingConnections(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() }) // nothing is on it
-	require.False(t, hasPendingConn(l))
-	dialCaller(t, l.Addr().String())
-	require.Eventually(t, func() bool { return hasPendingConn(l) }, 5*time.Second, time.Millisecond)
-	conn, err := l.Accept()
+	t.Cleanup(func() { _ = listener.Close() }) // it is only needed until the test ends
+	require.False(t, hasPendingConn(listener))
+	dialCaller(t, listener.Addr().String())
+	require.Eventually(t, func() bool { return hasPendingConn(listener) }, 5*time.Second, time.Millisecond)
+	conn, err := listener.Accept()
 	require.NoError(t, err)
 	require.NoError(t, conn.Close())
-	require.False(t, hasPendingConn(l))
+	require.False(t, hasPendingConn(listener))
 }
 
-// Symptom and cause as above; here the connections are accepted, and what waits is
-// their requests.
-func TestRequestsThatWaitUnreadArePressure(t *testing.T) {
+// Guards against the same overload when connections are accepted at once, and their requests wait
+// for a read slot.
+func TestOverloadByUnreadRequests(t *testing.T) {
 	release := make(chan struct{})
 	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release })
-	c, address := startCallers(t, 1000, noLimits, handler)
+	manager, address := startConnManager(t, 1000, noLimits, handler)
 	t.Cleanup(func() { close(release) })
-	require.False(t, c.isOverloaded())
+	require.False(t, manager.isOverloaded())
 	for range 20 * maxUnreadRequests {
 		_, err := dialCaller(t, address).Write([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 		require.NoError(t, err)
 	}
-	require.Eventually(t, c.isOverloaded, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, manager.isOverloaded, 10*time.Second, 5*time.Millisecond)
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -13,139 +13,136 @@
 	"laburnumfall/internal/standin"
 )
 
-// guilty is the body of a request that ends targets in these tests.
-const guilty = "guilty"
+// crashingBody is the body of requests that end their target in these tests.
+const crashingBody = "guilty"
 
-// print is the fingerprint of the body sent by POST to a path, without a key.
-func printOf(path, body string) quarantine.Fingerprint {
+// fingerprintOf returns the fingerprint of a POST request without an API key.
+func fingerprintOf(path, body string) quarantine.Fingerprint {
 	return quarantine.FingerprintInput{Method: http.MethodPost, Destination: "h.example" + path, Body: []byte(body)}.Fingerprint()
 }
 
-// rule has the leader tell the gateway of some requests.
-func (b *bed) rule(revision uint64, list ...quarantine.Restriction) {
-	now := b.gateway.Clock.Now()
-	b.gateway.ApplyRestrictions(now, now, 1, quarantine.RestrictionUpdate{Revision: revision, Restrictions: list})
+// applyRestrictions applies a restriction update of the leader to the gateway.
+func (bed *testbed) applyRestrictions(revision uint64, list ...quarantine.Restriction) {
+	now := bed.gateway.Clock.Now()
+	bed.gateway.ApplyRestrictions(now, now, 1, quarantine.RestrictionUpdate{Revision: revision, Restrictions: list})
 }
 
-// ending has targets end as soon as they begin a request, for good.
-func (b *bed) ending() *atomic.Int64 {
-	ends := &atomic.Int64{}
-	b.site.Fault = func(s *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
-		if run := s.Ran(r); run.Body != guilty {
+// crashTargets makes targets end, without a restart, when they begin to run a request with
+// crashingBody. It returns the number of ended targets.
+func (bed *testbed) crashTargets() *atomic.Int64 {
+	terminationCount := &atomic.Int64{}
+	bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
+		if run := target.Ran(r); run.Body != crashingBody {
 			return false
 		}
-		ends.Add(1)
-		b.site.Remove(s)
+		terminationCount.Add(1)
+		bed.site.Remove(target)
 		panic(http.ErrAbortHandler)
 	}
-	return ends
+	return terminationCount
 }
 
-// Symptom: a caller told "not run" finds that its request ended two targets.
-// Sequence: both attempts of a request end their targets; it is held back then.
-// Cause: what is held back is refused as not run, whatever became of it before.
-func TestARequestThatEndedTargetsIsNotToldUnrun(t *testing.T) {
-	b := newBed(t)
-	ends := b.ending()
-	resp, text, err := b.do(http.MethodPost, "/whole/x", guilty)
+// Guards against reporting a request as not run after it has ended targets. Both attempts end their
+// target, and then the request is quarantined.
+func TestQuarantineAfterRunsIsNotReportedAsNotRun(t *testing.T) {
+	bed := newTestbed(t)
+	terminationCount := bed.crashTargets()
+	resp, body, err := bed.do(http.MethodPost, "/whole/x", crashingBody)
 	require.NoError(t, err)
-	require.Equal(t, http.StatusBadGateway, resp.StatusCode, text)
-	require.EqualValues(t, 2, ends.Load())
-	require.Eventually(t, func() bool { return len(b.gateway.QuarantineReport(b.gateway.Clock.Now()).Terminations) == 2 }, 5*time.Second, 5*time.Millisecond,
-		"the leader is told of both")
-	for _, e := range b.gateway.QuarantineReport(b.gateway.Clock.Now()).Terminations {
-		require.Equal(t, printOf("/whole/x", guilty), e.Fingerprint)
-		require.Equal(t, "whole", e.Destination)
+	require.Equal(t, http.StatusBadGateway, resp.StatusCode, body)
+	require.EqualValues(t, 2, terminationCount.Load())
+	require.Eventually(t, func() bool { return len(bed.gateway.QuarantineReport(bed.gateway.Clock.Now()).Terminations) == 2 }, 5*time.Second, 5*time.Millisecond,
+		"both terminations are reported")
+	for _, termination := range bed.gateway.QuarantineReport(bed.gateway.Clock.Now()).Terminations {
+		require.Equal(t, fingerprintOf("/whole/x", crashingBody), termination.Fingerprint)
+		require.Equal(t, "whole", termination.Destination)
 	}
-	began := time.Now()
-	resp, text, err = b.do(http.MethodPost, "/whole/x", guilty)
+	startedAt := time.Now()
+	resp, body, err = bed.do(http.MethodPost, "/whole/x", crashingBody)
 	require.NoError(t, err)
-	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, text)
-	require.Contains(t, text, string(fleet.KindQuarantined))
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, body)
+	require.Contains(t, body, string(fleet.KindQuarantined))
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	require.Less(t, time.Since(began), 2*time.Second, "nobody has its word: it is told soon")
-	require.EqualValues(t, 2, ends.Load())
+	require.Less(t, time.Since(startedAt), 2*time.Second, "there is no leader that could answer")
+	require.EqualValues(t, 2, terminationCount.Load())
 }
 
-// Symptom: a caller told "not run" finds that its request ended a target.
-// Sequence: while its first attempt runs, others' ends have it held back; the target ends, and
-// the second attempt is not made.
-// Cause: as before. There the second attempt was the last anyway.
-func TestARequestThatRanAndIsThenHeldIsNotToldUnrun(t *testing.T) {
-	b := newBed(t)
-	b.site.Fault = func(s *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
-		s.Ran(r)
-		b.rule(1, quarantine.Restriction{Fingerprint: printOf("/whole/x", guilty), TerminationCount: 3, NextRunIn: time.Minute})
-		b.site.Remove(s)
+// Guards against reporting a request as not run after it has ended a target. The request is
+// quarantined during its first attempt, and its second attempt is therefore refused.
+func TestQuarantineDuringRunIsNotReportedAsNotRun(t *testing.T) {
+	bed := newTestbed(t)
+	bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
+		target.Ran(r)
+		bed.applyRestrictions(1, quarantine.Restriction{Fingerprint: fingerprintOf("/whole/x", crashingBody), TerminationCount: 3, NextRunIn: time.Minute})
+		bed.site.Remove(target)
 		panic(http.ErrAbortHandler)
 	}
-	resp, text, err := b.do(http.MethodPost, "/whole/x", guilty)
+	resp, body, err := bed.do(http.MethodPost, "/whole/x", crashingBody)
 	require.NoError(t, err)
-	require.Len(t, b.runs(), 1, "it is held back")
-	require.Equal(t, http.StatusBadGateway, resp.StatusCode, text)
+	require.Len(t, bed.runs(), 1, "there is no second attempt")
+	require.Equal(t, http.StatusBadGateway, resp.StatusCode, body)
 }
 
-func TestWhatIsHeldBackIsRefusedAtOnce(t *testing.T) {
-	b := newBed(t)
-	held := quarantine.Restriction{Fingerprint: printOf("/once/x", "mine"), TerminationCount: 3, NextRunIn: 7 * time.Second}
-	b.rule(1, held)
-	resp, text, err := b.do(http.MethodPost, "/once/x", "mine")
+func TestRefusesQuarantinedRequest(t *testing.T) {
+	bed := newTestbed(t)
+	restriction := quarantine.Restriction{Fingerprint: fingerprintOf("/once/x", "mine"), TerminationCount: 3, NextRunIn: 7 * time.Second}
+	bed.applyRestrictions(1, restriction)
+	resp, body, err := bed.do(http.MethodPost, "/once/x", "mine")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, text)
-	require.Regexp(t, `^[67]\.\d+$`, resp.Header.Get("Retry-After"), "when a trial may be")
-	resp, _, err = b.do(http.MethodPost, "/once/x", "another")
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, body)
+	require.Regexp(t, `^[67]\.\d+$`, resp.Header.Get("Retry-After"), "time until a trial run is allowed")
+	resp, _, err = bed.do(http.MethodPost, "/once/x", "another")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, resp.StatusCode, "only what is alike is held back")
-	require.Len(t, b.runs(), 1)
+	require.Equal(t, http.StatusOK, resp.StatusCode, "only requests with this fingerprint are quarantined")
+	require.Len(t, bed.runs(), 1)
 }
 
-// Symptom: a request that was only there when targets ended never gets an answer.
-// Sequence: it is held back; a trial is due; the leader grants it while the caller waits.
-// Cause: nothing but a whole answer clears a request, and what is held back gets none.
-func TestATrialClearsARequest(t *testing.T) {
-	b := newBed(t)
-	p := printOf("/once/x", "mine")
-	b.gateway.Guard.Owner = "r1/1"
-	held := quarantine.Restriction{Fingerprint: p, TerminationCount: 3}
-	b.rule(1, held)
-	done := make(chan int, 1)
+// Guards against a request that stays quarantined although it did not cause the terminations. Only
+// a complete response clears it, so the leader grants a permit for a trial run while the caller
+// waits.
+func TestPermitClearsQuarantinedRequest(t *testing.T) {
+	bed := newTestbed(t)
+	fingerprint := fingerprintOf("/once/x", "mine")
+	bed.gateway.Guard.Owner = "r1/1"
+	restriction := quarantine.Restriction{Fingerprint: fingerprint, TerminationCount: 3}
+	bed.applyRestrictions(1, restriction)
+	status := make(chan int, 1)
 	go func() {
-		resp, err := b.client.Do(b.request(t.Context(), http.MethodPost, "/once/x", "mine"))
+		resp, err := bed.client.Do(bed.newRequest(t.Context(), http.MethodPost, "/once/x", "mine"))
 		if err != nil {
-			done <- 0
+			status <- 0
 			return
 		}
-		_ = resp.Body.Close() // only the status counts
-		done <- resp.StatusCode
+		_ = resp.Body.Close() // only the status matters
+		status <- resp.StatusCode
 	}()
-	require.Eventually(t, func() bool { return len(b.gateway.QuarantineReport(b.gateway.Clock.Now()).PermitRequests) == 1 }, 5*time.Second, time.Millisecond)
-	held.PermitHolder, held.PermitExpiresIn, held.PermitID, held.PermitTarget = "r1/1", 20*time.Second, 1, b.targets[1].ID
-	b.rule(2, held)
-	require.Equal(t, http.StatusOK, <-done)
-	require.Len(t, b.targets[1].Runs(), 1, "where the leader said")
-	require.Empty(t, b.targets[0].Runs())
-	report := b.gateway.QuarantineReport(b.gateway.Clock.Now())
+	require.Eventually(t, func() bool { return len(bed.gateway.QuarantineReport(bed.gateway.Clock.Now()).PermitRequests) == 1 }, 5*time.Second, time.Millisecond)
+	restriction.PermitHolder, restriction.PermitExpiresIn, restriction.PermitID, restriction.PermitTarget = "r1/1", 20*time.Second, 1, bed.targets[1].ID
+	bed.applyRestrictions(2, restriction)
+	require.Equal(t, http.StatusOK, <-status)
+	require.Len(t, bed.targets[1].Runs(), 1, "the trial run goes to the target of the permit")
+	require.Empty(t, bed.targets[0].Runs())
+	report := bed.gateway.QuarantineReport(bed.gateway.Clock.Now())
 	require.Empty(t, report.PermitRequests)
 	require.Len(t, report.Completions, 1)
-	require.Equal(t, p, report.Completions[0].Fingerprint)
+	require.Equal(t, fingerprint, report.Completions[0].Fingerprint)
 }
 
-// Symptom: sound requests are suspected when targets close connections.
-// Sequence: a target breaks off an answer and lives on.
-// Cause: a closed connection was taken for an end.
-func TestACutConnectionIsNoEnd(t *testing.T) {
-	b := newBed(t)
-	b.site.Fault = func(s *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
-		if run := s.Ran(r); run.Body != "cut" {
+// Guards against suspecting harmless requests because a target closes connections but keeps
+// running.
+func TestInterruptionWithoutTerminationIsNotReported(t *testing.T) {
+	bed := newTestbed(t)
+	bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
+		if run := target.Ran(r); run.Body != "cut" {
 			return false
 		}
 		panic(http.ErrAbortHandler)
 	}
 	for range 3 {
-		resp, _, err := b.do(http.MethodPost, "/once/x", "cut")
+		resp, _, err := bed.do(http.MethodPost, "/once/x", "cut")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusBadGateway, resp.StatusCode)
-		require.Eventually(t, func() bool { return b.gateway.Guarded() == 0 }, 5*time.Second, 5*time.Millisecond, "they are found alive")
+		require.Eventually(t, func() bool { return bed.gateway.UnconfirmedTargetCount() == 0 }, 5*time.Second, 5*time.Millisecond, "the probe finds the target running")
 	}
-	require.Empty(t, b.gateway.QuarantineReport(b.gateway.Clock.Now()).Terminations)
+	require.Empty(t, bed.gateway.QuarantineReport(bed.gateway.Clock.Now()).Terminations)
 }
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -12,16 +12,17 @@
 	"laburnumfall/internal/standin"
 )
 
-// restart starts the first target again. The gateway hears of it by the next apply.
-func (b *bed) restart() {
-	next, err := b.site.Restart(b.targets[0])
-	require.NoError(b.t, err)
-	b.targets[0] = next
+// restartFirstTarget restarts the first target. The gateway learns of it through the next
+// applyTargets.
+func (bed *testbed) restartFirstTarget() {
+	restarted, err := bed.site.Restart(bed.targets[0])
+	require.NoError(bed.t, err)
+	bed.targets[0] = restarted
 }
 
-// ran returns how often the request of an ID has run at all targets that ever were.
-func (b *bed) ran(id string) (count int) {
-	for _, target := range b.site.All() {
+// runCount returns how often a request has run at all current and former targets.
+func (bed *testbed) runCount(id string) (count int) {
+	for _, target := range bed.site.All() {
 		for _, run := range target.Runs() {
 			if run.ID == id {
 				count++
@@ -31,143 +32,141 @@
 	return count
 }
 
-// Symptom: a request that may run only once runs twice.
-// Sequence: its target crashes while it runs, and starts again under its ID; the router
-// hears of that before, or after, the connection breaks.
-// Cause: the next start is another target, which was not tried yet.
-func TestARequestOfAFormerStartRunsOnceOnly(t *testing.T) {
-	for name, told := range map[string]bool{"told before": true, "not told": false} {
+// Guards against running an at-most-once request twice. Its target crashes while it runs and
+// restarts with the same ID, and the router receives the new list before or after the connection
+// breaks. The restarted target counts as one that has not been tried.
+func TestAtMostOnceAfterTargetRestart(t *testing.T) {
+	for name, listUpdated := range map[string]bool{"list updated before the restart": true, "list not updated": false} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			b.targets = b.targets[:1]
-			b.apply()
-			began := make(chan struct{}, 1)
-			b.site.Fault = func(s *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
-				s.Ran(r)
-				began <- struct{}{}
+			bed := newTestbed(t)
+			bed.targets = bed.targets[:1]
+			bed.applyTargets()
+			runStarted := make(chan struct{}, 1)
+			bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
+				target.Ran(r)
+				runStarted <- struct{}{}
 				<-r.Context().Done()
 				return true
 			}
 			for _, path := range []string{"/once/x", "/twice/x"} {
-				again := make(chan struct{})
+				restarted := make(chan struct{})
 				go func() {
-					defer close(again)
-					<-began
-					if told {
-						b.targets[0].Born++
-						b.apply()
+					defer close(restarted)
+					<-runStarted
+					if listUpdated {
+						bed.targets[0].Born++
+						bed.applyTargets()
 					}
-					b.restart()
+					bed.restartFirstTarget()
 				}()
-				resp, _, err := b.do(http.MethodPost, path, "x")
+				resp, _, err := bed.do(http.MethodPost, path, "x")
 				require.NoError(t, err)
-				require.Equal(t, http.StatusBadGateway, resp.StatusCode, "its fate is unknown")
-				<-again
-				b.apply()
-				require.Equal(t, 1, b.ran(fmt.Sprintf("id-%d", b.ids)))
+				require.Equal(t, http.StatusBadGateway, resp.StatusCode, "it may have run")
+				<-restarted
+				bed.applyTargets()
+				require.Equal(t, 1, bed.runCount(fmt.Sprintf("id-%d", bed.requestCount)))
 			}
 		})
 	}
 }
 
-// Symptom: a request is answered "not run" and has run; or it is lost though it could be
-// served.
-// Sequence: a target starts again under its ID and on its address, and the router's list
-// still shows its former start; a request is sent there, on a new connection.
-// Cause: a request names its target by the ID alone. The next start runs it: as this was
-// its only sending, it has run once, and the answer says so.
-func TestTheNextStartMayAnswerForItsID(t *testing.T) {
-	b := newBed(t)
-	b.targets = b.targets[:1]
-	b.apply()
-	resp, _, err := b.do(http.MethodPost, "/once/x", "x")
+// Guards against losing a request, or reporting it as not run although it ran, after a target has
+// restarted with the same ID and address and is still listed as before. Requests name their target
+// by ID only, so the new incarnation runs them, once.
+func TestRestartedTargetServesRequestsForItsID(t *testing.T) {
+	bed := newTestbed(t)
+	bed.targets = bed.targets[:1]
+	bed.applyTargets()
+	resp, _, err := bed.do(http.MethodPost, "/once/x", "x")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	former := b.targets[0]
-	b.restart()
-	resp, _, err = b.do(http.MethodPost, "/once/x", "x")
+	former := bed.targets[0]
+	bed.restartFirstTarget()
+	resp, _, err = bed.do(http.MethodPost, "/once/x", "x")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	require.Len(t, former.Runs(), 1)
-	require.Len(t, b.targets[0].Runs(), 1)
-	require.Equal(t, 1, b.targets[0].Conns(), "the former's connections are seen to be closed")
+	require.Len(t, bed.targets[0].Runs(), 1)
+	require.Equal(t, 1, bed.targets[0].Conns(), "connections to the former incarnation are not reused")
 }
 
-// What holds under any faults holds while targets crash and start again under their IDs on
-// their addresses, whether or not the router has heard of it.
-func TestOnceOnlyWhileTargetsStartAgain(t *testing.T) {
+// TestAtMostOnceWhileTargetsRestart checks the properties of TestAtMostOnceUnderRandomFaults while
+// targets crash and restart with the same ID and address, whether or not the router has the new
+// list.
+func TestAtMostOnceWhileTargetsRestart(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			b := newBed(t)
-			b.site.Fault = func(*standin.SiteTarget, http.ResponseWriter, *http.Request) bool {
-				time.Sleep(3 * time.Millisecond) // so that some run while their target ends
+			bed := newTestbed(t)
+			bed.site.Fault = func(*standin.SiteTarget, http.ResponseWriter, *http.Request) bool {
+				time.Sleep(3 * time.Millisecond) // so that some requests run while their target ends
 				return false
 			}
-			over := make(chan struct{})
+			stop := make(chan struct{})
 			restarts := make(chan int, 1)
 			go func() {
-				draw := rand.New(rand.NewPCG(seed, 18))
+				random := rand.New(rand.NewPCG(seed, 18))
 				for count := 0; ; count++ {
 					select {
-					case <-over:
+					case <-stop:
 						restarts <- count
 						return
-					case <-time.After(time.Duration(2+draw.IntN(8)) * time.Millisecond):
+					case <-time.After(time.Duration(2+random.IntN(8)) * time.Millisecond):
 					}
-					i := draw.IntN(len(b.targets))
-					next, err := b.site.Restart(b.targets[i])
+					i := random.IntN(len(bed.targets))
+					restarted, err := bed.site.Restart(bed.targets[i])
 					if err != nil {
 						t.Error(err)
 						restarts <- count
 						return
 					}
-					b.targets[i] = next
-					if draw.IntN(2) == 0 {
-						b.apply()
+					bed.targets[i] = restarted
+					if random.IntN(2) == 0 {
+						bed.applyTargets()
 					}
 				}
 			}()
-			answers := b.flood(onceRequests)
-			close(over)
+			responses := bed.sendRequests(requestsPerSeed)
+			close(stop)
 			require.Greater(t, <-restarts, 3)
 			served := 0
-			for id, a := range answers {
-				a.check(t, id, b.ran(id))
-				if a.status == http.StatusOK {
+			for id, response := range responses {
+				response.check(t, id, bed.runCount(id))
+				if response.status == http.StatusOK {
 					served++
 				}
 			}
-			require.Greater(t, served, onceRequests/8)
+			require.Greater(t, served, requestsPerSeed/8)
 		})
 	}
 }
 
-// A stream that may be resumed goes on at the next start of its target, as at any other.
-// Here that is there before the former's connections break, so that it can be reached.
-func TestAStreamGoesOnAtTheNextStart(t *testing.T) {
-	b := newBed(t)
-	b.targets = b.targets[:1]
-	b.apply()
-	former := b.targets[0]
-	b.site.Fault = func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-		if s != former {
+// TestResumesStreamAtRestartedTarget checks that a stream is resumed at the next incarnation of its
+// target as at any other target. The new incarnation is listed before the connection to the old one
+// breaks, so that it can be reached.
+func TestResumesStreamAtRestartedTarget(t *testing.T) {
+	bed := newTestbed(t)
+	bed.targets = bed.targets[:1]
+	bed.applyTargets()
+	former := bed.targets[0]
+	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+		if target != former {
 			return false
 		}
-		s.Ran(r)
-		s.Head(w, r)
-		s.Stream(w, 1, 2)
-		next, err := b.site.Add(former.ID, former.Pool, former.Zone, "127.0.0.1:0", former.Slots)
+		target.Ran(r)
+		target.Head(w, r)
+		target.Stream(w, 1, 2)
+		restarted, err := bed.site.Add(former.ID, former.Pool, former.Zone, "127.0.0.1:0", former.Slots)
 		if err == nil {
-			next.Born = former.Born + 1
-			b.targets[0] = next
-			b.apply()
+			restarted.Born = former.Born + 1
+			bed.targets[0] = restarted
+			bed.applyTargets()
 		}
 		panic(http.ErrAbortHandler)
 	}
-	resp, text, err := b.do(http.MethodPost, "/resume/stream", "x", "Authorization", "Bearer good-key")
+	resp, body, err := bed.do(http.MethodPost, "/resume/stream", "x", "Authorization", "Bearer good-key")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.Contains(t, text, "id: 5")
-	require.Len(t, b.targets[0].Runs(), 1)
-	require.Equal(t, "2", b.targets[0].Runs()[0].Header.Get("Last-Event-Id"))
+	require.Contains(t, body, "id: 5")
+	require.Len(t, bed.targets[0].Runs(), 1)
+	require.Equal(t, "2", bed.targets[0].Runs()[0].Header.Get("Last-Event-Id"))
 }
--- a/internal/gateway/shed_test.go
+++ b/internal/gateway/shed_test.go
@@ -14,25 +14,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fill opens connections until the router is overfull.
-func fill(t *testing.T, c *connManager, address string) {
+// fillWithFreshConns opens connections until further ones are shed.
+func fillWithFreshConns(t *testing.T, manager *connManager, address string) {
 	for range maxFreshConns {
 		dialCaller(t, address)
 	}
-	require.Eventually(t, func() bool { return c.tooManyFresh(time.Now()) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return manager.tooManyFresh(time.Now()) }, 5*time.Second, time.Millisecond)
 }
 
-// Symptom: all requests that come in through one router time out, those too that
-// it answers.
-// Sequence: more callers come than its processor can read, or even refuse; each
-// waits for its turn until it gives up, and is then read for nobody.
-// Cause: nothing answers a caller before its request was read.
-func TestCallersBeyondWhatIsReadAreShedAtOnce(t *testing.T) {
-	c := newCallers(1000, answerNothing)
-	c.freshTimeout = time.Hour // or the first count no more before the last have come
-	address := c.start(t, noLimits)
-	require.NoError(t, ask(dialCaller(t, address)))
-	fill(t, c, address)
+// Guards against timeouts of all requests at one router, including those that it answers. Callers
+// arrive faster than its processor can read or even refuse their requests, so each request would be
+// read after its caller has left.
+func TestShedsExcessCallers(t *testing.T) {
+	manager := newConnManager(1000, respondNoContent)
+	manager.freshTimeout = time.Hour // so that the first connections still count when the last ones arrive
+	address := manager.start(t, noLimits)
+	require.NoError(t, sendRequest(dialCaller(t, address)))
+	fillWithFreshConns(t, manager, address)
 	conn := dialCaller(t, address)
 	_, err := io.WriteString(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 20000\r\n\r\n"+strings.Repeat("x", 9000))
 	require.NoError(t, err)
@@ -42,45 +40,45 @@
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Equal(t, "0.020", resp.Header.Get("Retry-After"))
 	require.True(t, resp.Close)
-	require.True(t, c.isOverloaded())
-	c.mu.Lock()
-	c.freshTimeout = 0 // as usual
-	c.mu.Unlock()
-	require.Eventually(t, func() bool { return !c.tooManyFresh(time.Now()) }, 10*time.Second, 10*time.Millisecond)
-	require.NoError(t, ask(dialCaller(t, address)), "those that send nothing hold nobody up for long")
+	require.True(t, manager.isOverloaded())
+	manager.mu.Lock()
+	manager.freshTimeout = 0 // the default
+	manager.mu.Unlock()
+	require.Eventually(t, func() bool { return !manager.tooManyFresh(time.Now()) }, 10*time.Second, 10*time.Millisecond)
+	require.NoError(t, sendRequest(dialCaller(t, address)), "connections that send nothing stop counting")
 }
 
-// Symptom: nobody can tell why callers were refused: most refusals of a flood have no line.
-// Cause: what is refused unread has no request to write a line of.
-func TestShedCallersAreToldOf(t *testing.T) {
-	var lines bytes.Buffer
-	c := &connManager{log: hclog.New(&hclog.LoggerOptions{JSONFormat: true, Output: &lines})}
+// Guards against refusals that leave no trace. Requests that are shed are not read, so they have no
+// log lines of their own.
+func TestLogsShedCallers(t *testing.T) {
+	var logOutput bytes.Buffer
+	manager := &connManager{log: hclog.New(&hclog.LoggerOptions{JSONFormat: true, Output: &logOutput})}
 	now := time.Now()
-	c.recordShed(now)
-	c.recordShed(now)
-	lines.Reset()
-	c.logShed()
-	c.logShed()
-	require.Equal(t, 1, strings.Count(lines.String(), "callers refused unread"))
-	require.Contains(t, lines.String(), `"count":2`)
-	require.Equal(t, 2, c.shedCount())
+	manager.recordShed(now)
+	manager.recordShed(now)
+	logOutput.Reset()
+	manager.logShed()
+	manager.logShed()
+	require.Equal(t, 1, strings.Count(logOutput.String(), "callers refused unread"))
+	require.Contains(t, logOutput.String(), `"count":2`)
+	require.Equal(t, 2, manager.shedCount())
 }
 
-func TestShedConnections(t *testing.T) {
+func TestShedConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name, sent, want string
 	}{
-		{"a request has begun", "GET / HTTP/1.1\r\n", string(shedResponse)},
-		{"nothing was sent", "", ""},
+		{"partial request", "GET / HTTP/1.1\r\n", string(shedResponse)},
+		{"no request", "", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l, err := net.Listen("tcp4", "127.0.0.1:0")
+			listener, err := net.Listen("tcp4", "127.0.0.1:0")
 			require.NoError(t, err)
-			t.Cleanup(func() { _ = l.Close() }) // nothing is on it
-			caller := dialCaller(t, l.Addr().String())
+			t.Cleanup(func() { _ = listener.Close() }) // it is only needed until the test ends
+			caller := dialCaller(t, listener.Addr().String())
 			_, err = io.WriteString(caller, tc.sent)
 			require.NoError(t, err)
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			require.NoError(t, err)
 			if tc.sent != "" {
 				require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
@@ -95,14 +93,13 @@
 	}
 }
 
-// Symptom: a router sheds callers though it has little to do.
-// Sequence: many requests were judged and go on, as streams do.
-// Cause: connections count as unjudged for longer than that.
-func TestRequestsInProgressDoNotShedOthers(t *testing.T) {
+// Guards against shedding callers while the router has little to do. Many requests have been read
+// and checked but are still in progress, as streams are.
+func TestRequestsInProgressDoNotCauseShedding(t *testing.T) {
 	release := make(chan struct{})
-	var c *connManager
-	c, address := startCallers(t, 1000, noLimits, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c.releaseReadSlot(connFromContext(r.Context()))
+	var manager *connManager
+	manager, address := startConnManager(t, 1000, noLimits, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		manager.releaseReadSlot(connFromContext(r.Context()))
 		<-release
 		w.WriteHeader(http.StatusNoContent)
 	}))
@@ -110,8 +107,8 @@
 	for range 2 * maxFreshConns {
 		_, err := io.WriteString(dialCaller(t, address), "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		require.NoError(t, err)
-		require.False(t, c.tooManyFresh(time.Now()))
-		require.Eventually(t, func() bool { return c.countFresh() == 0 }, 5*time.Second, 10*time.Microsecond)
+		require.False(t, manager.tooManyFresh(time.Now()))
+		require.Eventually(t, func() bool { return manager.countFresh() == 0 }, 5*time.Second, 10*time.Microsecond)
 	}
 }
 
--- a/internal/gateway/targetfaults_test.go
+++ b/internal/gateway/targetfaults_test.go
@@ -7,11 +7,11 @@
 	"laburnumfall/internal/standin"
 )
 
-// A misdeed is what a target does with one attempt.
-type misdeed func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request)
+// A targetFault is the faulty behavior of a target in one attempt.
+type targetFault func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request)
 
-// misdeeds are the faults of targets that callers must not suffer from, by name.
-var misdeeds = map[string]misdeed{
+// targetFaults are the faults of targets that callers must not suffer from, by name.
+var targetFaults = map[string]targetFault{
 	"full": func(_ *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.Header().Set("X-Not-Executed", "1")
@@ -22,41 +22,41 @@
 		w.Header().Set("X-Not-Executed", "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	},
-	"failed": func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
-		s.Ran(r)
-		s.Head(w, r)
+	"failed": func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
+		target.Ran(r)
+		target.Head(w, r)
 		w.WriteHeader(http.StatusInternalServerError)
 	},
-	"lost": func(s *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) {
-		s.Ran(r)
+	"lost": func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) {
+		target.Ran(r)
 		panic(http.ErrAbortHandler)
 	},
 	"lost unrun": func(*standin.SiteTarget, http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-	"hangs": func(s *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) {
-		s.Ran(r)
+	"hangs": func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) {
+		target.Ran(r)
 		<-r.Context().Done()
 	},
-	"foreign": func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
-		s.Ran(r)
-		s.Head(w, r)
+	"foreign": func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
+		target.Ran(r)
+		target.Head(w, r)
 		w.Header().Set("X-Attempt-Id", "of-another")
-		_, _ = io.WriteString(w, "not yours") // the caller must not get it
+		_, _ = io.WriteString(w, "not yours") // the caller must not receive it
 	},
-	"unsigned": func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
-		s.Ran(r)
+	"unsigned": func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
+		target.Ran(r)
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
-		_, _ = io.WriteString(w, "unsigned") // the caller must not get it
+		_, _ = io.WriteString(w, "unsigned") // the caller must not receive it
 	},
-	"short": func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
-		s.Ran(r)
-		s.Head(w, r)
+	"short": func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
+		target.Ran(r)
+		target.Head(w, r)
 		w.Header().Set("Content-Length", "100")
-		_, _ = io.WriteString(w, "short") // the rest never comes
+		_, _ = io.WriteString(w, "short") // the rest never arrives
 	},
-	"broken stream": func(s *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
-		s.Ran(r)
-		s.Head(w, r)
-		s.Stream(w, 1, 2)
+	"broken stream": func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
+		target.Ran(r)
+		target.Head(w, r)
+		target.Stream(w, 1, 2)
 		panic(http.ErrAbortHandler)
 	},
 }
