--- a/internal/gateway/atmostonce_test.go
+++ b/internal/gateway/atmostonce_test.go
@@ -84,10 +84,10 @@
 	if !repeatable {
 		require.LessOrEqual(t, runCount, 1, "%s %s", id, response.path)
 	}
-	require.LessOrEqual(t, runCount, 2, "%s: more than its attempts", id)
+	require.LessOrEqual(t, runCount, 2, "%s: more runs than attempts", id)
 	switch response.status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		require.Zero(t, runCount, "%s %s was told that it has not run", id, response.path)
+		require.Zero(t, runCount, "%s %s was reported as not run", id, response.path)
 	case http.StatusOK:
 		require.Positive(t, runCount)
 		want := "ran " + id + " x"
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -45,13 +45,13 @@
 // BenchmarkRequestLogged measures the cost of the two log lines of a request. The lines go through
 // the programs' asynchronous logger and are then discarded.
 func BenchmarkRequestLogged(b *testing.B) {
-	ring := asynclog.New(io.Discard)
+	writer := asynclog.New(io.Discard)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go ring.Run(ctx)
+	go writer.Run(ctx)
 	for name, log := range map[string]hclog.Logger{
 		"none":   hclog.NewNullLogger(),
-		"logged": asynclog.NewLogger(hclog.LoggerOptions{Name: "lf-router", Level: hclog.Info, JSONFormat: true, Output: ring}),
+		"logged": asynclog.NewLogger(hclog.LoggerOptions{Name: "lf-router", Level: hclog.Info, JSONFormat: true, Output: writer}),
 	} {
 		bed := newTestbed(b)
 		bed.gateway.Log = log
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -152,7 +152,7 @@
 	require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode, "it may have run")
 }
 
-func TestReusesTargetConnections(t *testing.T) {
+func TestReusesConnectionsUnlessTargetCloses(t *testing.T) {
 	bed := newTestbed(t)
 	bed.targets = bed.targets[:1]
 	bed.applyTargets()
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -63,7 +63,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, body)
 	require.Contains(t, body, string(fleet.KindQuarantined))
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	require.Less(t, time.Since(startedAt), 2*time.Second, "there is no leader that could answer")
+	require.Less(t, time.Since(startedAt), 2*time.Second, "the request is refused soon although no leader answers")
 	require.EqualValues(t, 2, terminationCount.Load())
 }
 
