--- a/internal/placement/copy.go
+++ b/internal/placement/copy.go
@@ -6,10 +6,10 @@
 	"laburnumfall/internal/fleet"
 )
 
-// copyWeight is the part of the prefill time that copying the same tokens costs in a choice, on
-// top of the transfer time. The copy is billed, and it takes memory from other cached parts,
-// which are then prefilled again. So a request leaves the owner only when the queue there is much
-// longer than the copy.
+// copyWeight multiplies the prefill time of copied tokens, which is added to the cost of a choice
+// on top of the transfer time. The copy is billed, and it takes memory from other cached parts,
+// which are then prefilled again. So a request leaves the owner only if the queue there is much
+// longer than the copy takes, however fast the link is.
 const copyWeight = 4
 
 // stickyFor is how long requests with the same shared parts stay at the target that this router
@@ -19,7 +19,7 @@
 
 // A prefillPlan is the work that a target does before it can begin to answer a prompt.
 type prefillPlan struct {
-	prefillTokens int    // read by the target itself
+	prefillTokens int    // prefilled by the target itself
 	copyTokens    int    // copied from source instead of being prefilled
 	source        *state // engine that has the uncached parts, or nil
 }
@@ -27,7 +27,7 @@
 // cacheOwners are the targets that rendezvous hashing ranks first for a prompt's shared parts.
 type cacheOwners struct {
 	// owner ranks first among the targets that can take this request, either of the fleet or of
-	// this router's zone. Shared parts are cached there by preference.
+	// this router's zone. Prompts with these parts are preferably sent there.
 	owner *state
 	// first and second rank first in the fleet, including targets that are leaving: these keep
 	// their cache until they stop.
@@ -78,13 +78,13 @@
 	return owners
 }
 
-// cachedElsewhere reports whether this router sent the parts to a target other than s most
-// recently, and they are still cached there.
+// cachedElsewhere reports whether this router last sent the parts to a target other than s, and
+// they are probably still cached there.
 func (o cacheOwners) cachedElsewhere(s *state) bool {
 	return o.lastTarget != nil && o.lastTarget != s
 }
 
-// copySource returns the target that is most likely to have what s has not cached, or nil.
+// copySource returns the target that most likely has cached what s has not, or nil.
 func (o cacheOwners) copySource(now time.Time, s *state) *state {
 	switch {
 	case o.cachedElsewhere(s):
@@ -155,13 +155,13 @@
 	return now.Sub(s.addedAt) < cacheLifetime
 }
 
-// canServeCopies reports whether other engines may be sent to a target to copy parts: it was
-// reachable at the last attempt and is not unresponsive.
+// canServeCopies reports whether other engines may copy parts from a target: no connection has
+// failed since its last answer, and it is not unresponsive.
 func (s *state) canServeCopies(now time.Time) bool {
 	return s.connectFailures == 0 && (s.unanswered == 0 || now.Sub(s.unansweredSince) <= unresponsiveAfter)
 }
 
-// releaseSource removes the copy of this plan, if any, from the load of its source.
+// releaseSource removes the plan's copy, if any, from the pending copies of its source.
 func (p prefillPlan) releaseSource() {
 	if p.source != nil {
 		p.source.copyingTokens -= p.copyTokens
--- a/internal/placement/copy_test.go
+++ b/internal/placement/copy_test.go
@@ -133,7 +133,7 @@
 // Guards against prefilling the same shared parts twice within seconds. The owner is backlogged
 // at an account's first prompt, which is prefilled at another engine. A second later the owner
 // has caught up, and the account's next prompt comes in through the same router.
-func TestRecentlyMovedPartsStayOffOwner(t *testing.T) {
+func TestRequestsFollowRecentlyMovedParts(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		placer *Placer
--- a/internal/placement/hang_test.go
+++ b/internal/placement/hang_test.go
@@ -15,7 +15,7 @@
 	owner := p.cacheOwners(start, r).owner.ID
 	now := start
 	type attempt struct {
-		c        *Choice
+		choice   *Choice
 		cancelAt time.Time
 	}
 	var hanging []attempt
@@ -23,7 +23,7 @@
 	for range 300 { // 15 s at 50 ms each
 		now = now.Add(50 * time.Millisecond)
 		for len(hanging) > 0 && !now.Before(hanging[0].cancelAt) {
-			p.EndAttempt(now, hanging[0].c, Canceled)
+			p.EndAttempt(now, hanging[0].choice, Canceled)
 			hanging = hanging[1:]
 		}
 		c := send(t, p, now, r)
--- a/internal/placement/learn.go
+++ b/internal/placement/learn.go
@@ -22,9 +22,9 @@
 //
 // Failed answers are not used. When targets failed within 2 ms, engines were estimated to prefill
 // thousands of tokens per millisecond. For 20 s, every prompt went to whichever target had no
-// queue and was prefilled there again; its first byte was predicted after 26 ms and came after 1
-// s. The rise from a single answer is also bounded: a prompt that happens to be fully cached
-// looks as if it had been prefilled in no time.
+// queue and was prefilled there again; its first byte was predicted after 26 ms and came after
+// one second. The rise from a single answer is also bounded: a prompt that happens to be fully
+// cached looks as if it had been prefilled in no time.
 func (p *Placer) learnSpeed(now time.Time, c *Choice) {
 	const (
 		minTokens  = 500 // with fewer, prefill does not dominate the time to first byte
--- a/internal/placement/learn_test.go
+++ b/internal/placement/learn_test.go
@@ -11,21 +11,21 @@
 // requests within 2 ms, they seemed to prefill thousands of tokens per millisecond, so cached
 // parts were worth nothing, and prompts predicted after 26 ms got their first byte after 1 s.
 func TestFailuresDoNotChangePrefillRate(t *testing.T) {
-	const rate, own = 60, 6000
+	const rate, ownTokens = 60, 6000
 	p := newPlacer(9)
 	now := start
 	answer := func(subject uint64, took time.Duration, r Result) *Choice {
-		c := send(t, p, now, prompt(subject, 5000, own))
+		c := send(t, p, now, prompt(subject, 5000, ownTokens))
 		now = now.Add(took)
 		p.RecordFirstByte(now, c)
 		p.EndAttempt(now, c, r)
 		return c
 	}
 	for i := range uint64(200) {
-		answer(i%10, own/rate*time.Millisecond, Served)
+		answer(i%10, ownTokens/rate*time.Millisecond, Served)
 	}
-	before := answer(1, own/rate*time.Millisecond, Served)
-	require.InDelta(t, own/rate, before.PredictedTTFB.Milliseconds(), 20)
+	before := answer(1, ownTokens/rate*time.Millisecond, Served)
+	require.InDelta(t, ownTokens/rate, before.PredictedTTFB.Milliseconds(), 20)
 	for i := range uint64(200) {
 		answer(i%10, 2*time.Millisecond, Failed)
 	}
@@ -33,20 +33,20 @@
 	require.InDelta(t, before.PredictedTTFB.Milliseconds(), answer(1, time.Millisecond, Served).PredictedTTFB.Milliseconds(), 20)
 }
 
-// Guards against the same error from one answer: a caller repeats a prompt that its engine has
-// fully cached, and the router counts it as prefilled in no time.
+// Guards against a much too high prefill rate after a single answer: a caller repeats a prompt
+// that its engine has fully cached, and the router counts it as prefilled in no time.
 func TestSingleAnswerBarelyChangesPrefillRate(t *testing.T) {
-	const rate, own = 60, 6000
+	const rate, ownTokens = 60, 6000
 	p := newPlacer(9)
 	now := start
 	for range 200 {
-		c := send(t, p, now, prompt(1, 5000, own))
-		now = now.Add(own / rate * time.Millisecond)
+		c := send(t, p, now, prompt(1, 5000, ownTokens))
+		now = now.Add(ownTokens / rate * time.Millisecond)
 		p.RecordFirstByte(now, c)
 		p.EndAttempt(now, c, Served)
 	}
 	before := p.prefillRate()
-	c := send(t, p, now, prompt(1, 5000, own))
+	c := send(t, p, now, prompt(1, 5000, ownTokens))
 	now = now.Add(time.Millisecond)
 	p.RecordFirstByte(now, c)
 	p.EndAttempt(now, c, Served)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -56,7 +56,7 @@
 	// failureHalfLife halves the failure rate of a target that gets no work, so that it is tried
 	// again.
 	failureHalfLife = 4 * time.Second
-	// minDownTime and maxDownTime bound how long a target is skipped after a connection to it
+	// minDownTime and maxDownTime bound how long a target is avoided after a connection to it
 	// failed.
 	minDownTime = 300 * time.Millisecond
 	maxDownTime = 3 * time.Second
@@ -122,7 +122,7 @@
 	OwnPrefillTime time.Duration
 	// Load is the number of requests running at the target, divided by its slots.
 	Load float64
-	// PrefillTokens is how many tokens of the prompt the target has to prefill.
+	// PrefillTokens is the predicted number of prompt tokens that the target has to prefill.
 	PrefillTokens int
 	// CopyFrom is the address of the engine to copy uncached parts from, or "".
 	CopyFrom string
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -29,8 +29,8 @@
 	return p
 }
 
-func prompt(subject uint64, shared, own int) Request {
-	return Request{Pool: "engines", Parts: []PromptPart{{ID: subject, Tokens: shared}, {ID: subject + 1e6, Tokens: own}}}
+func prompt(subject uint64, sharedTokens, ownTokens int) Request {
+	return Request{Pool: "engines", Parts: []PromptPart{{ID: subject, Tokens: sharedTokens}, {ID: subject + 1e6, Tokens: ownTokens}}}
 }
 
 // send chooses a target for a request and starts an attempt there.
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -13,7 +13,7 @@
 // 30 ms service are taken and as many requests wait, so answers take 60 to 90 ms. Those times
 // were learned as the service time, and the wait was then added once more.
 func TestServiceTimeExcludesSlotQueueing(t *testing.T) {
-	const slots, work = 6, 30 * time.Millisecond
+	const slots, serviceTime = 6, 30 * time.Millisecond
 	p := &Placer{Zone: "z0"}
 	p.SetTargets(start, []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "s"}, Pool: "plain", Zone: "z0", Slots: slots}})
 	now := start
@@ -22,7 +22,7 @@
 		for len(queue) < 3*slots {
 			queue = append(queue, send(t, p, now, Request{Pool: "plain"}))
 		}
-		now = now.Add(work) // one round of slots
+		now = now.Add(serviceTime) // one round of slots
 		for _, c := range queue[:slots] {
 			p.RecordFirstByte(now, c)
 			p.EndAttempt(now, c, Served)
@@ -31,8 +31,8 @@
 	}
 	c, ok := p.Choose(now, Request{Pool: "plain"})
 	require.True(t, ok)
-	require.Greater(t, c.PredictedTTFB, 2*work)
-	require.Less(t, c.PredictedTTFB, 4*work)
+	require.Greater(t, c.PredictedTTFB, 2*serviceTime)
+	require.Less(t, c.PredictedTTFB, 4*serviceTime)
 }
 
 func TestReportedQueueIsNotCountedTwice(t *testing.T) {
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -22,8 +22,8 @@
 
 	hash          uint64               // of the target's ID
 	addedAt       time.Time            // when the target was first listed
-	copyingTokens int                  // tokens in copies from this target
-	partLastUsed  map[uint64]time.Time // by part ID
+	copyingTokens int                  // tokens of pending copies from this target
+	partLastUsed  map[uint64]time.Time // when a part was last sent here, by ID
 	running       int
 	pendingTokens int // prompt tokens of attempts without a first byte
 
@@ -47,7 +47,7 @@
 	connectFailures int
 	lastAnswerAt    time.Time
 	unansweredSince time.Time // when the first of the unanswered requests was sent
-	unanswered      int       // requests sent since the last answer
+	unanswered      int       // requests sent since the last answer; 0 if none is running
 }
 
 func newState(now time.Time, instance fleet.Instance) *state {
@@ -104,8 +104,8 @@
 	}
 }
 
-// reportedQueue returns the queue length that the target reported, with a weight that falls with
-// age.
+// reportedQueue returns the queue length that the target reported, scaled down with the age of
+// the report.
 func (s *state) reportedQueue(now time.Time) float64 {
 	age := now.Sub(s.reportedAt)
 	if age >= reportedQueueLifetime {
--- a/internal/placement/warming_test.go
+++ b/internal/placement/warming_test.go
@@ -68,8 +68,8 @@
 	require.False(t, p.ConfirmSend(start, inFlight))
 	p.EndAttempt(start, inFlight, Canceled)
 	require.Zero(t, countInZone(sendMany(t, p, start, 300, 0), instances(9), "z1"))
-	for _, in := range instances(9) {
-		require.Equal(t, in.Zone != "z1", p.Accepts(in.Incarnation))
+	for _, instance := range instances(9) {
+		require.Equal(t, instance.Zone != "z1", p.Accepts(instance.Incarnation))
 	}
 	evacuate(p, start, 2, "z0", "z1", "z2")
 	_, ok := p.Choose(start, prompt(1, 13000, 300))
@@ -112,15 +112,15 @@
 		},
 		"reported cold": func(p *Placer) {
 			until := map[fleet.Incarnation]time.Time{}
-			for _, in := range instances(9) {
-				until[in.Incarnation] = now.Add(coldFor)
+			for _, instance := range instances(9) {
+				until[instance.Incarnation] = now.Add(coldFor)
 			}
 			p.SetColdUntil(until)
 		},
 		"cannot be reached": func(p *Placer) {
-			for _, in := range instances(9) {
-				s := p.states[in.Incarnation]
-				p.EndAttempt(now, &Choice{Target: in, state: s}, ConnectFailed)
+			for _, instance := range instances(9) {
+				s := p.states[instance.Incarnation]
+				p.EndAttempt(now, &Choice{Target: instance, state: s}, ConnectFailed)
 				s.downUntil, s.connectFailures = time.Time{}, 0
 			}
 		},
@@ -170,7 +170,7 @@
 	require.False(t, p.ConfirmSend(start.Add(10*time.Second), c))
 }
 
-// Guards against a router that has just started and takes all targets for cold.
+// Guards against a router that considers all targets cold after its own start.
 func TestInitialTargetsAreNotCold(t *testing.T) {
 	p := &Placer{Zone: "z0"}
 	p.Warmup.Ratio = 1
