--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -100,15 +100,15 @@
 	shares := &quota.Shares{Capacity: 1000}
 	admits := headroomAdmits(shares, &fleet.Route{Aim: time.Second})
 	demand := func(served float64) []message.Demand {
-		return []message.Demand{{Account: "well", Rate: 5000, Served: 900}, {Account: "ill", Rate: 900, Served: served}}
+		return []message.Demand{{Account: "overserved", Rate: 5000, Served: 900}, {Account: "underserved", Rate: 900, Served: served}}
 	}
 	shares.SetFleetDemand(demand(880))
-	require.True(t, admits("ill", 450*time.Millisecond, 0.5))
-	require.False(t, admits("ill", 700*time.Millisecond, 0.5), "equal service: half of the latency target")
+	require.True(t, admits("underserved", 450*time.Millisecond, 0.5))
+	require.False(t, admits("underserved", 700*time.Millisecond, 0.5), "equal service: half of the latency target")
 	shares.SetFleetDemand(demand(400))
-	require.True(t, admits("ill", 900*time.Millisecond, 0.5), "the other account gets twice as much")
-	require.False(t, admits("ill", 1100*time.Millisecond, 0.5), "never more than the latency target")
-	require.False(t, admits("well", 450*time.Millisecond, 0.5))
+	require.True(t, admits("underserved", 900*time.Millisecond, 0.5), "the other account gets twice as much")
+	require.False(t, admits("underserved", 1100*time.Millisecond, 0.5), "never more than the latency target")
+	require.False(t, admits("overserved", 450*time.Millisecond, 0.5))
 }
 
 // Guards against giving one of two accounts more than twice as much as the other if there is a
@@ -118,13 +118,13 @@
 	shares := &quota.Shares{Capacity: 1000}
 	admits := headroomAdmits(shares, &fleet.Route{Aim: time.Second})
 	shares.SetFleetDemand([]message.Demand{
-		{Account: "well", Rate: 5000, Served: 900}, {Account: "middle", Rate: 5000, Served: 400}, {Account: "ill", Rate: 640, Served: 250},
+		{Account: "overserved", Rate: 5000, Served: 900}, {Account: "middle", Rate: 5000, Served: 400}, {Account: "underserved", Rate: 640, Served: 250},
 	})
 	require.True(t, admits("middle", 490*time.Millisecond, 0.7), "1.6 times the third account, less than half of the first")
-	require.False(t, admits("well", 100*time.Millisecond, 0.2))
-	require.True(t, admits("ill", 990*time.Millisecond, 0.7))
+	require.False(t, admits("overserved", 100*time.Millisecond, 0.2))
+	require.True(t, admits("underserved", 990*time.Millisecond, 0.7))
 	shares.SetFleetDemand([]message.Demand{
-		{Account: "well", Rate: 5000, Served: 500}, {Account: "middle", Rate: 5000, Served: 400}, {Account: "ill", Rate: 640, Served: 250},
+		{Account: "overserved", Rate: 5000, Served: 500}, {Account: "middle", Rate: 5000, Served: 400}, {Account: "underserved", Rate: 640, Served: 250},
 	})
 	require.False(t, admits("middle", 490*time.Millisecond, 0.4), "none gets much more, so headroom shrinks for the underserved account")
 }
--- a/internal/placement/copy_test.go
+++ b/internal/placement/copy_test.go
@@ -93,11 +93,11 @@
 func TestNoCopyFromUnhealthyOwner(t *testing.T) {
 	r := prompt(1, 13000, 3000)
 	for name, makeUnhealthy := range map[string]func(p *Placer, c *Choice) time.Time{
-		"unreached": func(p *Placer, c *Choice) time.Time {
+		"connection failed": func(p *Placer, c *Choice) time.Time {
 			p.EndAttempt(start, c, ConnectFailed)
 			return start
 		},
-		"silent": func(*Placer, *Choice) time.Time { return start.Add(5 * time.Second) },
+		"unresponsive": func(*Placer, *Choice) time.Time { return start.Add(5 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newCopyingPlacer(9)
--- a/internal/quota/incarnation_test.go
+++ b/internal/quota/incarnation_test.go
@@ -14,8 +14,8 @@
 // previous incarnation, and backlogs were summed by target ID.
 func TestBacklogOfPreviousIncarnationIsIgnored(t *testing.T) {
 	var aggregator Aggregator
-	aggregator.Report(start, "lags", nil, []message.Backlog{{Target: "a", Born: 1000, Tokens: 90_000, Running: 60}})
-	aggregator.Report(start, "knows", nil, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}})
+	aggregator.Report(start, "outdated", nil, []message.Backlog{{Target: "a", Born: 1000, Tokens: 90_000, Running: 60}})
+	aggregator.Report(start, "current", nil, []message.Backlog{{Target: "a", Born: 2000, Tokens: 10, Running: 1}})
 	_, sums, _ := aggregator.Sums(start)
 	require.Equal(t, []message.Backlog{{Target: "a", Born: 1000, Tokens: 90_000, Running: 60}, {Target: "a", Born: 2000, Tokens: 10, Running: 1}}, sums)
 	targets := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a", Born: 2000}}}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -155,13 +155,13 @@
 func TestExcessRatioComparesWithUnderservedAccounts(t *testing.T) {
 	s := &Shares{Capacity: 1000}
 	s.SetFleetDemand([]message.Demand{
-		{Account: "well", Rate: 5000, Served: 900}, {Account: "ill", Rate: 2500, Served: 300}, {Account: "small", Rate: 50, Served: 50},
+		{Account: "overserved", Rate: 5000, Served: 900}, {Account: "underserved", Rate: 2500, Served: 300}, {Account: "small", Rate: 50, Served: 50},
 	})
-	require.InDelta(t, 3, s.ExcessRatio(start, "well"), 0.01)
-	require.InDelta(t, 1, s.ExcessRatio(start, "ill"), 0.01, "it takes no service from others")
+	require.InDelta(t, 3, s.ExcessRatio(start, "overserved"), 0.01)
+	require.InDelta(t, 1, s.ExcessRatio(start, "underserved"), 0.01, "it takes no service from others")
 	require.InDelta(t, 1, s.ExcessRatio(start, "new"), 1)
-	s.SetFleetDemand([]message.Demand{{Account: "well", Rate: 5000, Served: 4000}, {Account: "small", Rate: 50, Served: 50}})
-	require.InDelta(t, 1, s.ExcessRatio(start, "well"), 0.01, "no account is underserved, so unused capacity is free to use")
+	s.SetFleetDemand([]message.Demand{{Account: "overserved", Rate: 5000, Served: 4000}, {Account: "small", Rate: 50, Served: 50}})
+	require.InDelta(t, 1, s.ExcessRatio(start, "overserved"), 0.01, "no account is underserved, so unused capacity is free to use")
 }
 
 func TestColumnsRoundTrip(t *testing.T) {
@@ -195,12 +195,12 @@
 func TestDeficitRatioIsLimitedByDemand(t *testing.T) {
 	s := &Shares{Capacity: 1000}
 	s.SetFleetDemand([]message.Demand{
-		{Account: "well", Rate: 2000, Served: 900},
-		{Account: "ill", Rate: 800, Served: 300},
+		{Account: "overserved", Rate: 2000, Served: 900},
+		{Account: "underserved", Rate: 800, Served: 300},
 		{Account: "small", Rate: 20, Served: 20},
 	})
-	require.InDelta(t, 800.0/300, s.DeficitRatio(start, "ill"), 0.01, "limited by its own demand")
-	require.InDelta(t, 1, s.DeficitRatio(start, "well"), 0.01)
+	require.InDelta(t, 800.0/300, s.DeficitRatio(start, "underserved"), 0.01, "limited by its own demand")
+	require.InDelta(t, 1, s.DeficitRatio(start, "overserved"), 0.01)
 	require.InDelta(t, 1, s.DeficitRatio(start, "small"), 0.01, "its demand is fully served")
 	require.InDelta(t, 1, s.DeficitRatio(start, "new"), 0.01)
 }
@@ -210,7 +210,7 @@
 // before any sees the others' reports.
 func TestExcessRatioCountsConcurrentAdmissions(t *testing.T) {
 	s := &Shares{Capacity: 1000}
-	fleet := []message.Demand{{Account: "spread", Rate: 8000, Served: 400}, {Account: "ill", Rate: 8000, Served: 400}}
+	fleet := []message.Demand{{Account: "spread", Rate: 8000, Served: 400}, {Account: "underserved", Rate: 8000, Served: 400}}
 	s.CountRequest(start, "spread", 1000)
 	s.SetFleetDemand(fleet)
 	require.InDelta(t, 1, s.ExcessRatio(start, "spread"), 0.01)
@@ -220,10 +220,10 @@
 	require.InDelta(t, 1, s.ExcessRatio(start, "spread"), 0.01, "the new totals include what was admitted before")
 
 	one := &Shares{Capacity: 1000}
-	one.CountRequest(start, "ill", 8000)
+	one.CountRequest(start, "underserved", 8000)
 	one.SetFleetDemand(fleet)
-	one.Spend(start, "ill", 100)
-	require.InDelta(t, (400+100)/400.0, one.ExcessRatio(start, "ill"), 0.01, "all of its demand is on this router")
+	one.Spend(start, "underserved", 100)
+	require.InDelta(t, (400+100)/400.0, one.ExcessRatio(start, "underserved"), 0.01, "all of its demand is on this router")
 }
 
 // Guards against holding an account back for requests that no target ran.
