--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -36,10 +36,10 @@
 	Cost float64
 	// Deadline is when the caller or the route gives up.
 	Deadline time.Time
-	// WithinShare is whether the account had credit when the request came in. Throttled is
-	// whether an overloaded service would refuse the request. SentBefore is whether a target has
-	// already received it: then neither of the two applies again. Charged is whether its cost has
-	// been taken from the account.
+	// WithinShare is whether the request is within its account's share. Throttled is whether an
+	// overloaded service would refuse it. SentBefore is whether a target has already received
+	// it: then it is not refused for either reason. Charged is whether its cost has been taken
+	// from the account's balance.
 	WithinShare bool
 	Throttled   bool
 	SentBefore  bool
--- a/internal/placement/learn.go
+++ b/internal/placement/learn.go
@@ -70,14 +70,14 @@
 	updatedAt time.Time // time of the latest answer
 }
 
-func (p *Placer) learnServiceTime(now time.Time, c *Choice, took, assumed time.Duration) {
+func (p *Placer) learnServiceTime(now time.Time, c *Choice, elapsed, assumed time.Duration) {
 	const weight = 0.05
 	pool := c.Target.Pool
 	if p.serviceTimes == nil {
 		p.serviceTimes = make(map[string]serviceTime)
 	}
 	mean := p.meanServiceTime(now, pool, assumed)
-	observed := min(float64(took)/float64(time.Millisecond), maxServiceTimeFactor*c.expectedMs)
+	observed := min(float64(elapsed)/float64(time.Millisecond), maxServiceTimeFactor*c.expectedMs)
 	p.serviceTimes[pool] = serviceTime{mean: mean + weight*(observed-mean), updatedAt: now}
 }
 
--- a/internal/quota/aggregator.go
+++ b/internal/quota/aggregator.go
@@ -82,9 +82,9 @@
 	})
 }
 
-// ExcludeOwn subtracts the backlog that a router has reported itself from the fleet's total. The
-// total may be older than the router's report by sumPeriod, so differences below zero count as
-// zero.
+// ExcludeOwn returns the fleet's total backlog without the backlog that one router has reported
+// itself. The total may be older than the router's report by sumPeriod, so differences below zero
+// count as zero.
 func ExcludeOwn(all, mine []message.Backlog) []message.Backlog {
 	index := indexBacklogs(mine)
 	others := make([]message.Backlog, 0, len(all))
--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -27,7 +27,7 @@
 	Capacity float64
 
 	accounts    map[string]*account
-	fleetDemand map[string]message.Demand // sum over all routers
+	fleetDemand map[string]message.Demand // by account, over all routers
 	level       float64
 }
 
@@ -87,7 +87,7 @@
 	a.admittedSinceReport += tokens
 }
 
-// Refund returns the cost of a request that no target ran.
+// Refund adds the cost of a request that no target ran back to its account's balance.
 func (s *Shares) Refund(now time.Time, name string, tokens float64) {
 	a := s.account(now, name)
 	s.refill(now, name, a)
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -45,10 +45,10 @@
 // time, with times that never decrease.
 type Throttle struct {
 	accounts   map[string]*account
-	accepted   rate
-	overloaded rate
-	level      float64 // maximum requests per second of an account
-	levelAt    time.Time
+	accepted   rate      // answers without overload
+	overloaded rate      // answers with overload
+	level      float64   // maximum requests per second of an account
+	levelAt    time.Time // when level was computed
 }
 
 type account struct {
--- a/internal/warmup/budget.go
+++ b/internal/warmup/budget.go
@@ -45,8 +45,8 @@
 }
 
 // SetLease replaces the lease. It expires leaseDuration after the router requested it.
-func (b *Budget) SetLease(asked time.Time, lease Lease) {
-	b.lease, b.leaseUntil = lease, asked.Add(leaseDuration)
+func (b *Budget) SetLease(requestedAt time.Time, lease Lease) {
+	b.lease, b.leaseUntil = lease, requestedAt.Add(leaseDuration)
 }
 
 // CurrentLease returns the lease if it has not expired. The router reports it to the leader.
--- a/internal/warmup/lease.go
+++ b/internal/warmup/lease.go
@@ -34,7 +34,7 @@
 // A Lease is a router's numbered part of what cold targets may get. The zero value means no
 // lease.
 type Lease struct {
-	// Number is between 1 and Total.
+	// Number is between 1 and Total, the number of leases.
 	Number int `json:"number"`
 	Total  int `json:"of"`
 	// Ready is whether the lease may be used.
--- a/internal/warmup/lease_test.go
+++ b/internal/warmup/lease_test.go
@@ -46,7 +46,7 @@
 type answer struct {
 	to          *router
 	incarnation uint64
-	askedAt     time.Time
+	requestedAt time.Time
 	deliverAt   time.Time
 	lease       warmup.Lease
 }
@@ -100,7 +100,7 @@
 	}
 	lease := c.leader.Renew(c.now, r.name, r.incarnation, r.budget.CurrentLease(c.now))
 	if !lose() {
-		c.inFlight = append(c.inFlight, answer{to: r, incarnation: r.incarnation, askedAt: c.now, deliverAt: c.now.Add(step), lease: lease})
+		c.inFlight = append(c.inFlight, answer{to: r, incarnation: r.incarnation, requestedAt: c.now, deliverAt: c.now.Add(step), lease: lease})
 	}
 }
 
@@ -110,7 +110,7 @@
 			return false
 		}
 		if a.to.incarnation == a.incarnation {
-			a.to.budget.SetLease(a.askedAt, a.lease)
+			a.to.budget.SetLease(a.requestedAt, a.lease)
 		}
 		return true
 	})
