--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -123,14 +123,14 @@
 func (v *validator) config(c Config) {
 	v.check(c.Number > 0, "number", "give a number above the one in force", "the number is missing or 0")
 	accountNames := make(map[string]bool, len(c.Accounts))
-	keyAccounts := make(map[string]string)
+	accountByKey := make(map[string]string)
 	for i, account := range c.Accounts {
-		v.account(fmt.Sprintf("account.%d", i), account, accountNames, keyAccounts)
+		v.account(fmt.Sprintf("account.%d", i), account, accountNames, accountByKey)
 	}
 	targetNames := make(map[string]bool, len(c.Targets))
-	addressTargets := make(map[string]string, len(c.Targets))
+	targetByAddress := make(map[string]string, len(c.Targets))
 	for i, target := range c.Targets {
-		v.target(fmt.Sprintf("target.%d", i), target, targetNames, addressTargets)
+		v.target(fmt.Sprintf("target.%d", i), target, targetNames, targetByAddress)
 	}
 	eventNames := make(map[string]bool, len(c.Events))
 	for i, event := range c.Events {
@@ -142,36 +142,36 @@
 	for i, pool := range c.Pools {
 		v.pool(fmt.Sprintf("pool.%d", i), pool, poolNames, targetNames)
 	}
-	routeNames, matchRoutes := make(map[string]bool, len(c.Routes)), make(map[string]string, len(c.Routes))
+	routeNames, routeByHostAndPrefix := make(map[string]bool, len(c.Routes)), make(map[string]string, len(c.Routes))
 	for i, route := range c.Routes {
-		v.route(fmt.Sprintf("route.%d", i), route, routeNames, poolNames, matchRoutes)
+		v.route(fmt.Sprintf("route.%d", i), route, routeNames, poolNames, routeByHostAndPrefix)
 	}
 }
 
-func (v *validator) account(key string, account Account, seen map[string]bool, keyAccounts map[string]string) {
+func (v *validator) account(key string, account Account, seen map[string]bool, accountByKey map[string]string) {
 	v.name(key+".name", account.Name, seen)
 	v.check(account.Share > 0 && account.Share <= 1e6, key+".share", "give a share above 0, up to 1000000",
 		"account %q has the share %v", account.Name, account.Share)
-	v.check(account.QueueLimit >= 0, key+".queue", "give 0 for the default, or a positive bound",
-		"account %q has the queue bound %d", account.Name, account.QueueLimit)
+	v.check(account.QueueLimit >= 0, key+".queue", "give 0 for the default, or a positive limit",
+		"account %q has the queue limit %d", account.Name, account.QueueLimit)
 	for _, digest := range account.Keys {
 		v.check(keyPattern.MatchString(digest), key+".keys", `write "sha256:" and 64 hex digits; lfctl digest prints it for a key`,
 			"account %q has a key that is not a SHA-256 digest", account.Name)
-		other, taken := keyAccounts[digest]
+		other, taken := accountByKey[digest]
 		v.check(!taken, key+".keys", "give each key to one account only",
 			"accounts %q and %q have the same key", other, account.Name)
-		keyAccounts[digest] = account.Name
+		accountByKey[digest] = account.Name
 	}
 }
 
-func (v *validator) target(key string, target Target, seen map[string]bool, addressTargets map[string]string) {
+func (v *validator) target(key string, target Target, seen map[string]bool, targetByAddress map[string]string) {
 	v.name(key+".name", target.Name, seen)
 	v.check(validAddress(target.Address), key+".address", `write "IP:PORT"`,
 		"target %q has the address %q", target.Name, target.Address)
-	other, taken := addressTargets[target.Address]
+	other, taken := targetByAddress[target.Address]
 	v.check(!taken, key+".address", "give each target an address of its own, or its slots are counted twice",
 		"targets %q and %q have the same address", other, target.Name)
-	addressTargets[target.Address] = target.Name
+	targetByAddress[target.Address] = target.Name
 	v.check(target.Zone != "", key+".zone", "name the target's availability zone", "target %q has no zone", target.Name)
 	v.check(target.Kind == TargetEngine || target.Kind == TargetService, key+".kind", `write "engine" or "service"`,
 		"target %q has the kind %q", target.Name, target.Kind)
--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -124,15 +124,15 @@
 		`give both warm, such as "3s", and pace, in requests per second, or leave both out`, "pool %q is cold for %v at %v requests per second", pool.Name, time.Duration(pool.WarmupTime), pool.WarmupRate)
 }
 
-func (v *validator) route(key string, route RouteSpec, seen, poolNames map[string]bool, matchRoutes map[string]string) {
+func (v *validator) route(key string, route RouteSpec, seen, poolNames map[string]bool, routeByHostAndPrefix map[string]string) {
 	v.name(key+".name", route.Name, seen)
 	v.check(strings.HasPrefix(route.Prefix, "/") && strings.HasSuffix(route.Prefix, "/"), key+".prefix",
 		"write a prefix that begins and ends with a slash", "route %q has the prefix %q", route.Name, route.Prefix)
 	hostAndPrefix := strings.ToLower(route.Host) + route.Prefix
-	other, taken := matchRoutes[hostAndPrefix]
+	other, taken := routeByHostAndPrefix[hostAndPrefix]
 	v.check(!taken, key+".prefix", "give each route a host and prefix of its own",
 		"routes %q and %q have the same host and prefix", other, route.Name)
-	matchRoutes[hostAndPrefix] = route.Name
+	routeByHostAndPrefix[hostAndPrefix] = route.Name
 	v.check(route.Host != "", key+".host", "name the host that callers send to", "route %q has no host", route.Name)
 	v.check(route.Kind == RouteIdempotent || route.Kind == RouteAtMostOnce || route.Kind == RouteStream, key+".kind",
 		`write "idempotent", "once" or "stream"`, "route %q has the kind %q", route.Name, route.Kind)
--- a/internal/message/evacuate.go
+++ b/internal/message/evacuate.go
@@ -2,15 +2,15 @@
 
 import "laburnumfall/internal/fleet"
 
-// An Evacuate asks that the targets of an availability zone get no new work, or that this
-// ends.
+// An EvacuateRequest starts the evacuation of an availability zone, whose targets then get no
+// new work, or ends it.
 type EvacuateRequest struct {
 	Zone     fleet.Zone `json:"zone"`
 	End      bool       `json:"end,omitempty"`
 	Operator string     `json:"operator,omitempty"`
 }
 
-// An Evacuated is the result of MethodEvacuate: all zones that are evacuated.
+// An EvacuateResult is the result of MethodEvacuate: all evacuated zones.
 type EvacuateResult struct {
 	Zones []fleet.Zone `json:"zones"`
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,9 +1,9 @@
-// Package message holds the messages between the fleet's processes.
+// Package message defines the messages between the fleet's processes.
 //
-// Every message that may be lost, doubled or late carries what makes it
-// harmless: an incarnation, a term, a sequence or a cumulative value. Times
-// are in the clock of the process that the field names. A reader ignores
-// fields that it does not know, so that old and new processes run together.
+// A message that may be lost, duplicated or delayed has a field that makes this harmless: an
+// incarnation, a term, a sequence number or a cumulative value. Times are by the clock of the
+// process that the field names. A reader ignores unknown fields, so that processes of different
+// versions can run together.
 package message
 
 import (
@@ -15,147 +15,147 @@
 	"laburnumfall/internal/quarantine"
 )
 
-// Version is the version of the messages that this program speaks. It stands
-// in the first message of a link.
+// Version is the version of the protocol. It is part of the first message on a connection.
 const Version = 1
 
-// The methods of the calls and notices between processes.
+// The methods of the calls and one-way notices between processes.
 const (
-	MethodHello      = "hello"
-	MethodProve      = "prove"
-	MethodReport     = "report"
-	MethodGrant      = "grant"
-	MethodClaim      = "claim"
-	MethodSettle     = "settle"
-	MethodQuorum     = "quorum"
-	MethodFoundGroup = "found"
-	MethodJoinGroup  = "join"
-	MethodFormGroup  = "formed"
-	MethodApply      = "apply"
-	MethodShow       = "show"
-	MethodStatus     = "status"
-	MethodRenew      = "renew"
-	// MethodRenewPacked is the same with a PackedRenew.
+	MethodHello      = "hello"  // opens a connection
+	MethodProve      = "prove"  // proves knowledge of the fleet's secret
+	MethodReport     = "report" // Report, from a router to the leader
+	MethodGrant      = "grant"  // Grant, from the leader to a router
+	MethodClaim      = "claim"  // ClaimRequest
+	MethodSettle     = "settle" // SettleRequest
+	MethodQuorum     = "quorum" // message of the consensus protocol between keepers
+	MethodFoundGroup = "found"  // exchanges identities before a group of keepers is founded
+	MethodJoinGroup  = "join"   // joins a keeper to an existing group
+	MethodFormGroup  = "formed" // proposes a group without the peers that are missing
+	MethodApply      = "apply"  // ApplyRequest
+	MethodShow       = "show"   // returns a ShowResult
+	MethodStatus     = "status" // returns a Status
+	MethodRenew      = "renew"  // RenewRequest
+	// MethodRenewPacked is MethodRenew with a PackedRenewRequest.
 	MethodRenewPacked = "renewpacked"
 
-	MethodPutRoutes      = "put"
-	MethodReadRoutes     = "read"
-	MethodMembers        = "known"
-	MethodListQuarantine = "held"
-	MethodLiftQuarantine = "lift"
-	// MethodEvacuate begins or ends the evacuation of an availability zone.
+	MethodPutRoutes      = "put"   // PutRequest
+	MethodReadRoutes     = "read"  // returns a RoutesDocument
+	MethodMembers        = "known" // returns a MembersResult
+	MethodListQuarantine = "held"  // returns a QuarantineResult
+	MethodLiftQuarantine = "lift"  // LiftRequest
+	// MethodEvacuate starts or ends the evacuation of an availability zone.
 	MethodEvacuate = "evacuate"
 )
 
-// A Report is what a router tells the leader, every report period and at once
-// when it lacks slots or gives some back.
+// A Report is the state that a router sends to the leader in each report period, and at once
+// when it lacks slots or returns some.
 type Report struct {
 	Router string     `json:"router"`
 	Zone   fleet.Zone `json:"zone"`
-	// Inc is drawn anew at each start of the router: cumulative values count
-	// within it.
+	// Incarnation is a random number that the router draws at each start. Cumulative values
+	// start at 0 with each incarnation.
 	Incarnation uint64    `json:"inc"`
 	Seq         uint64    `json:"seq"`
 	SentAt      time.Time `json:"sent"` // router's clock
-	// Term and Ack name the newest grant that the router has put in force.
-	Term   uint64        `json:"term"`
-	AckSeq uint64        `json:"ack"`
+	// Term and AckSeq identify the newest grant that the router has applied.
+	Term   uint64 `json:"term"`
+	AckSeq uint64 `json:"ack"`
+	// Number is the number of the configuration that the router uses.
 	Number uint64        `json:"number"`
 	Queues []QueueLength `json:"queues,omitempty"`
-	// Full says that Usage holds every account. Otherwise one left out has not
-	// changed since the report that the newest grant echoes. A leader that does
-	// not know the router waits for a full one.
+	// Full says that Usage has all accounts. Otherwise an omitted account has not changed since
+	// the report that the newest grant acknowledges. A leader that has no state of the router
+	// waits for a full report.
 	Full  bool        `json:"full,omitempty"`
 	Usage []Usage     `json:"usage,omitempty"`
 	Slots []SlotUsage `json:"slots,omitempty"`
-	// Levels are the fleet's service levels as the router last heard them. A
-	// new leader takes the highest of each account.
+	// VirtualTimes are the accounts' virtual times that the router last received. A new leader
+	// takes the highest value of each account.
 	VirtualTimes     []VirtualTime `json:"levels,omitempty"`
 	VirtualTimeFloor float64       `json:"floor,omitempty"`
-	// Leaving says that the router is stopping and wants no slots.
+	// Leaving says that the router is shutting down and needs no slots.
 	Leaving bool `json:"leaving,omitempty"`
-	// Quarantine is which requests targets have ended under.
+	// Quarantine reports the requests during which targets terminated.
 	Quarantine *quarantine.Report `json:"quarantine,omitempty"`
 }
 
-// A Queue is the waiting work of one account for one event in one router.
+// A QueueLength is the number of requests of one account for one event that wait in one router.
 type QueueLength struct {
 	Account string `json:"account"`
 	Event   string `json:"event"`
 	Waiting int    `json:"waiting"`
 }
 
-// A Usage is the service that one account had through one router.
+// A Usage is the service that one account received through one router.
 type Usage struct {
 	Account string `json:"account"`
-	// Served is the settled cost since the router's start. It never falls.
+	// Served is the cost of settled requests since the router's start. It never decreases.
 	Served float64 `json:"served"`
-	// Counted is the part of Served that the levels last heard include.
+	// ServedInVirtualTime is the part of Served that the last received virtual times include.
 	ServedInVirtualTime float64 `json:"counted,omitempty"`
-	// Ended is the number of requests settled since the router's start.
+	// Settled is the number of requests settled since the router's start.
 	Settled uint64 `json:"ended"`
-	// Charged is the estimated cost of the Running requests.
+	// EstimatedCost is the estimated cost of the Running requests.
 	EstimatedCost float64 `json:"charged,omitempty"`
 	Running       int     `json:"running,omitempty"`
 }
 
-// A Holding is the slots of one target that a router holds: it may run up to
-// Cap requests and runs Use. Use is above Cap while a reduced lease drains.
+// A SlotUsage is a router's use of the slots of one target: it may run up to Limit requests at
+// a time, and runs InUse. InUse exceeds Limit while the router drains after a reduced grant.
 type SlotUsage struct {
 	Target string `json:"target"`
 	Limit  int    `json:"cap"`
 	InUse  int    `json:"use"`
 }
 
-// A Level is the virtual service of an account: settled cost over share,
-// lifted to the floor when the account returned from idle.
+// A VirtualTime is the virtual time of an account in weighted fair queueing: settled cost
+// divided by share, raised to the floor when the account becomes active after being idle.
 type VirtualTime struct {
 	Account string  `json:"account"`
 	Value   float64 `json:"value"`
-	// Others is the charge of requests that run through other routers, over
+	// RemoteCharge is the estimated cost of requests that run through other routers, divided by
 	// the share.
 	RemoteCharge float64 `json:"others,omitempty"`
-	// Spread is how many times its own work the account has in the whole
-	// fleet. What the router serves, others are likely serving too.
+	// FleetRatio is the account's work in the whole fleet divided by its work in this router.
+	// While this router serves the account, the others probably serve it as well.
 	FleetRatio float64 `json:"spread,omitempty"`
 }
 
-// A Grant renews a router's lease and says what holds under it.
+// A Grant renews a router's lease and has the state that the router uses under it.
 type Grant struct {
 	Term        uint64 `json:"term"`
 	Seq         uint64 `json:"seq"`
 	Incarnation uint64 `json:"inc"`
-	// Echo is the Seq of the newest report that the levels include.
+	// EchoSeq is the Seq of the newest report that the virtual times include.
 	EchoSeq   uint64    `json:"echo"`
 	ExpiresAt time.Time `json:"until"` // router's clock
-	// Number is the configuration in force. Config holds it when the router
-	// reported another one.
+	// Number is the number of the configuration in force. Config is that configuration, if the
+	// router reported another number.
 	Number uint64          `json:"number"`
 	Config json.RawMessage `json:"config,omitempty"`
-	// Slots are all the router's slots; a target left out has none.
+	// Slots are all slots of the router. An omitted target has none.
 	Slots            []SlotGrant   `json:"slots,omitempty"`
 	VirtualTimes     []VirtualTime `json:"levels,omitempty"`
 	VirtualTimeFloor float64       `json:"floor"`
-	// Short says that some router lacks slots: one that comes free and is not
-	// needed here should be reported at once.
+	// SlotsShort says that some router lacks slots. A slot that becomes free and is not needed
+	// here should be reported at once.
 	SlotsShort bool `json:"short,omitempty"`
-	// Gone are targets that the platform's list of VMs shows as leaving.
+	// LeavingTargets are targets on VMs that the platform's list shows as leaving.
 	LeavingTargets []string `json:"gone,omitempty"`
-	// Rulings are which requests are held back.
+	// Restrictions are the changes to the set of requests that are suspected or quarantined.
 	Restrictions *quarantine.RestrictionUpdate `json:"rulings,omitempty"`
 }
 
-// A Slot lets a router run up to Count requests at a time on Target.
+// A SlotGrant lets a router run up to Count requests at a time on Target.
 type SlotGrant struct {
 	Target string `json:"target"`
 	Count  int    `json:"count"`
 }
 
-// A Fate is what the fleet knows of a non-repeatable request.
+// A RunState says whether a claimed, at-most-once request has run.
 type RunState string
 
-// The fates. FateRunning becomes FateUnknown for askers once the claiming
-// router's lease has lapsed.
+// The run states. RunStateRunning is reported as RunStateUnknown once the lease of the claiming
+// router has expired.
 const (
 	RunStateRunning RunState = "running"
 	RunStateRan     RunState = "ran"
@@ -163,30 +163,30 @@
 	RunStateUnknown RunState = "unknown"
 )
 
-// A Claim asks for the right to run the request named by Key once. The same
-// Owner and Attempt may be sent again: the answer is the same.
+// A Claim asks for the exclusive right to run, once, the request with the idempotency key Key.
+// It is idempotent: the same Owner and Attempt get the same result again.
 type Claim struct {
 	Key     string `json:"key"`
-	Owner   string `json:"owner"` // router name and incarnation
+	Owner   string `json:"owner"` // see ClaimOwner
 	Attempt uint64 `json:"attempt"`
 }
 
-// Owner returns the name under which an incarnation of a router claims.
-func ClaimOwner(router string, inc uint64) string {
-	return router + "/" + strconv.FormatUint(inc, 36)
+// ClaimOwner returns the owner of the claims of one incarnation of a router.
+func ClaimOwner(router string, incarnation uint64) string {
+	return router + "/" + strconv.FormatUint(incarnation, 36)
 }
 
-// A Verdict answers a Claim.
+// A ClaimResult is the result of one Claim.
 type ClaimResult struct {
 	Granted bool     `json:"granted"`
 	State   RunState `json:"fate,omitempty"`
-	// Owner is the hash of the claim's owner. It stays within the keeper.
+	// Owner is the hash of the claim's owner. It is not sent.
 	Owner uint64 `json:"-"`
-	// Full says that no room is left for claims, so nothing was recorded.
+	// ClaimsFull says that the table of claims is full, so that the claim was not recorded.
 	ClaimsFull bool `json:"full,omitempty"`
 }
 
-// A Settlement records the fate of a claimed request.
+// A Settlement records whether a claimed request ran.
 type Settlement struct {
 	Key     string   `json:"key"`
 	Owner   string   `json:"owner"`
@@ -194,49 +194,50 @@
 	State   RunState `json:"fate"`
 }
 
-// Claims is the parameter of MethodClaim.
+// A ClaimRequest is the parameter of MethodClaim.
 type ClaimRequest struct {
 	Claims []Claim `json:"claims"`
 }
 
-// Verdicts is the result of MethodClaim, in the order of the claims.
+// A ClaimResponse is the result of MethodClaim, in the order of the claims.
 type ClaimResponse struct {
 	Results []ClaimResult `json:"verdicts"`
 }
 
-// Settlements is the parameter of MethodSettle.
+// A SettleRequest is the parameter of MethodSettle.
 type SettleRequest struct {
 	Settlements []Settlement `json:"settlements"`
 }
 
-// An Apply asks to put a configuration in force.
+// An ApplyRequest puts a configuration in force. With Wait, the call returns after the routers
+// use it.
 type ApplyRequest struct {
 	Config   json.RawMessage `json:"config"`
 	Operator string          `json:"operator"`
 	Wait     bool            `json:"wait"`
 }
 
-// An Applied answers an Apply.
+// An ApplyResult is the result of MethodApply.
 type ApplyResult struct {
 	Number uint64 `json:"number"`
 	Digest string `json:"digest"`
-	// Conflict says that another configuration has this or a later number;
-	// Number then is the one in force.
+	// Conflict says that another configuration has the same or a higher number. Number is then
+	// the one in force.
 	Conflict bool `json:"conflict,omitempty"`
-	// Replaced is the number in force where that is a later one: the
-	// configuration was accepted before, and sending it again changed nothing.
+	// NewerNumber is the number in force if it is higher: the configuration was accepted before,
+	// and sending it again changed nothing.
 	NewerNumber uint64 `json:"replaced,omitempty"`
-	// Routers is how many routers with a lease have it in force.
+	// Routers is how many routers with a lease use the configuration.
 	Routers int `json:"routers"`
 }
 
-// A Show is the result of MethodShow.
+// A ShowResult is the result of MethodShow: the configuration in force and earlier ones.
 type ShowResult struct {
 	Config  json.RawMessage `json:"config"`
 	History []ConfigChange  `json:"history,omitempty"`
 }
 
-// A Change is one accepted configuration in the history.
+// A ConfigChange is one accepted configuration in the history.
 type ConfigChange struct {
 	Number   uint64    `json:"number"`
 	Digest   string    `json:"digest"`
@@ -252,20 +253,23 @@
 	Digest      string `json:"digest"`
 	CommitIndex uint64 `json:"commit"`
 	Claims      int    `json:"claims"`
-	// Held is how many requests are suspected, or held back, because targets end under them.
+	// Quarantined is how many requests are suspected or quarantined because targets terminated
+	// while they ran.
 	Quarantined int `json:"held,omitempty"`
 	// Evacuated are the availability zones whose targets get no new work.
 	Evacuated []fleet.Zone `json:"evacuated,omitempty"`
-	// Changing says that a change of the keepers is not yet committed.
-	Changing   bool           `json:"changing,omitempty"`
-	Keepers    []KeeperStatus `json:"keepers"`
-	Routers    []RouterStatus `json:"routers"`
-	ServiceGap float64        `json:"gap"`
-	SlotsBusy  int            `json:"busy"`
-	Slots      int            `json:"slots"`
+	// Changing says that a membership change of the keepers is not yet committed.
+	Changing bool           `json:"changing,omitempty"`
+	Keepers  []KeeperStatus `json:"keepers"`
+	Routers  []RouterStatus `json:"routers"`
+	// ServiceGap is the largest difference of virtual time between accounts with waiting
+	// requests.
+	ServiceGap float64 `json:"gap"`
+	SlotsBusy  int     `json:"busy"`
+	Slots      int     `json:"slots"`
 }
 
-// A KeeperStatus is one keeper as its leader sees it.
+// A KeeperStatus is the state of one keeper as the leader sees it.
 type KeeperStatus struct {
 	Name       string `json:"name"`
 	ID         string `json:"id"`
@@ -274,25 +278,26 @@
 	MatchIndex uint64 `json:"match"`
 }
 
-// A RouterStatus is one router as the leader sees it.
+// A RouterStatus is the state of one router as the leader sees it.
 type RouterStatus struct {
 	Name      string     `json:"name"`
 	Zone      fleet.Zone `json:"zone"`
 	Number    uint64     `json:"number"`
-	ConfigLag uint64     `json:"lag"` // configurations behind
+	ConfigLag uint64     `json:"lag"` // number in force minus Number
 	Waiting   int        `json:"waiting"`
 	Running   int        `json:"running"`
 	HasLease  bool       `json:"lease"`
 }
 
-// A Held is the result of MethodHeld: the requests under which targets have ended.
+// A QuarantineResult is the result of MethodListQuarantine: the requests during which targets
+// terminated.
 type QuarantineResult struct {
 	Entries []quarantine.Entry `json:"entries"`
-	// Now is the leader's time, by which the entries' times count.
+	// Now is the time of the leader's clock, to which the times of the entries refer.
 	Now time.Time `json:"now"`
 }
 
-// A Lift asks to free a request.
+// A LiftRequest ends the quarantine of one request.
 type LiftRequest struct {
 	Fingerprint quarantine.Fingerprint `json:"print"`
 	Operator    string                 `json:"operator"`
--- a/internal/message/packedrenew.go
+++ b/internal/message/packedrenew.go
@@ -7,37 +7,39 @@
 	"laburnumfall/internal/packed"
 )
 
-// renewSample is what most renewals consist of. It is part of the protocol: another one needs
-// another method.
-var renewSample = packed.Sample{Text: []byte(`"quarantine":{"held":,"ends":["clears":["returns":["asks":["evacuations":,"members":` +
+// renewDictionary is the compression dictionary for renewals: the text that most of them have
+// in common. It is part of the protocol, so that another dictionary needs another method.
+var renewDictionary = packed.Sample{Text: []byte(`"quarantine":{"held":,"ends":["clears":["returns":["asks":["evacuations":,"members":` +
 	`"backlog":[{"target":"i-","born":17,"tokens":0,"running":1},{"target":"i-","born":17,"running":1}],"quarantine":{}` +
 	`"demand":[{"account":"","rate":0,"served":0},{"account":"","rate":` +
 	`{"router":"","zone":"","inc":17,"number":1,"term":1,"list":1,"columns":true,"seat":{"number":1,"of":1,"ready":true},"demand":[{"account":"`)}
 
-// A PackedRenew is a Renew for keepers that have said that they take this form.
+// A PackedRenewRequest is a compressed RenewRequest. It is sent only to keepers that have
+// announced that they accept it.
 type PackedRenewRequest struct {
 	PackedText []byte `json:"text"`
 }
 
-// Pack returns the packed form.
+// Pack returns the request in compressed form.
 func (r RenewRequest) Pack() (PackedRenewRequest, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
-		return PackedRenewRequest{}, fmt.Errorf("pack a renewal: %w", err)
+		return PackedRenewRequest{}, fmt.Errorf("encode a renewal as JSON: %w", err)
 	}
-	data, err := renewSample.Pack(text)
-	return PackedRenewRequest{PackedText: data}, err
+	packedText, err := renewDictionary.Pack(text)
+	return PackedRenewRequest{PackedText: packedText}, err
 }
 
-// Unpack returns what was packed.
+// Unpack returns the request that was packed. It fails if the text was packed with another
+// dictionary or is not a valid request.
 func (p PackedRenewRequest) Unpack() (RenewRequest, error) {
-	var r RenewRequest
-	text, err := renewSample.Unpack(p.PackedText)
+	var request RenewRequest
+	text, err := renewDictionary.Unpack(p.PackedText)
 	if err != nil {
-		return r, err
+		return request, err
 	}
-	if err := json.Unmarshal(text, &r); err != nil {
-		return r, fmt.Errorf("unpack a renewal (it was packed by another version): %w", err)
+	if err := json.Unmarshal(text, &request); err != nil {
+		return request, fmt.Errorf("decode a packed renewal (the router may run an incompatible version): %w", err)
 	}
-	return r, nil
+	return request, nil
 }
--- a/internal/message/packedrenew_test.go
+++ b/internal/message/packedrenew_test.go
@@ -12,7 +12,7 @@
 	"laburnumfall/internal/warmup"
 )
 
-var usualRenew = RenewRequest{
+var typicalRenew = RenewRequest{
 	Router: "edge-saskatoon-hall-24", Zone: "saskatoon-hall", Incarnation: 1768162640001967916, Number: 2, Term: 1, ListRevision: 7, AcceptsColumns: true,
 	WarmupLease: warmup.Seat{Number: 68, Of: 86, Ready: true},
 	Demand:      []Demand{{Account: "dele205", Rate: 22, Served: 22}, {Account: "lobo7613", Rate: 20035, Served: 19000}, {Account: "noka630", Rate: 91, Served: 91}},
@@ -20,40 +20,40 @@
 	Quarantine:  &quarantine.Report{},
 }
 
-func TestARenewalIsPackedAndBack(t *testing.T) {
+func TestPackUnpackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := RenewRequest{Router: rapid.String().Draw(t, "router"), Incarnation: rapid.Uint64().Draw(t, "inc"), KeepersDigest: rapid.Uint32().Draw(t, "members")}
+		request := RenewRequest{Router: rapid.String().Draw(t, "router"), Incarnation: rapid.Uint64().Draw(t, "inc"), KeepersDigest: rapid.Uint32().Draw(t, "members")}
 		for _, name := range rapid.SliceOfN(rapid.StringMatching("[a-z0-9]{0,9}"), 0, 40).Draw(t, "accounts") {
-			r.Demand = append(r.Demand, Demand{Account: name, Rate: rapid.Float64Range(0, 1e7).Draw(t, "rate")})
+			request.Demand = append(request.Demand, Demand{Account: name, Rate: rapid.Float64Range(0, 1e7).Draw(t, "rate")})
 		}
-		p, err := r.Pack()
+		packed, err := request.Pack()
 		require.NoError(t, err)
-		again, err := p.Unpack()
+		unpacked, err := packed.Unpack()
 		require.NoError(t, err)
-		require.Equal(t, r, again)
+		require.Equal(t, request, unpacked)
 	})
 }
 
-func TestAPackedRenewalIsShort(t *testing.T) {
-	text, err := json.Marshal(usualRenew)
+func TestPackedRenewSize(t *testing.T) {
+	text, err := json.Marshal(typicalRenew)
 	require.NoError(t, err)
-	p, err := usualRenew.Pack()
+	packed, err := typicalRenew.Pack()
 	require.NoError(t, err)
-	packed, err := json.Marshal(p)
+	encoded, err := json.Marshal(packed)
 	require.NoError(t, err)
-	require.Less(t, len(packed), len(text)*6/10)
+	require.Less(t, len(encoded), len(text)*6/10)
 }
 
-// Guards against keepers that cannot read what routers of the version before have packed.
-func TestThePackedFormOfRenewalsStays(t *testing.T) {
-	text, err := base64.StdEncoding.DecodeString(packedBefore)
+// Guards against keepers that cannot read renewals packed by routers of an earlier version.
+func TestUnpackOfPreviousVersion(t *testing.T) {
+	text, err := base64.StdEncoding.DecodeString(packedByFirstVersion)
 	require.NoError(t, err)
-	r, err := PackedRenewRequest{PackedText: text}.Unpack()
+	request, err := PackedRenewRequest{PackedText: text}.Unpack()
 	require.NoError(t, err)
-	require.Equal(t, usualRenew, r)
+	require.Equal(t, typicalRenew, request)
 }
 
-// packedBefore is usualRenew as the first version packed it.
-const packedBefore = "jJLRDoIwDEW/iKQt0NHPqVvVhIU94Kv/btRkHRLU591uZ7enIbF0sW7VddZbKUt31Zw7Gpxve+S0PCETDwCAwkGQHZ92+OEnPk9v" +
+// packedByFirstVersion is typicalRenew as the first version of the packed form encoded it.
+const packedByFirstVersion = "jJLRDoIwDEW/iKQt0NHPqVvVhIU94Kv/btRkHRLU591uZ7enIbF0sW7VddZbKUt31Zw7Gpxve+S0PCETDwCAwkGQHZ92+OEnPk9v" +
 	"/on/+kCybARjrZbI6yfa9p/LqQTG3sMA/eh5FICPlS1lVu6hTgh6XF5uHOgnRimmOLI2XjVVuZPPR79oGUIEozPq4UV1lPau3h8B" +
 	"AAD//w=="
--- a/internal/message/renew.go
+++ b/internal/message/renew.go
@@ -8,158 +8,164 @@
 	"laburnumfall/internal/warmup"
 )
 
-// A Renew is what a router that serves routes asks the keepers, a few times a
-// second: what it holds, so that the answer need only bring what is newer.
+// A RenewRequest renews a router's lease. A router that serves routes sends it to the keepers a
+// few times per second. It says which state the router has, so that the response needs to have
+// only newer state.
 type RenewRequest struct {
 	Router      string     `json:"router"`
 	Zone        fleet.Zone `json:"zone"`
 	Incarnation uint64     `json:"inc"`
-	// Number is the configuration that the router has in force.
+	// Number is the number of the configuration that the router uses.
 	Number uint64 `json:"number"`
-	// Term and List name the list of targets that the router holds.
+	// Term and ListRevision identify the list of targets that the router has.
 	Term         uint64 `json:"term,omitempty"`
 	ListRevision uint64 `json:"list,omitempty"`
-	// Columns says that the router takes columns and a packed list of targets.
-	// Routers and keepers of two versions run together while either are replaced.
+	// AcceptsColumns says that the router accepts columnar loads and a packed list of targets.
+	// Routers and keepers of two versions run together during a rollout.
 	AcceptsColumns bool `json:"columns,omitempty"`
-	// Names names the accounts of Loads that the router holds, by Digest; 0 is none.
+	// AccountsDigest is the Digest of the account list of Loads that the router has; 0 if it has
+	// none.
 	AccountsDigest uint32 `json:"names,omitempty"`
-	// Members names the list of keepers that the router holds, by Digest; 0 is none.
+	// KeepersDigest is the Digest of the list of keepers that the router has; 0 if it has none.
 	KeepersDigest uint32 `json:"members,omitempty"`
-	// Evacuations is the revision of the evacuated zones that the router holds.
+	// EvacuationRevision is the revision of the evacuated zones that the router has.
 	EvacuationRevision uint64 `json:"evacuations,omitempty"`
-	// Seat is the router's lease on a part of what cold targets may get, if it has not lapsed.
+	// WarmupLease is the router's lease on a part of the load that cold targets may get, if it
+	// has not expired.
 	WarmupLease warmup.Seat `json:"seat,omitzero"`
-	// Demand is what the accounts ask for through this router.
+	// Demand is the load that accounts offer through this router.
 	Demand []Demand `json:"demand,omitempty"`
-	// Backlog is what this router has sent to targets.
+	// Backlog is the unfinished work that this router has sent to targets.
 	Backlog []Backlog `json:"backlog,omitempty"`
-	// Quarantine is which requests targets have ended under; nil from a router of the
-	// version before.
+	// Quarantine reports the requests during which targets terminated. It is nil from a router
+	// of the previous version.
 	Quarantine *quarantine.Report `json:"quarantine,omitempty"`
 }
 
-// A Demand is the tokens a second that an account asks for, and what of these is
-// sent to targets.
+// A Demand is the load of one account in tokens per second. Rate is the load that it offers and
+// Served is the part that is sent to targets.
 type Demand struct {
 	Account string  `json:"account"`
 	Rate    float64 `json:"rate"`
 	Served  float64 `json:"served,omitempty"`
 }
 
-// A Backlog is what a target has been sent: the prompt tokens that it has not
-// read, and the requests whose answers are not whole.
+// A Backlog is the unfinished work of a target: Tokens is the number of prompt tokens whose
+// prefill is not done, and Running is the number of requests without a complete response.
 type Backlog struct {
 	Target string `json:"target"`
-	// Born is the start of the target; 0 if the writer knows none, as one of the
-	// version before.
+	// StartMillis is the start time of the target, see [fleet.Incarnation]; 0 if it is unknown,
+	// as it is to a sender of the previous version.
 	StartMillis int64 `json:"born,omitempty"`
 	Tokens      int   `json:"tokens,omitempty"`
 	Running     int   `json:"running,omitempty"`
 }
 
-// BacklogOf returns the backlog of a target.
+// NewBacklog returns the backlog of a target.
 func NewBacklog(target fleet.Incarnation, tokens, running int) Backlog {
 	return Backlog{Target: target.ID, StartMillis: target.StartMillis, Tokens: tokens, Running: running}
 }
 
-// Of returns whose backlog it is.
+// Incarnation returns the target of the backlog.
 func (b Backlog) Incarnation() fleet.Incarnation {
 	return fleet.Incarnation{ID: b.Target, StartMillis: b.StartMillis}
 }
 
-// Plus returns the sum of two backlogs of one target.
+// Add returns the sum of two backlogs of the same target.
 func (b Backlog) Add(other Backlog) Backlog {
 	b.Tokens += other.Tokens
 	b.Running += other.Running
 	return b
 }
 
-// A Renewal answers a Renew. Only that of a keeper that leads renews anything.
+// A RenewResponse is the response to a RenewRequest. It renews the lease only if it comes from
+// the leader.
 type RenewResponse struct {
-	// Leads says that the answering keeper leads and that a quorum's promises
-	// to it held when it answered.
+	// Leads says that the responding keeper is the leader and had valid leases from a quorum
+	// when it responded.
 	Leads bool `json:"leads,omitempty"`
 	// Leader is the address of the leader, if another keeper leads.
 	Leader string `json:"leader,omitempty"`
 	Term   uint64 `json:"term"`
 	Number uint64 `json:"number"`
-	// Text is the configuration, packed, if the router does not hold it yet.
+	// PackedConfig is the packed configuration, if the router does not have it yet.
 	PackedConfig []byte `json:"text,omitempty"`
-	// List counts the changes of the list of targets within the term. Targets
-	// holds the list if the router does not hold it yet.
+	// ListRevision counts the changes of the list of targets within the term. Targets is the
+	// list, if the router does not have it yet.
 	ListRevision uint64           `json:"list,omitempty"`
 	Targets      []fleet.Instance `json:"targets,omitempty"`
-	// Roll is the same, packed, for routers that take columns.
+	// PackedTargets is the packed form of Targets, for routers that accept columns.
 	PackedTargets []byte `json:"roll,omitempty"`
-	// Damaged are the IDs that damaged entries of the list name. They come with Targets
-	// or Roll.
+	// Damaged are the target IDs in damaged entries of the list. They are sent with Targets or
+	// PackedTargets.
 	Damaged []string `json:"damaged,omitempty"`
-	// Warming are the targets that the list shows as cold. They come with Targets or Roll.
+	// Warming are the targets that the list shows as cold. They are sent with Targets or
+	// PackedTargets.
 	Warming []WarmingTarget `json:"warming,omitempty"`
-	// Evacuations are the evacuated zones, if the router does not hold them yet.
+	// EvacuatedZones are the evacuated zones, if the router does not have them yet.
 	EvacuatedZones *fleet.EvacuatedZones `json:"evacuations,omitempty"`
-	// Seat is leased to the router from when it asked.
+	// WarmupLease is leased to the router from the time at which it sent its request.
 	WarmupLease warmup.Seat `json:"seat,omitzero"`
-	// Age is how long before this answer the list was read.
+	// ListAge is the time between the reading of the list and this response.
 	ListAge time.Duration `json:"age,omitempty"`
-	// Routers is how many routers have renewed lately.
+	// Routers is how many routers have renewed recently.
 	Routers int `json:"routers"`
-	// Loads is what all routers report, packed Loads; Demand and Backlog are the
-	// same for routers that do not take columns.
+	// PackedLoads are the packed Loads of all routers. Demand and Backlog are the same data for
+	// routers that do not accept columns.
 	PackedLoads []byte    `json:"loads,omitempty"`
 	Demand      []Demand  `json:"demand,omitempty"`
 	Backlog     []Backlog `json:"backlog,omitempty"`
-	// Keepers are the addresses of all members, if the router does not hold them yet.
+	// Keepers are the addresses of all keepers, if the router does not have them yet.
 	Keepers []string `json:"keepers,omitempty"`
-	// Packs says that the next question over this link may be packed.
+	// AcceptsPacked says that the next request on this connection may be packed.
 	AcceptsPacked bool `json:"packs,omitempty"`
-	// Rulings are which requests are held back; nil from a keeper of the version before.
+	// Restrictions are the changes to the set of requests that are suspected or quarantined. It
+	// is nil from a keeper of the previous version.
 	Restrictions *quarantine.RestrictionUpdate `json:"rulings,omitempty"`
 }
 
-// A Warming is a target that is cold for a time after its answer.
+// A WarmingTarget is a target that stays cold for the time Left after the response was sent.
 type WarmingTarget struct {
 	Target      string        `json:"target"`
 	StartMillis int64         `json:"born,omitempty"`
 	Left        time.Duration `json:"left"`
 }
 
-// Of returns which target it is.
+// Incarnation returns the target.
 func (w WarmingTarget) Incarnation() fleet.Incarnation {
 	return fleet.Incarnation{ID: w.Target, StartMillis: w.StartMillis}
 }
 
-// Loads are the sums of what all routers report, by column: every router gets them
-// a few times a second.
+// Loads are the sums of the loads that all routers report, in columns to keep them short: every
+// router gets them a few times per second.
 type Loads struct {
-	// Accounts have the demands of the same places. They are left out where the router holds
-	// them. Names is their Digest, 0 from a keeper of the version before.
+	// Accounts are the accounts to which Rates and Served belong, in the same order. They are
+	// omitted if the router has them. AccountsDigest is their Digest; it is 0 from a keeper of
+	// the previous version.
 	Accounts       []string `json:"accounts,omitempty"`
 	AccountsDigest uint32   `json:"names,omitempty"`
 	Rates          []int    `json:"rates"`
 	Served         []int    `json:"served"`
-	// Tokens and Running are the backlogs of the targets, in the order of the list
-	// that the answer names.
+	// Tokens and Running are the backlogs of the targets, in the order of the list that the
+	// response identifies by Term and ListRevision.
 	Tokens  []int `json:"tokens"`
 	Running []int `json:"running"`
 }
 
-// A Put asks to put a configuration of routes in force. Text is packed.
+// A PutRequest puts a configuration of routes in force.
 type PutRequest struct {
 	Number       uint64 `json:"number"`
 	PackedConfig []byte `json:"text"`
 }
 
-// A Document is the result of MethodRead: the newest configuration of routes,
-// packed.
+// A RoutesDocument is the result of MethodReadRoutes: the newest configuration of routes.
 type RoutesDocument struct {
 	Number       uint64 `json:"number"`
 	PackedConfig []byte `json:"text"`
 }
 
-// A Known is the result of MethodKnown: the members' addresses as a keeper
-// knows them, and the leader's if it has one.
+// A MembersResult is the result of MethodMembers: the addresses of all keepers that the
+// responding keeper has, and that of the leader if there is one.
 type MembersResult struct {
 	Keepers []string `json:"keepers"`
 	Leader  string   `json:"leader,omitempty"`
