--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -9,47 +9,48 @@
 	"laburnumfall/internal/quarantine"
 )
 
-// What a leader does at each renewal of a router, with a full book, where nothing is new; and
-// what it does for a router that tells of forty ends, as when all targets of a large fleet end.
+// Measures the leader's work for one report with a full store: if nothing is new, and if a router
+// reports 40 terminations, as when all targets of a large fleet terminate.
 func BenchmarkRenewal(b *testing.B) {
 	now := time.Unix(1e9, 0)
-	var book quarantine.EntryStore
+	var store quarantine.EntryStore
 	for i := range 1024 {
-		book.Put([]quarantine.Entry{{Fingerprint: quarantine.Fingerprint(fmt.Sprint("held", i)), Account: "a", TerminatedTargets: []quarantine.TerminatedTarget{
+		store.Put([]quarantine.Entry{{Fingerprint: quarantine.Fingerprint(fmt.Sprint("held", i)), Account: "a", TerminatedTargets: []quarantine.TerminatedTarget{
 			{Target: fleet.Incarnation{ID: "x"}, At: now}, {Target: fleet.Incarnation{ID: "y"}, At: now},
 		}}})
 	}
-	r := quarantine.Coordinator{}
-	r.Load(now, book.Entries())
+	coordinator := quarantine.Coordinator{}
+	coordinator.Load(now, store.Entries())
 	b.Run("nothing new", func(b *testing.B) {
-		m := quarantine.Report{KnownRevision: book.Revision()}
+		report := quarantine.Report{KnownRevision: store.Revision()}
 		for b.Loop() {
-			r.HandleReport(now, "r1", m)
-			r.UpdateFor(now, m, &book)
+			coordinator.HandleReport(now, "r1", report)
+			coordinator.UpdateFor(now, report, &store)
 		}
 	})
-	b.Run("40 ends", func(b *testing.B) {
-		n := 0
+	b.Run("40 terminations", func(b *testing.B) {
+		round := 0
 		for b.Loop() {
-			m := quarantine.Report{KnownRevision: book.Revision()}
+			report := quarantine.Report{KnownRevision: store.Revision()}
 			for i := range 40 {
-				m.Terminations = append(m.Terminations, quarantine.Termination{Fingerprint: quarantine.Fingerprint(fmt.Sprint(n, "-", i)), Account: "a", Target: fleet.Incarnation{ID: fmt.Sprint(n)}})
+				report.Terminations = append(report.Terminations, quarantine.Termination{Fingerprint: quarantine.Fingerprint(fmt.Sprint(round, "-", i)), Account: "a", Target: fleet.Incarnation{ID: fmt.Sprint(round)}})
 			}
-			n++
-			r.HandleReport(now, "r1", m)
-			r.UpdateFor(now, m, &book)
+			round++
+			coordinator.HandleReport(now, "r1", report)
+			coordinator.UpdateFor(now, report, &store)
 		}
 	})
 }
 
-// What a router asks before each attempt while it remembers as many ends as it may.
+// Measures the check before each attempt in a router with nearly the most observations that it
+// keeps.
 func BenchmarkCheck(b *testing.B) {
 	now := time.Unix(1e9, 0)
-	g := quarantine.Guard{Owner: "r1"}
+	guard := quarantine.Guard{Owner: "r1"}
 	for i := range 4000 {
-		g.RecordInterruption(now, quarantine.Execution{Fingerprint: quarantine.Fingerprint(fmt.Sprint(i)), Target: fleet.Incarnation{ID: "a"}})
+		guard.RecordInterruption(now, quarantine.Execution{Fingerprint: quarantine.Fingerprint(fmt.Sprint(i)), Target: fleet.Incarnation{ID: "a"}})
 	}
 	for b.Loop() {
-		g.Check(now, "another")
+		guard.Check(now, "another")
 	}
 }
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,6 +1,11 @@
-// Package quarantine holds requests back that end the targets that run them.
+// Package quarantine holds back poison requests: requests that terminate the targets that run
+// them.
 //
-// No single request of that kind looks wrong: each is sent as often as its route allows. What
-// repeats is its likeness, over requests, routers and time, and each run takes a target away
-// from everybody.
+// Each such request by itself looks normal, since it is sent only as often as its route allows.
+// It is recognized by its fingerprint, which repeats across requests, routers and time. Each run
+// takes a target away from all callers.
+//
+// A [Guard] in each router records during which requests targets terminate. The [Coordinator] in
+// the leading keeper combines the reports of all routers. The [EntryStore] is the durable state,
+// which keepers replicate.
 package quarantine
--- /dev/null
+++ b/internal/quarantine/fingerprint.go
@@ -0,0 +1,45 @@
+package quarantine
+
+import (
+	"crypto/sha256"
+	"encoding/base64"
+	"encoding/binary"
+	"hash"
+	"io"
+)
+
+// A Fingerprint identifies requests with the same account, method, destination and body. It is
+// the text that logs and messages show.
+type Fingerprint string
+
+// fingerprintBytes is the size of a fingerprint before its encoding as text. It is large enough
+// that collisions cannot be constructed: with a collision, a caller could get requests of
+// another account quarantined.
+const fingerprintBytes = 16
+
+// A FingerprintInput has the parts of a request that its fingerprint depends on.
+type FingerprintInput struct {
+	// Account is the client account, or "" if the route requires none.
+	Account string
+	Method  string
+	// Destination is the host and path, or the event and path, as the caller wrote it, including
+	// the query.
+	Destination string
+	Body        []byte
+}
+
+// Fingerprint returns the fingerprint of the request.
+func (i FingerprintInput) Fingerprint() Fingerprint {
+	h := sha256.New()
+	// Length prefixes ensure that moving text from one field to the next changes the hash.
+	for _, text := range []string{i.Account, i.Method, i.Destination} {
+		writeLengthPrefixed(h, text)
+	}
+	_, _ = h.Write(i.Body) // writing to a hash never fails
+	return Fingerprint(base64.RawURLEncoding.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
+}
+
+func writeLengthPrefixed(h hash.Hash, text string) {
+	_, _ = h.Write(binary.LittleEndian.AppendUint32(nil, uint32(len(text))))
+	_, _ = io.WriteString(h, text) // writing to a hash never fails
+}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -9,234 +9,246 @@
 )
 
 const (
-	// beginWithin is how soon a run must begin under a permit.
-	beginWithin = 2 * time.Second
-	// leastBack and mostBack bound when a caller may come back that finds another copy of its
-	// request running: that one may take some seconds, and mostly is over sooner.
-	leastBack = time.Second
-	mostBack  = 5 * time.Second
-	// absentFor is how long a request whose targets are all gone is refused without asking the
-	// leader again: its list of targets is read anew meanwhile.
-	absentFor = 500 * time.Millisecond
-	// mostTold bounds the ends and whole answers of one report.
-	mostTold = 256
+	// permitStartTimeout is how soon after a permit is received the run must start.
+	permitStartTimeout = 2 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay of a caller while another copy of its
+	// request runs. That run may take several seconds, but usually ends sooner.
+	minRetryAfter = time.Second
+	maxRetryAfter = 5 * time.Second
+	// poolDownTTL is how long a request is refused without asking the leader again after all
+	// targets of its pool have terminated. The leader rereads its list of targets within that
+	// time.
+	poolDownTTL = 500 * time.Millisecond
+	// maxReported bounds the terminations and completions in one report.
+	maxReported = 256
 )
 
-// A Decision is what may be done with a request.
+// An Action is how a router treats a request.
 type Action uint8
 
-// The decisions.
+// The actions.
 const (
-	// Run means that it may be sent to a target.
+	// Allow means that the request may be sent to a target.
 	Allow Action = iota
-	// Wait means that a permit is needed, and may be granted within a report and its answer.
+	// AwaitPermit means that the request needs a permit, which may arrive with the response to
+	// the next report.
 	AwaitPermit
-	// Hold means that it is held back.
+	// Reject means that the request is refused for now.
 	Reject
 )
 
-// A Verdict is a decision on a request.
+// A Decision is an action for a request, with its details.
 type Decision struct {
 	Action Action
-	// Ends is under how many ends it stands.
+	// TerminationCount is the number of terminations that count against the request.
 	TerminationCount int
-	// Grant names the permit under which it may run, 0 if it needs none, and Target where,
-	// "" if anywhere.
+	// PermitID identifies the permit under which the request may run; 0 if it needs none.
+	// PermitTarget is the target at which it may run; "" if it may run anywhere.
 	PermitID     uint64
 	PermitTarget string
-	// Back is when its caller may come back, if it is held.
+	// RetryAfter is how long the caller should wait before a retry, if the request is rejected.
 	RetryAfter time.Duration
 }
 
-// A Sight is a request that a target was running.
+// An Execution is the run of a request at a target.
 type Execution struct {
 	Fingerprint                Fingerprint
 	Account, Destination, Pool string
 	Target                     fleet.Incarnation
-	// Began is when it was sent to the target, and Grant the permit under which.
+	// SentAt is when the request was sent to the target. PermitID identifies its permit; 0 if it
+	// had none.
 	SentAt   time.Time
 	PermitID uint64
 }
 
-// A Guard is a router's part: it notes which targets end under which requests, tells the
-// leader, and decides by what the leader tells of all routers. Set the exported fields before
-// its use. Times never go back.
+// A Guard runs in a router. It records during which requests targets terminate, reports this to
+// the leader, and decides by the leader's restrictions, which include the reports of all
+// routers. Set the exported fields before its use. Times must not decrease.
 //
-// A router goes on with what it knows while no keeper leads. What needs a permit has to wait
-// then: a limit that each router kept for itself would be that limit times the routers.
+// While there is no leader, a router continues with the restrictions that it has. A request that
+// needs a permit must then wait: if each router enforced a limit by itself, the limit of the
+// fleet would be a multiple of it.
 type Guard struct {
-	// Owner names this router and its incarnation.
+	// Owner identifies this router and its incarnation.
 	Owner string
-	// Named says that targets keep their IDs over their starts, and that nobody tells these.
+	// IDsReused says that targets keep their IDs over restarts and that their start times are
+	// unknown.
 	IDsReused bool
 
-	revision uint64
-	term     uint64
-	termAt   time.Time // when this router heard of the term first
-	rulings  map[Fingerprint]ruling
-	watched  map[Fingerprint]*watch
-	gone     map[fleet.Incarnation]time.Time // ended, as far as this router knows
-	asks     map[Fingerprint]int             // requests that wait for a permit
-	returns  []told[PermitReturn]
+	revision       uint64
+	term           uint64
+	termSeenAt     time.Time // when this router first received an update of the term
+	restrictions   map[Fingerprint]activeRestriction
+	observed       map[Fingerprint]*observation
+	terminated     map[fleet.Incarnation]time.Time // terminations that this router detected
+	permitRequests map[Fingerprint]int             // number of waiting requests
+	permitReturns  []reportable[PermitReturn]
 }
 
-// ruling is a Ruling with its times by this router's clock.
-type ruling struct {
+// activeRestriction is a Restriction with its times by this router's clock.
+type activeRestriction struct {
 	Restriction
-	next, until, begin time.Time
-	absent             time.Time // until when no target counts as there
-	used               bool      // a run has begun under the permit
-	returned           bool      // and it has been given back
+	nextRunAt, permitExpiresAt, startBy time.Time
+	poolDownUntil                       time.Time // until when the pool counts as down
+	permitUsed                          bool      // a run has started under the permit
+	permitReturned                      bool      // the permit has been returned
 }
 
-// Idle reports whether nothing is held of any request: there is nothing to check then.
+// Idle reports whether there are no restrictions and no observations, so that no request needs
+// to be checked.
 func (g *Guard) Idle() bool {
-	return len(g.rulings) == 0 && len(g.watched) == 0
+	return len(g.restrictions) == 0 && len(g.observed) == 0
 }
 
-// Held returns how many requests are held back.
+// QuarantinedCount returns the number of quarantined requests.
 func (g *Guard) QuarantinedCount() int {
-	n := 0
-	for _, r := range g.rulings {
-		if r.TerminationCount >= convictEnds {
-			n++
+	count := 0
+	for _, restriction := range g.restrictions {
+		if restriction.TerminationCount >= quarantineThreshold {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Check decides on a request that is to be sent to a target.
-func (g *Guard) Check(now time.Time, p Fingerprint) Decision {
-	r, ruled := g.rulings[p]
-	v := Decision{TerminationCount: max(r.TerminationCount, g.own(now, p))}
+// Check decides whether a request may be sent to a target now.
+func (g *Guard) Check(now time.Time, fp Fingerprint) Decision {
+	restriction, restricted := g.restrictions[fp]
+	decision := Decision{TerminationCount: max(restriction.TerminationCount, g.ownTerminationCount(now, fp))}
 	switch {
-	case v.TerminationCount < suspectEnds:
-		return v
-	case !ruled:
-		v.Action = AwaitPermit // the leader has yet to hear of it
-	case r.PermitHolder == g.Owner && !r.used && now.Before(r.begin):
-		v.PermitID, v.PermitTarget = r.PermitID, r.PermitTarget
-	case r.PermitHolder != "" && now.Before(r.until) && !r.returned:
-		v.Action, v.RetryAfter = Reject, min(max(r.until.Sub(now), leastBack), mostBack)
-	case r.PoolDown && now.Before(r.absent):
-		v.Action, v.RetryAfter = Reject, leastBack
-	case r.TerminationCount >= convictEnds && (r.NoTrialsLeft || now.Before(r.next)):
-		v.Action, v.RetryAfter = Reject, max(r.next.Sub(now), leastBack)
+	case decision.TerminationCount < suspectThreshold:
+		return decision
+	case !restricted:
+		decision.Action = AwaitPermit // the leader has not processed this router's report yet
+	case restriction.PermitHolder == g.Owner && !restriction.permitUsed && now.Before(restriction.startBy):
+		decision.PermitID, decision.PermitTarget = restriction.PermitID, restriction.PermitTarget
+	case restriction.PermitHolder != "" && now.Before(restriction.permitExpiresAt) && !restriction.permitReturned:
+		decision.Action, decision.RetryAfter = Reject, min(max(restriction.permitExpiresAt.Sub(now), minRetryAfter), maxRetryAfter)
+	case restriction.PoolDown && now.Before(restriction.poolDownUntil):
+		decision.Action, decision.RetryAfter = Reject, minRetryAfter
+	case restriction.TerminationCount >= quarantineThreshold && (restriction.NoTrialsLeft || now.Before(restriction.nextRunAt)):
+		decision.Action, decision.RetryAfter = Reject, max(restriction.nextRunAt.Sub(now), minRetryAfter)
 	default:
-		v.Action = AwaitPermit
+		decision.Action = AwaitPermit
 	}
-	return v
+	return decision
 }
 
-// Begin notes that a request is sent under a permit.
-func (g *Guard) MarkSent(v Decision, p Fingerprint) {
-	if r, ok := g.rulings[p]; ok && v.PermitID != 0 && r.PermitID == v.PermitID {
-		r.used = true
-		g.rulings[p] = r
+// MarkSent records that a request is sent under a permit, which cannot be used again.
+func (g *Guard) MarkSent(decision Decision, fp Fingerprint) {
+	if restriction, ok := g.restrictions[fp]; ok && decision.PermitID != 0 && restriction.PermitID == decision.PermitID {
+		restriction.permitUsed = true
+		g.restrictions[fp] = restriction
 	}
 }
 
-// Over notes that a run under a permit showed nothing, and gives that back.
-func (g *Guard) ReturnPermit(now time.Time, v Decision, p Fingerprint, unsent bool) {
-	g.giveBack(now, PermitReturn{Fingerprint: p, PermitID: v.PermitID, NotSent: unsent})
+// ReturnPermit returns the permit of a run that led to neither a termination nor a completion.
+// It does nothing if the decision has no permit.
+func (g *Guard) ReturnPermit(now time.Time, decision Decision, fp Fingerprint, notSent bool) {
+	g.queueReturn(now, PermitReturn{Fingerprint: fp, PermitID: decision.PermitID, NotSent: notSent})
 }
 
-// Unreached notes that the target of a permit could not be reached, and gives that back.
-func (g *Guard) ReturnUnreachable(now time.Time, v Decision, p Fingerprint) {
-	g.giveBack(now, PermitReturn{Fingerprint: p, PermitID: v.PermitID, NotSent: true, Unreachable: true})
+// ReturnUnreachable returns a permit whose target could not be reached.
+func (g *Guard) ReturnUnreachable(now time.Time, decision Decision, fp Fingerprint) {
+	g.queueReturn(now, PermitReturn{Fingerprint: fp, PermitID: decision.PermitID, NotSent: true, Unreachable: true})
 }
 
-func (g *Guard) giveBack(now time.Time, b PermitReturn) {
-	if b.PermitID == 0 {
+func (g *Guard) queueReturn(now time.Time, permitReturn PermitReturn) {
+	if permitReturn.PermitID == 0 {
 		return
 	}
-	if r, ok := g.rulings[b.Fingerprint]; ok && r.PermitID == b.PermitID {
-		r.used, r.returned = true, true
-		g.rulings[b.Fingerprint] = r
+	if restriction, ok := g.restrictions[permitReturn.Fingerprint]; ok && restriction.PermitID == permitReturn.PermitID {
+		restriction.permitUsed, restriction.permitReturned = true, true
+		g.restrictions[permitReturn.Fingerprint] = restriction
 	}
-	g.returns = append(g.returns, told[PermitReturn]{what: b, at: now})
+	g.permitReturns = append(g.permitReturns, reportable[PermitReturn]{value: permitReturn, at: now})
 }
 
-// Ask notes that a request waits here for a permit, until Unask.
-func (g *Guard) RequestPermit(p Fingerprint) {
-	if g.asks == nil {
-		g.asks = make(map[Fingerprint]int)
+// RequestPermit adds a request that waits for a permit, until CancelPermitRequest is called.
+func (g *Guard) RequestPermit(fp Fingerprint) {
+	if g.permitRequests == nil {
+		g.permitRequests = make(map[Fingerprint]int)
 	}
-	g.asks[p]++
+	g.permitRequests[fp]++
 }
 
-// Unask ends an Ask.
-func (g *Guard) CancelPermitRequest(p Fingerprint) {
-	if g.asks[p]--; g.asks[p] <= 0 {
-		delete(g.asks, p)
+// CancelPermitRequest undoes one call of RequestPermit.
+func (g *Guard) CancelPermitRequest(fp Fingerprint) {
+	if g.permitRequests[fp]--; g.permitRequests[fp] <= 0 {
+		delete(g.permitRequests, fp)
 	}
 }
 
-// Report returns what the leader is to be told, and forgets what is old.
+// Report returns the next report to the leader, and removes expired state.
 func (g *Guard) Report(now time.Time) Report {
-	g.returnUnused(now)
-	g.forget(now)
-	r := Report{KnownRevision: g.revision, PermitRequests: slices.Sorted(maps.Keys(g.asks))}
-	for p, w := range g.watched {
-		if len(r.Terminations)+len(r.Completions) >= mostTold {
-			break // the next tells the rest
+	g.returnUnusedPermits(now)
+	g.removeExpired(now)
+	report := Report{KnownRevision: g.revision, PermitRequests: slices.Sorted(maps.Keys(g.permitRequests))}
+	for fp, observed := range g.observed {
+		if len(report.Terminations)+len(report.Completions) >= maxReported {
+			break // the next report has the rest
 		}
-		g.tell(now, p, w, &r)
+		g.addToReport(now, fp, observed, &report)
 	}
-	for i, b := range g.returns {
-		if b.due(now, g.term) {
-			g.returns[i].sent = now
-			r.PermitReturns = append(r.PermitReturns, b.what)
+	for i, permitReturn := range g.permitReturns {
+		if permitReturn.due(now, g.term) {
+			g.permitReturns[i].sentAt = now
+			report.PermitReturns = append(report.PermitReturns, permitReturn.value)
 		}
 	}
-	return r
+	return report
 }
 
-// returnUnused gives back permits that came too late for whoever waited.
-func (g *Guard) returnUnused(now time.Time) {
-	for p, r := range g.rulings {
-		if r.PermitHolder == g.Owner && !r.used && !now.Before(r.begin) {
-			g.ReturnPermit(now, Decision{PermitID: r.PermitID}, p, true)
+// returnUnusedPermits returns permits under which no run started in time, since they arrived
+// after the request stopped waiting.
+func (g *Guard) returnUnusedPermits(now time.Time) {
+	for fp, restriction := range g.restrictions {
+		if restriction.PermitHolder == g.Owner && !restriction.permitUsed && !now.Before(restriction.startBy) {
+			g.ReturnPermit(now, Decision{PermitID: restriction.PermitID}, fp, true)
 		}
 	}
 }
 
-// Heard takes the answer of the leader of a term to a Report that was made at asked.
-func (g *Guard) ApplyUpdate(now, asked time.Time, term uint64, r RestrictionUpdate) {
-	if term < g.term || term == g.term && r.Revision < g.revision {
-		return // overtaken by a later answer
+// ApplyUpdate applies the response of the leader of a term to the report that was made at
+// reportedAt.
+func (g *Guard) ApplyUpdate(now, reportedAt time.Time, term uint64, update RestrictionUpdate) {
+	if term < g.term || term == g.term && update.Revision < g.revision {
+		return // a newer update has arrived before this one
 	}
 	if term != g.term {
-		g.term, g.termAt = term, now
+		g.term, g.termSeenAt = term, now
 	}
-	if !asked.Before(g.termAt) {
-		g.noteTold(asked, term)
+	if !reportedAt.Before(g.termSeenAt) {
+		g.acknowledge(reportedAt, term)
 	}
-	if r.Complete {
-		clear(g.rulings)
+	if update.Complete {
+		clear(g.restrictions)
 	}
-	g.revision = r.Revision
-	if g.rulings == nil {
-		g.rulings = make(map[Fingerprint]ruling)
+	g.revision = update.Revision
+	if g.restrictions == nil {
+		g.restrictions = make(map[Fingerprint]activeRestriction)
 	}
-	for _, one := range r.Restrictions {
-		g.rule(now, asked, one)
+	for _, restriction := range update.Restrictions {
+		g.applyRestriction(now, reportedAt, restriction)
 	}
 }
 
-func (g *Guard) rule(now, asked time.Time, one Restriction) {
-	if one.TerminationCount < suspectEnds {
-		delete(g.rulings, one.Fingerprint)
-		// What this router had told by then, the leader has counted, or knows to be cleared.
-		if w := g.watched[one.Fingerprint]; w != nil {
-			w.ends = slices.DeleteFunc(w.ends, func(e told[seen]) bool { return e.what.sure && e.what.sureAt.Before(asked) })
+func (g *Guard) applyRestriction(now, reportedAt time.Time, restriction Restriction) {
+	if restriction.TerminationCount < suspectThreshold {
+		delete(g.restrictions, restriction.Fingerprint)
+		// The leader has counted the terminations that were reported before, or has discarded
+		// them because of a completion.
+		if observed := g.observed[restriction.Fingerprint]; observed != nil {
+			observed.interruptions = slices.DeleteFunc(observed.interruptions, func(interrupted reportable[interruption]) bool {
+				return interrupted.value.confirmed && interrupted.value.confirmedAt.Before(reportedAt)
+			})
 		}
 		return
 	}
-	before := g.rulings[one.Fingerprint]
-	g.rulings[one.Fingerprint] = ruling{
-		Restriction: one, next: now.Add(one.NextRunIn), until: now.Add(one.PermitExpiresIn), begin: now.Add(min(one.PermitExpiresIn, beginWithin)),
-		absent: now.Add(absentFor),
-		used:   before.used && before.PermitID == one.PermitID, returned: before.returned && before.PermitID == one.PermitID,
+	previous := g.restrictions[restriction.Fingerprint]
+	g.restrictions[restriction.Fingerprint] = activeRestriction{
+		Restriction: restriction, nextRunAt: now.Add(restriction.NextRunIn), permitExpiresAt: now.Add(restriction.PermitExpiresIn), startBy: now.Add(min(restriction.PermitExpiresIn, permitStartTimeout)),
+		poolDownUntil: now.Add(poolDownTTL),
+		permitUsed:    previous.permitUsed && previous.PermitID == restriction.PermitID, permitReturned: previous.permitReturned && previous.PermitID == restriction.PermitID,
 	}
 }
--- a/internal/quarantine/properties_test.go
+++ b/internal/quarantine/properties_test.go
@@ -11,145 +11,142 @@
 	"laburnumfall/internal/quarantine"
 )
 
-// later returns how many of some moments come after one.
-func later(list []time.Time, than time.Time) int {
-	n := 0
-	for _, at := range list {
-		if at.After(than) {
-			n++
+// countAfter returns how many of the times are after one.
+func countAfter(times []time.Time, after time.Time) int {
+	count := 0
+	for _, at := range times {
+		if at.After(after) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 const (
-	// most is how many runs operators allow once all routers can know of the third end, which
-	// is settled later.
-	most    = 3
-	settled = 3 * time.Second
+	// maxRuns is how many runs operators allow after the third termination, not counting those
+	// within settleTime, after which all routers can have received the restriction.
+	maxRuns    = 3
+	settleTime = 3 * time.Second
 )
 
-// Symptom: targets end one after the other under one request.
-// Sequence: it comes again and again through all routers, beside sound work, while reports
-// and answers are lost, doubled and late, leaders change, and routers start anew.
-// Cause: what a router has seen, or a leader granted, was known to it alone.
-func TestARequestThatEndsTargetsRunsThriceMoreAtMost(t *testing.T) {
+// Guards against a poison request that terminates one target after the other. It is repeated
+// through all routers, beside harmless requests, while messages are lost, duplicated and
+// delayed, leaders change, and routers restart, so that state held by one process only is lost.
+func TestPoisonRequestRunsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 9).Draw(t, "routers"), rapid.IntRange(2, 8).Draw(t, "targets"))
-		w.loss = rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(t, "loss")
-		w.twice = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")
-		w.late = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, 200 * time.Millisecond}).Draw(t, "late")
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 9).Draw(t, "routers"), rapid.IntRange(2, 8).Draw(t, "targets"))
+		sim.lossRate = rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(t, "loss")
+		sim.duplicateRate = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")
+		sim.maxDelay = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, 200 * time.Millisecond}).Draw(t, "late")
 		pause := rapid.SampledFrom([]time.Duration{50 * time.Millisecond, 300 * time.Millisecond, time.Second}).Draw(t, "pause")
 		restarts := rapid.Bool().Draw(t, "restarts")
-		w.guilty["bad"] = true
-		start := w.now
-		for n, end := 0, w.now.Add(2*time.Minute); w.now.Before(end); n++ {
-			w.send(w.routers[w.random.IntN(len(w.routers))], "bad")
-			w.send(w.routers[w.random.IntN(len(w.routers))], quarantine.Fingerprint(fmt.Sprint("sound", n)))
-			if restarts && w.random.IntN(40) == 0 {
-				w.lead()
+		sim.poison["bad"] = true
+		start := sim.now
+		for round, end := 0, sim.now.Add(2*time.Minute); sim.now.Before(end); round++ {
+			sim.send(sim.routers[sim.random.IntN(len(sim.routers))], "bad")
+			sim.send(sim.routers[sim.random.IntN(len(sim.routers))], quarantine.Fingerprint(fmt.Sprint("sound", round)))
+			if restarts && sim.random.IntN(40) == 0 {
+				sim.startTerm()
 			}
-			if r := w.routers[w.random.IntN(len(w.routers))]; restarts && w.random.IntN(40) == 0 && !w.busy(r) {
-				w.boot(r)
+			if router := sim.routers[sim.random.IntN(len(sim.routers))]; restarts && sim.random.IntN(40) == 0 && !sim.hasUnreportedState(router) {
+				sim.restartRouter(router)
 			}
-			w.play(w.now.Add(pause))
+			sim.advance(sim.now.Add(pause))
 		}
-		if len(w.ends["bad"]) < most {
-			t.Fatalf("only %d ends", len(w.ends["bad"]))
+		if len(sim.terminations["bad"]) < maxRuns {
+			t.Fatalf("only %d terminations", len(sim.terminations["bad"]))
 		}
-		third := w.ends["bad"][most-1]
-		if n := later(w.runs["bad"], third.Add(settled)); n > most {
-			t.Fatalf("%d runs after %v; ends: %v", n, third.Sub(start), w.since(start, w.ends["bad"]))
+		third := sim.terminations["bad"][maxRuns-1]
+		if runs := countAfter(sim.runs["bad"], third.Add(settleTime)); runs > maxRuns {
+			t.Fatalf("%d runs after %v; terminations: %v", runs, third.Sub(start), sim.offsets(start, sim.terminations["bad"]))
 		}
 	})
 }
 
-// busy reports whether a router runs or tells something: one that ends then takes what it
-// alone has seen along.
-func (w *world) busy(r *router) bool {
-	for _, t := range w.targets {
-		for x := range t.running {
-			if x.by == r {
+// hasUnreportedState reports whether a router runs requests or has unreported terminations,
+// which a restart would lose.
+func (s *simulation) hasUnreportedState(router *router) bool {
+	for _, target := range s.targets {
+		for execution := range target.running {
+			if execution.router == router {
 				return true
 			}
 		}
 	}
-	return len(r.guard.Report(w.now).Terminations) > 0 || len(r.guard.UnconfirmedTargets(w.now)) > 0
+	return len(router.guard.Report(s.now).Terminations) > 0 || len(router.guard.UnconfirmedTargets(s.now)) > 0
 }
 
-func (w *world) since(start time.Time, list []time.Time) []time.Duration {
-	var out []time.Duration
-	for _, at := range list {
-		out = append(out, at.Sub(start))
+func (s *simulation) offsets(start time.Time, times []time.Time) []time.Duration {
+	var offsets []time.Duration
+	for _, at := range times {
+		offsets = append(offsets, at.Sub(start))
 	}
-	return out
+	return offsets
 }
 
-// Symptom: a sound request is held back for good.
-// Sequence: targets end by themselves, three times, while it runs there; it comes again.
-// Cause: all that runs on a target that ends is suspect, and nothing clears it.
-func TestARequestThatWasOnlyThereIsServedAgain(t *testing.T) {
+// Guards against a permanent quarantine of a harmless request: three targets terminate for other
+// reasons while it runs, so that it is quarantined, and later runs must clear it.
+func TestHarmlessRequestIsCleared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 9).Draw(t, "routers"), rapid.IntRange(2, 8).Draw(t, "targets"))
-		w.loss = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "loss")
-		w.guilty["unlucky"] = true
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 9).Draw(t, "routers"), rapid.IntRange(2, 8).Draw(t, "targets"))
+		sim.lossRate = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "loss")
+		sim.poison["unlucky"] = true
 		for range 200 {
-			w.send(w.routers[w.random.IntN(len(w.routers))], "unlucky")
-			w.play(w.now.Add(100 * time.Millisecond))
-			if len(w.ends["unlucky"]) >= most {
+			sim.send(sim.routers[sim.random.IntN(len(sim.routers))], "unlucky")
+			sim.advance(sim.now.Add(100 * time.Millisecond))
+			if len(sim.terminations["unlucky"]) >= maxRuns {
 				break
 			}
 		}
-		require.GreaterOrEqual(t, len(w.ends["unlucky"]), most)
-		w.guilty["unlucky"] = false
-		luck := w.now
-		const bound = 20 * time.Second // the first trial comes after ten
-		for w.now.Before(luck.Add(bound)) {
-			w.send(w.routers[w.random.IntN(len(w.routers))], "unlucky")
-			w.play(w.now.Add(time.Second))
+		require.GreaterOrEqual(t, len(sim.terminations["unlucky"]), maxRuns)
+		sim.poison["unlucky"] = false
+		harmlessSince := sim.now
+		const bound = 20 * time.Second // the first trial is permitted after 10 s
+		for sim.now.Before(harmlessSince.Add(bound)) {
+			sim.send(sim.routers[sim.random.IntN(len(sim.routers))], "unlucky")
+			sim.advance(sim.now.Add(time.Second))
 		}
-		if len(w.whole["unlucky"]) == 0 {
-			t.Fatalf("never served again")
+		if len(sim.completions["unlucky"]) == 0 {
+			t.Fatalf("not served within 20 s")
 		}
-		from := len(w.whole["unlucky"])
+		before := len(sim.completions["unlucky"])
 		for range 10 {
-			w.send(w.routers[w.random.IntN(len(w.routers))], "unlucky")
-			w.play(w.now.Add(time.Second))
+			sim.send(sim.routers[sim.random.IntN(len(sim.routers))], "unlucky")
+			sim.advance(sim.now.Add(time.Second))
 		}
-		if got := len(w.whole["unlucky"]) - from; got < 9 {
-			t.Fatalf("%d of 10 served once it is cleared", got)
+		if completed := len(sim.completions["unlucky"]) - before; completed < 9 {
+			t.Fatalf("%d of 10 served after the first completion", completed)
 		}
 	})
 }
 
-// Symptom: a rack that fails again and again has all that ran there held back.
-// Sequence: half of the targets end at once, every four seconds, while many different requests
-// run; callers send those that failed again, up to twice.
-// Cause: as before.
-func TestEndsOfManyTargetsHoldNobodyBack(t *testing.T) {
+// Guards against a quarantine of harmless requests because of a rack that fails repeatedly: half
+// of the targets terminate every four seconds while many different requests run, and callers
+// retry failed requests up to twice.
+func TestMassTerminationsQuarantineNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), 6, 8)
-		for n := range 400 {
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), 6, 8)
+		for round := range 400 {
 			for i := range 4 {
-				w.send(w.routers[w.random.IntN(len(w.routers))], quarantine.Fingerprint(fmt.Sprint(n, "-", i)))
+				sim.send(sim.routers[sim.random.IntN(len(sim.routers))], quarantine.Fingerprint(fmt.Sprint(round, "-", i)))
 			}
-			for p, ends := range w.ends { // and again
-				if len(ends) <= 2 && len(w.whole[p]) == 0 && w.now.Sub(ends[len(ends)-1]) < 200*time.Millisecond {
-					w.send(w.routers[w.random.IntN(len(w.routers))], p)
+			for fp, terminations := range sim.terminations { // retries
+				if len(terminations) <= 2 && len(sim.completions[fp]) == 0 && sim.now.Sub(terminations[len(terminations)-1]) < 200*time.Millisecond {
+					sim.send(sim.routers[sim.random.IntN(len(sim.routers))], fp)
 				}
 			}
-			if n%40 == 39 {
-				for _, target := range w.targets[:4] {
+			if round%40 == 39 {
+				for _, target := range sim.targets[:4] {
 					if target.id != "" {
-						w.end(target)
+						sim.terminate(target)
 					}
 				}
 			}
-			w.play(w.now.Add(100 * time.Millisecond))
+			sim.advance(sim.now.Add(100 * time.Millisecond))
 		}
-		w.play(w.now.Add(time.Second))
-		for _, e := range w.book.Entries() {
-			require.False(t, e.Quarantined(), "%s", e.Fingerprint)
+		sim.advance(sim.now.Add(time.Second))
+		for _, entry := range sim.store.Entries() {
+			require.False(t, entry.Quarantined(), "%s", entry.Fingerprint)
 		}
 	})
 }
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -7,85 +7,93 @@
 )
 
 const (
-	// suspectEnds is from how many ends on copies of a request run one at a time in the whole
-	// fleet. One end says little: dozens of requests run at a target that ends.
-	suspectEnds = 2
-	// convictEnds is from how many ends on a request is held back: what operators allow.
-	convictEnds = 3
-	// mostTrials is how many runs are granted after that, lest a request that was only there
-	// at three ends never gets an answer. Operators allow three; the third is for an end that
-	// nobody could tell of, such as one whose router ended with it.
-	mostTrials = 2
+	// suspectThreshold is the number of terminations from which on copies of a request run one
+	// at a time in the whole fleet. One termination is weak evidence, since a target that
+	// terminates runs dozens of requests.
+	suspectThreshold = 2
+	// quarantineThreshold is the number of terminations from which on a request is quarantined.
+	// Operators allow this many.
+	quarantineThreshold = 3
+	// maxTrials is how many runs are permitted after that, so that a request that only happened
+	// to run during three terminations gets a response. Operators allow three; the third is
+	// reserved for a termination that is never reported, such as one whose router terminated as
+	// well.
+	maxTrials = 2
 )
 
-// An End is a target's end while it ran a request: what a router tells the leader.
+// A Termination reports that a target terminated while it ran a request.
 type Termination struct {
 	Fingerprint Fingerprint `json:"print"`
-	// Account and Place are whose request it is and where it goes, for operators.
+	// Account and Destination describe the request to operators.
 	Account     string `json:"account,omitempty"`
 	Destination string `json:"place,omitempty"`
 	Pool        string `json:"pool,omitempty"`
-	// Target is the incarnation that ended. Named says that its ID is a name, which it keeps
-	// over its starts, and that nobody tells these: ends apart in time are two then.
+	// Target is the incarnation that terminated. IDReused says that the target keeps its ID over
+	// restarts and that its start time is unknown, so that only the times of two terminations
+	// distinguish them.
 	Target   fleet.Incarnation `json:"target"`
 	IDReused bool              `json:"named,omitempty"`
-	// Grant is the permit under which the request ran there, 0 if it had none.
+	// PermitID identifies the permit under which the request ran; 0 if it had none.
 	PermitID uint64 `json:"grant,omitempty"`
-	// Age is how long ago it ended.
+	// Age is the time since the termination.
 	Age time.Duration `json:"age"`
 }
 
-// A Clear is a whole answer to a request: it does not end targets.
+// A Completion reports a complete response to a request, which shows that the request does not
+// terminate targets.
 type Completion struct {
 	Fingerprint Fingerprint   `json:"print"`
 	Age         time.Duration `json:"age"`
 }
 
-// A Return gives a permit back whose run showed neither.
+// A PermitReturn ends a permit whose run led to neither a termination nor a completion.
 type PermitReturn struct {
 	Fingerprint Fingerprint `json:"print"`
 	PermitID    uint64      `json:"grant"`
-	// Unsent says that no target was sent the request, and Unreached that the permit's target
-	// could not be reached.
+	// NotSent says that the request was sent to no target. Unreachable says that the target of
+	// the permit could not be reached.
 	NotSent     bool `json:"unsent,omitempty"`
 	Unreachable bool `json:"unreached,omitempty"`
 }
 
-// A Report is what a router tells the leader, with whatever else it reports. It may be lost,
-// doubled or late: ends and clears are told for a while, and again to the next leader.
+// A Report is a router's report to the leader; it is part of a larger message. It may be lost,
+// duplicated or delayed. Terminations and completions are repeated until they are acknowledged,
+// and are reported again to a new leader.
 type Report struct {
-	// Held is the revision of the book whose rulings the router holds.
+	// KnownRevision is the revision of the EntryStore whose restrictions the router has.
 	KnownRevision uint64         `json:"held,omitempty"`
 	Terminations  []Termination  `json:"ends,omitempty"`
 	Completions   []Completion   `json:"clears,omitempty"`
 	PermitReturns []PermitReturn `json:"returns,omitempty"`
-	// Asks are requests that wait here for a permit.
+	// PermitRequests are the requests that wait for a permit in this router.
 	PermitRequests []Fingerprint `json:"asks,omitempty"`
 }
 
-// A Ruling is what the fleet holds of one request.
+// A Restriction says how routers must treat one request.
 type Restriction struct {
 	Fingerprint Fingerprint `json:"print"`
-	// Ends is under how many ends it stands; below two it is free.
+	// TerminationCount is the number of terminations that count against the request. Below
+	// suspectThreshold, the request is not restricted.
 	TerminationCount int `json:"ends"`
-	// Final says that no trial is left.
+	// NoTrialsLeft says that no more trial runs will be permitted.
 	NoTrialsLeft bool `json:"final,omitempty"`
-	// Next is when a run is granted next, or the ruling lapses.
+	// NextRunIn is the time until the next run may be permitted or the restriction expires.
 	NextRunIn time.Duration `json:"next,omitempty"`
-	// Holder is the router that may run it, or runs it, under a permit; Until is for how
-	// long, Target where, and Grant names the permit.
+	// PermitHolder is the router with the permit PermitID for the request. It may run the request
+	// at PermitTarget, or anywhere if that is "", until PermitExpiresIn has passed.
 	PermitHolder    string        `json:"holder,omitempty"`
 	PermitExpiresIn time.Duration `json:"until,omitempty"`
 	PermitTarget    string        `json:"target,omitempty"`
 	PermitID        uint64        `json:"grant,omitempty"`
-	// Absent says that all targets of its pool have just ended.
+	// PoolDown says that all targets of the request's pool terminated recently.
 	PoolDown bool `json:"absent,omitempty"`
 }
 
-// Rulings are the leader's answer to a Report.
+// A RestrictionUpdate is the leader's response to a Report.
 type RestrictionUpdate struct {
 	Revision uint64 `json:"revision,omitempty"`
-	// Whole says that the list holds all rulings there are; else what has changed.
+	// Complete says that Restrictions has all restrictions. Otherwise it has those that have
+	// changed since the router's KnownRevision.
 	Complete     bool          `json:"whole,omitempty"`
 	Restrictions []Restriction `json:"list,omitempty"`
 }
