--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -119,7 +119,7 @@
 	ctx, cancel := untilSignal()
 	defer cancel()
 	err = p.run(ctx, s)
-	var folder *keeper.FolderError
+	var folder *keeper.DataDirInUseError
 	switch {
 	case errors.As(err, &folder):
 		return fail(stderr, exitUsage, err)
--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -183,9 +183,9 @@
 	}
 	k := &keeper.Keeper{
 		Settings: s, Log: p.log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: s.Data},
-		Init: founds, Instances: platform.NewList(p.settings.List),
+		Init: founds, TargetList: platform.NewList(p.settings.List),
 	}
-	k.Serve = func(ctx context.Context, c *keeper.Control) error {
+	k.ServeControlAPI = func(ctx context.Context, c *keeper.LeaderClient) error {
 		control := &platform.Control{Keeper: c, Log: p.log}
 		return control.Run(ctx, p.settings.Operators)
 	}
--- a/internal/keeper/control.go
+++ b/internal/keeper/control.go
@@ -20,16 +20,16 @@
 	controlCall = 700 * time.Millisecond
 )
 
-// A Control carries operators' orders to the leading keeper, whichever it is.
+// A LeaderClient carries operators' orders to the leading keeper, whichever it is.
 // It serves any number of goroutines.
-type Control struct {
+type LeaderClient struct {
 	keeper *Keeper
 	links  linkCache
 }
 
-// Put makes a configuration of routes durable. An error means that it may or
+// PutRoutes makes a configuration of routes durable. An error means that it may or
 // may not come in force; to send it again is safe.
-func (c *Control) Put(ctx context.Context, number uint64, text []byte) error {
+func (c *LeaderClient) PutRoutes(ctx context.Context, number uint64, text []byte) error {
 	data, err := codec.Pack(text)
 	if err != nil {
 		return err
@@ -44,9 +44,9 @@
 	})
 }
 
-// Read returns the newest configuration of routes, as it was put. It fails where
+// ReadRoutes returns the newest configuration of routes, as it was put. It fails where
 // that is not certain.
-func (c *Control) Read(ctx context.Context) (number uint64, text []byte, err error) {
+func (c *LeaderClient) ReadRoutes(ctx context.Context) (number uint64, text []byte, err error) {
 	var d message.RoutesDocument
 	err = c.try(ctx, func(ctx context.Context, conn *rpc.Conn) error {
 		var err error
@@ -64,7 +64,7 @@
 }
 
 // try has this keeper, and then the leader that it knows, carry an order out.
-func (c *Control) try(ctx context.Context, do func(ctx context.Context, conn *rpc.Conn) error) error {
+func (c *LeaderClient) try(ctx context.Context, do func(ctx context.Context, conn *rpc.Conn) error) error {
 	ctx, cancel := context.WithTimeout(ctx, controlPatience)
 	defer cancel()
 	for {
@@ -79,7 +79,7 @@
 	}
 }
 
-func (c *Control) once(ctx context.Context, do func(ctx context.Context, conn *rpc.Conn) error) error {
+func (c *LeaderClient) once(ctx context.Context, do func(ctx context.Context, conn *rpc.Conn) error) error {
 	known, err := c.keeper.core.known(ctx)
 	if err != nil {
 		return err
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -15,7 +15,7 @@
 // Evacuate begins or ends the evacuation of an availability zone. It returns once that is
 // durable. An error of another kind than [fleet.KindMalformed] means that it may or may not
 // come in force; to send the order again is safe.
-func (c *Control) Evacuate(ctx context.Context, p message.EvacuateRequest) error {
+func (c *LeaderClient) Evacuate(ctx context.Context, p message.EvacuateRequest) error {
 	return c.try(ctx, func(ctx context.Context, conn *rpc.Conn) error {
 		if conn == nil {
 			_, err := c.keeper.core.evacuate(ctx, p)
--- a/internal/keeper/founding.go
+++ b/internal/keeper/founding.go
@@ -79,14 +79,14 @@
 	Members []quorum.Member `json:"members"`
 }
 
-// A BoundError says that a peer knows this keeper under another disk.
-type BoundError struct {
+// An IdentityConflictError says that a peer knows this keeper under another disk.
+type IdentityConflictError struct {
 	Peer string
 	Name string
 }
 
 // Error returns the peer and the remedy.
-func (e *BoundError) Error() string {
+func (e *IdentityConflictError) Error() string {
 	return fmt.Sprintf("keeper %s knows %s under another disk (start without --init, so that it joins as a replacement)", e.Peer, e.Name)
 }
 
@@ -226,7 +226,7 @@
 		return false, errJoin
 	}
 	if theirs.Bound != mine.ID {
-		return false, &BoundError{Peer: name, Name: mine.Name}
+		return false, &IdentityConflictError{Peer: name, Name: mine.Name}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -235,7 +235,7 @@
 		return true, f.bind(id, name, theirs.ID)
 	}
 	if id.FoundingPeerIDs[name] != theirs.ID {
-		return false, &BoundError{Peer: mine.Name, Name: name}
+		return false, &IdentityConflictError{Peer: mine.Name, Name: name}
 	}
 	return true, nil
 }
--- a/internal/keeper/instances.go
+++ b/internal/keeper/instances.go
@@ -8,29 +8,29 @@
 	"laburnumfall/internal/targetlist"
 )
 
-// An InstanceList is the platform's list of targets. It lags, and takes a
+// A TargetList is the platform's list of targets. It lags, and takes a
 // bounded number of reads from all nodes.
-type InstanceList interface {
+type TargetList interface {
 	Read(ctx context.Context) (fleet.TargetListing, error)
 	// Address is where it is read, for those who look for the cause of damage.
 	Address() string
 }
 
-// A MockInstanceList is a list set by hand.
-type MockInstanceList struct {
+// A MockTargetList is a list set by hand.
+type MockTargetList struct {
 	List fleet.TargetListing
 	Err  error
 }
 
-var _ InstanceList = &MockInstanceList{}
+var _ TargetList = &MockTargetList{}
 
-// Read implements InstanceList.
-func (l *MockInstanceList) Read(context.Context) (fleet.TargetListing, error) {
+// Read implements TargetList.
+func (l *MockTargetList) Read(context.Context) (fleet.TargetListing, error) {
 	return l.List, l.Err
 }
 
-// Address implements InstanceList.
-func (l *MockInstanceList) Address() string {
+// Address implements TargetList.
+func (l *MockTargetList) Address() string {
 	return "mock"
 }
 
@@ -45,7 +45,7 @@
 
 // watchInstances is the duty that reads the list while this keeper leads. One
 // reader for all spares the platform's reads.
-func (c *core) watchInstances(ctx context.Context, list InstanceList) error {
+func (c *core) watchInstances(ctx context.Context, list TargetList) error {
 	if list == nil {
 		return nil
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -36,11 +36,11 @@
 	Init bool
 	// VMs is the platform's list of VMs; nil means the one of the settings.
 	VMs VMList
-	// Instances is the platform's list of targets; nil where configurations
+	// TargetList is the platform's list of targets; nil where configurations
 	// list the targets.
-	Instances InstanceList
-	// Serve, if set, serves operators in the platform's way.
-	Serve func(ctx context.Context, c *Control) error
+	TargetList TargetList
+	// ServeControlAPI, if set, serves operators in the platform's way.
+	ServeControlAPI func(ctx context.Context, c *LeaderClient) error
 
 	count   rpc.Counter
 	secret  rpc.Secret
@@ -53,14 +53,14 @@
 	meters   *meters
 }
 
-// A FolderError says that the data folder does not fit the way of starting.
-type FolderError struct {
-	Folder string
+// A DataDirInUseError says that the data folder does not fit the way of starting.
+type DataDirInUseError struct {
+	Dir string
 }
 
 // Error returns the folder and the remedy.
-func (e *FolderError) Error() string {
-	return fmt.Sprintf("data folder %s is in use (start without --init; to found anew, name an empty folder)", e.Folder)
+func (e *DataDirInUseError) Error() string {
+	return fmt.Sprintf("data folder %s is in use (start without --init; to found anew, name an empty folder)", e.Dir)
 }
 
 // Run serves until ctx ends or the disk fails.
@@ -112,7 +112,7 @@
 		return fmt.Errorf("open the data folder: %w", err)
 	}
 	if used && k.Init && !k.Settings.AutoMembers {
-		return &FolderError{Folder: k.Settings.Data}
+		return &DataDirInUseError{Dir: k.Settings.Data}
 	}
 	k.Init = k.Init && !used
 	return nil
@@ -172,9 +172,9 @@
 		k.peers.flush()
 		return err
 	})
-	if k.Serve != nil {
-		g.Go(func() error { return k.Serve(ctx, &Control{keeper: k}) })
-		g.Go(func() error { return k.core.watchInstances(ctx, k.Instances) })
+	if k.ServeControlAPI != nil {
+		g.Go(func() error { return k.ServeControlAPI(ctx, &LeaderClient{keeper: k}) })
+		g.Go(func() error { return k.core.watchInstances(ctx, k.TargetList) })
 	}
 	g.Go(func() error {
 		<-ctx.Done()
