--- a/internal/keeper/admin.go
+++ b/internal/keeper/admin.go
@@ -18,46 +18,46 @@
 const adminTimeout = time.Second
 
 // meters are the keeper's metrics.
-type meters struct {
+type keeperMetrics struct {
 	handler fasthttp.RequestHandler
 }
 
 // newMeters registers the measures of the brief: the service gap between
 // backlogged accounts, busy and total slots, and control bytes.
-func newMeters(count *rpc.Counter, c *core) *meters {
-	reg := prometheus.NewRegistry()
-	gauge := func(name, help string, value func(s message.Status) float64) {
-		reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
+func newMetrics(counter *rpc.Counter, c *core) *keeperMetrics {
+	registry := prometheus.NewRegistry()
+	gauge := func(name, help string, value func(status message.Status) float64) {
+		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
 			ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 			defer cancel()
-			s, err := c.status(ctx)
+			status, err := c.status(ctx)
 			if err != nil {
 				return 0 // a keeper that does not lead has no part in these
 			}
-			return value(s)
+			return value(status)
 		}))
 	}
-	gauge("lf_service_gap", "Largest difference in service over share between accounts that wait.", func(s message.Status) float64 { return s.ServiceGap })
-	gauge("lf_slots_busy", "Slots in use in the fleet.", func(s message.Status) float64 { return float64(s.SlotsBusy) })
-	gauge("lf_slots", "Slots of live targets.", func(s message.Status) float64 { return float64(s.Slots) })
-	gauge("lf_routers", "Routers with a lease.", func(s message.Status) float64 { return float64(len(s.Routers)) })
-	gauge("lf_number", "Number of the configuration in force.", func(s message.Status) float64 { return float64(s.Number) })
-	gauge("lf_claims", "Claims kept.", func(s message.Status) float64 { return float64(s.Claims) })
-	gauge("lf_held", "Requests under which targets have ended, suspected or held back.", func(s message.Status) float64 { return float64(s.Quarantined) })
-	gauge("lf_evacuated_zones", "Availability zones whose targets get no new work.", func(s message.Status) float64 { return float64(len(s.Evacuated)) })
+	gauge("lf_service_gap", "Largest difference in service over share between accounts that wait.", func(status message.Status) float64 { return status.ServiceGap })
+	gauge("lf_slots_busy", "Slots in use in the fleet.", func(status message.Status) float64 { return float64(status.SlotsBusy) })
+	gauge("lf_slots", "Slots of live targets.", func(status message.Status) float64 { return float64(status.Slots) })
+	gauge("lf_routers", "Routers with a lease.", func(status message.Status) float64 { return float64(len(status.Routers)) })
+	gauge("lf_number", "Number of the configuration in force.", func(status message.Status) float64 { return float64(status.Number) })
+	gauge("lf_claims", "Claims kept.", func(status message.Status) float64 { return float64(status.Claims) })
+	gauge("lf_held", "Requests under which targets have ended, suspected or held back.", func(status message.Status) float64 { return float64(status.Quarantined) })
+	gauge("lf_evacuated_zones", "Availability zones whose targets get no new work.", func(status message.Status) float64 { return float64(len(status.Evacuated)) })
 	gauge("lf_leads", "Whether this keeper leads.", func(message.Status) float64 { return 1 })
-	gauge("lf_term", "Term of the leader.", func(s message.Status) float64 { return float64(s.Term) })
-	reg.MustRegister(
+	gauge("lf_term", "Term of the leader.", func(status message.Status) float64 { return float64(status.Term) })
+	registry.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "lf_control_sent_bytes_total", Help: "Control bytes sent."},
-			func() float64 { return float64(count.Sent.Load()) }),
+			func() float64 { return float64(counter.Sent.Load()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "lf_control_received_bytes_total", Help: "Control bytes received."},
-			func() float64 { return float64(count.Received.Load()) }),
+			func() float64 { return float64(counter.Received.Load()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "lf_control_accept_failures_total", Help: "Connections of the fleet that could not be accepted."},
-			func() float64 { return float64(count.Failed.Load()) }),
+			func() float64 { return float64(counter.Failed.Load()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "lf_list_damaged_total", Help: "Damaged entries in this keeper's readings of the list of targets."},
-			func() float64 { return float64(c.damaged.Load()) }),
+			func() float64 { return float64(c.damagedEntries.Load()) }),
 	)
-	return &meters{handler: fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))}
+	return &keeperMetrics{handler: fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))}
 }
 
 // adminState is the body of /state.
@@ -84,7 +84,7 @@
 		}
 		ctx.SetBodyString("ok\n")
 	case "/metrics":
-		k.meters.handler(ctx)
+		k.metrics.handler(ctx)
 	case "/state":
 		data, err := json.Marshal(k.state())
 		if err != nil {
@@ -101,17 +101,17 @@
 func (k *Keeper) state() adminState {
 	ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 	defer cancel()
-	s := adminState{Name: k.Settings.Name}
+	result := adminState{Name: k.Settings.Name}
 	c := k.core
 	// A keeper that still founds its group answers with what it has.
-	_ = c.ask(ctx, func(now time.Time) {
-		s.ID, s.Leader, s.Leads = c.node.ID, c.node.LeaderID(), c.node.IsActiveLeader(now)
-		s.Term, s.Commit = c.node.Term(), c.node.CommitIndex()
-		s.Number, s.Digest = c.ledger.Number(), c.ledger.Digest()
-		s.Members = c.node.Members()
+	_ = c.runAndWait(ctx, func(now time.Time) {
+		result.ID, result.Leader, result.Leads = c.node.ID, c.node.LeaderID(), c.node.IsActiveLeader(now)
+		result.Term, result.Commit = c.node.Term(), c.node.CommitIndex()
+		result.Number, result.Digest = c.store.Number(), c.store.Digest()
+		result.Members = c.node.Members()
 	})
 	if status, err := c.status(ctx); err == nil {
-		s.Status = &status
+		result.Status = &status
 	}
-	return s
+	return result
 }
--- a/internal/keeper/control.go
+++ b/internal/keeper/control.go
@@ -14,92 +14,92 @@
 const (
 	// controlPatience bounds how long an operator's order looks for the leader.
 	// Operators move on to another keeper after a second.
-	controlPatience = 900 * time.Millisecond
-	controlPause    = 40 * time.Millisecond
+	orderTimeout       = 900 * time.Millisecond
+	orderRetryInterval = 40 * time.Millisecond
 	// controlCall bounds one call to the leader.
-	controlCall = 700 * time.Millisecond
+	leaderCallTimeout = 700 * time.Millisecond
 )
 
 // A LeaderClient carries operators' orders to the leading keeper, whichever it is.
 // It serves any number of goroutines.
 type LeaderClient struct {
 	keeper *Keeper
-	links  linkCache
+	conns  connCache
 }
 
 // PutRoutes makes a configuration of routes durable. An error means that it may or
 // may not come in force; to send it again is safe.
-func (c *LeaderClient) PutRoutes(ctx context.Context, number uint64, text []byte) error {
-	data, err := codec.Pack(text)
+func (c *LeaderClient) PutRoutes(ctx context.Context, number uint64, config []byte) error {
+	packed, err := codec.Pack(config)
 	if err != nil {
 		return err
 	}
-	p := message.PutRequest{Number: number, PackedConfig: data}
-	return c.try(ctx, func(ctx context.Context, conn *rpc.Conn) error {
+	request := message.PutRequest{Number: number, PackedConfig: packed}
+	return c.forward(ctx, func(ctx context.Context, conn *rpc.Conn) error {
 		if conn == nil {
-			_, err := c.keeper.core.put(ctx, p)
+			_, err := c.keeper.core.putRoutes(ctx, request)
 			return err
 		}
-		return conn.Call(ctx, message.MethodPutRoutes, p, nil)
+		return conn.Call(ctx, message.MethodPutRoutes, request, nil)
 	})
 }
 
 // ReadRoutes returns the newest configuration of routes, as it was put. It fails where
 // that is not certain.
-func (c *LeaderClient) ReadRoutes(ctx context.Context) (number uint64, text []byte, err error) {
-	var d message.RoutesDocument
-	err = c.try(ctx, func(ctx context.Context, conn *rpc.Conn) error {
+func (c *LeaderClient) ReadRoutes(ctx context.Context) (number uint64, config []byte, err error) {
+	var document message.RoutesDocument
+	err = c.forward(ctx, func(ctx context.Context, conn *rpc.Conn) error {
 		var err error
 		if conn == nil {
-			d, err = c.keeper.core.read(ctx)
+			document, err = c.keeper.core.readRoutes(ctx)
 			return err
 		}
-		return conn.Call(ctx, message.MethodReadRoutes, struct{}{}, &d)
+		return conn.Call(ctx, message.MethodReadRoutes, struct{}{}, &document)
 	})
-	if err != nil || d.Number == 0 {
+	if err != nil || document.Number == 0 {
 		return 0, nil, err
 	}
-	text, err = codec.Unpack(d.PackedConfig)
-	return d.Number, text, err
+	config, err = codec.Unpack(document.PackedConfig)
+	return document.Number, config, err
 }
 
 // try has this keeper, and then the leader that it knows, carry an order out.
-func (c *LeaderClient) try(ctx context.Context, do func(ctx context.Context, conn *rpc.Conn) error) error {
-	ctx, cancel := context.WithTimeout(ctx, controlPatience)
+func (c *LeaderClient) forward(ctx context.Context, call func(ctx context.Context, conn *rpc.Conn) error) error {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	for {
-		err := c.once(ctx, do)
-		var refused *fleet.Error
-		if err == nil || !errors.As(err, &refused) || refused.Kind != fleet.KindNotLeader {
+		err := c.forwardOnce(ctx, call)
+		var refusal *fleet.Error
+		if err == nil || !errors.As(err, &refusal) || refusal.Kind != fleet.KindNotLeader {
 			return err
 		}
-		if !sleep(ctx, controlPause) {
+		if !sleep(ctx, orderRetryInterval) {
 			return err
 		}
 	}
 }
 
-func (c *LeaderClient) once(ctx context.Context, do func(ctx context.Context, conn *rpc.Conn) error) error {
-	known, err := c.keeper.core.known(ctx)
+func (c *LeaderClient) forwardOnce(ctx context.Context, call func(ctx context.Context, conn *rpc.Conn) error) error {
+	members, err := c.keeper.core.members(ctx)
 	if err != nil {
 		return err
 	}
-	if known.Leader == c.keeper.Settings.Listen {
-		return do(ctx, nil)
+	if members.Leader == c.keeper.Settings.Listen {
+		return call(ctx, nil)
 	}
-	if known.Leader == "" {
+	if members.Leader == "" {
 		return fleet.NewError(fleet.KindNotLeader, "ask again, or another keeper", "no keeper leads")
 	}
-	limited, cancel := context.WithTimeout(ctx, controlCall)
+	callCtx, cancel := context.WithTimeout(ctx, leaderCallTimeout)
 	defer cancel()
-	conn, err := c.links.get(limited, known.Leader, c.keeper.dialPeer)
+	conn, err := c.conns.get(callCtx, members.Leader, c.keeper.dialPeer)
 	if err != nil {
 		return fleet.NewError(fleet.KindNotLeader, "ask again, or another keeper", "the leader cannot be reached: %v", err)
 	}
-	err = do(limited, conn)
-	var refused *fleet.Error
-	if err != nil && !errors.As(err, &refused) {
-		c.links.drop(known.Leader, conn) // it may hang without a reset
+	err = call(callCtx, conn)
+	var refusal *fleet.Error
+	if err != nil && !errors.As(err, &refusal) {
+		c.conns.drop(members.Leader, conn) // it may hang without a reset
 	}
 	return err
 }
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -21,59 +21,59 @@
 )
 
 const (
-	ringSize = 4096
+	taskQueueSize = 4096
 	// compactAfter is how many entries the log may hold before a snapshot.
-	compactAfter = 8192
+	compactEntries = 8192
 	// compactBytes is the least size of the log before a snapshot. It grows
 	// with the snapshots, so that writing them stays a small part of the work.
-	compactBytes = 4 << 20
+	minCompactBytes = 4 << 20
 )
 
 // A core is the duty that owns the keeper's decisions and its disk.
 type core struct {
-	clock   clock.Clock
-	log     hclog.Logger
-	journal *journal.Journal
-	carrier carrier
-	inputs  chan input
-	damaged atomic.Uint64 // entries of the platform's list of targets
+	clock          clock.Clock
+	log            hclog.Logger
+	journal        *journal.Journal
+	transport      transport
+	tasks          chan task
+	damagedEntries atomic.Uint64 // entries of the platform's list of targets
 
-	node    *quorum.Node
-	ledger  statestore.Store
-	divider *fairshare.Divider // while this keeper leads
-	routers map[routerKey]*rpc.Conn
-	waiters map[uint64]waiter
-	gone    goneVMs
-	routes  routes
+	node       *quorum.Node
+	store      statestore.Store
+	divider    *fairshare.Divider // while this keeper leads
+	routers    map[routerKey]*rpc.Conn
+	waiters    map[uint64]waiter
+	leavingVMs leavingVMs
+	renewals   renewalState
 	// zones are the availability zones that the settings name.
 	zones []fleet.Zone
 	// registry decides which requests are held back, while this keeper leads; reported is
 	// what routers of events told it last.
-	registry *quarantine.Coordinator
-	reported map[routerKey]quarantine.Report
-	told     []toldReport // in this turn
+	coordinator    *quarantine.Coordinator
+	lastReports    map[routerKey]quarantine.Report
+	pendingReports []pendingReport // in this turn
 	// autoMembers says that the leader takes out members that are gone by itself.
-	autoMembers bool
-	claims      []claimCall // to be proposed in the next batch
-	settles     []settleCall
-	grown       int // bytes of the log since the last snapshot
-	limit       int
+	autoMembers      bool
+	pendingClaims    []claimCall // to be proposed in the next batch
+	pendingSettles   []settleCall
+	logBytes         int // bytes of the log since the last snapshot
+	compactThreshold int
 }
 
 // A carrier takes a core's messages to other processes. It may lose any.
-type carrier interface {
-	send(m quorum.Message)
-	grant(conn *rpc.Conn, g message.Grant)
-	setMembers(self string, members []quorum.Member)
+type transport interface {
+	send(msg quorum.Message)
+	sendGrant(conn *rpc.Conn, grant message.Grant)
+	setMembers(selfID string, members []quorum.Member)
 }
 
 type routerKey struct {
-	name string
-	inc  uint64
+	name        string
+	incarnation uint64
 }
 
 // An input is one message to the core.
-type input func(now time.Time)
+type task func(now time.Time)
 
 // waiter is told what became of the log entry at an index.
 type waiter struct {
@@ -91,20 +91,20 @@
 	done        func(error)
 }
 
-func newCore(c clock.Clock, log hclog.Logger, j *journal.Journal, p carrier) *core {
+func newCore(clock clock.Clock, log hclog.Logger, journal *journal.Journal, transport transport) *core {
 	return &core{
-		clock: c, log: log, journal: j, carrier: p,
-		inputs:  make(chan input, ringSize),
-		routers: make(map[routerKey]*rpc.Conn),
-		waiters: make(map[uint64]waiter),
-		limit:   compactBytes,
+		clock: clock, log: log, journal: journal, transport: transport,
+		tasks:            make(chan task, taskQueueSize),
+		routers:          make(map[routerKey]*rpc.Conn),
+		waiters:          make(map[uint64]waiter),
+		compactThreshold: minCompactBytes,
 	}
 }
 
 // run serves until ctx ends. An error of the disk ends it too: a keeper that
 // cannot make its promises last must not make any.
-func (c *core) run(ctx context.Context, id journal.Identity) error {
-	if err := c.start(id); err != nil {
+func (c *core) run(ctx context.Context, identity journal.Identity) error {
+	if err := c.start(identity); err != nil {
 		return err
 	}
 	timer := time.NewTimer(0)
@@ -113,12 +113,12 @@
 		select {
 		case <-ctx.Done():
 			return c.resign()
-		case in := <-c.inputs:
-			in(c.clock.Now())
-			c.drain()
+		case task := <-c.tasks:
+			task(c.clock.Now())
+			c.drainTasks()
 		case <-timer.C:
 		}
-		if err := c.turn(); err != nil {
+		if err := c.runOnce(); err != nil {
 			return err
 		}
 		timer.Reset(max(c.deadline().Sub(c.clock.Now()), time.Millisecond))
@@ -134,32 +134,32 @@
 	c.log.Info("resigning: this keeper stops", "term", c.node.Term())
 	c.node.Resign(c.clock.Now())
 	c.stepDown()
-	return c.settle()
+	return c.processOutput()
 }
 
-func (c *core) start(id journal.Identity) error {
-	state, base, entries := c.journal.Recovered()
-	if base.Index == 0 && len(base.Members) == 0 {
-		base.Members = id.FoundingMembers
+func (c *core) start(identity journal.Identity) error {
+	state, snapshot, entries := c.journal.Recovered()
+	if snapshot.Index == 0 && len(snapshot.Members) == 0 {
+		snapshot.Members = identity.FoundingMembers
 	}
-	if len(base.Data) > 0 {
-		if err := c.ledger.Restore(base.Data); err != nil {
+	if len(snapshot.Data) > 0 {
+		if err := c.store.Restore(snapshot.Data); err != nil {
 			return fmt.Errorf("restore the snapshot: %w", err)
 		}
 	}
-	c.node = &quorum.Node{ID: id.ID, SavedState: state, Snapshot: base, Entries: entries}
+	c.node = &quorum.Node{ID: identity.ID, SavedState: state, Snapshot: snapshot, Entries: entries}
 	c.node.Start(c.clock.Now())
-	c.log.Info("log loaded", "id", id.ID, "term", state.Term, "snapshot", base.Index, "entries", len(entries))
+	c.log.Info("log loaded", "id", identity.ID, "term", state.Term, "snapshot", snapshot.Index, "entries", len(entries))
 	return nil
 }
 
 // drain takes the inputs that are there already, so that one sync serves many.
-func (c *core) drain() {
-	const most = 512
-	for range most {
+func (c *core) drainTasks() {
+	const maxTasks = 512
+	for range maxTasks {
 		select {
-		case in := <-c.inputs:
-			in(c.clock.Now())
+		case task := <-c.tasks:
+			task(c.clock.Now())
 		default:
 			return
 		}
@@ -167,46 +167,46 @@
 }
 
 // turn lets time pass, proposes what was collected, and makes it durable.
-func (c *core) turn() error {
+func (c *core) runOnce() error {
 	now := c.clock.Now()
 	c.node.Tick(now)
-	c.propose(now)
-	if err := c.settle(); err != nil {
+	c.proposeClaims(now)
+	if err := c.processOutput(); err != nil {
 		return err
 	}
-	if c.takeTold(c.clock.Now()) {
-		if err := c.settle(); err != nil {
+	if c.handlePendingReports(c.clock.Now()) {
+		if err := c.processOutput(); err != nil {
 			return err
 		}
 	}
-	c.lead(c.clock.Now())
+	c.runLeader(c.clock.Now())
 	return c.compact()
 }
 
 // settle does what the node wants done until it wants nothing more.
-func (c *core) settle() error {
+func (c *core) processOutput() error {
 	for {
-		out := c.node.TakeOutput()
-		for _, m := range out.SendBeforeSync {
-			c.carrier.send(m)
+		output := c.node.TakeOutput()
+		for _, msg := range output.SendBeforeSync {
+			c.transport.send(msg)
 		}
-		if out.NeedsSync() {
-			if err := c.write(out); err != nil {
+		if output.NeedsSync() {
+			if err := c.writeLog(output); err != nil {
 				return err
 			}
-			for _, e := range out.Append {
-				c.grown += len(e.Data)
+			for _, entry := range output.Append {
+				c.logBytes += len(entry.Data)
 			}
 			c.node.MarkDurable()
 		}
-		c.carrier.setMembers(c.node.ID, c.node.Members())
-		for _, m := range out.SendAfterSync {
-			c.carrier.send(m)
+		c.transport.setMembers(c.node.ID, c.node.Members())
+		for _, msg := range output.SendAfterSync {
+			c.transport.send(msg)
 		}
-		if err := c.apply(out); err != nil {
+		if err := c.applyOutput(output); err != nil {
 			return err
 		}
-		if !out.NeedsSync() && len(out.SendBeforeSync)+len(out.SendAfterSync)+len(out.Committed) == 0 {
+		if !output.NeedsSync() && len(output.SendBeforeSync)+len(output.SendAfterSync)+len(output.Committed) == 0 {
 			return nil
 		}
 	}
@@ -214,30 +214,30 @@
 
 // slowWrite is how long a write to the log takes at least where the disk counts as slow: a
 // heartbeat and a half.
-const slowWrite = 3 * quorum.HeartbeatInterval / 2
+const slowWriteThreshold = 3 * quorum.HeartbeatInterval / 2
 
 // write makes an output durable.
-func (c *core) write(out quorum.Output) error {
-	from := c.clock.Now()
-	if err := c.journal.Write(out); err != nil {
+func (c *core) writeLog(output quorum.Output) error {
+	start := c.clock.Now()
+	if err := c.journal.Write(output); err != nil {
 		c.log.Error("the disk failed: stopping, so that nothing is promised that does not last", "error", err)
 		return err
 	}
-	if took := c.clock.Now().Sub(from); took > slowWrite {
-		c.log.Warn("the disk was slow", "took", took.Milliseconds(), "entries", len(out.Append))
+	if took := c.clock.Now().Sub(start); took > slowWriteThreshold {
+		c.log.Warn("the disk was slow", "took", took.Milliseconds(), "entries", len(output.Append))
 	}
 	return nil
 }
 
-func (c *core) apply(out quorum.Output) error {
-	if out.RestoreFrom != nil {
-		if err := c.ledger.Restore(out.RestoreFrom.Data); err != nil {
+func (c *core) applyOutput(output quorum.Output) error {
+	if output.RestoreFrom != nil {
+		if err := c.store.Restore(output.RestoreFrom.Data); err != nil {
 			return fmt.Errorf("restore the leader's snapshot: %w", err)
 		}
-		c.log.Info("snapshot taken over", "index", out.RestoreFrom.Index, "number", c.ledger.Number())
+		c.log.Info("snapshot taken over", "index", output.RestoreFrom.Index, "number", c.store.Number())
 	}
-	for _, e := range out.Committed {
-		c.applyEntry(e)
+	for _, entry := range output.Committed {
+		c.applyEntry(entry)
 	}
 	return nil
 }
@@ -246,57 +246,57 @@
 // is asked between two messages, and the one before may have committed entries
 // that are applied only at the end of the turn: until then the ledger is older
 // than what was acknowledged.
-func (c *core) leads(now time.Time) bool {
+func (c *core) isReadyLeader(now time.Time) bool {
 	return c.node.IsActiveLeader(now) && c.node.AllApplied()
 }
 
-func (c *core) applyEntry(e quorum.Entry) {
-	var r statestore.Result
+func (c *core) applyEntry(entry quorum.Entry) {
+	var result statestore.Result
 	var err error
-	if e.Kind == quorum.EntryData {
-		before := c.ledger.Number()
-		number := c.ledger.Document().Number
-		evacuations := c.ledger.Evacuations()
-		r, err = c.ledger.Do(e.Data)
+	if entry.Kind == quorum.EntryData {
+		previousNumber := c.store.Number()
+		previousRoutesNumber := c.store.Document().Number
+		previousEvacuations := c.store.Evacuations()
+		result, err = c.store.Do(entry.Data)
 		if err != nil {
-			c.log.Error("command refused", "index", e.Index, "error", err)
+			c.log.Error("command refused", "index", entry.Index, "error", err)
 		}
-		if c.ledger.Number() != before {
-			c.log.Info("configuration accepted", "number", c.ledger.Number(), "digest", c.ledger.Digest(), "index", e.Index)
-			c.giveConfig()
+		if c.store.Number() != previousNumber {
+			c.log.Info("configuration accepted", "number", c.store.Number(), "digest", c.store.Digest(), "index", entry.Index)
+			c.updateDividerConfig()
 		}
-		c.noteEvacuations(evacuations, c.ledger.Evacuations())
-		if d := c.ledger.Document(); d.Number != number {
-			c.log.Info("configuration of routes accepted", "number", d.Number, "before", number,
-				"bytes", len(d.Text), "index", e.Index, "term", e.Term)
+		c.handleEvacuationChange(previousEvacuations, c.store.Evacuations())
+		if document := c.store.Document(); document.Number != previousRoutesNumber {
+			c.log.Info("configuration of routes accepted", "number", document.Number, "before", previousRoutesNumber,
+				"bytes", len(document.Text), "index", entry.Index, "term", entry.Term)
 		}
 	}
-	w, ok := c.waiters[e.Index]
+	waiter, ok := c.waiters[entry.Index]
 	if !ok {
 		return
 	}
-	delete(c.waiters, e.Index)
-	if w.term != e.Term {
-		err = errLost
+	delete(c.waiters, entry.Index)
+	if waiter.term != entry.Term {
+		err = errLeaderChanged
 	}
-	w.done(r, err)
+	waiter.done(result, err)
 }
 
 // compact replaces the log by a snapshot when it has grown long.
 func (c *core) compact() error {
-	if len(c.node.Entries) < compactAfter && c.grown < c.limit {
+	if len(c.node.Entries) < compactEntries && c.logBytes < c.compactThreshold {
 		return nil
 	}
-	data, err := c.ledger.Snapshot()
+	snapshot, err := c.store.Snapshot()
 	if err != nil {
 		return err
 	}
-	if c.node.CompactApplied(data) == nil {
+	if c.node.CompactApplied(snapshot) == nil {
 		return nil
 	}
-	c.grown = 0
-	c.limit = max(compactBytes, 2*len(data))
-	return c.settle()
+	c.logBytes = 0
+	c.compactThreshold = max(minCompactBytes, 2*len(snapshot))
+	return c.processOutput()
 }
 
 func (c *core) deadline() time.Time {
@@ -308,14 +308,14 @@
 }
 
 // ask has the core do f and waits until it is done, or ctx ends.
-func (c *core) ask(ctx context.Context, f input) error {
+func (c *core) runAndWait(ctx context.Context, f task) error {
 	done := make(chan struct{})
 	wrapped := func(now time.Time) {
 		defer close(done)
 		f(now)
 	}
 	select {
-	case c.inputs <- wrapped:
+	case c.tasks <- wrapped:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -329,39 +329,39 @@
 
 // post queues f. One that finds a full ring is dropped: it is for messages
 // that are repeated.
-func (c *core) post(f input) {
+func (c *core) enqueue(f task) {
 	select {
-	case c.inputs <- f:
+	case c.tasks <- f:
 	default:
 	}
 }
 
 // onQuorum takes a message of another keeper.
-func (c *core) onQuorum(params json.RawMessage) {
-	var m quorum.Message
-	if err := json.Unmarshal(params, &m); err != nil {
+func (c *core) handleQuorumMessage(params json.RawMessage) {
+	var msg quorum.Message
+	if err := json.Unmarshal(params, &msg); err != nil {
 		c.log.Warn("quorum message cannot be read", "error", err)
 		return
 	}
-	c.post(func(now time.Time) { c.node.Step(now, m) })
+	c.enqueue(func(now time.Time) { c.node.Step(now, msg) })
 }
 
 // onReport takes a router's report.
-func (c *core) onReport(conn *rpc.Conn, params json.RawMessage) {
-	var r message.Report
-	if err := json.Unmarshal(params, &r); err != nil {
+func (c *core) handleReport(conn *rpc.Conn, params json.RawMessage) {
+	var report message.Report
+	if err := json.Unmarshal(params, &report); err != nil {
 		c.log.Warn("report cannot be read", "router", conn.Name(), "error", err)
 		return
 	}
-	c.post(func(now time.Time) {
+	c.enqueue(func(now time.Time) {
 		if c.divider == nil || !c.node.IsActiveLeader(now) {
 			return
 		}
-		key := routerKey{r.Router, r.Incarnation}
+		key := routerKey{report.Router, report.Incarnation}
 		c.routers[key] = conn
-		if r.Quarantine != nil {
-			c.told = append(c.told, toldReport{key, *r.Quarantine})
+		if report.Quarantine != nil {
+			c.pendingReports = append(c.pendingReports, pendingReport{key, *report.Quarantine})
 		}
-		c.divider.Report(now, r)
+		c.divider.Report(now, report)
 	})
 }
--- a/internal/keeper/evacuation_test.go
+++ b/internal/keeper/evacuation_test.go
@@ -16,7 +16,7 @@
 	acked := false
 	for range 400 {
 		if l := g.leader(); l != nil {
-			l.core.order(g.clock.Time, p, func(_ message.EvacuateResult, err error) {
+			l.core.proposeEvacuation(g.clock.Time, p, func(_ message.EvacuateResult, err error) {
 				acked = acked || err == nil
 			})
 		}
@@ -52,7 +52,7 @@
 					vm.core.zones = zones
 				}
 			}
-			held := g.leader().core.ledger.Evacuations()
+			held := g.leader().core.store.Evacuations()
 			for zone, evacuated := range want {
 				require.Equal(t, evacuated, held.Contains(zone), "seed %d", seed)
 			}
@@ -69,7 +69,7 @@
 	require.True(t, g.settle())
 	c := g.leader().core
 	try := func(p message.EvacuateRequest) (err error) {
-		c.order(g.clock.Time, p, func(_ message.EvacuateResult, e error) { err = e })
+		c.proposeEvacuation(g.clock.Time, p, func(_ message.EvacuateResult, e error) { err = e })
 		g.run(5 * tendedStep)
 		return err
 	}
@@ -78,12 +78,12 @@
 		require.ErrorAs(t, try(message.EvacuateRequest{Zone: "nowhere", End: end}), &refused)
 		require.Equal(t, fleet.KindMalformed, refused.Kind)
 	}
-	require.Zero(t, c.ledger.Evacuations().Revision)
+	require.Zero(t, c.store.Evacuations().Revision)
 
 	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Zone: "z"}}})
 	require.NoError(t, try(message.EvacuateRequest{Zone: "z"}))
 	c.setTargets(g.clock.Now(), fleet.TargetListing{})
 	require.NoError(t, try(message.EvacuateRequest{Zone: "z"}), "it was accepted, and is never refused after that")
 	require.NoError(t, try(message.EvacuateRequest{Zone: "z", End: true}))
-	require.False(t, slices.Contains(c.ledger.Evacuations().Zones, "z"))
+	require.False(t, slices.Contains(c.store.Evacuations().Zones, "z"))
 }
--- a/internal/keeper/forming.go
+++ b/internal/keeper/forming.go
@@ -16,11 +16,11 @@
 // formPatience is how long a founder waits for all its peers before it forms the
 // group with most of them. Programs that start together find each other within
 // a second; a VM that is dead does not come.
-const formPatience = 3 * time.Second
+const partialGroupDelay = 3 * time.Second
 
 // errJoin says that the group is founded without this keeper, which therefore
 // joins it as a learner.
-var errJoin = errors.New("the group is founded without this keeper")
+var errFoundedWithout = errors.New("the group is founded without this keeper")
 
 // formParams is the parameter of MethodFormed: a group that is to be founded
 // without some of the peers.
@@ -36,18 +36,18 @@
 
 // mayForm reports whether this keeper is to propose a group without the missing
 // peers: most are there, and it is the first of them by name.
-func (f *founding) mayForm(missing map[string]string) bool {
-	if !f.settings.AutoMembers || len(missing) == 0 || f.clock.Now().Sub(f.began) < formPatience {
+func (b *bootstrapper) mayFoundWithout(missing map[string]string) bool {
+	if !b.settings.AutoMembers || len(missing) == 0 || b.clock.Now().Sub(b.startedAt) < partialGroupDelay {
 		return false
 	}
-	peers := f.settings.PeerList()
+	peers := b.settings.PeerList()
 	present := 0
-	for _, p := range peers {
-		if missing[p.Name] != "" {
+	for _, peer := range peers {
+		if missing[peer.Name] != "" {
 			continue
 		}
 		present++
-		if p.Name < f.settings.Name {
+		if peer.Name < b.settings.Name {
 			return false
 		}
 	}
@@ -61,97 +61,97 @@
 // answers. A proposal is durable too before it is sent, and is repeated
 // unchanged until it is accepted, or refused by a peer that has taken part in
 // another group, without which this one can have no quorum.
-func (f *founding) propose(ctx context.Context, missing map[string]string) (id journal.Identity, done bool, err error) {
-	id, err = f.proposal(missing)
+func (b *bootstrapper) proposeGroup(ctx context.Context, missing map[string]string) (identity journal.Identity, done bool, err error) {
+	identity, err = b.ownProposal(missing)
 	if err != nil {
-		return id, true, err
+		return identity, true, err
 	}
-	for _, m := range id.ProposedMembers {
-		if m.ID == id.ID {
+	for _, member := range identity.ProposedMembers {
+		if member.ID == identity.ID {
 			continue
 		}
-		formed, err := f.askForm(ctx, m.Address, id.ProposedMembers)
+		result, err := b.sendProposal(ctx, member.Address, identity.ProposedMembers)
 		if err != nil {
-			f.log.Debug("forming: peer does not answer", "peer", m.Name, "error", err)
-			return id, false, nil
+			b.log.Debug("forming: peer does not answer", "peer", member.Name, "error", err)
+			return identity, false, nil
 		}
-		if !slices.Equal(formed.Members, id.ProposedMembers) {
-			return f.giveWay(ctx, formed.Members)
+		if !slices.Equal(result.Members, identity.ProposedMembers) {
+			return b.acceptFoundedGroup(ctx, result.Members)
 		}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	id = f.journal.Identity()
-	id.FoundingMembers, id.Founded = id.ProposedMembers, true
-	f.log.Warn("group founded without all peers", "members", len(id.FoundingMembers), "missing", len(missing))
-	return id, true, f.journal.SetIdentity(id)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	identity = b.journal.Identity()
+	identity.FoundingMembers, identity.Founded = identity.ProposedMembers, true
+	b.log.Warn("group founded without all peers", "members", len(identity.FoundingMembers), "missing", len(missing))
+	return identity, true, b.journal.SetIdentity(identity)
 }
 
 // proposal returns this keeper's identity with its proposal, which it makes once.
-func (f *founding) proposal(missing map[string]string) (journal.Identity, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	id := f.journal.Identity()
-	if len(id.ProposedMembers) > 0 {
-		return id, nil
+func (b *bootstrapper) ownProposal(missing map[string]string) (journal.Identity, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	identity := b.journal.Identity()
+	if len(identity.ProposedMembers) > 0 {
+		return identity, nil
 	}
-	for _, p := range f.settings.PeerList() {
-		if missing[p.Name] == "" {
-			id.ProposedMembers = append(id.ProposedMembers, quorum.Member{ID: id.FoundingPeerIDs[p.Name], Name: p.Name, Address: p.Address, Voter: true})
+	for _, peer := range b.settings.PeerList() {
+		if missing[peer.Name] == "" {
+			identity.ProposedMembers = append(identity.ProposedMembers, quorum.Member{ID: identity.FoundingPeerIDs[peer.Name], Name: peer.Name, Address: peer.Address, Voter: true})
 		}
 	}
-	slices.SortFunc(id.ProposedMembers, func(a, b quorum.Member) int { return cmp.Compare(a.Name, b.Name) })
-	return id, f.journal.SetIdentity(id)
+	slices.SortFunc(identity.ProposedMembers, func(a, b quorum.Member) int { return cmp.Compare(a.Name, b.Name) })
+	return identity, b.journal.SetIdentity(identity)
 }
 
-func (f *founding) askForm(ctx context.Context, address string, members []quorum.Member) (formResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (b *bootstrapper) sendProposal(ctx context.Context, address string, members []quorum.Member) (formResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	var r formResult
-	conn, err := f.dial(ctx, address)
+	var result formResult
+	conn, err := b.dial(ctx, address)
 	if err != nil {
-		return r, err
+		return result, err
 	}
 	defer conn.Close()
-	return r, conn.Call(ctx, message.MethodFormGroup, formParams{Members: members}, &r)
+	return result, conn.Call(ctx, message.MethodFormGroup, formParams{Members: members}, &result)
 }
 
 // giveWay takes part in the group that a peer has founded: as a founder if this
 // keeper is one of its members, and else as a learner.
-func (f *founding) giveWay(ctx context.Context, members []quorum.Member) (journal.Identity, bool, error) {
-	f.mu.Lock()
-	id := f.journal.Identity()
-	id.ProposedMembers = nil
-	if slices.ContainsFunc(members, func(m quorum.Member) bool { return m.ID == id.ID }) {
-		id.FoundingMembers, id.Founded = members, true
+func (b *bootstrapper) acceptFoundedGroup(ctx context.Context, members []quorum.Member) (journal.Identity, bool, error) {
+	b.mu.Lock()
+	identity := b.journal.Identity()
+	identity.ProposedMembers = nil
+	if slices.ContainsFunc(members, func(member quorum.Member) bool { return member.ID == identity.ID }) {
+		identity.FoundingMembers, identity.Founded = members, true
 	}
-	err := f.journal.SetIdentity(id)
-	f.mu.Unlock()
-	if err != nil || id.Founded {
-		return id, true, err
+	err := b.journal.SetIdentity(identity)
+	b.mu.Unlock()
+	if err != nil || identity.Founded {
+		return identity, true, err
 	}
-	id, err = f.join(ctx, id)
-	return id, true, err
+	identity, err = b.join(ctx, identity)
+	return identity, true, err
 }
 
 // form serves MethodFormed: it takes part in the proposed group, unless it takes
 // part in another.
-func (f *founding) form(p formParams) (formResult, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	id := f.journal.Identity()
-	if id.Founded {
-		return formResult{Members: id.FoundingMembers}, nil
+func (b *bootstrapper) handleFormGroup(params formParams) (formResult, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	identity := b.journal.Identity()
+	if identity.Founded {
+		return formResult{Members: identity.FoundingMembers}, nil
 	}
-	mine := slices.ContainsFunc(p.Members, func(m quorum.Member) bool { return m.ID == id.ID })
-	if id.FoundingPeerIDs == nil || !mine || len(id.ProposedMembers) > 0 {
+	isMember := slices.ContainsFunc(params.Members, func(member quorum.Member) bool { return member.ID == identity.ID })
+	if identity.FoundingPeerIDs == nil || !isMember || len(identity.ProposedMembers) > 0 {
 		return formResult{}, fleet.NewError(fleet.KindPrecondition, "ask again, or wait for its own proposal",
-			"keeper %s takes no part in this group", f.settings.Name)
+			"keeper %s takes no part in this group", b.settings.Name)
 	}
-	id.FoundingMembers, id.Founded = p.Members, true
-	if err := f.journal.SetIdentity(id); err != nil {
+	identity.FoundingMembers, identity.Founded = params.Members, true
+	if err := b.journal.SetIdentity(identity); err != nil {
 		return formResult{}, err
 	}
-	f.log.Info("group founded by a peer", "members", len(id.FoundingMembers), "id", id.ID)
-	return formResult{Members: id.FoundingMembers}, nil
+	b.log.Info("group founded by a peer", "members", len(identity.FoundingMembers), "id", identity.ID)
+	return formResult{Members: identity.FoundingMembers}, nil
 }
--- a/internal/keeper/founding.go
+++ b/internal/keeper/founding.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	foundPause = 100 * time.Millisecond
+	foundRetryInterval = 100 * time.Millisecond
 	// joinTimeout bounds the asking of one keeper. One without power answers
 	// nothing, and the next one may lead.
 	joinTimeout = 700 * time.Millisecond
@@ -37,15 +37,15 @@
 // keeper once all its peers have bound its ID. A founder that loses its disk
 // comes back with another ID, finds the old one bound, and stops: under its
 // old identity it could vote against what it had promised.
-type founding struct {
+type bootstrapper struct {
 	settings settings.Keeper
 	log      hclog.Logger
 	journal  *journal.Journal
 	init     bool
 	dial     func(ctx context.Context, address string) (*rpc.Conn, error)
 
-	clock clock.Clock
-	began time.Time // when this keeper began to found
+	clock     clock.Clock
+	startedAt time.Time // when this keeper began to found
 	// seeds are keepers that the settings name by now.
 	seeds atomic.Pointer[[]string]
 
@@ -91,112 +91,112 @@
 }
 
 // run returns the identity once the keeper may take part.
-func (f *founding) run(ctx context.Context) (journal.Identity, error) {
-	id, err := f.identity()
+func (b *bootstrapper) run(ctx context.Context) (journal.Identity, error) {
+	identity, err := b.loadIdentity()
 	if err != nil {
-		return id, err
+		return identity, err
 	}
 	switch {
-	case id.Founded || f.journal.IsMember():
+	case identity.Founded || b.journal.IsMember():
 		// A joined keeper whose log says that it is a member must not wait for a
 		// leader here: after a loss of power everywhere, its vote may be the one
 		// that a quorum lacks.
-		return id, nil
-	case id.FoundingPeerIDs != nil:
-		return f.waitForPeers(ctx)
+		return identity, nil
+	case identity.FoundingPeerIDs != nil:
+		return b.waitForPeers(ctx)
 	default:
-		return f.join(ctx, id)
+		return b.join(ctx, identity)
 	}
 }
 
 // identity returns the folder's identity, and draws one for an empty folder.
-func (f *founding) identity() (journal.Identity, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	id := f.journal.Identity()
-	if id.ID != "" {
-		return id, nil
+func (b *bootstrapper) loadIdentity() (journal.Identity, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	identity := b.journal.Identity()
+	if identity.ID != "" {
+		return identity, nil
 	}
-	id = journal.Identity{Name: f.settings.Name, ID: f.settings.Name + "-" + rand.Text()}
-	if f.init {
-		id.FoundingPeerIDs = map[string]string{id.Name: id.ID}
+	identity = journal.Identity{Name: b.settings.Name, ID: b.settings.Name + "-" + rand.Text()}
+	if b.init {
+		identity.FoundingPeerIDs = map[string]string{identity.Name: identity.ID}
 	}
-	if err := f.journal.SetIdentity(id); err != nil {
-		return id, fmt.Errorf("save the identity: %w", err)
+	if err := b.journal.SetIdentity(identity); err != nil {
+		return identity, fmt.Errorf("save the identity: %w", err)
 	}
-	return id, nil
+	return identity, nil
 }
 
 // answer serves MethodFound.
-func (f *founding) answer(p foundParams) (foundResult, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	id := f.journal.Identity()
-	if id.FoundingPeerIDs == nil {
-		return foundResult{}, fleet.NewError(fleet.KindPrecondition, "start it with --init, or wait for it", "keeper %s founds no group", f.settings.Name)
+func (b *bootstrapper) handleFoundGroup(params foundParams) (foundResult, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	identity := b.journal.Identity()
+	if identity.FoundingPeerIDs == nil {
+		return foundResult{}, fleet.NewError(fleet.KindPrecondition, "start it with --init, or wait for it", "keeper %s founds no group", b.settings.Name)
 	}
-	if id.FoundingPeerIDs[p.Name] == "" && !id.Founded {
-		if err := f.bind(id, p.Name, p.ID); err != nil {
+	if identity.FoundingPeerIDs[params.Name] == "" && !identity.Founded {
+		if err := b.bindPeer(identity, params.Name, params.ID); err != nil {
 			return foundResult{}, err
 		}
 	}
-	return foundResult{ID: id.ID, Bound: f.journal.Identity().FoundingPeerIDs[p.Name], Founded: id.Founded}, nil
+	return foundResult{ID: identity.ID, Bound: b.journal.Identity().FoundingPeerIDs[params.Name], Founded: identity.Founded}, nil
 }
 
-func (f *founding) bind(id journal.Identity, name, peerID string) error {
-	bound := make(map[string]string, len(id.FoundingPeerIDs)+1)
-	for n, v := range id.FoundingPeerIDs {
-		bound[n] = v
+func (b *bootstrapper) bindPeer(identity journal.Identity, name, peerID string) error {
+	bound := make(map[string]string, len(identity.FoundingPeerIDs)+1)
+	for boundName, boundID := range identity.FoundingPeerIDs {
+		bound[boundName] = boundID
 	}
 	bound[name] = peerID
-	id.FoundingPeerIDs = bound
-	return f.journal.SetIdentity(id)
+	identity.FoundingPeerIDs = bound
+	return b.journal.SetIdentity(identity)
 }
 
 // waitForPeers asks all peers until each has bound this keeper's ID, or most of
 // them have founded the group.
-func (f *founding) waitForPeers(ctx context.Context) (journal.Identity, error) {
-	f.began = f.clock.Now()
+func (b *bootstrapper) waitForPeers(ctx context.Context) (journal.Identity, error) {
+	b.startedAt = b.clock.Now()
 	missing := make(map[string]string)
-	for _, p := range f.settings.PeerList() {
-		if p.Name != f.settings.Name {
-			missing[p.Name] = p.Address
+	for _, peer := range b.settings.PeerList() {
+		if peer.Name != b.settings.Name {
+			missing[peer.Name] = peer.Address
 		}
 	}
-	for f.waits(missing) {
-		err := f.askMissing(ctx, missing)
-		if errors.Is(err, errJoin) {
-			return f.join(ctx, f.journalIdentity())
+	for b.isIncomplete(missing) {
+		err := b.askMissingPeers(ctx, missing)
+		if errors.Is(err, errFoundedWithout) {
+			return b.join(ctx, b.currentIdentity())
 		}
 		if err != nil {
 			return journal.Identity{}, err
 		}
-		if id := f.journalIdentity(); id.Founded {
-			return id, nil // a peer has formed the group
+		if identity := b.currentIdentity(); identity.Founded {
+			return identity, nil // a peer has formed the group
 		}
 		// A proposal that was made stands, also once all peers are there: one may
 		// have taken part already.
-		if len(f.journalIdentity().ProposedMembers) > 0 || f.mayForm(missing) {
-			if id, done, err := f.propose(ctx, missing); done || err != nil {
-				return id, err
+		if len(b.currentIdentity().ProposedMembers) > 0 || b.mayFoundWithout(missing) {
+			if identity, done, err := b.proposeGroup(ctx, missing); done || err != nil {
+				return identity, err
 			}
 		}
-		if f.waits(missing) && !sleep(ctx, foundPause) {
+		if b.isIncomplete(missing) && !sleep(ctx, foundRetryInterval) {
 			return journal.Identity{}, ctx.Err()
 		}
 	}
-	return f.conclude()
+	return b.completeFounding()
 }
 
-func (f *founding) waits(missing map[string]string) bool {
-	return len(missing) > 0 || len(f.journalIdentity().ProposedMembers) > 0
+func (b *bootstrapper) isIncomplete(missing map[string]string) bool {
+	return len(missing) > 0 || len(b.currentIdentity().ProposedMembers) > 0
 }
 
 // askMissing asks the missing peers, and strikes those off that have bound this
 // keeper's ID.
-func (f *founding) askMissing(ctx context.Context, missing map[string]string) error {
+func (b *bootstrapper) askMissingPeers(ctx context.Context, missing map[string]string) error {
 	for name, address := range missing {
-		ok, err := f.askPeer(ctx, name, address)
+		ok, err := b.askPeer(ctx, name, address)
 		if err != nil {
 			return err
 		}
@@ -207,76 +207,76 @@
 	return nil
 }
 
-func (f *founding) askPeer(ctx context.Context, name, address string) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (b *bootstrapper) askPeer(ctx context.Context, name, address string) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	conn, err := f.dial(ctx, address)
+	conn, err := b.dial(ctx, address)
 	if err != nil {
-		f.log.Debug("founding: peer cannot be reached", "peer", name, "error", err)
+		b.log.Debug("founding: peer cannot be reached", "peer", name, "error", err)
 		return false, nil
 	}
 	defer conn.Close()
-	mine := f.journalIdentity()
-	var theirs foundResult
-	if err := conn.Call(ctx, message.MethodFoundGroup, foundParams{Name: mine.Name, ID: mine.ID}, &theirs); err != nil {
-		f.log.Debug("founding: peer is not ready", "peer", name, "error", err)
+	ownIdentity := b.currentIdentity()
+	var result foundResult
+	if err := conn.Call(ctx, message.MethodFoundGroup, foundParams{Name: ownIdentity.Name, ID: ownIdentity.ID}, &result); err != nil {
+		b.log.Debug("founding: peer is not ready", "peer", name, "error", err)
 		return false, nil
 	}
-	if f.settings.AutoMembers && theirs.Founded && theirs.Bound != mine.ID {
-		return false, errJoin
+	if b.settings.AutoMembers && result.Founded && result.Bound != ownIdentity.ID {
+		return false, errFoundedWithout
 	}
-	if theirs.Bound != mine.ID {
-		return false, &IdentityConflictError{Peer: name, Name: mine.Name}
+	if result.Bound != ownIdentity.ID {
+		return false, &IdentityConflictError{Peer: name, Name: ownIdentity.Name}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	id := f.journal.Identity()
-	if id.FoundingPeerIDs[name] == "" {
-		return true, f.bind(id, name, theirs.ID)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	identity := b.journal.Identity()
+	if identity.FoundingPeerIDs[name] == "" {
+		return true, b.bindPeer(identity, name, result.ID)
 	}
-	if id.FoundingPeerIDs[name] != theirs.ID {
-		return false, &IdentityConflictError{Peer: mine.Name, Name: name}
+	if identity.FoundingPeerIDs[name] != result.ID {
+		return false, &IdentityConflictError{Peer: ownIdentity.Name, Name: name}
 	}
 	return true, nil
 }
 
-func (f *founding) journalIdentity() journal.Identity {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.journal.Identity()
+func (b *bootstrapper) currentIdentity() journal.Identity {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.journal.Identity()
 }
 
 // conclude makes the founding members durable.
-func (f *founding) conclude() (journal.Identity, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	id := f.journal.Identity()
-	if id.Founded {
-		return id, nil
+func (b *bootstrapper) completeFounding() (journal.Identity, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	identity := b.journal.Identity()
+	if identity.Founded {
+		return identity, nil
 	}
-	for _, p := range f.settings.PeerList() {
-		id.FoundingMembers = append(id.FoundingMembers, quorum.Member{ID: id.FoundingPeerIDs[p.Name], Name: p.Name, Address: p.Address, Voter: true})
+	for _, peer := range b.settings.PeerList() {
+		identity.FoundingMembers = append(identity.FoundingMembers, quorum.Member{ID: identity.FoundingPeerIDs[peer.Name], Name: peer.Name, Address: peer.Address, Voter: true})
 	}
-	slices.SortFunc(id.FoundingMembers, func(a, b quorum.Member) int { return cmp.Compare(a.Name, b.Name) })
-	id.Founded = true
-	if err := f.journal.SetIdentity(id); err != nil {
-		return id, fmt.Errorf("save the identity: %w", err)
+	slices.SortFunc(identity.FoundingMembers, func(a, b quorum.Member) int { return cmp.Compare(a.Name, b.Name) })
+	identity.Founded = true
+	if err := b.journal.SetIdentity(identity); err != nil {
+		return identity, fmt.Errorf("save the identity: %w", err)
 	}
-	f.log.Info("group founded", "members", len(id.FoundingMembers), "id", id.ID)
-	return id, nil
+	b.log.Info("group founded", "members", len(identity.FoundingMembers), "id", identity.ID)
+	return identity, nil
 }
 
 // join asks the group to take this keeper as a replacement. The leader then
 // sends it the log; it votes only once it holds all of it.
-func (f *founding) join(ctx context.Context, id journal.Identity) (journal.Identity, error) {
+func (b *bootstrapper) join(ctx context.Context, identity journal.Identity) (journal.Identity, error) {
 	for {
-		if members, ok := f.askAll(ctx, id, nil); ok {
-			f.log.Info("joined as a learner", "id", id.ID, "members", len(members))
-			id.FoundingMembers = members
-			return id, nil
+		if members, ok := b.requestJoin(ctx, identity, nil); ok {
+			b.log.Info("joined as a learner", "id", identity.ID, "members", len(members))
+			identity.FoundingMembers = members
+			return identity, nil
 		}
-		if !sleep(ctx, foundPause) {
-			return id, ctx.Err()
+		if !sleep(ctx, foundRetryInterval) {
+			return identity, ctx.Err()
 		}
 	}
 }
--- a/internal/keeper/instances.go
+++ b/internal/keeper/instances.go
@@ -38,28 +38,28 @@
 	// instancePeriod is how often the leader reads the list. With the list's own
 	// lag and the routers' renewals, a target that starts to leave is known
 	// everywhere in under half of the three seconds that it has.
-	instancePeriod = 600 * time.Millisecond
+	targetListInterval = 600 * time.Millisecond
 	// leadPoll is how often a keeper that does not lead looks whether it does.
-	leadPoll = 100 * time.Millisecond
+	leaderPollInterval = 100 * time.Millisecond
 )
 
 // watchInstances is the duty that reads the list while this keeper leads. One
 // reader for all spares the platform's reads.
-func (c *core) watchInstances(ctx context.Context, list TargetList) error {
+func (c *core) watchTargets(ctx context.Context, list TargetList) error {
 	if list == nil {
 		return nil
 	}
 	failing := false
-	notes := targetlist.DamageNotes{Log: c.log, List: list.Address(), Count: &c.damaged}
-	for pause := leadPoll; sleep(ctx, pause); {
-		pause = leadPoll
-		if !c.leading(ctx) {
+	notes := targetlist.DamageNotes{Log: c.log, List: list.Address(), Count: &c.damagedEntries}
+	for delay := leaderPollInterval; sleep(ctx, delay); {
+		delay = leaderPollInterval
+		if !c.isLeader(ctx) {
 			continue
 		}
-		pause = instancePeriod
+		delay = targetListInterval
 		readAt := c.clock.Now()
-		limited, cancel := context.WithTimeout(ctx, listTimeout)
-		listing, err := list.Read(limited)
+		readCtx, cancel := context.WithTimeout(ctx, platformReadTimeout)
+		listing, err := list.Read(readCtx)
 		cancel()
 		if (err != nil) != failing {
 			failing = err != nil
@@ -67,14 +67,14 @@
 		}
 		if err == nil {
 			notes.Take(readAt, listing)
-			c.post(func(time.Time) { c.setTargets(readAt, listing) })
+			c.enqueue(func(time.Time) { c.setTargets(readAt, listing) })
 		}
 	}
 	return nil
 }
 
-func (c *core) leading(ctx context.Context) bool {
-	leads := false
-	err := c.ask(ctx, func(now time.Time) { leads = c.node.IsActiveLeader(now) })
-	return err == nil && leads
+func (c *core) isLeader(ctx context.Context) bool {
+	leading := false
+	err := c.runAndWait(ctx, func(now time.Time) { leading = c.node.IsActiveLeader(now) })
+	return err == nil && leading
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -24,7 +24,7 @@
 
 // adminClose bounds how long a stopping keeper finishes operators' requests. Without a
 // bound, half a request held it until it was killed.
-const adminClose = 500 * time.Millisecond
+const adminShutdownTimeout = 500 * time.Millisecond
 
 // A Keeper is one lf-keeper. Set the exported fields, then call Run.
 type Keeper struct {
@@ -40,17 +40,17 @@
 	// list the targets.
 	TargetList TargetList
 	// ServeControlAPI, if set, serves operators in the platform's way.
-	ServeControlAPI func(ctx context.Context, c *LeaderClient) error
-
-	count   rpc.Counter
-	secret  rpc.Secret
-	journal journal.Journal
-	core    *core
-	peers   *peers
-	found   *founding
+	ServeControlAPI func(ctx context.Context, client *LeaderClient) error
+
+	counter      rpc.Counter
+	secret       rpc.Secret
+	journal      journal.Journal
+	core         *core
+	transport    *rpcTransport
+	bootstrapper *bootstrapper
 	// founding is found, for other goroutines than that of Run.
-	founding atomic.Pointer[founding]
-	meters   *meters
+	sharedBootstrapper atomic.Pointer[bootstrapper]
+	metrics            *keeperMetrics
 }
 
 // A DataDirInUseError says that the data folder does not fit the way of starting.
@@ -86,8 +86,8 @@
 // SetSeeds names keepers that the settings tell of by now. It may be called at
 // any time while Run runs.
 func (k *Keeper) SetSeeds(addresses []string) {
-	if f := k.founding.Load(); f != nil {
-		f.seeds.Store(&addresses)
+	if bootstrapper := k.sharedBootstrapper.Load(); bootstrapper != nil {
+		bootstrapper.seeds.Store(&addresses)
 	}
 }
 
@@ -119,28 +119,28 @@
 }
 
 func (k *Keeper) assemble() {
-	k.peers = &peers{log: k.Log, name: k.Settings.Name, secret: k.secret, count: &k.count, handler: k, links: make(map[string]*peerLink)}
-	k.core = newCore(k.Clock, k.Log, &k.journal, k.peers)
-	k.found = &founding{
+	k.transport = &rpcTransport{log: k.Log, name: k.Settings.Name, secret: k.secret, counter: &k.counter, handler: k, peerSenders: make(map[string]*peerSender)}
+	k.core = newCore(k.Clock, k.Log, &k.journal, k.transport)
+	k.bootstrapper = &bootstrapper{
 		settings: k.Settings, log: k.Log, journal: &k.journal, init: k.Init,
 		dial: k.dialPeer, clock: k.Clock,
 	}
 	k.core.autoMembers, k.core.zones = k.Settings.AutoMembers, k.Settings.Zones
-	k.founding.Store(k.found)
-	k.meters = newMeters(&k.count, k.core)
+	k.sharedBootstrapper.Store(k.bootstrapper)
+	k.metrics = newMetrics(&k.counter, k.core)
 	if k.VMs == nil && k.Settings.List != "" {
 		k.VMs = &RealVMList{URL: k.Settings.List}
 	}
 }
 
 func (k *Keeper) dialPeer(ctx context.Context, address string) (*rpc.Conn, error) {
-	return rpc.Dial(ctx, address, k.Settings.Name, k.secret, k, &k.count)
+	return rpc.Dial(ctx, address, k.Settings.Name, k.secret, k, &k.counter)
 }
 
 func closeAdmin(ctx context.Context, admin *fasthttp.Server) error {
-	limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), adminClose)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), adminShutdownTimeout)
 	defer cancel()
-	err := admin.ShutdownWithContext(limited)
+	err := admin.ShutdownWithContext(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil // what is left ends with the process
 	}
@@ -148,41 +148,41 @@
 }
 
 func (k *Keeper) serveAll(ctx context.Context, listener, adminListener net.Listener) error {
-	g, ctx := errgroup.WithContext(ctx)
+	group, ctx := errgroup.WithContext(ctx)
 	// What a leader says at its end must still get out.
-	peersCtx, stopPeers := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopPeers()
+	transportCtx, stopTransport := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTransport()
 	admin := &fasthttp.Server{Handler: k.serveAdmin, CloseOnShutdown: true}
-	g.Go(func() error {
-		return rpc.Serve(ctx, listener, k.Settings.Name, k.secret, k, &k.count)
+	group.Go(func() error {
+		return rpc.Serve(ctx, listener, k.Settings.Name, k.secret, k, &k.counter)
 	})
-	g.Go(func() error { return admin.Serve(adminListener) })
-	g.Go(func() error { return k.peers.run(peersCtx) })
-	g.Go(func() error { return k.core.watchVMs(ctx, k.VMs) })
-	g.Go(func() error {
-		defer stopPeers()
-		id, err := k.found.run(ctx)
+	group.Go(func() error { return admin.Serve(adminListener) })
+	group.Go(func() error { return k.transport.run(transportCtx) })
+	group.Go(func() error { return k.core.watchVMs(ctx, k.VMs) })
+	group.Go(func() error {
+		defer stopTransport()
+		identity, err := k.bootstrapper.run(ctx)
 		if err != nil {
 			return err
 		}
 		if k.Settings.AutoMembers {
-			g.Go(func() error { return k.stay(ctx, id) })
+			group.Go(func() error { return k.keepMembership(ctx, identity) })
 		}
-		err = k.core.run(ctx, id)
-		k.peers.flush()
+		err = k.core.run(ctx, identity)
+		k.transport.flush()
 		return err
 	})
 	if k.ServeControlAPI != nil {
-		g.Go(func() error { return k.ServeControlAPI(ctx, &LeaderClient{keeper: k}) })
-		g.Go(func() error { return k.core.watchInstances(ctx, k.TargetList) })
+		group.Go(func() error { return k.ServeControlAPI(ctx, &LeaderClient{keeper: k}) })
+		group.Go(func() error { return k.core.watchTargets(ctx, k.TargetList) })
 	}
-	g.Go(func() error {
+	group.Go(func() error {
 		<-ctx.Done()
 		_ = listener.Close() // ends its Serve
 		return closeAdmin(ctx, admin)
 	})
 	k.Log.Info("serving", "listen", k.Settings.Listen, "admin", k.Settings.Admin, "zone", k.Settings.Zone)
-	err := g.Wait()
+	err := group.Wait()
 	if closeErr := k.journal.Close(); err == nil {
 		err = closeErr
 	}
--- a/internal/keeper/lead.go
+++ b/internal/keeper/lead.go
@@ -9,21 +9,21 @@
 	"laburnumfall/internal/statestore"
 )
 
-var errLost = fleet.NewError(fleet.KindNoQuorum, "send it again: the same request is carried out once",
+var errLeaderChanged = fleet.NewError(fleet.KindNoQuorum, "send it again: the same request is carried out once",
 	"the leader changed before a quorum held the request")
 
-func (c *core) giveConfig() {
+func (c *core) updateDividerConfig() {
 	if c.divider == nil {
 		return
 	}
-	config, text := c.ledger.Config()
+	config, text := c.store.Config()
 	c.divider.SetConfig(c.clock.Now(), config, text)
-	c.giveGone()
+	c.updateUnavailableTargets()
 }
 
 // lead begins and ends this keeper's part as leader, and sends what its
 // divider grants. The lease is looked up last, right before sending.
-func (c *core) lead(now time.Time) {
+func (c *core) runLeader(now time.Time) {
 	if c.node.Role() != quorum.Leader {
 		c.stepDown()
 		return
@@ -32,21 +32,21 @@
 		return // the term may go on once a quorum answers again
 	}
 	if c.divider == nil || c.divider.Term != c.node.Term() {
-		c.log.Info("leading", "term", c.node.Term(), "number", c.ledger.Number())
-		c.divider = &fairshare.Divider{Term: c.node.Term(), Blank: c.ledger.Number() == 0}
+		c.log.Info("leading", "term", c.node.Term(), "number", c.store.Number())
+		c.divider = &fairshare.Divider{Term: c.node.Term(), Blank: c.store.Number() == 0}
 		c.divider.Start(now)
-		c.registry = nil // of the term before
-		if c.ledger.Number() > 0 {
-			c.giveConfig()
+		c.coordinator = nil // of the term before
+		if c.store.Number() > 0 {
+			c.updateDividerConfig()
 		}
 	}
 	c.divider.Tick(now)
-	c.keepMembers(now)
-	for _, a := range c.divider.Take() {
-		key := routerKey{a.Router, a.Inc}
+	c.maintainMembership(now)
+	for _, addressed := range c.divider.Take() {
+		key := routerKey{addressed.Router, addressed.Inc}
 		if conn := c.routers[key]; conn != nil && c.node.IsActiveLeader(c.clock.Now()) {
-			a.Grant.Restrictions = c.rulings(now, c.reported[key])
-			c.carrier.grant(conn, a.Grant)
+			addressed.Grant.Restrictions = c.restrictionsFor(now, c.lastReports[key])
+			c.transport.sendGrant(conn, addressed.Grant)
 		}
 	}
 }
@@ -56,61 +56,61 @@
 func (c *core) stepDown() {
 	if c.divider != nil {
 		c.log.Warn("no longer leading", "term", c.divider.Term)
-		c.divider, c.registry, c.told = nil, nil, nil
+		c.divider, c.coordinator, c.pendingReports = nil, nil, nil
 		clear(c.routers)
 	}
 	for index, w := range c.waiters {
 		delete(c.waiters, index)
-		w.done(statestore.Result{}, errLost)
+		w.done(statestore.Result{}, errLeaderChanged)
 	}
 }
 
 // promote makes a learner that has caught up a voter.
-func (c *core) promote(now time.Time) {
-	for _, m := range c.node.Members() {
-		if m.Voter || c.node.MatchIndex(m.ID) < c.node.CommitIndex() {
+func (c *core) promoteLearners(now time.Time) {
+	for _, member := range c.node.Members() {
+		if member.Voter || c.node.MatchIndex(member.ID) < c.node.CommitIndex() {
 			continue
 		}
-		if err := c.node.Promote(now, m.ID); err == nil {
-			c.log.Info("keeper promoted", "name", m.Name, "id", m.ID)
+		if err := c.node.Promote(now, member.ID); err == nil {
+			c.log.Info("keeper promoted", "name", member.Name, "id", member.ID)
 		}
 	}
 }
 
 // propose puts the claims and settlements that were collected into one entry.
-func (c *core) propose(now time.Time) {
-	claims, settles := c.claims, c.settles
-	if len(claims)+len(settles) == 0 {
+func (c *core) proposeClaims(now time.Time) {
+	claimCalls, settleCalls := c.pendingClaims, c.pendingSettles
+	if len(claimCalls)+len(settleCalls) == 0 {
 		return
 	}
-	c.claims, c.settles = nil, nil
-	cmd := statestore.Command{}
-	for _, call := range claims {
-		cmd.Claims = append(cmd.Claims, call.claims...)
+	c.pendingClaims, c.pendingSettles = nil, nil
+	command := statestore.Command{}
+	for _, call := range claimCalls {
+		command.Claims = append(command.Claims, call.claims...)
 	}
-	for _, call := range settles {
-		cmd.Settlements = append(cmd.Settlements, call.settlements...)
+	for _, call := range settleCalls {
+		command.Settlements = append(command.Settlements, call.settlements...)
 	}
-	c.submit(now, cmd, func(r statestore.Result, err error) {
-		at := 0
-		for _, call := range claims {
+	c.submit(now, command, func(result statestore.Result, err error) {
+		offset := 0
+		for _, call := range claimCalls {
 			if err != nil {
 				call.done(nil, err)
 				continue
 			}
-			call.done(r.Verdicts[at:at+len(call.claims)], nil)
-			at += len(call.claims)
+			call.done(result.Verdicts[offset:offset+len(call.claims)], nil)
+			offset += len(call.claims)
 		}
-		for _, call := range settles {
+		for _, call := range settleCalls {
 			call.done(err)
 		}
 	})
 }
 
 // submit proposes a command and has done told what became of it.
-func (c *core) submit(now time.Time, cmd statestore.Command, done func(statestore.Result, error)) {
-	cmd.At = now
-	index, term, err := c.node.Propose(now, cmd.Encode())
+func (c *core) submit(now time.Time, command statestore.Command, done func(statestore.Result, error)) {
+	command.At = now
+	index, term, err := c.node.Propose(now, command.Encode())
 	if err != nil {
 		done(statestore.Result{}, err)
 		return
--- a/internal/keeper/linkcache.go
+++ b/internal/keeper/linkcache.go
@@ -8,48 +8,48 @@
 )
 
 // A linkCache keeps one link to each address that calls are made to.
-type linkCache struct {
+type connCache struct {
 	mu    sync.Mutex
-	links map[string]*rpc.Conn
+	conns map[string]*rpc.Conn
 }
 
-type dialer func(ctx context.Context, address string) (*rpc.Conn, error)
+type dialFunc func(ctx context.Context, address string) (*rpc.Conn, error)
 
-func (l *linkCache) get(ctx context.Context, address string, dial dialer) (*rpc.Conn, error) {
-	l.mu.Lock()
-	conn := l.links[address]
-	l.mu.Unlock()
-	if conn != nil && !ended(conn) {
+func (c *connCache) get(ctx context.Context, address string, dial dialFunc) (*rpc.Conn, error) {
+	c.mu.Lock()
+	conn := c.conns[address]
+	c.mu.Unlock()
+	if conn != nil && !isClosed(conn) {
 		return conn, nil
 	}
 	conn, err := dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.links == nil {
-		l.links = make(map[string]*rpc.Conn)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conns == nil {
+		c.conns = make(map[string]*rpc.Conn)
 	}
-	if other := l.links[address]; other != nil && !ended(other) {
+	if existing := c.conns[address]; existing != nil && !isClosed(existing) {
 		conn.Close()
-		return other, nil
+		return existing, nil
 	}
-	l.links[address] = conn
+	c.conns[address] = conn
 	return conn, nil
 }
 
 // drop ends a link, unless another has taken its place.
-func (l *linkCache) drop(address string, conn *rpc.Conn) {
+func (c *connCache) drop(address string, conn *rpc.Conn) {
 	conn.Close()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.links[address] == conn {
-		delete(l.links, address)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conns[address] == conn {
+		delete(c.conns, address)
 	}
 }
 
-func ended(conn *rpc.Conn) bool {
+func isClosed(conn *rpc.Conn) bool {
 	select {
 	case <-conn.Done():
 		return true
--- a/internal/keeper/membership_test.go
+++ b/internal/keeper/membership_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m, ok := silentMember(now, "a", tt.members, func(id string) time.Time { return now.Add(-tt.silent[id]) })
+			m, ok := memberToRemove(now, "a", tt.members, func(id string) time.Time { return now.Add(-tt.silent[id]) })
 			require.Equal(t, tt.want != "", ok)
 			require.Equal(t, tt.want, m.ID)
 		})
@@ -65,7 +65,7 @@
 			silent[m.ID] = i > 0 && rapid.Bool().Draw(t, "silent")
 			members = append(members, m)
 		}
-		m, ok := silentMember(now, "a", members, func(id string) time.Time {
+		m, ok := memberToRemove(now, "a", members, func(id string) time.Time {
 			if silent[id] {
 				return now.Add(-time.Minute)
 			}
--- a/internal/keeper/peers.go
+++ b/internal/keeper/peers.go
@@ -14,105 +14,105 @@
 )
 
 const (
-	peerRing    = 256
-	redialPause = 100 * time.Millisecond
-	callTimeout = 2 * time.Second
-	grantRing   = 16
+	peerQueueSize   = 256
+	redialDelay     = 100 * time.Millisecond
+	peerCallTimeout = 2 * time.Second
+	grantQueueSize  = 16
 	// flushTime bounds how long a keeper that stops waits for its last messages to get
 	// out: some round trips.
-	flushTime = 100 * time.Millisecond
-	flushPoll = time.Millisecond
+	flushTimeout      = 100 * time.Millisecond
+	flushPollInterval = time.Millisecond
 )
 
 // peers carries quorum messages to the other keepers and grants to routers.
 // What finds a full ring is dropped: both are repeated.
-type peers struct {
+type rpcTransport struct {
 	log     hclog.Logger
 	name    string
 	secret  rpc.Secret
-	count   *rpc.Counter
+	counter *rpc.Counter
 	handler rpc.Handler
 
-	queued atomic.Int64 // messages to members that are not sent yet
+	pendingCount atomic.Int64 // messages to members that are not sent yet
 
-	mu      sync.Mutex
-	ctx     context.Context
-	links   map[string]*peerLink    // by member ID
-	routers map[*rpc.Conn]*outbound // by the link that reports come in by
+	mu           sync.Mutex
+	ctx          context.Context
+	peerSenders  map[string]*peerSender     // by member ID
+	grantSenders map[*rpc.Conn]*grantSender // by the link that reports come in by
 }
 
-var _ carrier = &peers{}
+var _ transport = &rpcTransport{}
 
 // peerLink is the duty that carries messages to one member.
-type peerLink struct {
+type peerSender struct {
 	address string
-	ring    chan quorum.Message
+	queue   chan quorum.Message
 	cancel  context.CancelFunc
 }
 
 // outbound is the duty that carries grants to one router.
-type outbound struct {
-	ring chan message.Grant
+type grantSender struct {
+	queue chan message.Grant
 }
 
-func (p *peers) run(ctx context.Context) error {
-	p.mu.Lock()
-	p.ctx = ctx
-	p.mu.Unlock()
+func (t *rpcTransport) run(ctx context.Context) error {
+	t.mu.Lock()
+	t.ctx = ctx
+	t.mu.Unlock()
 	<-ctx.Done()
 	return nil
 }
 
 // setMembers opens and closes links as the membership changes.
-func (p *peers) setMembers(self string, members []quorum.Member) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.ctx == nil {
+func (t *rpcTransport) setMembers(selfID string, members []quorum.Member) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ctx == nil {
 		return
 	}
 	wanted := make(map[string]bool, len(members))
-	for _, m := range members {
-		wanted[m.ID] = true
-		if m.ID == self || p.links[m.ID] != nil {
+	for _, member := range members {
+		wanted[member.ID] = true
+		if member.ID == selfID || t.peerSenders[member.ID] != nil {
 			continue
 		}
-		ctx, cancel := context.WithCancel(p.ctx)
-		l := &peerLink{address: m.Address, ring: make(chan quorum.Message, peerRing), cancel: cancel}
-		p.links[m.ID] = l
-		go p.carry(ctx, l)
+		ctx, cancel := context.WithCancel(t.ctx)
+		sender := &peerSender{address: member.Address, queue: make(chan quorum.Message, peerQueueSize), cancel: cancel}
+		t.peerSenders[member.ID] = sender
+		go t.sendMessages(ctx, sender)
 	}
-	for id, l := range p.links {
+	for id, sender := range t.peerSenders {
 		if !wanted[id] {
-			l.cancel()
-			delete(p.links, id)
+			sender.cancel()
+			delete(t.peerSenders, id)
 		}
 	}
 }
 
 // send queues a message to a member. One that is no member, such as a removed
 // one that still asks, gets no answer.
-func (p *peers) send(m quorum.Message) {
-	p.mu.Lock()
-	l := p.links[m.To]
-	p.mu.Unlock()
-	if l == nil {
+func (t *rpcTransport) send(msg quorum.Message) {
+	t.mu.Lock()
+	sender := t.peerSenders[msg.To]
+	t.mu.Unlock()
+	if sender == nil {
 		return
 	}
 	select {
-	case l.ring <- m:
-		p.queued.Add(1)
+	case sender.queue <- msg:
+		t.pendingCount.Add(1)
 	default:
 	}
 }
 
 // flush waits until what is queued is sent, or cannot be in time.
-func (p *peers) flush() {
-	for end := time.Now().Add(flushTime); p.queued.Load() > 0 && time.Now().Before(end); {
-		time.Sleep(flushPoll)
+func (t *rpcTransport) flush() {
+	for deadline := time.Now().Add(flushTimeout); t.pendingCount.Load() > 0 && time.Now().Before(deadline); {
+		time.Sleep(flushPollInterval)
 	}
 }
 
-func (p *peers) carry(ctx context.Context, l *peerLink) {
+func (t *rpcTransport) sendMessages(ctx context.Context, sender *peerSender) {
 	var conn *rpc.Conn
 	defer func() {
 		if conn != nil {
@@ -122,34 +122,34 @@
 	for {
 		select {
 		case <-ctx.Done():
-			p.queued.Add(-int64(len(l.ring)))
+			t.pendingCount.Add(-int64(len(sender.queue)))
 			return
-		case m := <-l.ring:
+		case msg := <-sender.queue:
 			if conn == nil {
-				conn = p.open(ctx, l)
+				conn = t.dialMember(ctx, sender)
 			}
-			if conn != nil && conn.Notify(message.MethodQuorum, m) != nil {
+			if conn != nil && conn.Notify(message.MethodQuorum, msg) != nil {
 				conn.Close() // what is lost is repeated
 				conn = nil
 			}
-			p.queued.Add(-1)
+			t.pendingCount.Add(-1)
 		}
 	}
 }
 
 // open dials a member. While it cannot be reached, what waits for it is
 // dropped, so that it does not get a backlog of old messages later.
-func (p *peers) open(ctx context.Context, l *peerLink) *rpc.Conn {
-	conn, err := rpc.Dial(ctx, l.address, p.name, p.secret, p.handler, p.count)
+func (t *rpcTransport) dialMember(ctx context.Context, sender *peerSender) *rpc.Conn {
+	conn, err := rpc.Dial(ctx, sender.address, t.name, t.secret, t.handler, t.counter)
 	if err == nil {
 		return conn
 	}
-	p.log.Debug("keeper cannot be reached", "address", l.address, "error", err)
-	sleep(ctx, redialPause)
+	t.log.Debug("keeper cannot be reached", "address", sender.address, "error", err)
+	sleep(ctx, redialDelay)
 	for {
 		select {
-		case <-l.ring:
-			p.queued.Add(-1)
+		case <-sender.queue:
+			t.pendingCount.Add(-1)
 		default:
 			return nil
 		}
@@ -157,37 +157,37 @@
 }
 
 // grant queues a grant on the link that the router's reports come in by.
-func (p *peers) grant(conn *rpc.Conn, g message.Grant) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.routers == nil {
-		p.routers = make(map[*rpc.Conn]*outbound)
+func (t *rpcTransport) sendGrant(conn *rpc.Conn, grant message.Grant) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.grantSenders == nil {
+		t.grantSenders = make(map[*rpc.Conn]*grantSender)
 	}
-	o := p.routers[conn]
-	if o == nil {
-		o = &outbound{ring: make(chan message.Grant, grantRing)}
-		p.routers[conn] = o
-		go p.carryGrants(conn, o)
+	sender := t.grantSenders[conn]
+	if sender == nil {
+		sender = &grantSender{queue: make(chan message.Grant, grantQueueSize)}
+		t.grantSenders[conn] = sender
+		go t.sendGrants(conn, sender)
 	}
 	select {
-	case o.ring <- g:
+	case sender.queue <- grant:
 	default:
-		p.log.Warn("grant dropped: the router takes none", "router", conn.Name())
+		t.log.Warn("grant dropped: the router takes none", "router", conn.Name())
 	}
 }
 
-func (p *peers) carryGrants(conn *rpc.Conn, o *outbound) {
+func (t *rpcTransport) sendGrants(conn *rpc.Conn, sender *grantSender) {
 	defer func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		delete(p.routers, conn)
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		delete(t.grantSenders, conn)
 	}()
 	for {
 		select {
 		case <-conn.Done():
 			return
-		case g := <-o.ring:
-			if err := conn.Notify(message.MethodGrant, g); err != nil {
+		case grant := <-sender.queue:
+			if err := conn.Notify(message.MethodGrant, grant); err != nil {
 				conn.Close()
 				return
 			}
--- a/internal/keeper/quarantine_test.go
+++ b/internal/keeper/quarantine_test.go
@@ -113,7 +113,7 @@
 			}
 			g.wipe(victim)
 			require.True(t, g.settle(), "seed %d", seed)
-			require.GreaterOrEqual(t, g.leader().core.ledger.Document().Number, acked, "seed %d", seed)
+			require.GreaterOrEqual(t, g.leader().core.store.Document().Number, acked, "seed %d", seed)
 		}
 	}
 }
@@ -129,25 +129,25 @@
 	conn := &rpc.Conn{}
 	g.conns[conn], g.cut[key.name] = key.name, true // what it is granted goes nowhere
 	report := func(q quarantine.Report) {
-		data, err := json.Marshal(message.Report{Router: key.name, Incarnation: key.inc, Full: true, Quarantine: &q})
+		data, err := json.Marshal(message.Report{Router: key.name, Incarnation: key.incarnation, Full: true, Quarantine: &q})
 		require.NoError(t, err)
-		c.onReport(conn, data)
-		(<-c.inputs)(g.clock.Now())
+		c.handleReport(conn, data)
+		(<-c.tasks)(g.clock.Now())
 	}
 	ends := func(id string) []quarantine.Termination {
 		return []quarantine.Termination{{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}, IDReused: true}}
 	}
 	report(quarantine.Report{Terminations: ends("a")})
-	require.NoError(t, c.turn())
-	require.Equal(t, 1, c.registry.TerminationCount(heldPrint))
+	require.NoError(t, c.runOnce())
+	require.Equal(t, 1, c.coordinator.TerminationCount(heldPrint))
 
 	c.submit(g.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
-	require.NoError(t, c.turn())
+	require.NoError(t, c.runOnce())
 	g.commitUnapplied(c)
 	require.False(t, c.node.AllApplied())
 	report(quarantine.Report{Terminations: ends("b")})
-	require.NoError(t, c.turn())
-	require.Equal(t, 2, c.registry.TerminationCount(heldPrint), "the grant that follows tells the router that it was heard")
+	require.NoError(t, c.runOnce())
+	require.Equal(t, 2, c.coordinator.TerminationCount(heldPrint), "the grant that follows tells the router that it was heard")
 }
 
 // commitUnapplied has followers answer the leader, which does not apply what that commits.
@@ -160,7 +160,7 @@
 				c.node.Step(g.clock.Now(), m)
 			} else if to != nil {
 				to.node.Step(g.clock.Now(), m)
-				require.NoError(g.t, to.turn())
+				require.NoError(g.t, to.runOnce())
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 	end := quarantine.Termination{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: "a"}}
 	p := message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &quarantine.Report{Terminations: []quarantine.Termination{end}}}
 	c.submit(g.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
-	require.NoError(t, c.turn())
+	require.NoError(t, c.runOnce())
 	g.commitUnapplied(c)
 	require.False(t, c.node.AllApplied())
 	r := c.renew(g.clock.Now(), p)
@@ -184,9 +184,9 @@
 	require.Nil(t, r.Restrictions)
 	require.Nil(t, r.EvacuatedZones)
 	require.Zero(t, r.WarmupLease)
-	require.NoError(t, c.turn())
+	require.NoError(t, c.runOnce())
 	r = c.renew(g.clock.Now(), p)
 	require.True(t, r.Leads)
 	require.NotNil(t, r.Restrictions)
-	require.Equal(t, 1, c.registry.TerminationCount(heldPrint))
+	require.Equal(t, 1, c.coordinator.TerminationCount(heldPrint))
 }
--- a/internal/keeper/rejoin.go
+++ b/internal/keeper/rejoin.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	rejoinPeriod = 500 * time.Millisecond
+	rejoinInterval = 500 * time.Millisecond
 	// unheard is how long a keeper hears no leader before it asks to be taken in
 	// again. Longer than an election takes.
-	unheard = 2 * time.Second
+	leaderSilenceLimit = 2 * time.Second
 )
 
 // stay is the duty that keeps this keeper a member. One that was away for long
 // may have been removed; nobody sends to it then, and it cannot tell this from
 // a group without a leader. To ask is harmless: a member is told that it is one.
-func (k *Keeper) stay(ctx context.Context, id journal.Identity) error {
-	for sleep(ctx, rejoinPeriod) {
+func (k *Keeper) keepMembership(ctx context.Context, identity journal.Identity) error {
+	for sleep(ctx, rejoinInterval) {
 		needsRejoin := false
-		var known []string
-		err := k.core.ask(ctx, func(now time.Time) {
+		var addresses []string
+		err := k.core.runAndWait(ctx, func(now time.Time) {
 			needsRejoin = k.core.needsRejoin(now)
-			known = k.core.addresses()
+			addresses = k.core.memberAddresses()
 		})
 		if err == nil && needsRejoin {
-			k.found.askAll(ctx, id, known)
+			k.bootstrapper.requestJoin(ctx, identity, addresses)
 		}
 	}
 	return nil
@@ -41,51 +41,51 @@
 	if c.node.IsActiveLeader(now) {
 		return false
 	}
-	member := slices.ContainsFunc(c.node.Members(), func(m quorum.Member) bool { return m.ID == c.node.ID })
-	return !member || now.Sub(c.node.LastLeaderContact()) > unheard
+	isMember := slices.ContainsFunc(c.node.Members(), func(member quorum.Member) bool { return member.ID == c.node.ID })
+	return !isMember || now.Sub(c.node.LastLeaderContact()) > leaderSilenceLimit
 }
 
 // askAll asks each keeper that may know the leader to take this one in, once.
-func (f *founding) askAll(ctx context.Context, id journal.Identity, known []string) ([]quorum.Member, bool) {
-	params := joinParams{Name: id.Name, ID: id.ID, Address: f.address()}
-	asked := map[string]bool{f.address(): true, "": true}
-	for _, p := range f.settings.PeerList() {
-		known = append(known, p.Address)
+func (b *bootstrapper) requestJoin(ctx context.Context, identity journal.Identity, addresses []string) ([]quorum.Member, bool) {
+	params := joinParams{Name: identity.Name, ID: identity.ID, Address: b.ownAddress()}
+	asked := map[string]bool{b.ownAddress(): true, "": true}
+	for _, peer := range b.settings.PeerList() {
+		addresses = append(addresses, peer.Address)
 	}
-	if more := f.seeds.Load(); more != nil {
-		known = append(known, *more...)
+	if more := b.seeds.Load(); more != nil {
+		addresses = append(addresses, *more...)
 	}
-	for i := 0; i < len(known); i++ {
-		if asked[known[i]] {
+	for i := 0; i < len(addresses); i++ {
+		if asked[addresses[i]] {
 			continue
 		}
-		asked[known[i]] = true
-		members, more, ok := f.askJoin(ctx, known[i], params)
+		asked[addresses[i]] = true
+		members, more, ok := b.requestJoinFrom(ctx, addresses[i], params)
 		if ok {
 			return members, true
 		}
-		known = append(known, more...)
+		addresses = append(addresses, more...)
 	}
 	return nil, false
 }
 
 // address is where the other keepers reach this one.
-func (f *founding) address() string {
-	for _, p := range f.settings.PeerList() {
-		if p.Name == f.settings.Name {
-			return p.Address
+func (b *bootstrapper) ownAddress() string {
+	for _, peer := range b.settings.PeerList() {
+		if peer.Name == b.settings.Name {
+			return peer.Address
 		}
 	}
-	return f.settings.Listen
+	return b.settings.Listen
 }
 
 // askJoin asks one keeper. One that does not lead tells whom to ask instead.
-func (f *founding) askJoin(ctx context.Context, address string, params joinParams) ([]quorum.Member, []string, bool) {
+func (b *bootstrapper) requestJoinFrom(ctx context.Context, address string, params joinParams) ([]quorum.Member, []string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	conn, err := f.dial(ctx, address)
+	conn, err := b.dial(ctx, address)
 	if err != nil {
-		f.log.Debug("join: keeper cannot be reached", "address", address, "error", err)
+		b.log.Debug("join: keeper cannot be reached", "address", address, "error", err)
 		return nil, nil, false
 	}
 	defer conn.Close()
@@ -94,11 +94,11 @@
 	if err == nil {
 		return result.Members, nil, true
 	}
-	f.log.Debug("join: refused", "by", address, "error", err)
-	var more message.MembersResult
-	if err := conn.Call(ctx, message.MethodMembers, struct{}{}, &more); err != nil {
-		f.log.Debug("join: no word of other keepers", "by", address, "error", err)
+	b.log.Debug("join: refused", "by", address, "error", err)
+	var known message.MembersResult
+	if err := conn.Call(ctx, message.MethodMembers, struct{}{}, &known); err != nil {
+		b.log.Debug("join: no word of other keepers", "by", address, "error", err)
 		return nil, nil, false
 	}
-	return nil, append(more.Keepers, more.Leader), false
+	return nil, append(known.Keepers, known.Leader), false
 }
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -17,160 +17,160 @@
 
 // routerMemory is how long a router counts after it last renewed. One that is cut
 // off goes on sending, and using its part of what all routers share.
-const routerMemory = 30 * time.Second
+const routerExpiry = 30 * time.Second
 
 // sweepPause is kept between two looks for routers that count no longer. At each renewal
 // it would take a leader time with the square of the routers.
-const sweepPause = time.Second
+const sweepInterval = time.Second
 
 // routes is what a leader knows for the routers of routes. All but the document
 // is soft: a new leader learns it within a second.
-type routes struct {
-	routers map[string]time.Time // when each last renewed
-	swept   time.Time            // when these were looked through last
-	targets []fleet.Instance
-	damaged []string // IDs that damaged entries of the list name
-	packed  []byte   // targets
-	sums    packedSums
-	names   quota.AccountList // of accounts
+type renewalState struct {
+	lastRenewals  map[string]time.Time // when each last renewed
+	sweptAt       time.Time            // when these were looked through last
+	targets       []fleet.Instance
+	damagedIDs    []string // IDs that damaged entries of the list name
+	packedTargets []byte   // targets
+	packedLoads   packedLoads
+	accounts      quota.AccountList // of accounts
 	// list counts the changes of targets within the term.
-	list   uint64
-	term   uint64
-	readAt time.Time
-	board  quota.Aggregator
-	own    statestore.Document // the product's own configuration, packed
+	listRevision uint64
+	listTerm     uint64
+	listReadAt   time.Time
+	aggregator   quota.Aggregator
+	ownDocument  statestore.Document // the product's own configuration, packed
 
-	warming warming
-	seats   warmup.LeaseTable // of seatsOf
-	seatsOf uint64            // the term
+	warming      warmingTargets
+	warmupLeases warmup.LeaseTable // of seatsOf
+	warmupTerm   uint64            // the term
 }
 
 // renew answers a router. The lease of the leader is looked up right here: the
 // router counts its keys from when it asked, so that an answer that is held up
 // afterwards renews nothing for longer.
-func (c *core) renew(now time.Time, p message.RenewRequest) message.RenewResponse {
-	r := message.RenewResponse{Term: c.node.Term()}
-	if keepers := c.addresses(); p.KeepersDigest != message.Digest(keepers) {
-		r.Keepers = keepers
+func (c *core) renew(now time.Time, request message.RenewRequest) message.RenewResponse {
+	response := message.RenewResponse{Term: c.node.Term()}
+	if keepers := c.memberAddresses(); request.KeepersDigest != message.Digest(keepers) {
+		response.Keepers = keepers
 	}
-	if !c.leads(now) {
-		r.Leader = c.leaderAddress()
-		return r
+	if !c.isReadyLeader(now) {
+		response.Leader = c.leaderAddress()
+		return response
 	}
-	c.routes.see(now, p.Router)
-	c.routes.board.Report(now, p.Router, p.Demand, p.Backlog)
-	r.Leads = true
-	r.WarmupLease = c.seats(now).Renew(now, p.Router, p.Incarnation, p.WarmupLease)
-	if e := c.ledger.Evacuations(); e.Revision != p.EvacuationRevision {
-		r.EvacuatedZones = &e
+	c.renewals.recordRenewal(now, request.Router)
+	c.renewals.aggregator.Report(now, request.Router, request.Demand, request.Backlog)
+	response.Leads = true
+	response.WarmupLease = c.warmupLeaseTable(now).Renew(now, request.Router, request.Incarnation, request.WarmupLease)
+	if evacuations := c.store.Evacuations(); evacuations.Revision != request.EvacuationRevision {
+		response.EvacuatedZones = &evacuations
 	}
-	if p.AcceptsColumns {
-		r.PackedLoads = c.loads(now, p.AccountsDigest)
+	if request.AcceptsColumns {
+		response.PackedLoads = c.packedLoadsFor(now, request.AccountsDigest)
 	} else {
-		r.Demand, r.Backlog, _ = c.routes.board.Sums(now)
+		response.Demand, response.Backlog, _ = c.renewals.aggregator.Sums(now)
 	}
-	r.Routers = len(c.routes.routers)
-	if p.Quarantine != nil {
-		c.takeQuarantine(now, message.ClaimOwner(p.Router, p.Incarnation), *p.Quarantine)
-		r.Restrictions = c.rulings(now, *p.Quarantine)
+	response.Routers = len(c.renewals.lastRenewals)
+	if request.Quarantine != nil {
+		c.handleQuarantineReport(now, message.ClaimOwner(request.Router, request.Incarnation), *request.Quarantine)
+		response.Restrictions = c.restrictionsFor(now, *request.Quarantine)
 	}
-	d := c.document()
-	r.Number = d.Number
-	if p.Number != d.Number {
-		r.PackedConfig = d.Text
+	document := c.servedDocument()
+	response.Number = document.Number
+	if request.Number != document.Number {
+		response.PackedConfig = document.Text
 	}
-	if c.routes.list == 0 || c.routes.term != r.Term {
-		return r
+	if c.renewals.listRevision == 0 || c.renewals.listTerm != response.Term {
+		return response
 	}
-	r.ListRevision = c.routes.list
-	r.ListAge = now.Sub(c.routes.readAt)
-	if p.Term == r.Term && p.ListRevision == r.ListRevision {
-		return r
+	response.ListRevision = c.renewals.listRevision
+	response.ListAge = now.Sub(c.renewals.listReadAt)
+	if request.Term == response.Term && request.ListRevision == response.ListRevision {
+		return response
 	}
-	r.Damaged, r.Warming = c.routes.damaged, c.routes.warming.at(now)
-	if p.AcceptsColumns {
-		r.PackedTargets = c.routes.packed
+	response.Damaged, response.Warming = c.renewals.damagedIDs, c.renewals.warming.remaining(now)
+	if request.AcceptsColumns {
+		response.PackedTargets = c.renewals.packedTargets
 	} else {
-		r.Targets = c.routes.targets
+		response.Targets = c.renewals.targets
 	}
-	return r
+	return response
 }
 
 // packedSums are what all routers report, summed at a time and packed, with the accounts and
 // without.
-type packedSums struct {
-	at             time.Time
-	names          uint32 // digest of the accounts
-	named, unnamed []byte
+type packedLoads struct {
+	summedAt                      time.Time
+	accountsDigest                uint32 // digest of the accounts
+	withAccounts, withoutAccounts []byte
 }
 
 // loads returns the sums of what routers report, packed, for a router that holds the accounts
 // of a digest. All that hold the same get the same until the sums or the targets change.
-func (c *core) loads(now time.Time, held uint32) []byte {
-	demand, backlog, summed := c.routes.board.Sums(now)
-	if c.routes.sums.named == nil || !summed.Equal(c.routes.sums.at) {
-		sums, err := packSums(summed, quota.EncodeColumns(c.routes.names.Align(demand), backlog, c.routes.targets), c.routes.names.Digest())
+func (c *core) packedLoadsFor(now time.Time, accountsDigest uint32) []byte {
+	demand, backlog, summedAt := c.renewals.aggregator.Sums(now)
+	if c.renewals.packedLoads.withAccounts == nil || !summedAt.Equal(c.renewals.packedLoads.summedAt) {
+		packed, err := packLoads(summedAt, quota.EncodeColumns(c.renewals.accounts.Align(demand), backlog, c.renewals.targets), c.renewals.accounts.Digest())
 		if err != nil {
 			c.log.Error("loads cannot be packed: routers go on with those before", "error", err)
 			return nil
 		}
-		c.routes.sums = sums
+		c.renewals.packedLoads = packed
 	}
-	if held != 0 && held == c.routes.sums.names {
-		return c.routes.sums.unnamed
+	if accountsDigest != 0 && accountsDigest == c.renewals.packedLoads.accountsDigest {
+		return c.renewals.packedLoads.withoutAccounts
 	}
-	return c.routes.sums.named
+	return c.renewals.packedLoads.withAccounts
 }
 
-func packSums(at time.Time, l message.Loads, names uint32) (packedSums, error) {
-	l.AccountsDigest = names
-	named, err := codec.PackJSON(l)
+func packLoads(summedAt time.Time, loads message.Loads, accountsDigest uint32) (packedLoads, error) {
+	loads.AccountsDigest = accountsDigest
+	withAccounts, err := codec.PackJSON(loads)
 	if err != nil {
-		return packedSums{}, err
+		return packedLoads{}, err
 	}
-	l.Accounts = nil
-	unnamed, err := codec.PackJSON(l)
-	return packedSums{at: at, names: names, named: named, unnamed: unnamed}, err
+	loads.Accounts = nil
+	withoutAccounts, err := codec.PackJSON(loads)
+	return packedLoads{summedAt: summedAt, accountsDigest: accountsDigest, withAccounts: withAccounts, withoutAccounts: withoutAccounts}, err
 }
 
 // document returns the configuration that routers of routes serve: the one in an
 // operator's own form, or else the product's own.
-func (c *core) document() statestore.Document {
-	if d := c.ledger.Document(); d.Number > 0 {
-		return d
+func (c *core) servedDocument() statestore.Document {
+	if document := c.store.Document(); document.Number > 0 {
+		return document
 	}
-	config, text := c.ledger.Config()
-	if len(config.Routes) == 0 || c.routes.own.Number == config.Number {
-		return c.routes.own
+	config, text := c.store.Config()
+	if len(config.Routes) == 0 || c.renewals.ownDocument.Number == config.Number {
+		return c.renewals.ownDocument
 	}
-	data, err := codec.Pack(text)
+	packed, err := codec.Pack(text)
 	if err != nil {
 		c.log.Error("a configuration cannot be packed: its routes are not served", "number", config.Number, "error", err)
-		return c.routes.own
+		return c.renewals.ownDocument
 	}
-	c.routes.own = statestore.Document{Number: config.Number, Text: data}
-	return c.routes.own
+	c.renewals.ownDocument = statestore.Document{Number: config.Number, Text: packed}
+	return c.renewals.ownDocument
 }
 
 // seats returns the leases on parts of what cold targets get, of this keeper's term.
-func (c *core) seats(now time.Time) *warmup.LeaseTable {
-	if term := c.node.Term(); c.routes.seatsOf != term {
-		c.routes.seats, c.routes.seatsOf = warmup.LeaseTable{LeaderSince: now}, term
+func (c *core) warmupLeaseTable(now time.Time) *warmup.LeaseTable {
+	if term := c.node.Term(); c.renewals.warmupTerm != term {
+		c.renewals.warmupLeases, c.renewals.warmupTerm = warmup.LeaseTable{LeaderSince: now}, term
 	}
-	return &c.routes.seats
+	return &c.renewals.warmupLeases
 }
 
 // A warming holds until when targets are cold, by the list that was read last.
-type warming map[fleet.Incarnation]time.Time
+type warmingTargets map[fleet.Incarnation]time.Time
 
 // sameWarming is how much later a target may be said to be cold until, and nothing be new: the
 // list that says so lags by turns more and less.
-const sameWarming = time.Second
+const warmingTolerance = time.Second
 
 // beyond reports whether a target is cold that was not before, or for longer.
-func (w warming) beyond(before warming) bool {
+func (w warmingTargets) extends(before warmingTargets) bool {
 	for target, until := range w {
-		if until.Sub(before[target]) > sameWarming {
+		if until.Sub(before[target]) > warmingTolerance {
 			return true
 		}
 	}
@@ -178,33 +178,33 @@
 }
 
 // at returns the targets that are cold now.
-func (w warming) at(now time.Time) []message.WarmingTarget {
-	var list []message.WarmingTarget
+func (w warmingTargets) remaining(now time.Time) []message.WarmingTarget {
+	var targets []message.WarmingTarget
 	for target, until := range w {
 		if left := until.Sub(now); left > 0 {
-			list = append(list, message.WarmingTarget{Target: target.ID, StartMillis: target.StartMillis, Left: left})
+			targets = append(targets, message.WarmingTarget{Target: target.ID, StartMillis: target.StartMillis, Left: left})
 		}
 	}
-	slices.SortFunc(list, func(a, b message.WarmingTarget) int { return cmp.Compare(a.Target, b.Target) })
-	return list
+	slices.SortFunc(targets, func(a, b message.WarmingTarget) int { return cmp.Compare(a.Target, b.Target) })
+	return targets
 }
 
-func (c *core) renewCall(ctx context.Context, p message.RenewRequest) (message.RenewResponse, error) {
-	return await(ctx, c, func(now time.Time, done func(message.RenewResponse, error)) { done(c.renew(now, p), nil) })
+func (c *core) handleRenew(ctx context.Context, request message.RenewRequest) (message.RenewResponse, error) {
+	return await(ctx, c, func(now time.Time, done func(message.RenewResponse, error)) { done(c.renew(now, request), nil) })
 }
 
-func (r *routes) see(now time.Time, router string) {
-	if r.routers == nil {
-		r.routers = make(map[string]time.Time)
+func (s *renewalState) recordRenewal(now time.Time, router string) {
+	if s.lastRenewals == nil {
+		s.lastRenewals = make(map[string]time.Time)
 	}
-	r.routers[router] = now
-	if now.Sub(r.swept) < sweepPause {
+	s.lastRenewals[router] = now
+	if now.Sub(s.sweptAt) < sweepInterval {
 		return
 	}
-	r.swept = now
-	for name, at := range r.routers {
-		if now.Sub(at) > routerMemory {
-			delete(r.routers, name)
+	s.sweptAt = now
+	for name, renewedAt := range s.lastRenewals {
+		if now.Sub(renewedAt) > routerExpiry {
+			delete(s.lastRenewals, name)
 		}
 	}
 }
@@ -215,37 +215,37 @@
 func (c *core) setTargets(readAt time.Time, listing fleet.TargetListing) {
 	targets, damaged := listing.Targets, listing.DamagedIDs()
 	term := c.node.Term()
-	if c.routes.term != term {
-		c.routes.term, c.routes.list = term, 0
+	if c.renewals.listTerm != term {
+		c.renewals.listTerm, c.renewals.listRevision = term, 0
 	}
-	warming := warming(listing.WarmingUntil(readAt))
-	if c.routes.list == 0 || !slices.Equal(c.routes.targets, targets) || !slices.Equal(c.routes.damaged, damaged) || warming.beyond(c.routes.warming) {
-		data, err := codec.PackJSON(targets)
+	warming := warmingTargets(listing.WarmingUntil(readAt))
+	if c.renewals.listRevision == 0 || !slices.Equal(c.renewals.targets, targets) || !slices.Equal(c.renewals.damagedIDs, damaged) || warming.extends(c.renewals.warming) {
+		packed, err := codec.PackJSON(targets)
 		if err != nil {
 			c.log.Error("the list of targets cannot be packed: routers go on with the one before", "error", err)
 			return
 		}
-		c.routes.list++
-		c.routes.packed, c.routes.sums = data, packedSums{}
-		c.log.Info("list of targets changed", "targets", len(targets), "damaged", len(damaged), "list", c.routes.list, "term", term)
+		c.renewals.listRevision++
+		c.renewals.packedTargets, c.renewals.packedLoads = packed, packedLoads{}
+		c.log.Info("list of targets changed", "targets", len(targets), "damaged", len(damaged), "list", c.renewals.listRevision, "term", term)
 	}
-	c.routes.targets, c.routes.damaged, c.routes.readAt = targets, damaged, readAt
-	c.routes.warming = warming
+	c.renewals.targets, c.renewals.damagedIDs, c.renewals.listReadAt = targets, damaged, readAt
+	c.renewals.warming = warming
 }
 
-func (c *core) addresses() []string {
+func (c *core) memberAddresses() []string {
 	members := c.node.Members()
-	list := make([]string, 0, len(members))
-	for _, m := range members {
-		list = append(list, m.Address)
+	addresses := make([]string, 0, len(members))
+	for _, member := range members {
+		addresses = append(addresses, member.Address)
 	}
-	return list
+	return addresses
 }
 
 func (c *core) leaderAddress() string {
-	for _, m := range c.node.Members() {
-		if m.ID == c.node.LeaderID() {
-			return m.Address
+	for _, member := range c.node.Members() {
+		if member.ID == c.node.LeaderID() {
+			return member.Address
 		}
 	}
 	return ""
@@ -253,36 +253,36 @@
 
 // put proposes a configuration of routes. It counts as accepted once a quorum
 // has it, whether or not a higher one is in force.
-func (c *core) put(ctx context.Context, p message.PutRequest) (struct{}, error) {
+func (c *core) putRoutes(ctx context.Context, request message.PutRequest) (struct{}, error) {
 	return await(ctx, c, func(now time.Time, done func(struct{}, error)) {
-		if !c.leads(now) {
+		if !c.isReadyLeader(now) {
 			done(struct{}{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
-		if p.Number <= c.ledger.Document().Number {
+		if request.Number <= c.store.Document().Number {
 			done(struct{}{}, nil) // overtaken, or sent again: it changes nothing
 			return
 		}
-		cmd := statestore.Command{Document: &statestore.Document{Number: p.Number, Text: p.PackedConfig}}
-		c.submit(now, cmd, func(_ statestore.Result, err error) { done(struct{}{}, err) })
+		command := statestore.Command{Document: &statestore.Document{Number: request.Number, Text: request.PackedConfig}}
+		c.submit(now, command, func(_ statestore.Result, err error) { done(struct{}{}, err) })
 	})
 }
 
 // read returns the newest configuration of routes. Only a leader whose lease
 // holds may tell: another could have accepted a later one.
-func (c *core) read(ctx context.Context) (message.RoutesDocument, error) {
+func (c *core) readRoutes(ctx context.Context) (message.RoutesDocument, error) {
 	return await(ctx, c, func(now time.Time, done func(message.RoutesDocument, error)) {
-		if !c.leads(now) {
+		if !c.isReadyLeader(now) {
 			done(message.RoutesDocument{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
-		d := c.ledger.Document()
-		done(message.RoutesDocument{Number: d.Number, PackedConfig: d.Text}, nil)
+		document := c.store.Document()
+		done(message.RoutesDocument{Number: document.Number, PackedConfig: document.Text}, nil)
 	})
 }
 
-func (c *core) known(ctx context.Context) (message.MembersResult, error) {
+func (c *core) members(ctx context.Context) (message.MembersResult, error) {
 	return await(ctx, c, func(_ time.Time, done func(message.MembersResult, error)) {
-		done(message.MembersResult{Keepers: c.addresses(), Leader: c.leaderAddress()}, nil)
+		done(message.MembersResult{Keepers: c.memberAddresses(), Leader: c.leaderAddress()}, nil)
 	})
 }
--- a/internal/keeper/renew_test.go
+++ b/internal/keeper/renew_test.go
@@ -114,7 +114,7 @@
 func TestKeepersAreToldOnChange(t *testing.T) {
 	g, c := newLeader(t, 9)
 	first := c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true})
-	require.Equal(t, c.addresses(), first.Keepers, "it holds none")
+	require.Equal(t, c.memberAddresses(), first.Keepers, "it holds none")
 	held := message.Digest(first.Keepers)
 	require.Empty(t, c.renew(g.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, KeepersDigest: held}).Keepers)
 	fewer := message.Digest(first.Keepers[1:])
--- a/internal/keeper/tendedgroup_test.go
+++ b/internal/keeper/tendedgroup_test.go
@@ -90,7 +90,7 @@
 	c.g.wire = append(c.g.wire, letter{c.g.clock.Time.Add(time.Duration(c.g.random.IntN(3)) * tendedStep), m})
 }
 
-func (c *tendedCarrier) grant(*rpc.Conn, message.Grant) {}
+func (c *tendedCarrier) sendGrant(*rpc.Conn, message.Grant) {}
 
 func (c *tendedCarrier) setMembers(string, []quorum.Member) {}
 
@@ -150,11 +150,11 @@
 	if !vm.awake(now) {
 		return
 	}
-	if vm.core.turn() != nil {
+	if vm.core.runOnce() != nil {
 		vm.core = nil // a keeper whose disk fails stops
 		return
 	}
-	if now.Sub(vm.askedAt) >= rejoinPeriod && (!vm.joined || vm.core.needsRejoin(now)) {
+	if now.Sub(vm.askedAt) >= rejoinInterval && (!vm.joined || vm.core.needsRejoin(now)) {
 		vm.askedAt = now
 		g.rejoin(vm)
 	}
@@ -166,7 +166,7 @@
 		if other == vm || !other.awake(g.clock.Time) || other.cut != vm.cut {
 			continue
 		}
-		if other.core.takeIn(g.clock.Time, joinParams{Name: vm.name, ID: vm.core.node.ID, Address: vm.name}) == nil {
+		if other.core.admitMember(g.clock.Time, joinParams{Name: vm.name, ID: vm.core.node.ID, Address: vm.name}) == nil {
 			vm.joined = true
 			return
 		}
@@ -249,7 +249,7 @@
 	g.sent++
 	number := g.sent
 	for _, vm := range g.vms {
-		if !vm.awake(g.clock.Time) || !vm.core.leads(g.clock.Time) {
+		if !vm.awake(g.clock.Time) || !vm.core.isReadyLeader(g.clock.Time) {
 			continue
 		}
 		c := vm.core
@@ -268,11 +268,11 @@
 	now := g.clock.Time
 	leaders := 0
 	for _, vm := range g.vms {
-		if !vm.awake(now) || !vm.core.leads(now) {
+		if !vm.awake(now) || !vm.core.isReadyLeader(now) {
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(g.t, vm.core.ledger.Document().Number, g.acked, "a reader at %s would see an older configuration", vm.name)
+		require.GreaterOrEqual(g.t, vm.core.store.Document().Number, g.acked, "a reader at %s would see an older configuration", vm.name)
 	}
 	require.LessOrEqual(g.t, leaders, 1)
 	for _, r := range g.routers {
@@ -284,7 +284,7 @@
 
 func (g *tended) leader() *keeperVM {
 	for _, vm := range g.vms {
-		if vm.awake(g.clock.Time) && vm.core.leads(g.clock.Time) {
+		if vm.awake(g.clock.Time) && vm.core.isReadyLeader(g.clock.Time) {
 			return vm
 		}
 	}
@@ -322,7 +322,7 @@
 	for _, vm := range g.vms {
 		text += fmt.Sprintf("%s cut %d gone %t joined %t", vm.name, vm.cut, vm.gone, vm.joined)
 		if c := vm.core; c != nil {
-			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.CommitIndex(), c.ledger.Document().Number)
+			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.CommitIndex(), c.store.Document().Number)
 			for _, m := range c.node.Members() {
 				text += fmt.Sprintf(" %s/%t", m.ID, m.Voter)
 			}
--- a/internal/keeper/trio_test.go
+++ b/internal/keeper/trio_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func (c *trioCarrier) grant(conn *rpc.Conn, m message.Grant) {
+func (c *trioCarrier) sendGrant(conn *rpc.Conn, m message.Grant) {
 	name := c.g.conns[conn]
 	if c.g.cut[name] {
 		return
@@ -103,7 +103,7 @@
 }
 
 func (g *trio) turn(name string) {
-	if c := g.cores[name]; c != nil && c.turn() != nil {
+	if c := g.cores[name]; c != nil && c.runOnce() != nil {
 		g.cores[name] = nil // a keeper whose disk fails stops
 	}
 }
@@ -179,9 +179,9 @@
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(g.t, c.ledger.Number(), g.newest, "a reader at %s sees an older configuration", name)
-		if want, ok := g.accepted[c.ledger.Number()]; ok {
-			require.Equal(g.t, want, c.ledger.Digest())
+		require.GreaterOrEqual(g.t, c.store.Number(), g.newest, "a reader at %s sees an older configuration", name)
+		if want, ok := g.accepted[c.store.Number()]; ok {
+			require.Equal(g.t, want, c.store.Digest())
 		}
 	}
 	require.LessOrEqual(g.t, leaders, 1)
@@ -226,7 +226,7 @@
 		for _, other := range g.names {
 			if c := g.cores[other]; c != nil && other != name {
 				// Refused while it does not lead or another change is on its way.
-				_ = c.takeIn(g.clock.Now(), joinParams{Name: name, ID: id.ID})
+				_ = c.admitMember(g.clock.Now(), joinParams{Name: name, ID: id.ID})
 			}
 		}
 		if _, ok := g.whole(); ok {
--- a/internal/keeper/vmlist.go
+++ b/internal/keeper/vmlist.go
@@ -40,16 +40,16 @@
 )
 
 const (
-	listPeriod  = time.Second
-	listTimeout = 2 * time.Second
+	vmListInterval      = time.Second
+	platformReadTimeout = 2 * time.Second
 	// maxVMList bounds the list, in bytes: some times what 5,000 VMs take.
-	maxVMList = 2 << 20
+	maxVMListBytes = 2 << 20
 )
 
 // VMs implements VMList.
 func (l *RealVMList) VMs(context.Context) ([]fleet.VM, error) {
-	l.once.Do(func() { l.client.MaxResponseBodySize = maxVMList })
-	status, body, err := l.client.GetTimeout(nil, l.URL, listTimeout)
+	l.once.Do(func() { l.client.MaxResponseBodySize = maxVMListBytes })
+	status, body, err := l.client.GetTimeout(nil, l.URL, platformReadTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("read the list of VMs: %w", err)
 	}
@@ -71,19 +71,19 @@
 		return nil, err
 	}
 	if entries == nil {
-		return nil, errNoList
+		return nil, errNotArray
 	}
 	var list []fleet.VM
-	for _, e := range entries {
+	for _, entry := range entries {
 		var vm fleet.VM
-		if json.Unmarshal(e, &vm) == nil && vm.Name != "" && vm.Address != "" {
+		if json.Unmarshal(entry, &vm) == nil && vm.Name != "" && vm.Address != "" {
 			list = append(list, vm)
 		}
 	}
 	return list, nil
 }
 
-var errNoList = errors.New("it is no list")
+var errNotArray = errors.New("it is no list")
 
 // VMs implements VMList.
 func (l *MockVMList) VMs(context.Context) ([]fleet.VM, error) {
@@ -95,13 +95,13 @@
 	if list == nil {
 		return nil
 	}
-	for sleep(ctx, listPeriod) {
+	for sleep(ctx, vmListInterval) {
 		vms, err := list.VMs(ctx)
 		if err != nil {
 			c.log.Warn("the list of VMs cannot be read: going on with what is known", "error", err)
 			continue
 		}
-		c.post(func(time.Time) { c.setVMs(vms) })
+		c.enqueue(func(time.Time) { c.setVMs(vms) })
 	}
 	return nil
 }
@@ -110,47 +110,47 @@
 // configuration in force was accepted. Since the list lags, and may be read
 // from places that lag differently, a VM that looks live again stays out until
 // an operator says otherwise by a new configuration.
-type goneVMs struct {
-	number    uint64
-	addresses map[string]bool
+type leavingVMs struct {
+	configNumber uint64
+	addresses    map[string]bool
 }
 
 // setVMs takes the list. Before this keeper has loaded its state it is ignored.
 func (c *core) setVMs(vms []fleet.VM) {
-	if number := c.ledger.Number(); c.gone.addresses == nil || c.gone.number != number {
-		c.gone = goneVMs{number: number, addresses: make(map[string]bool)}
+	if number := c.store.Number(); c.leavingVMs.addresses == nil || c.leavingVMs.configNumber != number {
+		c.leavingVMs = leavingVMs{configNumber: number, addresses: make(map[string]bool)}
 	}
 	for _, vm := range vms {
-		if vm.Leaving && !c.gone.addresses[vm.Address] {
-			c.gone.addresses[vm.Address] = true
+		if vm.Leaving && !c.leavingVMs.addresses[vm.Address] {
+			c.leavingVMs.addresses[vm.Address] = true
 			c.log.Info("VM leaves: its targets get no new work", "vm", vm.Name, "address", vm.Address, "zone", vm.Zone)
 		}
 	}
-	c.giveGone()
+	c.updateUnavailableTargets()
 }
 
 // giveGone tells the divider which targets are on VMs that leave or in evacuated zones.
-func (c *core) giveGone() {
+func (c *core) updateUnavailableTargets() {
 	if c.divider == nil {
 		return
 	}
-	if c.gone.number != c.ledger.Number() {
-		c.gone.addresses = nil
+	if c.leavingVMs.configNumber != c.store.Number() {
+		c.leavingVMs.addresses = nil
 	}
-	config, _ := c.ledger.Config()
-	var names, evacuated []string
-	for _, t := range config.Targets {
-		host, _, err := net.SplitHostPort(t.Address)
+	config, _ := c.store.Config()
+	var leaving, evacuated []string
+	for _, target := range config.Targets {
+		host, _, err := net.SplitHostPort(target.Address)
 		switch {
-		case err == nil && c.gone.addresses[host]:
-			names = append(names, t.Name)
-		case c.ledger.Evacuations().Contains(t.Zone):
-			evacuated = append(evacuated, t.Name)
+		case err == nil && c.leavingVMs.addresses[host]:
+			leaving = append(leaving, target.Name)
+		case c.store.Evacuations().Contains(target.Zone):
+			evacuated = append(evacuated, target.Name)
 		}
 	}
-	slices.Sort(names)
-	c.divider.SetGone(c.clock.Now(), append(evacuated, names...))
+	slices.Sort(leaving)
+	c.divider.SetGone(c.clock.Now(), append(evacuated, leaving...))
 	if len(config.Pools) > 0 {
-		c.setTargets(c.clock.Now(), fleet.TargetListing{Targets: config.Instances(names)})
+		c.setTargets(c.clock.Now(), fleet.TargetListing{Targets: config.Instances(leaving)})
 	}
 }
