--- /dev/null
+++ b/internal/keeper/leader.go
@@ -0,0 +1,119 @@
+package keeper
+
+import (
+	"time"
+
+	"laburnumfall/internal/fairshare"
+	"laburnumfall/internal/fleet"
+	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/statestore"
+)
+
+var errLeaderChanged = fleet.NewError(fleet.KindNoQuorum, "send it again: the same request is carried out once",
+	"the leader changed before a quorum held the request")
+
+func (c *core) updateDividerConfig() {
+	if c.divider == nil {
+		return
+	}
+	config, text := c.store.Config()
+	c.divider.SetConfig(c.clock.Now(), config, text)
+	c.updateUnavailableTargets()
+}
+
+// lead begins and ends this keeper's part as leader, and sends what its
+// divider grants. The lease is looked up last, right before sending.
+func (c *core) runLeader(now time.Time) {
+	if c.node.Role() != quorum.Leader {
+		c.stepDown()
+		return
+	}
+	if !c.node.IsActiveLeader(now) {
+		return // the term may go on once a quorum answers again
+	}
+	if c.divider == nil || c.divider.Term != c.node.Term() {
+		c.log.Info("leading", "term", c.node.Term(), "number", c.store.Number())
+		c.divider = &fairshare.Divider{Term: c.node.Term(), Blank: c.store.Number() == 0}
+		c.divider.Start(now)
+		c.coordinator = nil // of the term before
+		if c.store.Number() > 0 {
+			c.updateDividerConfig()
+		}
+	}
+	c.divider.Tick(now)
+	c.maintainMembership(now)
+	for _, addressed := range c.divider.Take() {
+		key := routerKey{addressed.Router, addressed.Inc}
+		if conn := c.routers[key]; conn != nil && c.node.IsActiveLeader(c.clock.Now()) {
+			addressed.Grant.Restrictions = c.restrictionsFor(now, c.lastReports[key])
+			c.transport.sendGrant(conn, addressed.Grant)
+		}
+	}
+}
+
+// stepDown forgets what only a leader knows, and answers those who wait for
+// entries that this keeper may never see committed.
+func (c *core) stepDown() {
+	if c.divider != nil {
+		c.log.Warn("no longer leading", "term", c.divider.Term)
+		c.divider, c.coordinator, c.pendingReports = nil, nil, nil
+		clear(c.routers)
+	}
+	for index, w := range c.waiters {
+		delete(c.waiters, index)
+		w.done(statestore.Result{}, errLeaderChanged)
+	}
+}
+
+// promote makes a learner that has caught up a voter.
+func (c *core) promoteLearners(now time.Time) {
+	for _, member := range c.node.Members() {
+		if member.Voter || c.node.MatchIndex(member.ID) < c.node.CommitIndex() {
+			continue
+		}
+		if err := c.node.Promote(now, member.ID); err == nil {
+			c.log.Info("keeper promoted", "name", member.Name, "id", member.ID)
+		}
+	}
+}
+
+// propose puts the claims and settlements that were collected into one entry.
+func (c *core) proposeClaims(now time.Time) {
+	claimCalls, settleCalls := c.pendingClaims, c.pendingSettles
+	if len(claimCalls)+len(settleCalls) == 0 {
+		return
+	}
+	c.pendingClaims, c.pendingSettles = nil, nil
+	command := statestore.Command{}
+	for _, call := range claimCalls {
+		command.Claims = append(command.Claims, call.claims...)
+	}
+	for _, call := range settleCalls {
+		command.Settlements = append(command.Settlements, call.settlements...)
+	}
+	c.submit(now, command, func(result statestore.Result, err error) {
+		offset := 0
+		for _, call := range claimCalls {
+			if err != nil {
+				call.done(nil, err)
+				continue
+			}
+			call.done(result.Verdicts[offset:offset+len(call.claims)], nil)
+			offset += len(call.claims)
+		}
+		for _, call := range settleCalls {
+			call.done(err)
+		}
+	})
+}
+
+// submit proposes a command and has done told what became of it.
+func (c *core) submit(now time.Time, command statestore.Command, done func(statestore.Result, error)) {
+	command.At = now
+	index, term, err := c.node.Propose(now, command.Encode())
+	if err != nil {
+		done(statestore.Result{}, err)
+		return
+	}
+	c.waiters[index] = waiter{term: term, done: done}
+}
