--- /dev/null
+++ b/internal/keeper/handlers.go
@@ -0,0 +1,305 @@
+package keeper
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"laburnumfall/internal/fleet"
+	"laburnumfall/internal/message"
+	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
+	"laburnumfall/internal/statestore"
+)
+
+const (
+	// forceWait bounds how long an apply waits for the routers.
+	inForceTimeout      = 20 * time.Second
+	inForcePollInterval = 20 * time.Millisecond
+)
+
+// Notice implements rpc.Handler.
+func (k *Keeper) Notice(peer *rpc.Conn, method string, params json.RawMessage) {
+	switch method {
+	case message.MethodQuorum:
+		k.core.handleQuorumMessage(params)
+	case message.MethodReport:
+		k.core.handleReport(peer, params)
+	default:
+	}
+}
+
+// Call implements rpc.Handler.
+func (k *Keeper) Call(ctx context.Context, _ *rpc.Conn, method string, params json.RawMessage) (any, error) {
+	switch method {
+	case message.MethodFoundGroup:
+		return decodeAndCall(params, k.bootstrapper.handleFoundGroup)
+	case message.MethodFormGroup:
+		return decodeAndCall(params, k.bootstrapper.handleFormGroup)
+	case message.MethodJoinGroup:
+		return decodeAndCall(params, func(request joinParams) (joinResult, error) { return k.core.join(ctx, request) })
+	case message.MethodClaim:
+		return decodeAndCall(params, func(request message.ClaimRequest) (message.ClaimResponse, error) { return k.core.claim(ctx, request) })
+	case message.MethodSettle:
+		return decodeAndCall(params, func(request message.SettleRequest) (struct{}, error) {
+			return struct{}{}, k.core.settleClaims(ctx, request)
+		})
+	case message.MethodApply:
+		return decodeAndCall(params, func(request message.ApplyRequest) (message.ApplyResult, error) {
+			return k.core.applyConfig(ctx, request)
+		})
+	case message.MethodRenew:
+		return decodeAndCall(params, func(request message.RenewRequest) (message.RenewResponse, error) {
+			response, err := k.core.handleRenew(ctx, request)
+			response.AcceptsPacked = true
+			return response, err
+		})
+	case message.MethodRenewPacked:
+		return decodeAndCall(params, func(request message.PackedRenewRequest) (message.RenewResponse, error) {
+			renewal, err := request.Unpack()
+			if err != nil {
+				return message.RenewResponse{}, fleet.NewError(fleet.KindMalformed, "use a router of this version", "a renewal cannot be read: %v", err)
+			}
+			return k.core.handleRenew(ctx, renewal)
+		})
+	case message.MethodPutRoutes:
+		return decodeAndCall(params, func(request message.PutRequest) (struct{}, error) { return k.core.putRoutes(ctx, request) })
+	case message.MethodReadRoutes:
+		return k.core.readRoutes(ctx)
+	case message.MethodMembers:
+		return k.core.members(ctx)
+	case message.MethodListQuarantine:
+		return k.core.listQuarantine(ctx)
+	case message.MethodLiftQuarantine:
+		return decodeAndCall(params, func(request message.LiftRequest) (struct{}, error) {
+			return struct{}{}, k.core.liftQuarantine(ctx, request)
+		})
+	case message.MethodEvacuate:
+		return decodeAndCall(params, func(request message.EvacuateRequest) (message.EvacuateResult, error) {
+			return k.core.evacuate(ctx, request)
+		})
+	case message.MethodShow:
+		return k.core.showConfig(ctx)
+	case message.MethodStatus:
+		return k.core.status(ctx)
+	default:
+		return nil, fleet.NewError(fleet.KindMalformed, "use a keeper of a newer version", "unknown method %q", method)
+	}
+}
+
+// serve reads a call's parameters and carries it out.
+func decodeAndCall[P, R any](params json.RawMessage, handler func(P) (R, error)) (any, error) {
+	var request P
+	if err := json.Unmarshal(params, &request); err != nil {
+		return nil, fleet.NewError(fleet.KindMalformed, "send the parameters of this method", "parameters cannot be read: %v", err)
+	}
+	return handler(request)
+}
+
+// await runs f in the core and waits for the answer that f has sent.
+func await[R any](ctx context.Context, c *core, f func(now time.Time, done func(R, error))) (R, error) {
+	type callResult struct {
+		value R
+		err   error
+	}
+	results := make(chan callResult, 1)
+	var zero R
+	err := c.runAndWait(ctx, func(now time.Time) {
+		f(now, func(value R, err error) { results <- callResult{value, err} })
+	})
+	if err != nil {
+		return zero, err
+	}
+	select {
+	case result := <-results:
+		return result.value, result.err
+	case <-ctx.Done():
+		return zero, errLeaderChanged
+	}
+}
+
+func (c *core) claim(ctx context.Context, request message.ClaimRequest) (message.ClaimResponse, error) {
+	return await(ctx, c, func(now time.Time, done func(message.ClaimResponse, error)) {
+		if !c.isReadyLeader(now) {
+			done(message.ClaimResponse{}, quorum.NewNotLeaderError(c.node.LeaderID()))
+			return
+		}
+		c.pendingClaims = append(c.pendingClaims, claimCall{claims: request.Claims, done: func(results []message.ClaimResult, err error) {
+			done(message.ClaimResponse{Results: c.withUnknownFates(results)}, err)
+		}})
+	})
+}
+
+// withLiveness tells that a claim's fate is unknown once its router's lease
+// has lapsed: nobody will settle it.
+func (c *core) withUnknownFates(results []message.ClaimResult) []message.ClaimResult {
+	updated := make([]message.ClaimResult, len(results))
+	for i, result := range results {
+		if result.State == message.RunStateRunning && (c.divider == nil || !c.ownerAlive(result.Owner)) {
+			result.State = message.RunStateUnknown
+		}
+		result.Owner = 0
+		updated[i] = result
+	}
+	return updated
+}
+
+func (c *core) ownerAlive(owner uint64) bool {
+	return c.divider.AnyAlive(func(name string, incarnation uint64) bool {
+		return statestore.HashOwner(message.ClaimOwner(name, incarnation)) == owner
+	})
+}
+
+func (c *core) settleClaims(ctx context.Context, request message.SettleRequest) error {
+	_, err := await(ctx, c, func(now time.Time, done func(struct{}, error)) {
+		if !c.isReadyLeader(now) {
+			done(struct{}{}, quorum.NewNotLeaderError(c.node.LeaderID()))
+			return
+		}
+		c.pendingSettles = append(c.pendingSettles, settleCall{settlements: request.Settlements, done: func(err error) {
+			done(struct{}{}, err)
+		}})
+	})
+	return err
+}
+
+// applyConfig puts a configuration in force.
+func (c *core) applyConfig(ctx context.Context, request message.ApplyRequest) (message.ApplyResult, error) {
+	var config fleet.Config
+	if err := json.Unmarshal(request.Config, &config); err != nil {
+		return message.ApplyResult{}, fleet.NewError(fleet.KindInvalidConfig, "send a configuration", "the configuration cannot be read: %v", err)
+	}
+	if err := config.Validate(); err != nil {
+		return message.ApplyResult{}, fleet.NewError(fleet.KindInvalidConfig, "mend the configuration", "%v", err)
+	}
+	applied, err := await(ctx, c, func(now time.Time, done func(message.ApplyResult, error)) {
+		c.submitConfig(now, config, request.Operator, done)
+	})
+	if err != nil || applied.Conflict || !request.Wait {
+		return applied, err
+	}
+	return c.waitInForce(ctx, applied)
+}
+
+func (c *core) submitConfig(now time.Time, config fleet.Config, operator string, done func(message.ApplyResult, error)) {
+	if !c.isReadyLeader(now) {
+		done(message.ApplyResult{}, quorum.NewNotLeaderError(c.node.LeaderID()))
+		return
+	}
+	command := statestore.Command{Apply: &statestore.Apply{Config: config.JSON(), Operator: operator}}
+	c.submit(now, command, func(result statestore.Result, err error) {
+		if err != nil || result.Applied == nil {
+			done(message.ApplyResult{}, err)
+			return
+		}
+		done(*result.Applied, nil)
+	})
+}
+
+// waitInForce waits until every router with a lease has the configuration.
+func (c *core) waitInForce(ctx context.Context, applied message.ApplyResult) (message.ApplyResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
+	defer cancel()
+	for {
+		routers, inForce := 0, false
+		err := c.runAndWait(ctx, func(now time.Time) {
+			if c.divider != nil && c.isReadyLeader(now) {
+				routers, inForce = c.divider.InForce(now, applied.Number)
+			}
+		})
+		if err != nil {
+			return applied, errLeaderChanged
+		}
+		applied.Routers = routers
+		if inForce {
+			return applied, nil
+		}
+		if !sleep(ctx, inForcePollInterval) {
+			return applied, errLeaderChanged
+		}
+	}
+}
+
+// show returns the configuration in force. Only a leader whose lease holds may
+// tell: another could have accepted a later one.
+func (c *core) showConfig(ctx context.Context) (message.ShowResult, error) {
+	return await(ctx, c, func(now time.Time, done func(message.ShowResult, error)) {
+		if !c.isReadyLeader(now) {
+			done(message.ShowResult{}, quorum.NewNotLeaderError(c.node.LeaderID()))
+			return
+		}
+		_, text := c.store.Config()
+		done(message.ShowResult{Config: text, History: c.store.History()}, nil)
+	})
+}
+
+func (c *core) status(ctx context.Context) (message.Status, error) {
+	return await(ctx, c, func(now time.Time, done func(message.Status, error)) {
+		if !c.isReadyLeader(now) || c.divider == nil {
+			done(message.Status{}, quorum.NewNotLeaderError(c.node.LeaderID()))
+			return
+		}
+		status := message.Status{
+			Leader: c.node.ID, Term: c.node.Term(), CommitIndex: c.node.CommitIndex(),
+			Number: c.store.Number(), Digest: c.store.Digest(), Claims: c.store.Claims(), Quarantined: len(c.store.Quarantine().Entries()),
+			Changing: c.node.MembershipChangePending(), Evacuated: c.store.Evacuations().Zones,
+			ServiceGap: c.divider.Gap(), Routers: c.divider.Routers(),
+		}
+		status.SlotsBusy, status.Slots = c.divider.Load()
+		for _, member := range c.node.Members() {
+			status.Keepers = append(status.Keepers, message.KeeperStatus{
+				Name: member.Name, ID: member.ID, Address: member.Address, Voter: member.Voter, MatchIndex: c.node.MatchIndex(member.ID),
+			})
+		}
+		done(status, nil)
+	})
+}
+
+// join takes a replacement in: its former self goes first, then it learns the
+// log, and votes once it holds all of it. One change is made at a time, so a
+// join may have to be asked for several times.
+func (c *core) join(ctx context.Context, request joinParams) (joinResult, error) {
+	return await(ctx, c, func(now time.Time, done func(joinResult, error)) {
+		err := c.admitMember(now, request)
+		done(joinResult{Members: c.node.Members()}, err)
+	})
+}
+
+// noteReplaced tells the agreement that a keeper's former self has ended, whether or not
+// this one leads: after a loss of all power in which the leader's disk went too, the others
+// need not wait for it. Only one process serves at an address; under its name alone the
+// former self may still run on a VM that is cut off.
+func (c *core) markReplaced(now time.Time, request joinParams) {
+	for _, member := range c.node.Members() {
+		if member.Name == request.Name && member.Address == request.Address && member.ID != request.ID {
+			c.node.MarkReplaced(now, member.ID)
+		}
+	}
+}
+
+// takeIn makes the next change that a replacement needs.
+func (c *core) admitMember(now time.Time, request joinParams) error {
+	c.markReplaced(now, request)
+	if !c.isReadyLeader(now) {
+		return quorum.NewNotLeaderError(c.node.LeaderID())
+	}
+	isMember := false
+	for _, member := range c.node.Members() {
+		isMember = isMember || member.ID == request.ID
+		if member.Name != request.Name || member.ID == request.ID {
+			continue
+		}
+		if err := c.node.Remove(now, member.ID); err != nil {
+			return err
+		}
+		c.log.Info("keeper removed: a replacement joins", "name", member.Name, "id", member.ID)
+		return quorum.ErrMembershipChangePending
+	}
+	if err := c.node.AddLearner(now, quorum.Member{ID: request.ID, Name: request.Name, Address: request.Address}); err != nil {
+		return err
+	}
+	if !isMember { // one that hears no leader asks again, though it is a member
+		c.log.Info("keeper added as a learner", "name", request.Name, "id", request.ID)
+	}
+	return nil
+}
