--- a/internal/keeper/admin.go
+++ b/internal/keeper/admin.go
@@ -17,13 +17,13 @@
 
 const adminTimeout = time.Second
 
-// meters are the keeper's metrics.
+// keeperMetrics serves the keeper's metrics.
 type keeperMetrics struct {
 	handler fasthttp.RequestHandler
 }
 
-// newMeters registers the measures of the brief: the service gap between
-// backlogged accounts, busy and total slots, and control bytes.
+// newMetrics registers the metrics of a keeper. Those that only a leader can compute are 0 on
+// other keepers.
 func newMetrics(counter *rpc.Counter, c *core) *keeperMetrics {
 	registry := prometheus.NewRegistry()
 	gauge := func(name, help string, value func(status message.Status) float64) {
@@ -32,7 +32,7 @@
 			defer cancel()
 			status, err := c.status(ctx)
 			if err != nil {
-				return 0 // a keeper that does not lead has no part in these
+				return 0 // only the leader has a status
 			}
 			return value(status)
 		}))
@@ -60,7 +60,7 @@
 	return &keeperMetrics{handler: fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))}
 }
 
-// adminState is the body of /state.
+// adminState is the response body of /state.
 type adminState struct {
 	Name    string          `json:"name"`
 	ID      string          `json:"id"`
@@ -103,7 +103,8 @@
 	defer cancel()
 	result := adminState{Name: k.Settings.Name}
 	c := k.core
-	// A keeper that still founds its group answers with what it has.
+	// While the group is being founded the event loop does not run yet, and the response holds
+	// only the name.
 	_ = c.runAndWait(ctx, func(now time.Time) {
 		result.ID, result.Leader, result.Leads = c.node.ID, c.node.LeaderID(), c.node.IsActiveLeader(now)
 		result.Term, result.Commit = c.node.Term(), c.node.CommitIndex()
--- a/internal/keeper/bootstrap.go
+++ b/internal/keeper/bootstrap.go
@@ -24,19 +24,19 @@
 
 const (
 	foundRetryInterval = 100 * time.Millisecond
-	// joinTimeout bounds the asking of one keeper. One without power answers
-	// nothing, and the next one may lead.
+	// joinTimeout bounds the request to one keeper. A keeper without power does not answer, and
+	// the next one may be the leader.
 	joinTimeout = 700 * time.Millisecond
 )
 
-// founding gives a keeper its identity: one of the founders of a group, or a
-// replacement that joins one.
+// A bootstrapper establishes the identity of a keeper: a founder of a group, or a replacement
+// that joins an existing group.
 //
-// Each data folder has an ID of its own. A founder binds the first ID that it
-// hears of each peer, durably, before it answers; the group is founded at a
-// keeper once all its peers have bound its ID. A founder that loses its disk
-// comes back with another ID, finds the old one bound, and stops: under its
-// old identity it could vote against what it had promised.
+// Each data folder has its own ID. A founder binds each peer's name to the first ID that it
+// receives from that peer, and makes the binding durable before it responds. A keeper counts the
+// group as founded once all its peers have bound its ID. A founder that loses its disk restarts
+// with a new ID, finds its name bound to the old one, and stops. With the old identity its votes
+// could contradict promises that were lost with the disk.
 type bootstrapper struct {
 	settings settings.Keeper
 	log      hclog.Logger
@@ -45,52 +45,53 @@
 	dial     func(ctx context.Context, address string) (*rpc.Conn, error)
 
 	clock     clock.Clock
-	startedAt time.Time // when this keeper began to found
-	// seeds are keepers that the settings name by now.
+	startedAt time.Time // when this keeper began to found the group
+	// seeds are the addresses of the keepers in the newest settings.
 	seeds atomic.Pointer[[]string]
 
 	mu sync.Mutex
 }
 
-// foundParams is the parameter of MethodFound.
+// foundParams are the parameters of MethodFoundGroup.
 type foundParams struct {
 	Name string `json:"name"`
 	ID   string `json:"id"`
 }
 
-// foundResult is the result of MethodFound. Bound is the ID that the peer has
-// bound for the asker.
+// foundResult is the result of MethodFoundGroup. Bound is the ID that the peer has bound to the
+// caller's name.
 type foundResult struct {
 	ID      string `json:"id"`
 	Bound   string `json:"bound"`
 	Founded bool   `json:"founded,omitempty"`
 }
 
-// joinParams is the parameter of MethodJoin.
+// joinParams are the parameters of MethodJoinGroup.
 type joinParams struct {
 	Name    string `json:"name"`
 	ID      string `json:"id"`
 	Address string `json:"address"`
 }
 
-// joinResult is the result of MethodJoin: whom the new member answers until the
-// log tells it who the members are.
+// joinResult is the result of MethodJoinGroup. Members are the members that the new member may
+// respond to until it learns the membership from the log.
 type joinResult struct {
 	Members []quorum.Member `json:"members"`
 }
 
-// An IdentityConflictError says that a peer knows this keeper under another disk.
+// An IdentityConflictError means that a peer has bound this keeper's name, or this keeper a
+// peer's name, to the ID of another disk.
 type IdentityConflictError struct {
 	Peer string
 	Name string
 }
 
-// Error returns the peer and the remedy.
+// Error returns the names of both keepers and the remedy.
 func (e *IdentityConflictError) Error() string {
-	return fmt.Sprintf("keeper %s knows %s under another disk (start without --init, so that it joins as a replacement)", e.Peer, e.Name)
+	return fmt.Sprintf("keeper %s has bound the name of keeper %s to another disk (start that keeper without --init, so that it joins as a replacement)", e.Peer, e.Name)
 }
 
-// run returns the identity once the keeper may take part.
+// run returns the keeper's identity once the keeper may take part in the group.
 func (b *bootstrapper) run(ctx context.Context) (journal.Identity, error) {
 	identity, err := b.loadIdentity()
 	if err != nil {
@@ -98,9 +99,8 @@
 	}
 	switch {
 	case identity.Founded || b.journal.IsMember():
-		// A joined keeper whose log says that it is a member must not wait for a
-		// leader here: after a loss of power everywhere, its vote may be the one
-		// that a quorum lacks.
+		// A keeper that has joined and is a member by its log must not wait for a leader here:
+		// after a power loss of all keepers, its vote may be needed for a quorum.
 		return identity, nil
 	case identity.FoundingPeerIDs != nil:
 		return b.waitForPeers(ctx)
@@ -109,7 +109,7 @@
 	}
 }
 
-// identity returns the folder's identity, and draws one for an empty folder.
+// loadIdentity returns the identity of the data folder. It generates one for an empty folder.
 func (b *bootstrapper) loadIdentity() (journal.Identity, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,7 +127,7 @@
 	return identity, nil
 }
 
-// answer serves MethodFound.
+// handleFoundGroup serves MethodFoundGroup.
 func (b *bootstrapper) handleFoundGroup(params foundParams) (foundResult, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -153,8 +153,8 @@
 	return b.journal.SetIdentity(identity)
 }
 
-// waitForPeers asks all peers until each has bound this keeper's ID, or most of
-// them have founded the group.
+// waitForPeers asks the peers until each has bound this keeper's ID, or until a majority has
+// founded the group.
 func (b *bootstrapper) waitForPeers(ctx context.Context) (journal.Identity, error) {
 	b.startedAt = b.clock.Now()
 	missing := make(map[string]string)
@@ -172,10 +172,10 @@
 			return journal.Identity{}, err
 		}
 		if identity := b.currentIdentity(); identity.Founded {
-			return identity, nil // a peer has formed the group
+			return identity, nil // a peer has founded the group with this keeper
 		}
-		// A proposal that was made stands, also once all peers are there: one may
-		// have taken part already.
+		// An existing proposal is pursued even when all peers have become reachable, because a
+		// peer may have accepted it already.
 		if len(b.currentIdentity().ProposedMembers) > 0 || b.mayFoundWithout(missing) {
 			if identity, done, err := b.proposeGroup(ctx, missing); done || err != nil {
 				return identity, err
@@ -192,8 +192,7 @@
 	return len(missing) > 0 || len(b.currentIdentity().ProposedMembers) > 0
 }
 
-// askMissing asks the missing peers, and strikes those off that have bound this
-// keeper's ID.
+// askMissingPeers asks the missing peers and removes those that have bound this keeper's ID.
 func (b *bootstrapper) askMissingPeers(ctx context.Context, missing map[string]string) error {
 	for name, address := range missing {
 		ok, err := b.askPeer(ctx, name, address)
@@ -212,7 +211,7 @@
 	defer cancel()
 	conn, err := b.dial(ctx, address)
 	if err != nil {
-		b.log.Debug("founding: peer cannot be reached", "peer", name, "error", err)
+		b.log.Debug("founding: peer is unreachable", "peer", name, "error", err)
 		return false, nil
 	}
 	defer conn.Close()
@@ -246,7 +245,7 @@
 	return b.journal.Identity()
 }
 
-// conclude makes the founding members durable.
+// completeFounding makes the founding members durable.
 func (b *bootstrapper) completeFounding() (journal.Identity, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -266,8 +265,8 @@
 	return identity, nil
 }
 
-// join asks the group to take this keeper as a replacement. The leader then
-// sends it the log; it votes only once it holds all of it.
+// join asks the group to admit this keeper as a replacement. The leader then replicates the log
+// to it. The keeper votes only once it has the complete log.
 func (b *bootstrapper) join(ctx context.Context, identity journal.Identity) (journal.Identity, error) {
 	for {
 		if members, ok := b.requestJoin(ctx, identity, nil); ok {
--- a/internal/keeper/conncache.go
+++ b/internal/keeper/conncache.go
@@ -7,7 +7,7 @@
 	"laburnumfall/internal/rpc"
 )
 
-// A linkCache keeps one link to each address that calls are made to.
+// A connCache keeps one connection for each address that calls are sent to.
 type connCache struct {
 	mu    sync.Mutex
 	conns map[string]*rpc.Conn
@@ -39,7 +39,7 @@
 	return conn, nil
 }
 
-// drop ends a link, unless another has taken its place.
+// drop closes a connection and removes it, unless another one has replaced it already.
 func (c *connCache) drop(address string, conn *rpc.Conn) {
 	conn.Close()
 	c.mu.Lock()
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -22,45 +22,47 @@
 
 const (
 	taskQueueSize = 4096
-	// compactAfter is how many entries the log may hold before a snapshot.
+	// compactEntries is how many entries the log may hold before it is replaced by a snapshot.
 	compactEntries = 8192
-	// compactBytes is the least size of the log before a snapshot. It grows
-	// with the snapshots, so that writing them stays a small part of the work.
+	// minCompactBytes is the least size of the log before it is replaced by a snapshot. The
+	// threshold grows with the size of the snapshots, so that writing them stays a small part of
+	// the work.
 	minCompactBytes = 4 << 20
 )
 
-// A core is the duty that owns the keeper's decisions and its disk.
+// A core is the event loop of a keeper. A single goroutine owns the fields and the disk, and runs
+// the tasks that other goroutines send.
 type core struct {
 	clock          clock.Clock
 	log            hclog.Logger
 	journal        *journal.Journal
 	transport      transport
 	tasks          chan task
-	damagedEntries atomic.Uint64 // entries of the platform's list of targets
+	damagedEntries atomic.Uint64 // damaged entries in the readings of the list of targets
 
 	node       *quorum.Node
 	store      statestore.Store
-	divider    *fairshare.Divider // while this keeper leads
+	divider    *fairshare.Divider // nil unless this keeper leads
 	routers    map[routerKey]*rpc.Conn
-	waiters    map[uint64]waiter
+	waiters    map[uint64]waiter // by index of the log entry
 	leavingVMs leavingVMs
 	renewals   renewalState
-	// zones are the availability zones that the settings name.
+	// zones are the availability zones in the settings.
 	zones []fleet.Zone
-	// registry decides which requests are held back, while this keeper leads; reported is
-	// what routers of events told it last.
+	// coordinator decides which requests are quarantined; only a leader has one. lastReports are
+	// the last quarantine reports of the routers that serve events.
 	coordinator    *quarantine.Coordinator
 	lastReports    map[routerKey]quarantine.Report
-	pendingReports []pendingReport // in this turn
-	// autoMembers says that the leader takes out members that are gone by itself.
+	pendingReports []pendingReport // received since the last runOnce
+	// autoMembers says that the leader removes unreachable members without an operator.
 	autoMembers      bool
-	pendingClaims    []claimCall // to be proposed in the next batch
+	pendingClaims    []claimCall // to be proposed in the next entry
 	pendingSettles   []settleCall
-	logBytes         int // bytes of the log since the last snapshot
+	logBytes         int // size of the log since the last snapshot
 	compactThreshold int
 }
 
-// A carrier takes a core's messages to other processes. It may lose any.
+// A transport sends the messages of a core to other processes. It may lose messages.
 type transport interface {
 	send(msg quorum.Message)
 	sendGrant(conn *rpc.Conn, grant message.Grant)
@@ -72,10 +74,10 @@
 	incarnation uint64
 }
 
-// An input is one message to the core.
+// A task is a function that the event loop runs.
 type task func(now time.Time)
 
-// waiter is told what became of the log entry at an index.
+// A waiter receives the outcome of the log entry that was proposed at an index and term.
 type waiter struct {
 	term uint64
 	done func(statestore.Result, error)
@@ -101,8 +103,8 @@
 	}
 }
 
-// run serves until ctx ends. An error of the disk ends it too: a keeper that
-// cannot make its promises last must not make any.
+// run runs the event loop until ctx ends or the disk fails. A keeper that cannot make its
+// promises durable must not make any.
 func (c *core) run(ctx context.Context, identity journal.Identity) error {
 	if err := c.start(identity); err != nil {
 		return err
@@ -125,8 +127,8 @@
 	}
 }
 
-// resign hands the lead over, so that the group need not find out by itself that its
-// leader has stopped.
+// resign transfers leadership, so that the group need not wait for an election timeout to detect
+// that its leader has stopped.
 func (c *core) resign() error {
 	if c.node.Role() != quorum.Leader {
 		return nil
@@ -153,7 +155,8 @@
 	return nil
 }
 
-// drain takes the inputs that are there already, so that one sync serves many.
+// drainTasks runs the tasks that are already queued, so that one sync of the disk serves many of
+// them.
 func (c *core) drainTasks() {
 	const maxTasks = 512
 	for range maxTasks {
@@ -166,7 +169,8 @@
 	}
 }
 
-// turn lets time pass, proposes what was collected, and makes it durable.
+// runOnce runs one iteration of the event loop: it advances the quorum node's time, proposes what
+// the tasks have collected, and makes it durable.
 func (c *core) runOnce() error {
 	now := c.clock.Now()
 	c.node.Tick(now)
@@ -183,7 +187,7 @@
 	return c.compact()
 }
 
-// settle does what the node wants done until it wants nothing more.
+// processOutput carries out the output of the quorum node until there is none left.
 func (c *core) processOutput() error {
 	for {
 		output := c.node.TakeOutput()
@@ -212,11 +216,11 @@
 	}
 }
 
-// slowWrite is how long a write to the log takes at least where the disk counts as slow: a
-// heartbeat and a half.
+// slowWriteThreshold is how long a write to the log takes before the disk counts as slow: one and
+// a half heartbeats.
 const slowWriteThreshold = 3 * quorum.HeartbeatInterval / 2
 
-// write makes an output durable.
+// writeLog makes an output durable.
 func (c *core) writeLog(output quorum.Output) error {
 	start := c.clock.Now()
 	if err := c.journal.Write(output); err != nil {
@@ -242,10 +246,9 @@
 	return nil
 }
 
-// leads reports whether this keeper may answer for the state of the group. It
-// is asked between two messages, and the one before may have committed entries
-// that are applied only at the end of the turn: until then the ledger is older
-// than what was acknowledged.
+// isReadyLeader reports whether this keeper may answer for the state of the group. An earlier task
+// of the same iteration may have committed entries that are applied only at the end of the
+// iteration; until then the store is older than what was acknowledged.
 func (c *core) isReadyLeader(now time.Time) bool {
 	return c.node.IsActiveLeader(now) && c.node.AllApplied()
 }
@@ -277,12 +280,12 @@
 	}
 	delete(c.waiters, entry.Index)
 	if waiter.term != entry.Term {
-		err = errLeaderChanged
+		err = errNoQuorum
 	}
 	waiter.done(result, err)
 }
 
-// compact replaces the log by a snapshot when it has grown long.
+// compact replaces the log by a snapshot once the log has reached one of the thresholds.
 func (c *core) compact() error {
 	if len(c.node.Entries) < compactEntries && c.logBytes < c.compactThreshold {
 		return nil
@@ -307,7 +310,7 @@
 	return next
 }
 
-// ask has the core do f and waits until it is done, or ctx ends.
+// runAndWait runs f in the event loop. It returns when f is done or ctx ends.
 func (c *core) runAndWait(ctx context.Context, f task) error {
 	done := make(chan struct{})
 	wrapped := func(now time.Time) {
@@ -327,8 +330,8 @@
 	}
 }
 
-// post queues f. One that finds a full ring is dropped: it is for messages
-// that are repeated.
+// enqueue queues f for the event loop. It drops f if the queue is full, so it is for input
+// that is repeated.
 func (c *core) enqueue(f task) {
 	select {
 	case c.tasks <- f:
@@ -336,7 +339,7 @@
 	}
 }
 
-// onQuorum takes a message of another keeper.
+// handleQuorumMessage processes a quorum message of another keeper.
 func (c *core) handleQuorumMessage(params json.RawMessage) {
 	var msg quorum.Message
 	if err := json.Unmarshal(params, &msg); err != nil {
@@ -346,7 +349,7 @@
 	c.enqueue(func(now time.Time) { c.node.Step(now, msg) })
 }
 
-// onReport takes a router's report.
+// handleReport processes a report of a router that serves events.
 func (c *core) handleReport(conn *rpc.Conn, params json.RawMessage) {
 	var report message.Report
 	if err := json.Unmarshal(params, &report); err != nil {
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -12,9 +12,9 @@
 	"laburnumfall/internal/statestore"
 )
 
-// Evacuate begins or ends the evacuation of an availability zone. It returns once that is
-// durable. An error of another kind than [fleet.KindMalformed] means that it may or may not
-// come in force; to send the order again is safe.
+// Evacuate begins or ends the evacuation of an availability zone and returns once that is
+// durable. After an error whose kind is not [fleet.KindMalformed] the order may still take
+// effect; it is safe to send it again.
 func (c *LeaderClient) Evacuate(ctx context.Context, request message.EvacuateRequest) error {
 	return c.forward(ctx, func(ctx context.Context, conn *rpc.Conn) error {
 		if conn == nil {
@@ -29,8 +29,9 @@
 	return await(ctx, c, func(now time.Time, done func(message.EvacuateResult, error)) { c.proposeEvacuation(now, request, done) })
 }
 
-// order proposes an operator's order. Where it changes nothing, it was sent again, and what
-// the log holds answers it: also an end of what has never begun, of a zone that is known.
+// proposeEvacuation proposes an operator's order. A zone that is neither evacuated nor found by
+// hasZone is refused. An order that changes nothing, such as a repeated one or the end of an
+// evacuation that never began, is answered from the store.
 func (c *core) proposeEvacuation(now time.Time, request message.EvacuateRequest, done func(message.EvacuateResult, error)) {
 	evacuations := c.store.Evacuations()
 	switch {
@@ -49,20 +50,20 @@
 	}
 }
 
-// hasZone reports whether the settings, the configuration in force or the list of targets
-// name a zone.
+// hasZone reports whether the settings, the configuration in force or the list of targets name a
+// zone.
 func (c *core) hasZone(zone fleet.Zone) bool {
 	if slices.Contains(c.zones, zone) {
 		return true
 	}
 	config, _ := c.store.Config()
 	inZone := func(instance fleet.Instance) bool { return instance.Zone == zone }
-	return slices.ContainsFunc(config.Targets, func(t fleet.Target) bool { return t.Zone == zone }) ||
+	return slices.ContainsFunc(config.Targets, func(target fleet.Target) bool { return target.Zone == zone }) ||
 		slices.ContainsFunc(c.renewals.targets, inZone)
 }
 
-// noteEvacuations puts a change of the evacuated zones in force at the routers of events.
-// Those of routes hear it with their next renewal.
+// handleEvacuationChange applies a change of the evacuated zones to the routers that serve
+// events. Routers that serve routes get it with their next renewal.
 func (c *core) handleEvacuationChange(before, after fleet.EvacuatedZones) {
 	if before.Revision == after.Revision {
 		return
--- a/internal/keeper/handlers.go
+++ b/internal/keeper/handlers.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// forceWait bounds how long an apply waits for the routers.
+	// inForceTimeout bounds how long a call that applies a configuration waits for the routers.
 	inForceTimeout      = 20 * time.Second
 	inForcePollInterval = 20 * time.Millisecond
 )
@@ -87,7 +87,7 @@
 	}
 }
 
-// serve reads a call's parameters and carries it out.
+// decodeAndCall decodes the parameters of a call and passes them to handler.
 func decodeAndCall[P, R any](params json.RawMessage, handler func(P) (R, error)) (any, error) {
 	var request P
 	if err := json.Unmarshal(params, &request); err != nil {
@@ -96,7 +96,7 @@
 	return handler(request)
 }
 
-// await runs f in the core and waits for the answer that f has sent.
+// await runs f in the event loop and waits until f calls done, which may be after f has returned.
 func await[R any](ctx context.Context, c *core, f func(now time.Time, done func(R, error))) (R, error) {
 	type callResult struct {
 		value R
@@ -114,7 +114,7 @@
 	case result := <-results:
 		return result.value, result.err
 	case <-ctx.Done():
-		return zero, errLeaderChanged
+		return zero, errNoQuorum
 	}
 }
 
@@ -130,8 +130,8 @@
 	})
 }
 
-// withLiveness tells that a claim's fate is unknown once its router's lease
-// has lapsed: nobody will settle it.
+// withUnknownFates returns the results with the state unknown for each running claim whose
+// router's lease has expired: nobody will settle it.
 func (c *core) withUnknownFates(results []message.ClaimResult) []message.ClaimResult {
 	updated := make([]message.ClaimResult, len(results))
 	for i, result := range results {
@@ -163,7 +163,8 @@
 	return err
 }
 
-// applyConfig puts a configuration in force.
+// applyConfig validates and proposes a configuration. If the request says so, it also waits until
+// the configuration is in force.
 func (c *core) applyConfig(ctx context.Context, request message.ApplyRequest) (message.ApplyResult, error) {
 	var config fleet.Config
 	if err := json.Unmarshal(request.Config, &config); err != nil {
@@ -208,20 +209,20 @@
 			}
 		})
 		if err != nil {
-			return applied, errLeaderChanged
+			return applied, errNoQuorum
 		}
 		applied.Routers = routers
 		if inForce {
 			return applied, nil
 		}
 		if !sleep(ctx, inForcePollInterval) {
-			return applied, errLeaderChanged
+			return applied, errNoQuorum
 		}
 	}
 }
 
-// show returns the configuration in force. Only a leader whose lease holds may
-// tell: another could have accepted a later one.
+// showConfig returns the configuration in force. Only a leader with a valid lease may answer:
+// another leader could have accepted a later configuration.
 func (c *core) showConfig(ctx context.Context) (message.ShowResult, error) {
 	return await(ctx, c, func(now time.Time, done func(message.ShowResult, error)) {
 		if !c.isReadyLeader(now) {
@@ -255,9 +256,9 @@
 	})
 }
 
-// join takes a replacement in: its former self goes first, then it learns the
-// log, and votes once it holds all of it. One change is made at a time, so a
-// join may have to be asked for several times.
+// join admits a replacement: the member that it replaces is removed, then it receives the log as
+// a learner, and it votes once it has the complete log. Only one membership change is made at a
+// time, so the replacement may have to ask several times.
 func (c *core) join(ctx context.Context, request joinParams) (joinResult, error) {
 	return await(ctx, c, func(now time.Time, done func(joinResult, error)) {
 		err := c.admitMember(now, request)
@@ -265,10 +266,11 @@
 	})
 }
 
-// noteReplaced tells the agreement that a keeper's former self has ended, whether or not
-// this one leads: after a loss of all power in which the leader's disk went too, the others
-// need not wait for it. Only one process serves at an address; under its name alone the
-// former self may still run on a VM that is cut off.
+// markReplaced reports to the quorum node that the process of a replaced member has ended,
+// whether or not this keeper leads. After a power loss of all keepers in which the leader's disk
+// was lost too, the others then need not wait for its lease. Name and address must both match,
+// because only one process serves at an address: with the name alone, the replaced process may
+// still run on a VM that is partitioned.
 func (c *core) markReplaced(now time.Time, request joinParams) {
 	for _, member := range c.node.Members() {
 		if member.Name == request.Name && member.Address == request.Address && member.ID != request.ID {
@@ -277,7 +279,7 @@
 	}
 }
 
-// takeIn makes the next change that a replacement needs.
+// admitMember makes the next membership change that a replacement needs.
 func (c *core) admitMember(now time.Time, request joinParams) error {
 	c.markReplaced(now, request)
 	if !c.isReadyLeader(now) {
@@ -298,7 +300,7 @@
 	if err := c.node.AddLearner(now, quorum.Member{ID: request.ID, Name: request.Name, Address: request.Address}); err != nil {
 		return err
 	}
-	if !isMember { // one that hears no leader asks again, though it is a member
+	if !isMember { // a member that has lost contact with the leader asks again
 		c.log.Info("keeper added as a learner", "name", request.Name, "id", request.ID)
 	}
 	return nil
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -1,6 +1,5 @@
-// Package keeper is the program around the keepers' decisions: it holds the
-// replicated state on its disk, and while it leads it divides the targets'
-// slots among the routers.
+// Package keeper runs a keeper, a replica of the control plane. A keeper stores the replicated
+// state on its disk. The leader also divides the slots of the targets among the routers.
 package keeper
 
 import (
@@ -22,24 +21,23 @@
 	"laburnumfall/internal/settings"
 )
 
-// adminClose bounds how long a stopping keeper finishes operators' requests. Without a
-// bound, half a request held it until it was killed.
+// adminShutdownTimeout bounds how long a stopping keeper finishes the requests of operators.
+// Without a bound, an incomplete request kept the keeper running until it was killed.
 const adminShutdownTimeout = 500 * time.Millisecond
 
-// A Keeper is one lf-keeper. Set the exported fields, then call Run.
+// A Keeper is one lf-keeper process. Set the exported fields, then call Run.
 type Keeper struct {
 	Settings settings.Keeper
 	Log      hclog.Logger
 	Clock    clock.Clock
 	Disk     journal.Disk
-	// Init founds a group on an empty data folder.
+	// Init founds a new group if the data folder is empty.
 	Init bool
-	// VMs is the platform's list of VMs; nil means the one of the settings.
-	VMs VMList
-	// TargetList is the platform's list of targets; nil where configurations
-	// list the targets.
+	// VMList is the platform's list of VMs. If it is nil, the list in the settings is used.
+	VMList VMList
+	// TargetList is the platform's list of targets. It is nil if configurations list the targets.
 	TargetList TargetList
-	// ServeControlAPI, if set, serves operators in the platform's way.
+	// ServeControlAPI, if set, serves the platform's control API for operators.
 	ServeControlAPI func(ctx context.Context, client *LeaderClient) error
 
 	counter      rpc.Counter
@@ -48,22 +46,23 @@
 	core         *core
 	transport    *rpcTransport
 	bootstrapper *bootstrapper
-	// founding is found, for other goroutines than that of Run.
+	// sharedBootstrapper is bootstrapper, for goroutines other than that of Run.
 	sharedBootstrapper atomic.Pointer[bootstrapper]
 	metrics            *keeperMetrics
 }
 
-// A DataDirInUseError says that the data folder does not fit the way of starting.
+// A DataDirInUseError means that a group is to be founded on a data folder that already holds
+// data.
 type DataDirInUseError struct {
 	Dir string
 }
 
 // Error returns the folder and the remedy.
 func (e *DataDirInUseError) Error() string {
-	return fmt.Sprintf("data folder %s is in use (start without --init; to found anew, name an empty folder)", e.Dir)
+	return fmt.Sprintf("data folder %s already holds data (start without --init, or set an empty data folder to found a new group)", e.Dir)
 }
 
-// Run serves until ctx ends or the disk fails.
+// Run runs the keeper until ctx ends or the disk fails.
 func (k *Keeper) Run(ctx context.Context) error {
 	if err := k.readSecret(); err != nil {
 		return err
@@ -73,26 +72,26 @@
 	}
 	listener, err := net.Listen("tcp", k.Settings.Listen)
 	if err != nil {
-		return fmt.Errorf("listen for the fleet (free the address or change listen): %w", err)
+		return fmt.Errorf("listen for routers and keepers (free the address or change the setting listen): %w", err)
 	}
 	admin, err := net.Listen("tcp", k.Settings.Admin)
 	if err != nil {
-		return fmt.Errorf("listen for operators (free the address or change admin): %w", err)
+		return fmt.Errorf("listen for operators (free the address or change the setting admin): %w", err)
 	}
 	k.assemble()
 	return k.serveAll(ctx, listener, admin)
 }
 
-// SetSeeds names keepers that the settings tell of by now. It may be called at
-// any time while Run runs.
+// SetSeeds sets the addresses of the keepers in the newest settings. It may be called at any time
+// while Run runs.
 func (k *Keeper) SetSeeds(addresses []string) {
 	if bootstrapper := k.sharedBootstrapper.Load(); bootstrapper != nil {
 		bootstrapper.seeds.Store(&addresses)
 	}
 }
 
-// readSecret reads what proves the fleet's processes to each other. Where the
-// settings name none, only those that say so may do without.
+// readSecret reads the secret that authenticates the fleet's processes to each other. Only
+// settings that are explicitly open may do without one.
 func (k *Keeper) readSecret() error {
 	if k.Settings.Open {
 		return nil
@@ -128,8 +127,8 @@
 	k.core.autoMembers, k.core.zones = k.Settings.AutoMembers, k.Settings.Zones
 	k.sharedBootstrapper.Store(k.bootstrapper)
 	k.metrics = newMetrics(&k.counter, k.core)
-	if k.VMs == nil && k.Settings.List != "" {
-		k.VMs = &RealVMList{URL: k.Settings.List}
+	if k.VMList == nil && k.Settings.List != "" {
+		k.VMList = &RealVMList{URL: k.Settings.List}
 	}
 }
 
@@ -142,14 +141,14 @@
 	defer cancel()
 	err := admin.ShutdownWithContext(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		return nil // what is left ends with the process
+		return nil // the remaining requests end with the process
 	}
 	return err
 }
 
 func (k *Keeper) serveAll(ctx context.Context, listener, adminListener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
-	// What a leader says at its end must still get out.
+	// The transport outlives ctx, because a leader that resigns still has messages to send.
 	transportCtx, stopTransport := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopTransport()
 	admin := &fasthttp.Server{Handler: k.serveAdmin, CloseOnShutdown: true}
@@ -158,7 +157,7 @@
 	})
 	group.Go(func() error { return admin.Serve(adminListener) })
 	group.Go(func() error { return k.transport.run(transportCtx) })
-	group.Go(func() error { return k.core.watchVMs(ctx, k.VMs) })
+	group.Go(func() error { return k.core.watchVMs(ctx, k.VMList) })
 	group.Go(func() error {
 		defer stopTransport()
 		identity, err := k.bootstrapper.run(ctx)
@@ -178,7 +177,7 @@
 	}
 	group.Go(func() error {
 		<-ctx.Done()
-		_ = listener.Close() // ends its Serve
+		_ = listener.Close() // makes rpc.Serve return
 		return closeAdmin(ctx, admin)
 	})
 	k.Log.Info("serving", "listen", k.Settings.Listen, "admin", k.Settings.Admin, "zone", k.Settings.Zone)
--- a/internal/keeper/leader.go
+++ b/internal/keeper/leader.go
@@ -9,7 +9,7 @@
 	"laburnumfall/internal/statestore"
 )
 
-var errLeaderChanged = fleet.NewError(fleet.KindNoQuorum, "send it again: the same request is carried out once",
+var errNoQuorum = fleet.NewError(fleet.KindNoQuorum, "send it again: the same request is carried out once",
 	"the leader changed before a quorum held the request")
 
 func (c *core) updateDividerConfig() {
@@ -21,21 +21,21 @@
 	c.updateUnavailableTargets()
 }
 
-// lead begins and ends this keeper's part as leader, and sends what its
-// divider grants. The lease is looked up last, right before sending.
+// runLeader starts and ends this keeper's work as leader and sends the grants of its divider. The
+// lease from the quorum is checked last, immediately before each grant is sent.
 func (c *core) runLeader(now time.Time) {
 	if c.node.Role() != quorum.Leader {
 		c.stepDown()
 		return
 	}
 	if !c.node.IsActiveLeader(now) {
-		return // the term may go on once a quorum answers again
+		return // the term may continue once a quorum responds again
 	}
 	if c.divider == nil || c.divider.Term != c.node.Term() {
 		c.log.Info("leading", "term", c.node.Term(), "number", c.store.Number())
 		c.divider = &fairshare.Divider{Term: c.node.Term(), Blank: c.store.Number() == 0}
 		c.divider.Start(now)
-		c.coordinator = nil // of the term before
+		c.coordinator = nil // belongs to the previous term
 		if c.store.Number() > 0 {
 			c.updateDividerConfig()
 		}
@@ -51,21 +51,21 @@
 	}
 }
 
-// stepDown forgets what only a leader knows, and answers those who wait for
-// entries that this keeper may never see committed.
+// stepDown drops the state that only a leader has, and fails the waiters of entries that this
+// keeper may never see committed.
 func (c *core) stepDown() {
 	if c.divider != nil {
 		c.log.Warn("no longer leading", "term", c.divider.Term)
 		c.divider, c.coordinator, c.pendingReports = nil, nil, nil
 		clear(c.routers)
 	}
-	for index, w := range c.waiters {
+	for index, waiter := range c.waiters {
 		delete(c.waiters, index)
-		w.done(statestore.Result{}, errLeaderChanged)
+		waiter.done(statestore.Result{}, errNoQuorum)
 	}
 }
 
-// promote makes a learner that has caught up a voter.
+// promoteLearners makes each learner that has caught up a voter.
 func (c *core) promoteLearners(now time.Time) {
 	for _, member := range c.node.Members() {
 		if member.Voter || c.node.MatchIndex(member.ID) < c.node.CommitIndex() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// propose puts the claims and settlements that were collected into one entry.
+// proposeClaims proposes the collected claims and settlements as one entry.
 func (c *core) proposeClaims(now time.Time) {
 	claimCalls, settleCalls := c.pendingClaims, c.pendingSettles
 	if len(claimCalls)+len(settleCalls) == 0 {
@@ -107,7 +107,8 @@
 	})
 }
 
-// submit proposes a command and has done told what became of it.
+// submit proposes a command. It calls done with the outcome, at once if the command cannot be
+// proposed.
 func (c *core) submit(now time.Time, command statestore.Command, done func(statestore.Result, error)) {
 	command.At = now
 	index, term, err := c.node.Propose(now, command.Encode())
--- a/internal/keeper/leaderclient.go
+++ b/internal/keeper/leaderclient.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// controlPatience bounds how long an operator's order looks for the leader.
-	// Operators move on to another keeper after a second.
+	// orderTimeout bounds how long an operator's order waits for a leader. Operators try another
+	// keeper after one second.
 	orderTimeout       = 900 * time.Millisecond
 	orderRetryInterval = 40 * time.Millisecond
-	// controlCall bounds one call to the leader.
+	// leaderCallTimeout bounds one call to the leader.
 	leaderCallTimeout = 700 * time.Millisecond
 )
 
-// A LeaderClient carries operators' orders to the leading keeper, whichever it is.
-// It serves any number of goroutines.
+// A LeaderClient sends the orders of operators to the leader, which may be this keeper or another
+// one. It is safe for concurrent use.
 type LeaderClient struct {
 	keeper *Keeper
 	conns  connCache
 }
 
-// PutRoutes makes a configuration of routes durable. An error means that it may or
-// may not come in force; to send it again is safe.
+// PutRoutes makes a configuration of routes durable. After an error the configuration may still
+// come into force; it is safe to send it again.
 func (c *LeaderClient) PutRoutes(ctx context.Context, number uint64, config []byte) error {
 	packed, err := codec.Pack(config)
 	if err != nil {
@@ -44,8 +44,9 @@
 	})
 }
 
-// ReadRoutes returns the newest configuration of routes, as it was put. It fails where
-// that is not certain.
+// ReadRoutes returns the newest configuration of routes, in the form in which it was put, or
+// number 0 if there is none. It fails if it cannot be certain that the configuration is the
+// newest.
 func (c *LeaderClient) ReadRoutes(ctx context.Context) (number uint64, config []byte, err error) {
 	var document message.RoutesDocument
 	err = c.forward(ctx, func(ctx context.Context, conn *rpc.Conn) error {
@@ -63,7 +64,8 @@
 	return document.Number, config, err
 }
 
-// try has this keeper, and then the leader that it knows, carry an order out.
+// forward calls the leader, with a nil conn if that is this keeper. It retries while no leader is
+// known or reachable, or the called keeper does not lead.
 func (c *LeaderClient) forward(ctx context.Context, call func(ctx context.Context, conn *rpc.Conn) error) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -99,7 +101,7 @@
 	err = call(callCtx, conn)
 	var refusal *fleet.Error
 	if err != nil && !errors.As(err, &refusal) {
-		c.conns.drop(members.Leader, conn) // it may hang without a reset
+		c.conns.drop(members.Leader, conn) // the connection may hang without a reset
 	}
 	return err
 }
--- a/internal/keeper/membership.go
+++ b/internal/keeper/membership.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// voterSilence is how long a voter answers nothing before it may be taken
-	// out. Longer than a restart takes, shorter than the time within which a
-	// replacement must count, so that the loss of another one is borne then.
+	// voterSilenceLimit is how long a voter does not respond before it may be removed. It is
+	// longer than a restart takes, and shorter than the time within which a replacement must
+	// count as a voter, so that the group can then tolerate the loss of another one.
 	voterSilenceLimit = 2500 * time.Millisecond
-	// learnerSilence is how long a learner answers nothing before it is taken
-	// out: it helps nobody, and comes back by joining again.
+	// learnerSilenceLimit is how long a learner does not respond before it is removed. It
+	// contributes nothing to the group and can join again.
 	learnerSilenceLimit = 10 * time.Second
-	// leastVoters is the size below which no voter is taken out: with fewer, the
-	// loss of one more disk could lose what was acknowledged.
+	// minVoters is the number of voters below which none is removed: with fewer, the loss of one
+	// more disk could lose acknowledged state.
 	minVoters = 3
 )
 
-// A seen tells when a leader last heard a member.
+// A lastContactFunc returns when the leader last had contact with a member.
 type lastContactFunc func(id string) time.Time
 
-// silentMember returns the member that the leader should take out next, or
-// false. A voter goes only while the number of voters is even: then the rest
-// need one vote less for a quorum than before, so that taking it out never
-// leaves fewer losses to be borne. With an odd number it stays, since it may
-// return with its disk, and a replacement makes the number even.
+// memberToRemove returns the member that the leader should remove next, or false. A voter is
+// removed only while the number of voters is even. The remaining voters then need one vote less
+// for a quorum, so the removal never reduces the number of further losses that the group
+// tolerates. With an odd number the voter stays: it may return with its disk, and a replacement
+// makes the number even.
 func memberToRemove(now time.Time, selfID string, members []quorum.Member, lastContact lastContactFunc) (quorum.Member, bool) {
 	voterCount := 0
 	for _, member := range members {
@@ -47,9 +47,9 @@
 	return quorum.Member{}, false
 }
 
-// keepMembers makes the next change of membership that is due: a learner that
-// holds all becomes a voter, and a silent member goes. Promotion comes first, so
-// that the copies are never fewer than need be.
+// maintainMembership makes the next membership change that is due: a learner with the complete
+// log becomes a voter, or a silent member is removed. Promotion comes first, so that there are
+// never fewer copies than necessary.
 func (c *core) maintainMembership(now time.Time) {
 	c.promoteLearners(now)
 	if !c.autoMembers {
--- a/internal/keeper/partialgroup.go
+++ b/internal/keeper/partialgroup.go
@@ -13,29 +13,30 @@
 	"laburnumfall/internal/quorum"
 )
 
-// formPatience is how long a founder waits for all its peers before it forms the
-// group with most of them. Programs that start together find each other within
-// a second; a VM that is dead does not come.
+// partialGroupDelay is how long a founder waits for all its peers before it founds the group with
+// a majority of them. Processes that start together reach each other within a second; a VM that
+// is down stays unreachable.
 const partialGroupDelay = 3 * time.Second
 
-// errJoin says that the group is founded without this keeper, which therefore
-// joins it as a learner.
-var errFoundedWithout = errors.New("the group is founded without this keeper")
+// errFoundedWithout means that the group is founded without this keeper, which then joins it as a
+// learner.
+var errFoundedWithout = errors.New("the group was founded without this keeper")
 
-// formParams is the parameter of MethodFormed: a group that is to be founded
+// formParams are the parameters of MethodFormGroup: the members of a group that is to be founded
 // without some of the peers.
 type formParams struct {
 	Members []quorum.Member `json:"members"`
 }
 
-// formResult is its result: the members that the asked keeper has founded a
-// group with, which may be others.
+// formResult is the result of MethodFormGroup: the members of the group that the called keeper
+// has founded, which may be a different group.
 type formResult struct {
 	Members []quorum.Member `json:"members"`
 }
 
-// mayForm reports whether this keeper is to propose a group without the missing
-// peers: most are there, and it is the first of them by name.
+// mayFoundWithout reports whether this keeper may propose a group without the missing peers. That
+// takes automatic membership, a wait of partialGroupDelay and a majority of present peers, of
+// which this keeper must be the first by name.
 func (b *bootstrapper) mayFoundWithout(missing map[string]string) bool {
 	if !b.settings.AutoMembers || len(missing) == 0 || b.clock.Now().Sub(b.startedAt) < partialGroupDelay {
 		return false
@@ -54,13 +55,12 @@
 	return present > len(peers)/2
 }
 
-// propose asks the peers that are there to found the group with this keeper.
+// proposeGroup asks the reachable peers to found the group with this keeper.
 //
-// Two groups must never form. Any two of more than half of the peers share one,
-// and each takes part in one group only: it makes durable which before it
-// answers. A proposal is durable too before it is sent, and is repeated
-// unchanged until it is accepted, or refused by a peer that has taken part in
-// another group, without which this one can have no quorum.
+// Two groups must never be founded. Any two majorities of the peers have a peer in common, and
+// each peer takes part in only one group: it makes its choice durable before it responds. A
+// proposal is also durable before it is sent. It is repeated unchanged until it is accepted, or
+// until a peer has taken part in another group; without that peer this group can have no quorum.
 func (b *bootstrapper) proposeGroup(ctx context.Context, missing map[string]string) (identity journal.Identity, done bool, err error) {
 	identity, err = b.ownProposal(missing)
 	if err != nil {
@@ -72,7 +72,7 @@
 		}
 		result, err := b.sendProposal(ctx, member.Address, identity.ProposedMembers)
 		if err != nil {
-			b.log.Debug("forming: peer does not answer", "peer", member.Name, "error", err)
+			b.log.Debug("founding: peer did not accept the proposed group", "peer", member.Name, "error", err)
 			return identity, false, nil
 		}
 		if !slices.Equal(result.Members, identity.ProposedMembers) {
@@ -87,7 +87,7 @@
 	return identity, true, b.journal.SetIdentity(identity)
 }
 
-// proposal returns this keeper's identity with its proposal, which it makes once.
+// ownProposal returns this keeper's identity with its proposal, which is made only once.
 func (b *bootstrapper) ownProposal(missing map[string]string) (journal.Identity, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -116,8 +116,8 @@
 	return result, conn.Call(ctx, message.MethodFormGroup, formParams{Members: members}, &result)
 }
 
-// giveWay takes part in the group that a peer has founded: as a founder if this
-// keeper is one of its members, and else as a learner.
+// acceptFoundedGroup takes part in a group that a peer has founded: as a founder if this keeper
+// is one of its members, otherwise as a learner.
 func (b *bootstrapper) acceptFoundedGroup(ctx context.Context, members []quorum.Member) (journal.Identity, bool, error) {
 	b.mu.Lock()
 	identity := b.journal.Identity()
@@ -134,8 +134,8 @@
 	return identity, true, err
 }
 
-// form serves MethodFormed: it takes part in the proposed group, unless it takes
-// part in another.
+// handleFormGroup serves MethodFormGroup. It takes part in the proposed group unless this keeper
+// takes part in another one.
 func (b *bootstrapper) handleFormGroup(params formParams) (formResult, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -11,9 +11,10 @@
 	"laburnumfall/internal/statestore"
 )
 
-// court returns the registry of the term, and false while this keeper may not answer for the
-// state of the group. A term begins with what the log holds; first ends and whole answers of
-// the last minute come with the routers' next reports.
+// quarantineCoordinator returns the coordinator of the current term, or false while this keeper
+// may not answer for the state of the group. At the start of a term the coordinator has the
+// entries of the log. Terminations that are not in the log yet, and completions of the last
+// minute, follow with the next reports of the routers.
 func (c *core) quarantineCoordinator(now time.Time) (*quarantine.Coordinator, bool) {
 	if !c.isReadyLeader(now) {
 		return nil, false
@@ -26,7 +27,7 @@
 	return c.coordinator, true
 }
 
-// takers returns the targets of a pool of routes that take new work.
+// availableTargets returns the IDs of the targets of a pool that accept new work.
 func (c *core) availableTargets(pool string) []string {
 	var ids []string
 	for _, instance := range c.renewals.targets {
@@ -37,47 +38,48 @@
 	return ids
 }
 
-// takeQuarantine takes what a router tells of ends of targets. What follows from it counts
-// once a quorum has it: routers are told what the log holds.
+// handleQuarantineReport processes the terminations in a router's report. The resulting decisions
+// take effect once a quorum has them, because routers only get what the log holds.
 func (c *core) handleQuarantineReport(now time.Time, router string, report quarantine.Report) {
 	coordinator, ok := c.quarantineCoordinator(now)
 	if !ok {
-		return // it is told again
+		return // the router repeats its report
 	}
 	coordinator.HandleReport(now, router, report)
 	c.proposeQuarantine(now, func(error) {})
 }
 
-// A toldReport is what a router of events told in its report.
+// A pendingReport is the quarantine report of a router that serves events.
 type pendingReport struct {
 	router routerKey
 	report quarantine.Report
 }
 
-// takeTold takes what routers of events told in this turn, and reports whether there was any.
-// It comes after what is committed is applied: only then may this keeper answer for the state
-// of the group, and the grant that follows tells the routers that they were heard.
+// handlePendingReports processes the quarantine reports that routers serving events have sent
+// since the last iteration, and returns whether there were any. It must run after committed
+// entries are applied: only then may this keeper answer for the state of the group, and the grant
+// that follows acknowledges the reports.
 func (c *core) handlePendingReports(now time.Time) bool {
 	if _, ok := c.quarantineCoordinator(now); !ok {
 		return false
 	}
-	pending := c.pendingReports
+	reports := c.pendingReports
 	c.pendingReports = nil
-	for _, p := range pending {
-		c.handleQuarantineReport(now, message.ClaimOwner(p.router.name, p.router.incarnation), p.report)
+	for _, pending := range reports {
+		c.handleQuarantineReport(now, message.ClaimOwner(pending.router.name, pending.router.incarnation), pending.report)
 		if c.coordinator != nil {
-			c.lastReports[p.router] = p.report
+			c.lastReports[pending.router] = pending.report
 		}
 	}
-	return len(pending) > 0
+	return len(reports) > 0
 }
 
-// putQuarantine puts what the registry has decided into the log.
+// proposeQuarantine proposes the decisions of the coordinator to the log.
 func (c *core) proposeQuarantine(now time.Time, done func(error)) {
-	entries, notes := c.coordinator.TakeChanges()
-	for _, note := range notes {
-		entry := note.Entry
-		c.log.Warn("quarantine", "step", note.Transition, "print", entry.Fingerprint, "account", entry.Account, "route", entry.Destination, "pool", entry.Pool,
+	entries, transitions := c.coordinator.TakeChanges()
+	for _, record := range transitions {
+		entry := record.Entry
+		c.log.Warn("quarantine", "step", record.Transition, "print", entry.Fingerprint, "account", entry.Account, "route", entry.Destination, "pool", entry.Pool,
 			"ends", len(entry.TerminatedTargets), "trials", entry.Trials, "router", entry.PermitHolder, "target", entry.PermitTarget, "grant", entry.PermitID)
 	}
 	if len(entries) == 0 {
@@ -87,7 +89,7 @@
 	c.submit(now, statestore.Command{Quarantine: entries}, func(_ statestore.Result, err error) { done(err) })
 }
 
-// rulings returns what a router is told.
+// restrictionsFor returns the restrictions that a router gets in response to its report.
 func (c *core) restrictionsFor(now time.Time, report quarantine.Report) *quarantine.RestrictionUpdate {
 	coordinator, ok := c.quarantineCoordinator(now)
 	if !ok {
@@ -97,7 +99,7 @@
 	return &update
 }
 
-// held returns the requests under which targets have ended.
+// listQuarantine returns the requests during which targets terminated.
 func (c *core) listQuarantine(ctx context.Context) (message.QuarantineResult, error) {
 	return await(ctx, c, func(now time.Time, done func(message.QuarantineResult, error)) {
 		if !c.isReadyLeader(now) {
@@ -108,7 +110,7 @@
 	})
 }
 
-// lift frees a request. It counts as done once a quorum has it.
+// liftQuarantine ends the restriction of a request. It returns once a quorum has the change.
 func (c *core) liftQuarantine(ctx context.Context, request message.LiftRequest) error {
 	_, err := await(ctx, c, func(now time.Time, done func(struct{}, error)) {
 		coordinator, ok := c.quarantineCoordinator(now)
--- a/internal/keeper/rejoin.go
+++ b/internal/keeper/rejoin.go
@@ -12,14 +12,15 @@
 
 const (
 	rejoinInterval = 500 * time.Millisecond
-	// unheard is how long a keeper hears no leader before it asks to be taken in
-	// again. Longer than an election takes.
+	// leaderSilenceLimit is how long a keeper has no contact with a leader before it asks to be
+	// admitted again. It is longer than an election takes.
 	leaderSilenceLimit = 2 * time.Second
 )
 
-// stay is the duty that keeps this keeper a member. One that was away for long
-// may have been removed; nobody sends to it then, and it cannot tell this from
-// a group without a leader. To ask is harmless: a member is told that it is one.
+// keepMembership asks the group to admit this keeper again when needed. A keeper that was
+// unreachable for long may have been removed. No member sends to it then, and it cannot
+// distinguish that from a group without a leader. Asking is harmless: the leader answers a member
+// that it is one.
 func (k *Keeper) keepMembership(ctx context.Context, identity journal.Identity) error {
 	for sleep(ctx, rejoinInterval) {
 		needsRejoin := false
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// needsRejoin reports whether this keeper has heard no leader for long, or is no
+// needsRejoin reports whether this keeper has had no contact with a leader for long, or is not a
 // member.
 func (c *core) needsRejoin(now time.Time) bool {
 	if c.node.IsActiveLeader(now) {
@@ -45,7 +46,7 @@
 	return !isMember || now.Sub(c.node.LastLeaderContact()) > leaderSilenceLimit
 }
 
-// askAll asks each keeper that may know the leader to take this one in, once.
+// requestJoin asks every keeper that may know the leader, each once, to admit this keeper.
 func (b *bootstrapper) requestJoin(ctx context.Context, identity journal.Identity, addresses []string) ([]quorum.Member, bool) {
 	params := joinParams{Name: identity.Name, ID: identity.ID, Address: b.ownAddress()}
 	asked := map[string]bool{b.ownAddress(): true, "": true}
@@ -69,7 +70,7 @@
 	return nil, false
 }
 
-// address is where the other keepers reach this one.
+// ownAddress returns the address at which the other keepers reach this one.
 func (b *bootstrapper) ownAddress() string {
 	for _, peer := range b.settings.PeerList() {
 		if peer.Name == b.settings.Name {
@@ -79,13 +80,14 @@
 	return b.settings.Listen
 }
 
-// askJoin asks one keeper. One that does not lead tells whom to ask instead.
+// requestJoinFrom asks one keeper to admit this one. If that keeper refuses, it returns the
+// addresses of the keepers that it knows, the leader included.
 func (b *bootstrapper) requestJoinFrom(ctx context.Context, address string, params joinParams) ([]quorum.Member, []string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	conn, err := b.dial(ctx, address)
 	if err != nil {
-		b.log.Debug("join: keeper cannot be reached", "address", address, "error", err)
+		b.log.Debug("join: keeper is unreachable", "address", address, "error", err)
 		return nil, nil, false
 	}
 	defer conn.Close()
@@ -97,7 +99,7 @@
 	b.log.Debug("join: refused", "by", address, "error", err)
 	var known message.MembersResult
 	if err := conn.Call(ctx, message.MethodMembers, struct{}{}, &known); err != nil {
-		b.log.Debug("join: no word of other keepers", "by", address, "error", err)
+		b.log.Debug("join: keeper returned no other keepers", "by", address, "error", err)
 		return nil, nil, false
 	}
 	return nil, append(known.Keepers, known.Leader), false
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -15,39 +15,39 @@
 	"laburnumfall/internal/warmup"
 )
 
-// routerMemory is how long a router counts after it last renewed. One that is cut
-// off goes on sending, and using its part of what all routers share.
+// routerExpiry is how long a router counts after its last renewal. A partitioned router continues
+// to send requests and to use its part of what all routers share.
 const routerExpiry = 30 * time.Second
 
-// sweepPause is kept between two looks for routers that count no longer. At each renewal
-// it would take a leader time with the square of the routers.
+// sweepInterval is the time between two searches for expired routers. A search at each renewal
+// would take the leader time quadratic in the number of routers.
 const sweepInterval = time.Second
 
-// routes is what a leader knows for the routers of routes. All but the document
-// is soft: a new leader learns it within a second.
+// renewalState is the leader's state for the routers that serve routes. Only ownDocument follows
+// from the log. The rest is not replicated; a new leader collects it within a second.
 type renewalState struct {
-	lastRenewals  map[string]time.Time // when each last renewed
-	sweptAt       time.Time            // when these were looked through last
+	lastRenewals  map[string]time.Time // by router
+	sweptAt       time.Time            // when expired routers were last removed
 	targets       []fleet.Instance
-	damagedIDs    []string // IDs that damaged entries of the list name
-	packedTargets []byte   // targets
+	damagedIDs    []string // target IDs in damaged entries of the list
+	packedTargets []byte   // packed form of targets
 	packedLoads   packedLoads
-	accounts      quota.AccountList // of accounts
-	// list counts the changes of targets within the term.
+	accounts      quota.AccountList // in the order of the packed loads
+	// listRevision counts the changes of targets within listTerm.
 	listRevision uint64
 	listTerm     uint64
 	listReadAt   time.Time
 	aggregator   quota.Aggregator
-	ownDocument  statestore.Document // the product's own configuration, packed
+	ownDocument  statestore.Document // packed configuration in the product's own format
 
 	warming      warmingTargets
-	warmupLeases warmup.LeaseTable // of seatsOf
-	warmupTerm   uint64            // the term
+	warmupLeases warmup.LeaseTable // of warmupTerm
+	warmupTerm   uint64
 }
 
-// renew answers a router. The lease of the leader is looked up right here: the
-// router counts its keys from when it asked, so that an answer that is held up
-// afterwards renews nothing for longer.
+// renew returns the response to a router. The leader checks its lease from the quorum here: the
+// router's lease on its keys starts when it sent the request, so a response that is delayed
+// afterwards extends nothing.
 func (c *core) renew(now time.Time, request message.RenewRequest) message.RenewResponse {
 	response := message.RenewResponse{Term: c.node.Term()}
 	if keepers := c.memberAddresses(); request.KeepersDigest != message.Digest(keepers) {
@@ -96,16 +96,16 @@
 	return response
 }
 
-// packedSums are what all routers report, summed at a time and packed, with the accounts and
-// without.
+// packedLoads are the loads that all routers report, summed and packed, both with and without the
+// names of the accounts.
 type packedLoads struct {
 	summedAt                      time.Time
-	accountsDigest                uint32 // digest of the accounts
+	accountsDigest                uint32 // digest of the account names
 	withAccounts, withoutAccounts []byte
 }
 
-// loads returns the sums of what routers report, packed, for a router that holds the accounts
-// of a digest. All that hold the same get the same until the sums or the targets change.
+// packedLoadsFor returns the packed loads for a router that has the accounts with a digest.
+// Routers with the same accounts get the same bytes until the sums or the targets change.
 func (c *core) packedLoadsFor(now time.Time, accountsDigest uint32) []byte {
 	demand, backlog, summedAt := c.renewals.aggregator.Sums(now)
 	if c.renewals.packedLoads.withAccounts == nil || !summedAt.Equal(c.renewals.packedLoads.summedAt) {
@@ -133,8 +133,8 @@
 	return packedLoads{summedAt: summedAt, accountsDigest: accountsDigest, withAccounts: withAccounts, withoutAccounts: withoutAccounts}, err
 }
 
-// document returns the configuration that routers of routes serve: the one in an
-// operator's own form, or else the product's own.
+// servedDocument returns the configuration that the routers serve: the operator's document of
+// routes if there is one, otherwise the configuration in the product's own format.
 func (c *core) servedDocument() statestore.Document {
 	if document := c.store.Document(); document.Number > 0 {
 		return document
@@ -152,7 +152,7 @@
 	return c.renewals.ownDocument
 }
 
-// seats returns the leases on parts of what cold targets get, of this keeper's term.
+// warmupLeaseTable returns this term's leases on parts of the load that cold targets may get.
 func (c *core) warmupLeaseTable(now time.Time) *warmup.LeaseTable {
 	if term := c.node.Term(); c.renewals.warmupTerm != term {
 		c.renewals.warmupLeases, c.renewals.warmupTerm = warmup.LeaseTable{LeaderSince: now}, term
@@ -160,14 +160,14 @@
 	return &c.renewals.warmupLeases
 }
 
-// A warming holds until when targets are cold, by the list that was read last.
+// warmingTargets maps each cold target of the newest list to the time until which it stays cold.
 type warmingTargets map[fleet.Incarnation]time.Time
 
-// sameWarming is how much later a target may be said to be cold until, and nothing be new: the
-// list that says so lags by turns more and less.
+// warmingTolerance is how much later than before a target may become warm without counting as a
+// change. The lag of the list varies from reading to reading.
 const warmingTolerance = time.Second
 
-// beyond reports whether a target is cold that was not before, or for longer.
+// extends reports whether a target is cold that was not cold before, or stays cold for longer.
 func (w warmingTargets) extends(before warmingTargets) bool {
 	for target, until := range w {
 		if until.Sub(before[target]) > warmingTolerance {
@@ -177,7 +177,7 @@
 	return false
 }
 
-// at returns the targets that are cold now.
+// remaining returns the targets that are cold at now.
 func (w warmingTargets) remaining(now time.Time) []message.WarmingTarget {
 	var targets []message.WarmingTarget
 	for target, until := range w {
@@ -209,9 +209,9 @@
 	}
 }
 
-// setTargets takes the platform's list of targets as it was read at a time. It goes to the
-// routers as it is: what follows from a damaged entry, or from a list that is suddenly
-// empty, is decided by the target list of each, or two of them would add up their patience.
+// setTargets processes a reading of the platform's list of targets. Routers get the list as it
+// is: each router's own target list decides how to treat a damaged entry, or a list that is
+// suddenly empty. If the leader decided too, both waiting times would add up.
 func (c *core) setTargets(readAt time.Time, listing fleet.TargetListing) {
 	targets, damaged := listing.Targets, listing.DamagedIDs()
 	term := c.node.Term()
@@ -251,8 +251,8 @@
 	return ""
 }
 
-// put proposes a configuration of routes. It counts as accepted once a quorum
-// has it, whether or not a higher one is in force.
+// putRoutes proposes a configuration of routes. It succeeds once a quorum has the configuration,
+// even if one with a higher number is in force.
 func (c *core) putRoutes(ctx context.Context, request message.PutRequest) (struct{}, error) {
 	return await(ctx, c, func(now time.Time, done func(struct{}, error)) {
 		if !c.isReadyLeader(now) {
@@ -260,7 +260,7 @@
 			return
 		}
 		if request.Number <= c.store.Document().Number {
-			done(struct{}{}, nil) // overtaken, or sent again: it changes nothing
+			done(struct{}{}, nil) // repeated, or a higher number is in force
 			return
 		}
 		command := statestore.Command{Document: &statestore.Document{Number: request.Number, Text: request.PackedConfig}}
@@ -268,8 +268,8 @@
 	})
 }
 
-// read returns the newest configuration of routes. Only a leader whose lease
-// holds may tell: another could have accepted a later one.
+// readRoutes returns the newest configuration of routes. Only a leader with a valid lease may
+// answer: another leader could have accepted a later configuration.
 func (c *core) readRoutes(ctx context.Context) (message.RoutesDocument, error) {
 	return await(ctx, c, func(now time.Time, done func(message.RoutesDocument, error)) {
 		if !c.isReadyLeader(now) {
--- a/internal/keeper/targetlist.go
+++ b/internal/keeper/targetlist.go
@@ -8,15 +8,16 @@
 	"laburnumfall/internal/targetlist"
 )
 
-// A TargetList is the platform's list of targets. It lags, and takes a
-// bounded number of reads from all nodes.
+// A TargetList is the platform's list of targets. It lags, and it bounds the rate of reads from
+// all nodes together.
 type TargetList interface {
 	Read(ctx context.Context) (fleet.TargetListing, error)
-	// Address is where it is read, for those who look for the cause of damage.
+	// Address returns where the list is read, so that an operator can find the cause of damaged
+	// entries.
 	Address() string
 }
 
-// A MockTargetList is a list set by hand.
+// A MockTargetList returns List and Err.
 type MockTargetList struct {
 	List fleet.TargetListing
 	Err  error
@@ -35,16 +36,16 @@
 }
 
 const (
-	// instancePeriod is how often the leader reads the list. With the list's own
-	// lag and the routers' renewals, a target that starts to leave is known
-	// everywhere in under half of the three seconds that it has.
+	// targetListInterval is the time between two reads of the list by the leader. Together with
+	// the lag of the list and the interval of renewals, every router learns of a leaving target
+	// in less than half of the three seconds that the target has.
 	targetListInterval = 600 * time.Millisecond
-	// leadPoll is how often a keeper that does not lead looks whether it does.
+	// leaderPollInterval is the time between two checks whether this keeper leads.
 	leaderPollInterval = 100 * time.Millisecond
 )
 
-// watchInstances is the duty that reads the list while this keeper leads. One
-// reader for all spares the platform's reads.
+// watchTargets reads the list while this keeper leads, until ctx ends. A single reader saves
+// reads, whose rate the platform bounds.
 func (c *core) watchTargets(ctx context.Context, list TargetList) error {
 	if list == nil {
 		return nil
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -18,14 +18,14 @@
 	redialDelay     = 100 * time.Millisecond
 	peerCallTimeout = 2 * time.Second
 	grantQueueSize  = 16
-	// flushTime bounds how long a keeper that stops waits for its last messages to get
-	// out: some round trips.
+	// flushTimeout bounds how long a stopping keeper waits until its last messages are sent: a
+	// few round trips.
 	flushTimeout      = 100 * time.Millisecond
 	flushPollInterval = time.Millisecond
 )
 
-// peers carries quorum messages to the other keepers and grants to routers.
-// What finds a full ring is dropped: both are repeated.
+// An rpcTransport sends quorum messages to the other keepers and grants to routers. It drops
+// messages for which the queue is full, because both kinds are repeated.
 type rpcTransport struct {
 	log     hclog.Logger
 	name    string
@@ -38,19 +38,19 @@
 	mu           sync.Mutex
 	ctx          context.Context
 	peerSenders  map[string]*peerSender     // by member ID
-	grantSenders map[*rpc.Conn]*grantSender // by the link that reports come in by
+	grantSenders map[*rpc.Conn]*grantSender // by the connection on which the router reports
 }
 
 var _ transport = &rpcTransport{}
 
-// peerLink is the duty that carries messages to one member.
+// A peerSender is the queue of messages to one member, and the goroutine that sends them.
 type peerSender struct {
 	address string
 	queue   chan quorum.Message
 	cancel  context.CancelFunc
 }
 
-// outbound is the duty that carries grants to one router.
+// A grantSender is the queue of grants to one router.
 type grantSender struct {
 	queue chan message.Grant
 }
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// setMembers opens and closes links as the membership changes.
+// setMembers starts and stops senders as the membership changes.
 func (t *rpcTransport) setMembers(selfID string, members []quorum.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// send queues a message to a member. One that is no member, such as a removed
-// one that still asks, gets no answer.
+// send queues a message to a member. A process that is not a member, such as a removed one that
+// still sends requests, gets no response.
 func (t *rpcTransport) send(msg quorum.Message) {
 	t.mu.Lock()
 	sender := t.peerSenders[msg.To]
@@ -105,7 +105,7 @@
 	}
 }
 
-// flush waits until what is queued is sent, or cannot be in time.
+// flush waits until the queued messages are sent, for at most flushTimeout.
 func (t *rpcTransport) flush() {
 	for deadline := time.Now().Add(flushTimeout); t.pendingCount.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(flushPollInterval)
@@ -129,7 +129,7 @@
 				conn = t.dialMember(ctx, sender)
 			}
 			if conn != nil && conn.Notify(message.MethodQuorum, msg) != nil {
-				conn.Close() // what is lost is repeated
+				conn.Close() // lost messages are repeated
 				conn = nil
 			}
 			t.pendingCount.Add(-1)
@@ -137,14 +137,14 @@
 	}
 }
 
-// open dials a member. While it cannot be reached, what waits for it is
-// dropped, so that it does not get a backlog of old messages later.
+// dialMember connects to a member. If that fails, it drops the queued messages, so that the
+// member does not get a backlog of old messages later.
 func (t *rpcTransport) dialMember(ctx context.Context, sender *peerSender) *rpc.Conn {
 	conn, err := rpc.Dial(ctx, sender.address, t.name, t.secret, t.handler, t.counter)
 	if err == nil {
 		return conn
 	}
-	t.log.Debug("keeper cannot be reached", "address", sender.address, "error", err)
+	t.log.Debug("keeper is unreachable", "address", sender.address, "error", err)
 	sleep(ctx, redialDelay)
 	for {
 		select {
@@ -156,7 +156,7 @@
 	}
 }
 
-// grant queues a grant on the link that the router's reports come in by.
+// sendGrant queues a grant on the connection on which the router reports.
 func (t *rpcTransport) sendGrant(conn *rpc.Conn, grant message.Grant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/keeper/vmlist.go
+++ b/internal/keeper/vmlist.go
@@ -28,7 +28,7 @@
 	client fasthttp.Client
 }
 
-// A MockVMList is a list set by hand.
+// A MockVMList returns List and Err.
 type MockVMList struct {
 	List []fleet.VM
 	Err  error
@@ -42,7 +42,8 @@
 const (
 	vmListInterval      = time.Second
 	platformReadTimeout = 2 * time.Second
-	// maxVMList bounds the list, in bytes: some times what 5,000 VMs take.
+	// maxVMListBytes bounds the size of the list. It is several times the size of a list of 5,000
+	// VMs.
 	maxVMListBytes = 2 << 20
 )
 
@@ -54,7 +55,7 @@
 		return nil, fmt.Errorf("read the list of VMs: %w", err)
 	}
 	if status != fasthttp.StatusOK {
-		return nil, fmt.Errorf("read the list of VMs: status %d", status)
+		return nil, fmt.Errorf("read the list of VMs: HTTP status %d", status)
 	}
 	list, err := decodeVMs(body)
 	if err != nil {
@@ -63,8 +64,8 @@
 	return list, nil
 }
 
-// decodeVMs reads the entries one by one. A damaged one names no VM, and the others hold:
-// they may be leaving.
+// decodeVMs decodes the entries one by one and skips damaged ones. The other entries remain
+// valid: their VMs may be leaving.
 func decodeVMs(body []byte) ([]fleet.VM, error) {
 	var entries []json.RawMessage
 	if err := json.Unmarshal(body, &entries); err != nil {
@@ -83,14 +84,14 @@
 	return list, nil
 }
 
-var errNotArray = errors.New("it is no list")
+var errNotArray = errors.New("the response is not a JSON array")
 
 // VMs implements VMList.
 func (l *MockVMList) VMs(context.Context) ([]fleet.VM, error) {
 	return l.List, l.Err
 }
 
-// watchVMs is the duty that looks at the platform's list.
+// watchVMs reads the list periodically until ctx ends.
 func (c *core) watchVMs(ctx context.Context, list VMList) error {
 	if list == nil {
 		return nil
@@ -106,16 +107,16 @@
 	return nil
 }
 
-// goneVMs are the addresses of VMs that the list has shown as leaving since the
-// configuration in force was accepted. Since the list lags, and may be read
-// from places that lag differently, a VM that looks live again stays out until
-// an operator says otherwise by a new configuration.
+// leavingVMs are the addresses of the VMs that the list has shown as leaving since the
+// configuration in force was accepted. The list lags, and reads may be served by replicas with
+// different lags. A VM that looks live again therefore stays out until an operator applies a new
+// configuration.
 type leavingVMs struct {
 	configNumber uint64
 	addresses    map[string]bool
 }
 
-// setVMs takes the list. Before this keeper has loaded its state it is ignored.
+// setVMs processes a reading of the list.
 func (c *core) setVMs(vms []fleet.VM) {
 	if number := c.store.Number(); c.leavingVMs.addresses == nil || c.leavingVMs.configNumber != number {
 		c.leavingVMs = leavingVMs{configNumber: number, addresses: make(map[string]bool)}
@@ -129,7 +130,8 @@
 	c.updateUnavailableTargets()
 }
 
-// giveGone tells the divider which targets are on VMs that leave or in evacuated zones.
+// updateUnavailableTargets passes to the divider which targets are on leaving VMs or in evacuated
+// zones. If the configuration declares pools, it also derives the list of targets from it.
 func (c *core) updateUnavailableTargets() {
 	if c.divider == nil {
 		return
