--- a/internal/keeper/autocluster_test.go
+++ b/internal/keeper/autocluster_test.go
@@ -17,164 +17,162 @@
 	"laburnumfall/internal/statestore"
 )
 
-// tended is a group of keepers that tend their membership themselves, with
-// routers that renew their lease on keys, on fake disks, fake links and one
-// clock. The keepers' decisions are the real code; a router follows the same
-// rules as keeperclient does.
-type tended struct {
-	t      require.TestingT
-	random *rand.Rand
-	clock  clock.MockClock
-	vms    []*keeperVM
-	ids    int
-	wire   []letter
-	lossy  bool
+// An autoCluster is a simulated group of keepers that manage their membership automatically, and
+// of routers that renew their lease on keys. Disks, network and clock are fakes, and the keepers
+// run the real code. The routers follow the same rules as package keeperclient.
+type autoCluster struct {
+	t                require.TestingT
+	random           *rand.Rand
+	clock            clock.MockClock
+	vms              []*keeperVM
+	replacementCount int
+	inFlight         []delayedMessage
+	lossy            bool
 
-	routers []*leaseRouter
-	asks    []question
+	routers  []*leaseRouter
+	renewals []renewal
 
-	sent  uint64 // highest number sent
-	acked uint64 // highest number acknowledged
-	ackAt time.Time
+	newestSent  uint64 // highest configuration number sent
+	newestAcked uint64 // highest configuration number acknowledged
+	ackedAt     time.Time
 }
 
-// A keeperVM is a keeper's place: it outlives its processes and disks.
+// A keeperVM is a VM that runs a keeper. It outlives the keeper's processes and disks.
 type keeperVM struct {
-	name    string
-	core    *core // nil while it is down
-	disk    *journal.MockDisk
-	frozen  time.Time // until when
-	cut     int       // VMs of another value cannot be reached
-	gone    bool      // for good
-	joined  bool
-	askedAt time.Time
+	name        string
+	core        *core // nil while the process is down
+	disk        *journal.MockDisk
+	frozenUntil time.Time
+	partition   int  // only VMs with the same value reach each other
+	lost        bool // permanently
+	joined      bool
+	joinAskedAt time.Time
 }
 
-// A letter is a message on its way.
-type letter struct {
-	at time.Time
-	m  quorum.Message
+// A delayedMessage is a quorum message in flight.
+type delayedMessage struct {
+	arrivesAt time.Time
+	msg       quorum.Message
 }
 
-// A leaseRouter is a router as far as the lease on keys goes.
+// A leaseRouter is the part of a router that holds the lease on keys.
 type leaseRouter struct {
-	name   string
-	number uint64
-	until  time.Time
-	next   time.Time
-	cut    bool
+	name         string
+	configNumber uint64
+	leaseUntil   time.Time
+	nextRenewal  time.Time
+	partitioned  bool
 }
 
-// A question is a router's, on its way to a keeper, or its answer on its way
-// back.
-type question struct {
-	router *leaseRouter
-	vm     *keeperVM
-	asked  time.Time
-	at     time.Time // when it arrives
-	answer *message.RenewResponse
+// A renewal is a router's request in flight to a keeper, or the response in flight back.
+type renewal struct {
+	router    *leaseRouter
+	vm        *keeperVM
+	sentAt    time.Time
+	arrivesAt time.Time // arrival of the request, or of the response once there is one
+	response  *message.RenewResponse
 }
 
 const (
-	tendedStep  = 10 * time.Millisecond
-	tendedLease = 4500 * time.Millisecond
-	tendedAsk   = 250 * time.Millisecond
+	simStep       = 10 * time.Millisecond
+	keyLease      = 4500 * time.Millisecond
+	renewInterval = 250 * time.Millisecond
 )
 
-type tendedCarrier struct{ g *tended }
+type autoTransport struct{ cluster *autoCluster }
 
-func (c *tendedCarrier) send(m quorum.Message) {
-	if c.g.lossy && c.g.random.IntN(6) == 0 {
+func (t *autoTransport) send(msg quorum.Message) {
+	if t.cluster.lossy && t.cluster.random.IntN(6) == 0 {
 		return
 	}
-	c.g.wire = append(c.g.wire, letter{c.g.clock.Time.Add(time.Duration(c.g.random.IntN(3)) * tendedStep), m})
+	t.cluster.inFlight = append(t.cluster.inFlight, delayedMessage{t.cluster.clock.Time.Add(time.Duration(t.cluster.random.IntN(3)) * simStep), msg})
 }
 
-func (c *tendedCarrier) sendGrant(*rpc.Conn, message.Grant) {}
+func (t *autoTransport) sendGrant(*rpc.Conn, message.Grant) {}
 
-func (c *tendedCarrier) setMembers(string, []quorum.Member) {}
+func (t *autoTransport) setMembers(string, []quorum.Member) {}
 
-func newTended(t require.TestingT, seed uint64, size int) *tended {
-	g := &tended{t: t, random: rand.New(rand.NewPCG(seed, 11)), clock: clock.MockClock{Time: time.Unix(1e9, 0)}}
+func newAutoCluster(t require.TestingT, seed uint64, size int) *autoCluster {
+	cluster := &autoCluster{t: t, random: rand.New(rand.NewPCG(seed, 11)), clock: clock.MockClock{Time: time.Unix(1e9, 0)}}
 	var members []quorum.Member
 	for i := range size {
-		vm := g.newVM()
+		vm := cluster.newVM()
 		members = append(members, quorum.Member{ID: vm.name + "-0", Name: vm.name, Address: vm.name, Voter: i < 3})
 	}
-	for i, vm := range g.vms {
-		g.boot(vm, &journal.Identity{Name: vm.name, ID: vm.name + "-0", Founded: true, FoundingMembers: members})
+	for i, vm := range cluster.vms {
+		cluster.startKeeper(vm, &journal.Identity{Name: vm.name, ID: vm.name + "-0", Founded: true, FoundingMembers: members})
 		vm.joined = i < 3
 	}
 	for i := range 3 {
-		g.routers = append(g.routers, &leaseRouter{name: fmt.Sprint("r", i)})
+		cluster.routers = append(cluster.routers, &leaseRouter{name: fmt.Sprint("r", i)})
 	}
-	return g
+	return cluster
 }
 
-func (g *tended) newVM() *keeperVM {
-	vm := &keeperVM{name: fmt.Sprint("k", len(g.vms)), disk: &journal.MockDisk{Seed: uint64(len(g.vms))}}
-	g.vms = append(g.vms, vm)
+func (cluster *autoCluster) newVM() *keeperVM {
+	vm := &keeperVM{name: fmt.Sprint("k", len(cluster.vms)), disk: &journal.MockDisk{Seed: uint64(len(cluster.vms))}}
+	cluster.vms = append(cluster.vms, vm)
 	return vm
 }
 
-func (g *tended) boot(vm *keeperVM, id *journal.Identity) {
-	j := &journal.Journal{Disk: vm.disk}
-	_, err := j.Open()
-	require.NoError(g.t, err)
-	if id != nil {
-		require.NoError(g.t, j.SetIdentity(*id))
+func (cluster *autoCluster) startKeeper(vm *keeperVM, identity *journal.Identity) {
+	wal := &journal.Journal{Disk: vm.disk}
+	_, err := wal.Open()
+	require.NoError(cluster.t, err)
+	if identity != nil {
+		require.NoError(cluster.t, wal.SetIdentity(*identity))
 	}
-	c := newCore(&g.clock, hclog.NewNullLogger(), j, &tendedCarrier{g})
+	c := newCore(&cluster.clock, hclog.NewNullLogger(), wal, &autoTransport{cluster})
 	c.autoMembers = true
-	require.NoError(g.t, c.start(j.Identity()))
-	vm.core, vm.frozen = c, time.Time{}
+	require.NoError(cluster.t, c.start(wal.Identity()))
+	vm.core, vm.frozenUntil = c, time.Time{}
 }
 
-func (g *tended) run(span time.Duration) {
-	for end := g.clock.Time.Add(span); g.clock.Time.Before(end); g.clock.Time = g.clock.Time.Add(tendedStep) {
-		for _, vm := range g.vms {
-			g.turn(vm)
+func (cluster *autoCluster) run(span time.Duration) {
+	for end := cluster.clock.Time.Add(span); cluster.clock.Time.Before(end); cluster.clock.Time = cluster.clock.Time.Add(simStep) {
+		for _, vm := range cluster.vms {
+			cluster.runKeeper(vm)
 		}
-		g.deliver()
-		g.askKeepers()
-		g.check()
+		cluster.deliverMessages()
+		cluster.exchangeRenewals()
+		cluster.checkInvariants()
 	}
 }
 
-func (vm *keeperVM) awake(now time.Time) bool {
-	return vm.core != nil && !now.Before(vm.frozen)
+func (vm *keeperVM) isRunning(now time.Time) bool {
+	return vm.core != nil && !now.Before(vm.frozenUntil)
 }
 
-func (g *tended) turn(vm *keeperVM) {
-	now := g.clock.Time
-	if !vm.awake(now) {
+func (cluster *autoCluster) runKeeper(vm *keeperVM) {
+	now := cluster.clock.Time
+	if !vm.isRunning(now) {
 		return
 	}
 	if vm.core.runOnce() != nil {
 		vm.core = nil // a keeper whose disk fails stops
 		return
 	}
-	if now.Sub(vm.askedAt) >= rejoinInterval && (!vm.joined || vm.core.needsRejoin(now)) {
-		vm.askedAt = now
-		g.rejoin(vm)
+	if now.Sub(vm.joinAskedAt) >= rejoinInterval && (!vm.joined || vm.core.needsRejoin(now)) {
+		vm.joinAskedAt = now
+		cluster.requestJoin(vm)
 	}
 }
 
-// rejoin asks whoever leads to take a keeper in.
-func (g *tended) rejoin(vm *keeperVM) {
-	for _, other := range g.vms {
-		if other == vm || !other.awake(g.clock.Time) || other.cut != vm.cut {
+// requestJoin asks every reachable keeper to admit a keeper until one does.
+func (cluster *autoCluster) requestJoin(vm *keeperVM) {
+	for _, other := range cluster.vms {
+		if other == vm || !other.isRunning(cluster.clock.Time) || other.partition != vm.partition {
 			continue
 		}
-		if other.core.admitMember(g.clock.Time, joinParams{Name: vm.name, ID: vm.core.node.ID, Address: vm.name}) == nil {
+		if other.core.admitMember(cluster.clock.Time, joinParams{Name: vm.name, ID: vm.core.node.ID, Address: vm.name}) == nil {
 			vm.joined = true
 			return
 		}
 	}
 }
 
-func (g *tended) byID(id string) *keeperVM {
-	for _, vm := range g.vms {
+func (cluster *autoCluster) vmByID(id string) *keeperVM {
+	for _, vm := range cluster.vms {
 		if vm.core != nil && vm.core.node.ID == id {
 			return vm
 		}
@@ -182,149 +180,151 @@
 	return nil
 }
 
-func (g *tended) deliver() {
-	var later []letter
-	wire := g.wire
-	g.wire = nil
-	for _, l := range wire {
-		to, from := g.byID(l.m.To), g.byID(l.m.From)
+func (cluster *autoCluster) deliverMessages() {
+	var later []delayedMessage
+	messages := cluster.inFlight
+	cluster.inFlight = nil
+	for _, delayed := range messages {
+		to, from := cluster.vmByID(delayed.msg.To), cluster.vmByID(delayed.msg.From)
 		switch {
-		case to == nil || from == nil || to.cut != from.cut:
-			// lost
-		case l.at.After(g.clock.Time) || !to.awake(g.clock.Time):
-			later = append(later, l)
+		case to == nil || from == nil || to.partition != from.partition:
+			// The message is lost.
+		case delayed.arrivesAt.After(cluster.clock.Time) || !to.isRunning(cluster.clock.Time):
+			later = append(later, delayed)
 		default:
-			to.core.node.Step(g.clock.Time, l.m)
+			to.core.node.Step(cluster.clock.Time, delayed.msg)
 		}
 	}
-	g.wire = append(later, g.wire...)
+	cluster.inFlight = append(later, cluster.inFlight...)
 }
 
-// askKeepers carries the routers' questions and answers.
-func (g *tended) askKeepers() {
-	now := g.clock.Time
-	for _, r := range g.routers {
-		if now.Before(r.next) || r.cut {
+// exchangeRenewals delivers the requests of the routers and the responses of the keepers.
+func (cluster *autoCluster) exchangeRenewals() {
+	now := cluster.clock.Time
+	for _, router := range cluster.routers {
+		if now.Before(router.nextRenewal) || router.partitioned {
 			continue
 		}
-		r.next = now.Add(tendedAsk)
-		for _, vm := range g.vms {
-			delay := time.Duration(g.random.IntN(80)) * tendedStep
-			g.asks = append(g.asks, question{router: r, vm: vm, asked: now, at: now.Add(delay)})
+		router.nextRenewal = now.Add(renewInterval)
+		for _, vm := range cluster.vms {
+			delay := time.Duration(cluster.random.IntN(80)) * simStep
+			cluster.renewals = append(cluster.renewals, renewal{router: router, vm: vm, sentAt: now, arrivesAt: now.Add(delay)})
 		}
 	}
-	var later []question
-	for _, q := range g.asks {
+	var later []renewal
+	for _, renewal := range cluster.renewals {
 		switch {
-		case q.at.After(now):
-			later = append(later, q)
-		case q.answer != nil:
-			q.router.take(q.asked, *q.answer)
-		case q.vm.awake(now):
-			a := q.vm.core.renew(now, message.RenewRequest{Router: q.router.name, Number: q.router.number})
-			q.answer, q.at = &a, now.Add(time.Duration(g.random.IntN(80))*tendedStep)
-			later = append(later, q)
-		case q.vm.core != nil:
-			later = append(later, q) // it wakes and answers then
+		case renewal.arrivesAt.After(now):
+			later = append(later, renewal)
+		case renewal.response != nil:
+			renewal.router.handleResponse(renewal.sentAt, *renewal.response)
+		case renewal.vm.isRunning(now):
+			response := renewal.vm.core.renew(now, message.RenewRequest{Router: renewal.router.name, Number: renewal.router.configNumber})
+			renewal.response, renewal.arrivesAt = &response, now.Add(time.Duration(cluster.random.IntN(80))*simStep)
+			later = append(later, renewal)
+		case renewal.vm.core != nil:
+			later = append(later, renewal) // the keeper responds when it is no longer frozen
 		}
 	}
-	g.asks = later
+	cluster.renewals = later
 }
 
-// take follows the rules of keeperclient.
-func (r *leaseRouter) take(asked time.Time, a message.RenewResponse) {
-	if !a.Leads {
+// handleResponse follows the rules of package keeperclient.
+func (r *leaseRouter) handleResponse(sentAt time.Time, response message.RenewResponse) {
+	if !response.Leads {
 		return
 	}
-	if a.Number > r.number && a.PackedConfig != nil {
-		r.number = a.Number
+	if response.Number > r.configNumber && response.PackedConfig != nil {
+		r.configNumber = response.Number
 	}
-	if until := asked.Add(tendedLease); r.number == a.Number && until.After(r.until) {
-		r.until = until
+	if until := sentAt.Add(keyLease); r.configNumber == response.Number && until.After(r.leaseUntil) {
+		r.leaseUntil = until
 	}
 }
 
-// put sends a configuration to every keeper; at most one leads.
-func (g *tended) put() {
-	g.sent++
-	number := g.sent
-	for _, vm := range g.vms {
-		if !vm.awake(g.clock.Time) || !vm.core.isReadyLeader(g.clock.Time) {
+// putConfig proposes the next configuration at every keeper that leads, which is at most one.
+func (cluster *autoCluster) putConfig() {
+	cluster.newestSent++
+	number := cluster.newestSent
+	for _, vm := range cluster.vms {
+		if !vm.isRunning(cluster.clock.Time) || !vm.core.isReadyLeader(cluster.clock.Time) {
 			continue
 		}
 		c := vm.core
 		cmd := statestore.Command{Document: &statestore.Document{Number: number, Text: fmt.Append(nil, number)}}
-		c.submit(g.clock.Time, cmd, func(_ statestore.Result, err error) {
-			if err == nil && number > g.acked {
-				g.acked, g.ackAt = number, g.clock.Time
+		c.submit(cluster.clock.Time, cmd, func(_ statestore.Result, err error) {
+			if err == nil && number > cluster.newestAcked {
+				cluster.newestAcked, cluster.ackedAt = number, cluster.clock.Time
 			}
 		})
-		g.turn(vm)
+		cluster.runKeeper(vm)
 	}
 }
 
-// check holds what always holds.
-func (g *tended) check() {
-	now := g.clock.Time
+// checkInvariants checks that at most one keeper leads, that the leader has every acknowledged
+// configuration, and that no router keeps a lease on the keys of an older one for too long.
+func (cluster *autoCluster) checkInvariants() {
+	now := cluster.clock.Time
 	leaders := 0
-	for _, vm := range g.vms {
-		if !vm.awake(now) || !vm.core.isReadyLeader(now) {
+	for _, vm := range cluster.vms {
+		if !vm.isRunning(now) || !vm.core.isReadyLeader(now) {
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(g.t, vm.core.store.Document().Number, g.acked, "a reader at %s would see an older configuration", vm.name)
+		require.GreaterOrEqual(cluster.t, vm.core.store.Document().Number, cluster.newestAcked, "a reader at %s would see an older configuration", vm.name)
 	}
-	require.LessOrEqual(g.t, leaders, 1)
-	for _, r := range g.routers {
-		if r.number < g.acked {
-			require.LessOrEqual(g.t, r.until, g.ackAt.Add(tendedLease), "keys of an older configuration count too long at %s", r.name)
+	require.LessOrEqual(cluster.t, leaders, 1)
+	for _, router := range cluster.routers {
+		if router.configNumber < cluster.newestAcked {
+			require.LessOrEqual(cluster.t, router.leaseUntil, cluster.ackedAt.Add(keyLease), "router %s has a lease on keys of an older configuration for too long", router.name)
 		}
 	}
 }
 
-func (g *tended) leader() *keeperVM {
-	for _, vm := range g.vms {
-		if vm.awake(g.clock.Time) && vm.core.isReadyLeader(g.clock.Time) {
+func (cluster *autoCluster) leader() *keeperVM {
+	for _, vm := range cluster.vms {
+		if vm.isRunning(cluster.clock.Time) && vm.core.isReadyLeader(cluster.clock.Time) {
 			return vm
 		}
 	}
 	return nil
 }
 
-// whole reports whether all VMs that are there are voters that hold everything.
-func (g *tended) whole() bool {
-	l := g.leader()
-	if l == nil || l.core.node.MembershipChangePending() {
+// isHealthy reports whether the members are exactly the VMs that are not lost, and all of them
+// are voters with every committed entry.
+func (cluster *autoCluster) isHealthy() bool {
+	leader := cluster.leader()
+	if leader == nil || leader.core.node.MembershipChangePending() {
 		return false
 	}
-	want := 0
-	for _, vm := range g.vms {
-		if vm.gone {
+	liveCount := 0
+	for _, vm := range cluster.vms {
+		if vm.lost {
 			continue
 		}
-		want++
+		liveCount++
 		if vm.core == nil {
 			return false
 		}
-		ok := slices.ContainsFunc(l.core.node.Members(), func(m quorum.Member) bool {
-			return m.ID == vm.core.node.ID && m.Voter && l.core.node.MatchIndex(m.ID) >= l.core.node.CommitIndex()
+		isCaughtUpVoter := slices.ContainsFunc(leader.core.node.Members(), func(member quorum.Member) bool {
+			return member.ID == vm.core.node.ID && member.Voter && leader.core.node.MatchIndex(member.ID) >= leader.core.node.CommitIndex()
 		})
-		if !ok {
+		if !isCaughtUpVoter {
 			return false
 		}
 	}
-	return want == len(l.core.node.Members())
+	return liveCount == len(leader.core.node.Members())
 }
 
-// state describes the group, for failures.
-func (g *tended) state() string {
-	text := fmt.Sprintf("acked %d\n", g.acked)
-	for _, vm := range g.vms {
-		text += fmt.Sprintf("%s cut %d gone %t joined %t", vm.name, vm.cut, vm.gone, vm.joined)
+// describe returns the state of the group for failure messages.
+func (cluster *autoCluster) describe() string {
+	text := fmt.Sprintf("newest acknowledged %d\n", cluster.newestAcked)
+	for _, vm := range cluster.vms {
+		text += fmt.Sprintf("%s partition %d lost %t joined %t", vm.name, vm.partition, vm.lost, vm.joined)
 		if c := vm.core; c != nil {
 			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.CommitIndex(), c.store.Document().Number)
-			for _, m := range c.node.Members() {
-				text += fmt.Sprintf(" %s/%t", m.ID, m.Voter)
+			for _, member := range c.node.Members() {
+				text += fmt.Sprintf(" %s/%t", member.ID, member.Voter)
 			}
 		}
 		text += "\n"
--- a/internal/keeper/autofaults_test.go
+++ b/internal/keeper/autofaults_test.go
@@ -9,117 +9,118 @@
 	"laburnumfall/internal/journal"
 )
 
-// wipe gives a VM an empty disk under a new identity.
-func (g *tended) wipe(vm *keeperVM) {
-	g.ids++
-	vm.disk = &journal.MockDisk{Seed: uint64(1000 + g.ids)}
+// replaceDisk gives a VM an empty disk with a new identity.
+func (cluster *autoCluster) replaceDisk(vm *keeperVM) {
+	cluster.replacementCount++
+	vm.disk = &journal.MockDisk{Seed: uint64(1000 + cluster.replacementCount)}
 	vm.joined = false
-	g.boot(vm, &journal.Identity{Name: vm.name, ID: fmt.Sprintf("%s-%d", vm.name, g.ids)})
+	cluster.startKeeper(vm, &journal.Identity{Name: vm.name, ID: fmt.Sprintf("%s-%d", vm.name, cluster.replacementCount)})
 }
 
-func (g *tended) restart(vm *keeperVM, power bool) {
-	if vm.gone {
+func (cluster *autoCluster) restart(vm *keeperVM, powerLoss bool) {
+	if vm.lost {
 		return
 	}
-	if power {
+	if powerLoss {
 		vm.disk.Crash()
 	}
 	vm.disk.FailFromOp = 0
-	g.boot(vm, nil)
+	cluster.startKeeper(vm, nil)
 }
 
-// heal mends all but what is gone for good.
-func (g *tended) heal() {
-	g.lossy = false
-	for _, r := range g.routers {
-		r.cut = false
+// healFaults ends all faults except permanent losses.
+func (cluster *autoCluster) healFaults() {
+	cluster.lossy = false
+	for _, router := range cluster.routers {
+		router.partitioned = false
 	}
-	for _, vm := range g.vms {
-		vm.cut = 0
-		vm.frozen = time.Time{}
+	for _, vm := range cluster.vms {
+		vm.partition = 0
+		vm.frozenUntil = time.Time{}
 		vm.disk.FailFromOp = 0
-		if vm.core == nil && !vm.gone {
-			g.restart(vm, false)
+		if vm.core == nil && !vm.lost {
+			cluster.restart(vm, false)
 		}
 	}
 }
 
-// settle heals and waits until all is whole.
-func (g *tended) settle() bool {
-	g.heal()
+// waitHealthy ends all faults and waits until the group is healthy.
+func (cluster *autoCluster) waitHealthy() bool {
+	cluster.healFaults()
 	for range 3000 {
-		g.run(tendedStep)
-		if g.whole() {
+		cluster.run(simStep)
+		if cluster.isHealthy() {
 			return true
 		}
 	}
 	return false
 }
 
-// lose takes a disk for good, and sometimes the VM with it; another VM comes.
-// The group is whole before: no more disks are lost at a time than it bears.
-func (g *tended) lose(vm *keeperVM) {
-	if !g.settle() {
-		require.Fail(g.t, "the group is not whole in time")
+// loseDisk permanently loses a VM's disk, and sometimes the VM with it, which another VM
+// replaces. It first waits until the group is healthy, so that it never loses more disks at a
+// time than the group tolerates.
+func (cluster *autoCluster) loseDisk(vm *keeperVM) {
+	if !cluster.waitHealthy() {
+		require.Fail(cluster.t, "the group did not become healthy in time")
 	}
-	if g.random.IntN(2) == 0 {
-		g.wipe(vm)
+	if cluster.random.IntN(2) == 0 {
+		cluster.replaceDisk(vm)
 		return
 	}
-	vm.core, vm.gone = nil, true
-	g.run(time.Duration(g.random.IntN(3000)) * time.Millisecond)
-	fresh := g.newVM()
-	g.wipe(fresh)
+	vm.core, vm.lost = nil, true
+	cluster.run(time.Duration(cluster.random.IntN(3000)) * time.Millisecond)
+	replacement := cluster.newVM()
+	cluster.replaceDisk(replacement)
 }
 
-func (g *tended) act() {
-	vm := g.vms[g.random.IntN(len(g.vms))]
-	if vm.gone {
+func (cluster *autoCluster) randomAction() {
+	vm := cluster.vms[cluster.random.IntN(len(cluster.vms))]
+	if vm.lost {
 		return
 	}
-	switch g.random.IntN(15) {
+	switch cluster.random.IntN(15) {
 	case 0, 1, 2:
-		g.put()
+		cluster.putConfig()
 	case 3:
-		g.restart(vm, g.random.IntN(2) == 0)
+		cluster.restart(vm, cluster.random.IntN(2) == 0)
 	case 4:
-		if l := g.leader(); l != nil {
-			g.restart(l, true)
+		if leader := cluster.leader(); leader != nil {
+			cluster.restart(leader, true)
 		}
 	case 5:
-		vm.frozen = g.clock.Time.Add(time.Duration(g.random.IntN(6000)) * time.Millisecond)
+		vm.frozenUntil = cluster.clock.Time.Add(time.Duration(cluster.random.IntN(6000)) * time.Millisecond)
 	case 6:
-		if l := g.leader(); l != nil {
-			l.frozen = g.clock.Time.Add(time.Duration(g.random.IntN(8000)) * time.Millisecond)
-			g.run(2 * time.Second)
-			g.put()
+		if leader := cluster.leader(); leader != nil {
+			leader.frozenUntil = cluster.clock.Time.Add(time.Duration(cluster.random.IntN(8000)) * time.Millisecond)
+			cluster.run(2 * time.Second)
+			cluster.putConfig()
 		}
 	case 7:
-		vm.cut = 1 - vm.cut
+		vm.partition = 1 - vm.partition
 	case 8:
-		for i, other := range g.vms {
-			other.cut = i % 2
+		for i, other := range cluster.vms {
+			other.partition = i % 2
 		}
 	case 9:
-		g.lossy = !g.lossy
+		cluster.lossy = !cluster.lossy
 	case 10:
-		g.lose(vm)
+		cluster.loseDisk(vm)
 	case 11:
-		for _, other := range g.vms {
+		for _, other := range cluster.vms {
 			if other.core != nil || other.disk.Ops > 0 {
-				g.restart(other, true)
+				cluster.restart(other, true)
 			}
 		}
 	case 13:
-		if l := g.leader(); l != nil {
-			require.NoError(g.t, l.core.resign())
-			g.run(time.Duration(g.random.IntN(3)) * tendedStep)
-			g.restart(l, true)
+		if leader := cluster.leader(); leader != nil {
+			require.NoError(cluster.t, leader.core.resign())
+			cluster.run(time.Duration(cluster.random.IntN(3)) * simStep)
+			cluster.restart(leader, true)
 		}
 	case 12:
-		vm.disk.FailFromOp, vm.disk.Fault = vm.disk.Ops+1+g.random.IntN(4), journal.ErrDiskFull
+		vm.disk.FailFromOp, vm.disk.Fault = vm.disk.Ops+1+cluster.random.IntN(4), journal.ErrDiskFull
 	default:
-		r := g.routers[g.random.IntN(len(g.routers))]
-		r.cut = !r.cut
+		router := cluster.routers[cluster.random.IntN(len(cluster.routers))]
+		router.partitioned = !router.partitioned
 	}
 }
--- a/internal/keeper/autohistories_test.go
+++ b/internal/keeper/autohistories_test.go
@@ -8,87 +8,88 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: an acknowledged configuration is lost or shown older, a withdrawn key
-// goes on working, or the keepers never serve again.
-// Sequence: random orders, restarts, losses of power, freezes, cuts in halves,
-// full disks, lost disks and VMs that are replaced at other addresses.
-// Cause: membership that changes by itself and leaves two quorums, or none; a
-// lease on keys from an answer that was overtaken.
-func TestAGroupThatTendsItselfThroughThousandHistories(t *testing.T) {
+// Guards against acknowledged configurations that are lost or read in an older state, withdrawn
+// keys that stay valid, and keepers that never serve again. The causes would be automatic
+// membership changes that leave two quorums or none, and leases on keys from responses that are
+// out of date. The faults are random restarts, power losses, freezes, partitions, full disks,
+// lost disks and VMs that are replaced at other addresses.
+func TestRandomFaultsWithAutomaticMembership(t *testing.T) {
 	histories := 1000
 	if testing.Short() {
 		histories = 40
 	}
-	acked := uint64(0)
+	ackedTotal := uint64(0)
 	for seed := range histories {
-		g := newTended(t, uint64(seed), 5)
-		require.True(t, g.settle(), "history %d begins", seed)
+		cluster := newAutoCluster(t, uint64(seed), 5)
+		require.True(t, cluster.waitHealthy(), "history %d: the group does not start", seed)
 		for range 20 {
-			g.act()
-			g.run(time.Duration(20+g.random.IntN(700)) * time.Millisecond)
+			cluster.randomAction()
+			cluster.run(time.Duration(20+cluster.random.IntN(700)) * time.Millisecond)
 		}
-		require.True(t, g.settle(), "history %d recovers: %s", seed, g.state())
-		g.run(2 * time.Second)
-		g.put()
-		g.run(3 * time.Second)
-		for _, r := range g.routers {
-			require.Equal(t, g.acked, r.number, "history %d: router %s", seed, r.name)
-			require.True(t, r.until.After(g.clock.Time), "history %d: router %s has its lease on keys", seed, r.name)
+		require.True(t, cluster.waitHealthy(), "history %d: the group does not recover: %s", seed, cluster.describe())
+		cluster.run(2 * time.Second)
+		cluster.putConfig()
+		cluster.run(3 * time.Second)
+		for _, router := range cluster.routers {
+			require.Equal(t, cluster.newestAcked, router.configNumber, "history %d: router %s", seed, router.name)
+			require.True(t, router.leaseUntil.After(cluster.clock.Time), "history %d: router %s has no lease on keys", seed, router.name)
 		}
-		acked += g.acked
+		ackedTotal += cluster.newestAcked
 	}
-	require.Greater(t, acked, uint64(3*histories))
+	require.Greater(t, ackedTotal, uint64(3*histories))
 }
 
-// TestTimeWithoutALeader measures, over 20 seeds, how long no keeper leads after
-// each kind of failure, and holds the worst.
-func TestTimeWithoutALeader(t *testing.T) {
-	kinds := []struct {
-		name string
-		do   func(g *tended, l *keeperVM)
-		most time.Duration
+// Measures over 20 seeds how long no keeper leads after each kind of failure, and bounds the
+// longest time.
+func TestTimeWithoutLeader(t *testing.T) {
+	failures := []struct {
+		name    string
+		inject  func(cluster *autoCluster, leader *keeperVM)
+		maxTime time.Duration
 	}{
-		{"leader killed, back at once", func(g *tended, l *keeperVM) { g.restart(l, false) }, 2 * time.Second},
-		{"leader told to stop", func(g *tended, l *keeperVM) {
-			require.NoError(t, l.core.resign())
-			g.run(4 * tendedStep) // its last messages get out
-			l.core, l.gone = nil, true
+		{"leader killed and restarted at once", func(cluster *autoCluster, leader *keeperVM) { cluster.restart(leader, false) }, 2 * time.Second},
+		{"leader stopped gracefully", func(cluster *autoCluster, leader *keeperVM) {
+			require.NoError(t, leader.core.resign())
+			cluster.run(4 * simStep) // sends its last messages
+			leader.core, leader.lost = nil, true
 		}, 2 * time.Second},
-		{"leader gone", func(_ *tended, l *keeperVM) { l.core, l.gone = nil, true }, 2 * time.Second},
-		{"leader frozen for 5 s", func(g *tended, l *keeperVM) { l.frozen = g.clock.Time.Add(5 * time.Second) }, 2 * time.Second},
-		{"leader cut off", func(_ *tended, l *keeperVM) { l.cut = 1 }, 2 * time.Second},
-		{"leader's disk lost", func(g *tended, l *keeperVM) { g.wipe(l) }, 2 * time.Second},
-		{"all killed at once", func(g *tended, _ *keeperVM) {
-			for _, vm := range g.vms {
-				g.restart(vm, true)
+		{"leader lost", func(_ *autoCluster, leader *keeperVM) { leader.core, leader.lost = nil, true }, 2 * time.Second},
+		{"leader frozen for 5 s", func(cluster *autoCluster, leader *keeperVM) {
+			leader.frozenUntil = cluster.clock.Time.Add(5 * time.Second)
+		}, 2 * time.Second},
+		{"leader partitioned", func(_ *autoCluster, leader *keeperVM) { leader.partition = 1 }, 2 * time.Second},
+		{"leader disk lost", func(cluster *autoCluster, leader *keeperVM) { cluster.replaceDisk(leader) }, 2 * time.Second},
+		{"all keepers killed at once", func(cluster *autoCluster, _ *keeperVM) {
+			for _, vm := range cluster.vms {
+				cluster.restart(vm, true)
 			}
 		}, 2500 * time.Millisecond},
-		{"all without power, and the leader's disk lost", func(g *tended, l *keeperVM) {
-			for _, vm := range g.vms {
-				if vm != l {
-					g.restart(vm, true)
+		{"power loss of all keepers and leader disk lost", func(cluster *autoCluster, leader *keeperVM) {
+			for _, vm := range cluster.vms {
+				if vm != leader {
+					cluster.restart(vm, true)
 				}
 			}
-			g.wipe(l)
+			cluster.replaceDisk(leader)
 		}, 2500 * time.Millisecond},
 	}
-	for _, kind := range kinds {
-		t.Run(kind.name, func(t *testing.T) {
+	for _, failure := range failures {
+		t.Run(failure.name, func(t *testing.T) {
 			var times []time.Duration
 			for seed := range uint64(20) {
-				g := newTended(t, seed, 5)
-				require.True(t, g.settle())
-				g.run(time.Duration(g.random.IntN(500)) * time.Millisecond)
-				before := g.leader()
-				term := before.core.node.Term()
-				kind.do(g, before)
-				struck := g.clock.Time
-				g.run(tendedStep)
-				for g.leader() == nil || g.leader().core.node.Term() <= term {
-					g.run(tendedStep)
-					require.Less(t, g.clock.Time.Sub(struck), kind.most)
+				cluster := newAutoCluster(t, seed, 5)
+				require.True(t, cluster.waitHealthy())
+				cluster.run(time.Duration(cluster.random.IntN(500)) * time.Millisecond)
+				oldLeader := cluster.leader()
+				term := oldLeader.core.node.Term()
+				failure.inject(cluster, oldLeader)
+				failedAt := cluster.clock.Time
+				cluster.run(simStep)
+				for cluster.leader() == nil || cluster.leader().core.node.Term() <= term {
+					cluster.run(simStep)
+					require.Less(t, cluster.clock.Time.Sub(failedAt), failure.maxTime)
 				}
-				times = append(times, g.clock.Time.Sub(struck))
+				times = append(times, cluster.clock.Time.Sub(failedAt))
 			}
 			slices.Sort(times)
 			t.Logf("median %s, worst %s", times[len(times)/2], times[len(times)-1])
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -29,11 +29,11 @@
 	"laburnumfall/internal/statestore"
 )
 
-// benchFleet is a group of three keepers on real disks, and some routers, in
-// this process over loopback.
+// A benchFleet is a group of three keepers with real disks, and routers, in this process over the
+// loopback interface.
 type benchFleet struct {
-	b         testing.TB
-	folder    string
+	tb        testing.TB
+	dir       string
 	addresses []string
 	secret    []byte
 }
@@ -44,9 +44,9 @@
 	return address
 }
 
-func startBench(b testing.TB, routers int) *benchFleet {
-	f := &benchFleet{b: b, folder: b.TempDir(), secret: []byte("0123456789abcdef")}
-	secret := filepath.Join(f.folder, "secret")
+func startBenchFleet(b testing.TB, routers int) *benchFleet {
+	f := &benchFleet{tb: b, dir: b.TempDir(), secret: []byte("0123456789abcdef")}
+	secret := filepath.Join(f.dir, "secret")
 	require.NoError(b, os.WriteFile(secret, f.secret, 0o600))
 	var peers []string
 	for i := range 3 {
@@ -54,91 +54,91 @@
 		peers = append(peers, fmt.Sprintf("k%d=%s", i+1, f.addresses[i]))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	g, ctx := errgroup.WithContext(ctx)
+	group, ctx := errgroup.WithContext(ctx)
 	log := hclog.NewNullLogger()
 	for i := range 3 {
 		name := fmt.Sprintf("k%d", i+1)
 		k := &keeper.Keeper{
-			Settings: settings.Keeper{Name: name, Zone: "z", Listen: f.addresses[i], Admin: freeAddress(b), Data: f.folder, Peers: peers, Secret: secret},
-			Log:      log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: filepath.Join(f.folder, name)}, Init: true,
+			Settings: settings.Keeper{Name: name, Zone: "z", Listen: f.addresses[i], Admin: freeAddress(b), Data: f.dir, Peers: peers, Secret: secret},
+			Log:      log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: filepath.Join(f.dir, name)}, Init: true,
 		}
-		g.Go(func() error { return k.Run(ctx) })
+		group.Go(func() error { return k.Run(ctx) })
 	}
 	for i := range routers {
 		r := &router.Router{
 			Settings: settings.Router{Name: fmt.Sprintf("r%d", i+1), Zone: "z", Listen: freeAddress(b), Admin: freeAddress(b), Keepers: f.addresses, Secret: secret},
 			Log:      log, Clock: clock.NewRealClock(),
 		}
-		g.Go(func() error { return r.Run(ctx) })
+		group.Go(func() error { return r.Run(ctx) })
 	}
 	b.Cleanup(func() {
 		cancel()
-		require.NoError(b, g.Wait())
+		require.NoError(b, group.Wait())
 	})
 	return f
 }
 
-// mute answers what a keeper would call of an operator: nothing.
-type mute struct{}
+// noopHandler ignores the calls and notices of a keeper.
+type noopHandler struct{}
 
 // Call implements rpc.Handler.
-func (mute) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
+func (noopHandler) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, nil
 }
 
 // Notice implements rpc.Handler.
-func (mute) Notice(*rpc.Conn, string, json.RawMessage) {}
+func (noopHandler) Notice(*rpc.Conn, string, json.RawMessage) {}
 
-// leader returns a link to the leader.
+// leader returns a connection to the leader.
 func (f *benchFleet) leader() *rpc.Conn {
 	for range 400 {
 		for _, address := range f.addresses {
-			var count rpc.Counter
-			conn, err := rpc.Dial(context.Background(), address, "bench", f.secret, mute{}, &count)
+			var counter rpc.Counter
+			conn, err := rpc.Dial(context.Background(), address, "bench", f.secret, noopHandler{}, &counter)
 			if err != nil {
 				continue
 			}
-			var s message.Status
-			if err := conn.Call(context.Background(), message.MethodStatus, struct{}{}, &s); err == nil {
+			var status message.Status
+			if err := conn.Call(context.Background(), message.MethodStatus, struct{}{}, &status); err == nil {
 				return conn
 			}
 			conn.Close()
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	require.Fail(f.b, "no leader")
+	require.Fail(f.tb, "no leader")
 	return nil
 }
 
-func (f *benchFleet) bytes() int64 {
+func (f *benchFleet) dataDirBytes() int64 {
 	var total int64
-	files, err := filepath.Glob(filepath.Join(f.folder, "k1", "*"))
-	require.NoError(f.b, err)
+	files, err := filepath.Glob(filepath.Join(f.dir, "k1", "*"))
+	require.NoError(f.tb, err)
 	for _, file := range files {
 		info, err := os.Stat(file)
-		require.NoError(f.b, err)
+		require.NoError(f.tb, err)
 		total += info.Size()
 	}
 	return total
 }
 
-// BenchmarkClaims measures claims on a group of three with real syncs. Callers
-// stand for routers; each has one call of a batch on its way.
+// BenchmarkClaims measures claims on a group of three keepers with real syncs. Each caller acts
+// as a router that has one call with a batch of claims in flight.
 func BenchmarkClaims(b *testing.B) {
 	for _, load := range []struct{ callers, batch int }{{1, 1}, {8, 1}, {8, 8}, {8, 32}, {8, 128}} {
 		b.Run(fmt.Sprintf("callers=%d/batch=%d", load.callers, load.batch), func(b *testing.B) {
-			f := startBench(b, 0)
+			f := startBenchFleet(b, 0)
 			conn := f.leader()
 			defer conn.Close()
-			before := f.bytes()
+			before := f.dataDirBytes()
 			var next atomic.Uint64
 			histograms := make([]*hdrhistogram.Histogram, load.callers)
 			b.ResetTimer()
 			start := time.Now()
-			var g errgroup.Group
+			var group errgroup.Group
 			for i := range load.callers {
 				histograms[i] = hdrhistogram.New(1, int64(time.Minute), 3)
-				g.Go(func() error {
+				group.Go(func() error {
 					for range b.N / load.callers {
 						if err := claimBatch(conn, &next, load.batch, histograms[i]); err != nil {
 							return err
@@ -147,89 +147,89 @@
 					return nil
 				})
 			}
-			require.NoError(b, g.Wait())
+			require.NoError(b, group.Wait())
 			took := time.Since(start)
 			b.StopTimer()
-			for _, h := range histograms[1:] {
-				histograms[0].Merge(h)
+			for _, histogram := range histograms[1:] {
+				histograms[0].Merge(histogram)
 			}
 			claims := float64(next.Load())
 			b.ReportMetric(claims/took.Seconds(), "claims/s")
 			b.ReportMetric(float64(histograms[0].ValueAtQuantile(50))/1e6, "p50-ms")
 			b.ReportMetric(float64(histograms[0].ValueAtQuantile(99))/1e6, "p99-ms")
-			b.ReportMetric(float64(f.bytes()-before)/claims, "disk-B/claim")
+			b.ReportMetric(float64(f.dataDirBytes()-before)/claims, "disk-B/claim")
 		})
 	}
 }
 
-func claimBatch(conn *rpc.Conn, next *atomic.Uint64, batch int, h *hdrhistogram.Histogram) error {
-	var p message.ClaimRequest
+func claimBatch(conn *rpc.Conn, next *atomic.Uint64, batch int, histogram *hdrhistogram.Histogram) error {
+	var request message.ClaimRequest
 	for range batch {
-		n := next.Add(1)
-		p.Claims = append(p.Claims, message.Claim{Key: statestore.KeyOf("a", fmt.Sprint(n)), Owner: "r1/abc", Attempt: n})
+		number := next.Add(1)
+		request.Claims = append(request.Claims, message.Claim{Key: statestore.KeyOf("a", fmt.Sprint(number)), Owner: "r1/abc", Attempt: number})
 	}
 	start := time.Now()
-	var v message.ClaimResponse
-	if err := conn.Call(context.Background(), message.MethodClaim, p, &v); err != nil {
+	var response message.ClaimResponse
+	if err := conn.Call(context.Background(), message.MethodClaim, request, &response); err != nil {
 		return err
 	}
-	return h.RecordValue(time.Since(start).Nanoseconds())
+	return histogram.RecordValue(time.Since(start).Nanoseconds())
 }
 
-// BenchmarkInForce measures from sending a configuration until every one of
-// eight real routers has it in force.
+// BenchmarkInForce measures the time from sending a configuration until each of eight real
+// routers has it in force.
 func BenchmarkInForce(b *testing.B) {
 	for _, targets := range []int{23, 120, 490, 1470, 4900} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
-			f := startBench(b, 8)
+			f := startBenchFleet(b, 8)
 			conn := f.leader()
 			defer conn.Close()
 			apply := func(number uint64) time.Duration {
-				c := benchConfig(number, targets)
+				config := benchConfig(number, targets)
 				start := time.Now()
-				var a message.ApplyResult
-				require.NoError(b, conn.Call(context.Background(), message.MethodApply, message.ApplyRequest{Config: c.JSON(), Wait: true}, &a))
-				require.False(b, a.Conflict)
+				var result message.ApplyResult
+				require.NoError(b, conn.Call(context.Background(), message.MethodApply, message.ApplyRequest{Config: config.JSON(), Wait: true}, &result))
+				require.False(b, result.Conflict)
 				return time.Since(start)
 			}
 			apply(1)
 			time.Sleep(time.Second) // until all routers have reported
-			h := hdrhistogram.New(1, int64(time.Minute), 3)
+			histogram := hdrhistogram.New(1, int64(time.Minute), 3)
 			b.ResetTimer()
 			for i := range b.N {
-				require.NoError(b, h.RecordValue(apply(uint64(i)+2).Nanoseconds()))
+				require.NoError(b, histogram.RecordValue(apply(uint64(i)+2).Nanoseconds()))
 			}
-			b.ReportMetric(float64(h.ValueAtQuantile(50))/1e6, "p50-ms")
-			b.ReportMetric(float64(h.ValueAtQuantile(99))/1e6, "p99-ms")
+			b.ReportMetric(float64(histogram.ValueAtQuantile(50))/1e6, "p50-ms")
+			b.ReportMetric(float64(histogram.ValueAtQuantile(99))/1e6, "p99-ms")
 			b.ReportMetric(float64(len(benchConfig(1, targets).JSON())), "config-B")
 		})
 	}
 }
 
 func benchConfig(number uint64, targets int) fleet.Config {
-	c := fleet.Config{Number: number}
+	config := fleet.Config{Number: number}
 	accounts := max(16, targets/23)
 	for i := range accounts {
-		c.Accounts = append(c.Accounts, fleet.Account{Name: fmt.Sprintf("account-%d", i), Share: 1, Keys: []string{fleet.KeyDigest(fmt.Sprint(i))}})
+		config.Accounts = append(config.Accounts, fleet.Account{Name: fmt.Sprintf("account-%d", i), Share: 1, Keys: []string{fleet.KeyDigest(fmt.Sprint(i))}})
 	}
 	for i := range targets {
-		c.Targets = append(c.Targets, fleet.Target{
+		config.Targets = append(config.Targets, fleet.Target{
 			Name: fmt.Sprintf("target-%d", i), Address: fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250), Zone: "z",
 			Kind: fleet.TargetEngine, Slots: 8, State: fleet.TargetLive,
 		})
 	}
-	return c
+	return config
 }
 
-// BenchmarkRestart measures loading a keeper's data folder after many changes
-// of a configuration of today's size, with and without snapshots.
+// BenchmarkRestart measures loading a keeper's data folder after many changes of a configuration
+// with 23 targets, with and without snapshots.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []int{1000, 5000, 10000, 20000} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
-			folder := filepath.Join(b.TempDir(), "k1")
-			writeHistory(b, folder, changes)
+			dir := filepath.Join(b.TempDir(), "k1")
+			writeHistory(b, dir, changes)
 			var size int64
-			files, err := filepath.Glob(filepath.Join(folder, "*"))
+			files, err := filepath.Glob(filepath.Join(dir, "*"))
 			require.NoError(b, err)
 			for _, file := range files {
 				info, err := os.Stat(file)
@@ -238,55 +238,55 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				j := &journal.Journal{Disk: &journal.RealDisk{Folder: folder}}
-				_, err := j.Open()
+				wal := &journal.Journal{Disk: &journal.RealDisk{Folder: dir}}
+				_, err := wal.Open()
 				require.NoError(b, err)
-				_, base, entries := j.Recovered()
-				var l statestore.Store
-				require.NoError(b, l.Restore(base.Data))
-				for _, e := range entries {
-					_, err := l.Do(e.Data)
+				_, snapshot, entries := wal.Recovered()
+				var store statestore.Store
+				require.NoError(b, store.Restore(snapshot.Data))
+				for _, entry := range entries {
+					_, err := store.Do(entry.Data)
 					require.NoError(b, err)
 				}
-				require.Equal(b, uint64(changes), l.Number())
-				require.NoError(b, j.Close())
+				require.Equal(b, uint64(changes), store.Number())
+				require.NoError(b, wal.Close())
 			}
 			b.ReportMetric(float64(size)/1e6, "folder-MB")
 		})
 	}
 }
 
-// writeHistory writes what a keeper writes, with its rule for snapshots, but
-// many entries to a sync.
-func writeHistory(b testing.TB, folder string, changes int) {
-	j := &journal.Journal{Disk: &journal.RealDisk{Folder: folder}}
-	_, err := j.Open()
+// writeHistory writes the data folder of a keeper with the same rule for snapshots, but with many
+// entries per sync.
+func writeHistory(b testing.TB, dir string, changes int) {
+	wal := &journal.Journal{Disk: &journal.RealDisk{Folder: dir}}
+	_, err := wal.Open()
 	require.NoError(b, err)
-	require.NoError(b, j.SetIdentity(journal.Identity{Name: "k1", ID: "k1-x", Founded: true}))
-	var l statestore.Store
-	limit, grown := 4<<20, 0
+	require.NoError(b, wal.SetIdentity(journal.Identity{Name: "k1", ID: "k1-x", Founded: true}))
+	var store statestore.Store
+	compactThreshold, logBytes := 4<<20, 0
 	var batch []quorum.Entry
 	for i := range changes {
-		cmd := statestore.Command{At: time.Unix(1e9, 0), Apply: &statestore.Apply{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
-		e := quorum.Entry{Index: uint64(i) + 1, Term: 1, Kind: quorum.EntryData, Data: cmd.Encode()}
-		_, err := l.Do(e.Data)
+		command := statestore.Command{At: time.Unix(1e9, 0), Apply: &statestore.Apply{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
+		entry := quorum.Entry{Index: uint64(i) + 1, Term: 1, Kind: quorum.EntryData, Data: command.Encode()}
+		_, err := store.Do(entry.Data)
 		require.NoError(b, err)
-		batch = append(batch, e)
-		grown += len(e.Data)
-		if grown < limit && i < changes-1 && len(batch) < 500 {
+		batch = append(batch, entry)
+		logBytes += len(entry.Data)
+		if logBytes < compactThreshold && i < changes-1 && len(batch) < 500 {
 			continue
 		}
-		out := quorum.Output{Append: batch}
-		if grown >= limit {
-			data, err := l.Snapshot()
+		output := quorum.Output{Append: batch}
+		if logBytes >= compactThreshold {
+			data, err := store.Snapshot()
 			require.NoError(b, err)
-			out = quorum.Output{Snapshot: &quorum.Snapshot{Index: e.Index, Term: 1, Data: data}}
-			grown = 0
-			limit = max(4<<20, 2*len(data))
+			output = quorum.Output{Snapshot: &quorum.Snapshot{Index: entry.Index, Term: 1, Data: data}}
+			logBytes = 0
+			compactThreshold = max(4<<20, 2*len(data))
 		}
-		require.NoError(b, j.Write(out))
+		require.NoError(b, wal.Write(output))
 		batch = nil
 	}
-	require.NoError(b, j.Close())
-	require.False(b, strings.Contains(folder, " "))
+	require.NoError(b, wal.Close())
+	require.False(b, strings.Contains(dir, " "))
 }
--- a/internal/keeper/quarantine_test.go
+++ b/internal/keeper/quarantine_test.go
@@ -14,179 +14,178 @@
 	"laburnumfall/internal/statestore"
 )
 
-const heldPrint quarantine.Fingerprint = "alike"
+const testFingerprint quarantine.Fingerprint = "alike"
 
-// tell has a router tell the leader of ends, or ask, and returns what it is told.
-func (g *tended) tell(r quarantine.Report) []quarantine.Restriction {
+// sendQuarantineReport sends a router's report of terminations and permit requests to the leader,
+// and returns the restrictions in the response.
+func (cluster *autoCluster) sendQuarantineReport(report quarantine.Report) []quarantine.Restriction {
 	for range 300 {
-		if l := g.leader(); l != nil {
-			answer := l.core.renew(g.clock.Time, message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &r})
-			require.NotNil(g.t, answer.Restrictions)
-			g.run(5 * tendedStep) // the log has it
-			return answer.Restrictions.Restrictions
+		if leader := cluster.leader(); leader != nil {
+			response := leader.core.renew(cluster.clock.Time, message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &report})
+			require.NotNil(cluster.t, response.Restrictions)
+			cluster.run(5 * simStep) // until the report is in the log
+			return response.Restrictions.Restrictions
 		}
-		g.run(tendedStep)
+		cluster.run(simStep)
 	}
-	require.Fail(g.t, "nobody leads", g.state())
+	require.Fail(cluster.t, "no keeper leads", cluster.describe())
 	return nil
 }
 
-// strike has something happen to the group: its leader ends, all lose power, or one loses its
-// disk while all others lose power.
-func (g *tended) strike() {
-	victim := g.vms[g.random.IntN(len(g.vms))]
-	switch g.random.IntN(3) {
+// injectOutage restarts the leader, cuts the power of all keepers, or loses one disk while all
+// other keepers lose power.
+func (cluster *autoCluster) injectOutage() {
+	victim := cluster.vms[cluster.random.IntN(len(cluster.vms))]
+	switch cluster.random.IntN(3) {
 	case 0:
-		if l := g.leader(); l != nil {
-			victim = l
+		if leader := cluster.leader(); leader != nil {
+			victim = leader
 		}
-		g.restart(victim, true)
+		cluster.restart(victim, true)
 		return
 	case 1:
 		victim = nil
 	}
-	for _, vm := range g.vms {
+	for _, vm := range cluster.vms {
 		if vm != victim {
-			g.restart(vm, true)
+			cluster.restart(vm, true)
 		}
 	}
 	if victim != nil {
-		g.wipe(victim)
+		cluster.replaceDisk(victim)
 	}
 }
 
-// Symptom: a request that is held back ends more targets after keepers have changed.
-// Sequence: three targets end under it; trials are asked for all along; leaders end, all keepers
-// lose power, one loses its disk while all others lose power.
-// Cause: rulings or trials that only one keeper knew of.
-func TestWhatIsHeldBackStaysSoWhateverBecomesOfKeepers(t *testing.T) {
-	const mostTrials = 2
+// Guards against a quarantined request that terminates more targets than allowed after keepers
+// fail, because only one keeper knew of a restriction or a permit. Three targets terminate during
+// the request, and permits are requested throughout the outages.
+func TestQuarantineSurvivesKeeperFailures(t *testing.T) {
+	const maxTrials = 2
 	for seed := range uint64(40) {
-		g := newTended(t, seed, 5)
-		require.True(t, g.settle())
+		cluster := newAutoCluster(t, seed, 5)
+		require.True(t, cluster.waitHealthy())
 		for _, id := range []string{"a", "b", "c"} {
-			g.tell(quarantine.Report{Terminations: []quarantine.Termination{{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}}}})
+			cluster.sendQuarantineReport(quarantine.Report{Terminations: []quarantine.Termination{{Fingerprint: testFingerprint, Account: "x", Target: fleet.Incarnation{ID: id}}}})
 		}
-		grants := map[uint64]bool{}
+		permitIDs := map[uint64]bool{}
 		for range 12 {
-			g.run(time.Duration(g.random.IntN(400)) * time.Millisecond)
-			g.strike()
-			require.True(t, g.settle(), "seed %d", seed)
-			g.tell(quarantine.Report{PermitRequests: []quarantine.Fingerprint{heldPrint}})
-			list := g.tell(quarantine.Report{})
-			require.Len(t, list, 1, "seed %d: it is known", seed)
-			require.GreaterOrEqual(t, list[0].TerminationCount, 3)
-			if list[0].PermitID > 0 {
-				grants[list[0].PermitID] = true
+			cluster.run(time.Duration(cluster.random.IntN(400)) * time.Millisecond)
+			cluster.injectOutage()
+			require.True(t, cluster.waitHealthy(), "seed %d", seed)
+			cluster.sendQuarantineReport(quarantine.Report{PermitRequests: []quarantine.Fingerprint{testFingerprint}})
+			restrictions := cluster.sendQuarantineReport(quarantine.Report{})
+			require.Len(t, restrictions, 1, "seed %d: the restriction is lost", seed)
+			require.GreaterOrEqual(t, restrictions[0].TerminationCount, 3)
+			if restrictions[0].PermitID > 0 {
+				permitIDs[restrictions[0].PermitID] = true
 			}
-			g.clock.Time = g.clock.Time.Add(20 * time.Second) // and trials fall due
-			require.True(t, g.settle(), "seed %d", seed)
+			cluster.clock.Time = cluster.clock.Time.Add(20 * time.Second) // so that trials fall due
+			require.True(t, cluster.waitHealthy(), "seed %d", seed)
 		}
-		require.LessOrEqual(t, len(grants), mostTrials, "seed %d", seed)
-		require.NotEmpty(t, grants, "seed %d", seed)
+		require.LessOrEqual(t, len(permitIDs), maxTrials, "seed %d", seed)
+		require.NotEmpty(t, permitIDs, "seed %d", seed)
 	}
 }
 
-// Symptom: what was acknowledged is gone.
-// Sequence: right after an acknowledgement a keeper loses its disk, and all others lose power at
-// the same moment.
-// Cause: an acknowledgement that rests on a write which only the lost disk had made to last.
-func TestAnAcknowledgementOutlastsADiskAndThePowerOfAllOthers(t *testing.T) {
+// Guards against the loss of an acknowledged configuration that was durable on only one disk.
+// That disk is lost right after the acknowledgment, while all other keepers lose power.
+func TestAcknowledgedConfigSurvivesDiskAndPowerLoss(t *testing.T) {
 	for seed := range uint64(100) {
-		g := newTended(t, seed, 5)
-		require.True(t, g.settle())
+		cluster := newAutoCluster(t, seed, 5)
+		require.True(t, cluster.waitHealthy())
 		for range 3 {
-			g.put()
+			cluster.putConfig()
 			for range 200 {
-				if g.acked == g.sent {
+				if cluster.newestAcked == cluster.newestSent {
 					break
 				}
-				g.run(tendedStep)
+				cluster.run(simStep)
 			}
-			acked := g.acked
-			g.run(time.Duration(g.random.IntN(40)) * tendedStep)
-			victim := g.vms[g.random.IntN(len(g.vms))]
-			for _, vm := range g.vms {
+			acked := cluster.newestAcked
+			cluster.run(time.Duration(cluster.random.IntN(40)) * simStep)
+			victim := cluster.vms[cluster.random.IntN(len(cluster.vms))]
+			for _, vm := range cluster.vms {
 				if vm != victim {
-					g.restart(vm, true)
+					cluster.restart(vm, true)
 				}
 			}
-			g.wipe(victim)
-			require.True(t, g.settle(), "seed %d", seed)
-			require.GreaterOrEqual(t, g.leader().core.store.Document().Number, acked, "seed %d", seed)
+			cluster.replaceDisk(victim)
+			require.True(t, cluster.waitHealthy(), "seed %d", seed)
+			require.GreaterOrEqual(t, cluster.leader().core.store.Document().Number, acked, "seed %d", seed)
 		}
 	}
 }
 
-// Guards against an end of a target that is never counted: a report that comes while an entry
-// of the log is committed and not yet applied.
-func TestAnEndIsCountedThatIsToldBesideACommit(t *testing.T) {
-	g := newTrio(t, 5)
-	g.run(3 * time.Second)
-	c, ok := g.whole()
+// Guards against a termination that is never counted because its report arrives while an entry of
+// the log is committed but not yet applied.
+func TestTerminationReportedBeforeApplyIsCounted(t *testing.T) {
+	cluster := newSimCluster(t, 5)
+	cluster.run(3 * time.Second)
+	c, ok := cluster.healthyLeader()
 	require.True(t, ok)
 	key := routerKey{"told", 1}
 	conn := &rpc.Conn{}
-	g.conns[conn], g.cut[key.name] = key.name, true // what it is granted goes nowhere
-	report := func(q quarantine.Report) {
-		data, err := json.Marshal(message.Report{Router: key.name, Incarnation: key.incarnation, Full: true, Quarantine: &q})
+	cluster.routerNames[conn], cluster.partitioned[key.name] = key.name, true // its grants are not delivered
+	handleReport := func(report quarantine.Report) {
+		data, err := json.Marshal(message.Report{Router: key.name, Incarnation: key.incarnation, Full: true, Quarantine: &report})
 		require.NoError(t, err)
 		c.handleReport(conn, data)
-		(<-c.tasks)(g.clock.Now())
+		(<-c.tasks)(cluster.clock.Now())
 	}
-	ends := func(id string) []quarantine.Termination {
-		return []quarantine.Termination{{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}, IDReused: true}}
+	terminations := func(id string) []quarantine.Termination {
+		return []quarantine.Termination{{Fingerprint: testFingerprint, Account: "x", Target: fleet.Incarnation{ID: id}, IDReused: true}}
 	}
-	report(quarantine.Report{Terminations: ends("a")})
+	handleReport(quarantine.Report{Terminations: terminations("a")})
 	require.NoError(t, c.runOnce())
-	require.Equal(t, 1, c.coordinator.TerminationCount(heldPrint))
+	require.Equal(t, 1, c.coordinator.TerminationCount(testFingerprint))
 
-	c.submit(g.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
+	c.submit(cluster.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
 	require.NoError(t, c.runOnce())
-	g.commitUnapplied(c)
+	cluster.commitWithoutApplying(c)
 	require.False(t, c.node.AllApplied())
-	report(quarantine.Report{Terminations: ends("b")})
+	handleReport(quarantine.Report{Terminations: terminations("b")})
 	require.NoError(t, c.runOnce())
-	require.Equal(t, 2, c.coordinator.TerminationCount(heldPrint), "the grant that follows tells the router that it was heard")
+	require.Equal(t, 2, c.coordinator.TerminationCount(testFingerprint), "the next grant acknowledges the report")
 }
 
-// commitUnapplied has followers answer the leader, which does not apply what that commits.
-func (g *trio) commitUnapplied(c *core) {
+// commitWithoutApplying delivers the followers' responses to the leader. The leader does not
+// apply the entries that they commit.
+func (cluster *simCluster) commitWithoutApplying(c *core) {
 	for range 3 {
-		wire := g.wire
-		g.wire = nil
-		for _, m := range wire {
-			if _, to := g.byID(m.To); to == c {
-				c.node.Step(g.clock.Now(), m)
+		messages := cluster.inFlight
+		cluster.inFlight = nil
+		for _, msg := range messages {
+			if _, to := cluster.coreByID(msg.To); to == c {
+				c.node.Step(cluster.clock.Now(), msg)
 			} else if to != nil {
-				to.node.Step(g.clock.Now(), m)
-				require.NoError(g.t, to.runOnce())
+				to.node.Step(cluster.clock.Now(), msg)
+				require.NoError(cluster.t, to.runOnce())
 			}
 		}
 	}
 }
 
-// Guards against a router of routes that takes for told what its leader dropped: a renewal that
-// comes while an entry of the log is committed and not yet applied.
-func TestARenewalBesideACommitIsAskedForAgain(t *testing.T) {
-	g := newTrio(t, 5)
-	g.run(3 * time.Second)
-	c, ok := g.whole()
+// Guards against a router that counts its report as acknowledged although the leader dropped it,
+// because the renewal arrives while an entry of the log is committed but not yet applied.
+func TestRenewalBeforeApplyIsNotAnsweredAsLeader(t *testing.T) {
+	cluster := newSimCluster(t, 5)
+	cluster.run(3 * time.Second)
+	c, ok := cluster.healthyLeader()
 	require.True(t, ok)
-	end := quarantine.Termination{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: "a"}}
-	p := message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &quarantine.Report{Terminations: []quarantine.Termination{end}}}
-	c.submit(g.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
+	termination := quarantine.Termination{Fingerprint: testFingerprint, Account: "x", Target: fleet.Incarnation{ID: "a"}}
+	request := message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &quarantine.Report{Terminations: []quarantine.Termination{termination}}}
+	c.submit(cluster.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
 	require.NoError(t, c.runOnce())
-	g.commitUnapplied(c)
+	cluster.commitWithoutApplying(c)
 	require.False(t, c.node.AllApplied())
-	r := c.renew(g.clock.Now(), p)
-	require.False(t, r.Leads)
-	require.Nil(t, r.Restrictions)
-	require.Nil(t, r.EvacuatedZones)
-	require.Zero(t, r.WarmupLease)
+	response := c.renew(cluster.clock.Now(), request)
+	require.False(t, response.Leads)
+	require.Nil(t, response.Restrictions)
+	require.Nil(t, response.EvacuatedZones)
+	require.Zero(t, response.WarmupLease)
 	require.NoError(t, c.runOnce())
-	r = c.renew(g.clock.Now(), p)
-	require.True(t, r.Leads)
-	require.NotNil(t, r.Restrictions)
-	require.Equal(t, 1, c.coordinator.TerminationCount(heldPrint))
+	response = c.renew(cluster.clock.Now(), request)
+	require.True(t, response.Leads)
+	require.NotNil(t, response.Restrictions)
+	require.Equal(t, 1, c.coordinator.TerminationCount(testFingerprint))
 }
--- a/internal/keeper/simcluster_test.go
+++ b/internal/keeper/simcluster_test.go
@@ -17,191 +17,193 @@
 	"laburnumfall/internal/rpc"
 )
 
-func newTrio(t require.TestingT, seed uint64) *trio {
-	g := &trio{
+func newSimCluster(t require.TestingT, seed uint64) *simCluster {
+	cluster := &simCluster{
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), clock: clock.MockClock{Time: time.Unix(1e9, 0)},
-		cores: map[string]*core{}, disks: map[string]*journal.MockDisk{}, cut: map[string]bool{},
-		names: []string{"k1", "k2", "k3"}, routers: map[string]*dispatch.Scheduler{}, conns: map[*rpc.Conn]string{},
-		accepted: map[uint64]string{}, seen: map[string]uint64{},
+		cores: map[string]*core{}, disks: map[string]*journal.MockDisk{}, partitioned: map[string]bool{},
+		names: []string{"k1", "k2", "k3"}, routers: map[string]*dispatch.Scheduler{}, routerNames: map[*rpc.Conn]string{},
+		acceptedDigests: map[uint64]string{}, highestNumbers: map[string]uint64{},
 	}
 	var members []quorum.Member
-	for _, name := range g.names {
+	for _, name := range cluster.names {
 		members = append(members, quorum.Member{ID: name + "-0", Name: name, Voter: true})
 	}
-	for i, name := range g.names {
-		g.disks[name] = &journal.MockDisk{Seed: seed + uint64(i)}
-		g.boot(name, &journal.Identity{Name: name, ID: name + "-0", Founded: true, FoundingMembers: members})
+	for i, name := range cluster.names {
+		cluster.disks[name] = &journal.MockDisk{Seed: seed + uint64(i)}
+		cluster.startKeeper(name, &journal.Identity{Name: name, ID: name + "-0", Founded: true, FoundingMembers: members})
 	}
 	for _, name := range []string{"r1", "r2"} {
-		g.startRouter(name)
+		cluster.startRouter(name)
 	}
-	return g
+	return cluster
 }
 
-// boot starts a keeper from its disk. A new identity is written first.
-func (g *trio) boot(name string, id *journal.Identity) {
-	j := &journal.Journal{Disk: g.disks[name]}
-	_, err := j.Open()
-	require.NoError(g.t, err)
-	if id != nil {
-		require.NoError(g.t, j.SetIdentity(*id))
+// startKeeper starts a keeper from its disk. If identity is not nil, it is written to the disk
+// first.
+func (cluster *simCluster) startKeeper(name string, identity *journal.Identity) {
+	wal := &journal.Journal{Disk: cluster.disks[name]}
+	_, err := wal.Open()
+	require.NoError(cluster.t, err)
+	if identity != nil {
+		require.NoError(cluster.t, wal.SetIdentity(*identity))
 	}
-	c := newCore(&g.clock, hclog.NewNullLogger(), j, &trioCarrier{g})
-	require.NoError(g.t, c.start(j.Identity()))
-	g.cores[name] = c
+	c := newCore(&cluster.clock, hclog.NewNullLogger(), wal, &simTransport{cluster})
+	require.NoError(cluster.t, c.start(wal.Identity()))
+	cluster.cores[name] = c
 }
 
-func (g *trio) startRouter(name string) {
-	g.routers[name] = &dispatch.Scheduler{Name: name, Zone: "z", Incarnation: uint64(g.clock.Now().UnixNano())}
-	g.seen[name] = 0
+func (cluster *simCluster) startRouter(name string) {
+	cluster.routers[name] = &dispatch.Scheduler{Name: name, Zone: "z", Incarnation: uint64(cluster.clock.Now().UnixNano())}
+	cluster.highestNumbers[name] = 0
 	conn := &rpc.Conn{}
-	g.conns[conn] = name
-	g.links = append(g.links, conn)
+	cluster.routerNames[conn] = name
+	cluster.routerConns = append(cluster.routerConns, conn)
 }
 
-// trioCarrier is the fake network.
-type trioCarrier struct{ g *trio }
+// simTransport is the fake network.
+type simTransport struct{ cluster *simCluster }
 
-func (c *trioCarrier) send(m quorum.Message) {
-	if !c.g.lossy || c.g.random.IntN(5) > 0 {
-		c.g.wire = append(c.g.wire, m)
+func (t *simTransport) send(msg quorum.Message) {
+	if !t.cluster.lossy || t.cluster.random.IntN(5) > 0 {
+		t.cluster.inFlight = append(t.cluster.inFlight, msg)
 	}
 }
 
-func (c *trioCarrier) sendGrant(conn *rpc.Conn, m message.Grant) {
-	name := c.g.conns[conn]
-	if c.g.cut[name] {
+func (t *simTransport) sendGrant(conn *rpc.Conn, grant message.Grant) {
+	name := t.cluster.routerNames[conn]
+	if t.cluster.partitioned[name] {
 		return
 	}
-	s := c.g.routers[name]
-	s.HandleGrant(c.g.clock.Now(), m)
-	require.GreaterOrEqual(c.g.t, s.ConfigNumber(), c.g.seen[name], "a router never goes back")
-	c.g.seen[name] = s.ConfigNumber()
+	scheduler := t.cluster.routers[name]
+	scheduler.HandleGrant(t.cluster.clock.Now(), grant)
+	require.GreaterOrEqual(t.cluster.t, scheduler.ConfigNumber(), t.cluster.highestNumbers[name], "a router returned to an older configuration")
+	t.cluster.highestNumbers[name] = scheduler.ConfigNumber()
 }
 
-func (c *trioCarrier) setMembers(string, []quorum.Member) {}
+func (t *simTransport) setMembers(string, []quorum.Member) {}
 
-func (g *trio) byID(id string) (string, *core) {
-	for _, name := range g.names {
-		if c := g.cores[name]; c != nil && c.node.ID == id {
+func (cluster *simCluster) coreByID(id string) (string, *core) {
+	for _, name := range cluster.names {
+		if c := cluster.cores[name]; c != nil && c.node.ID == id {
 			return name, c
 		}
 	}
 	return "", nil
 }
 
-// run lets time pass.
-func (g *trio) run(span time.Duration) {
+// run advances the clock by span.
+func (cluster *simCluster) run(span time.Duration) {
 	const step = 20 * time.Millisecond
-	for end := g.clock.Time.Add(span); g.clock.Time.Before(end); g.clock.Time = g.clock.Time.Add(step) {
-		for _, name := range g.names {
-			g.turn(name)
+	for end := cluster.clock.Time.Add(span); cluster.clock.Time.Before(end); cluster.clock.Time = cluster.clock.Time.Add(step) {
+		for _, name := range cluster.names {
+			cluster.runCore(name)
 		}
-		g.deliver()
-		g.tickRouters()
+		cluster.deliverMessages()
+		cluster.tickRouters()
 	}
 }
 
-func (g *trio) turn(name string) {
-	if c := g.cores[name]; c != nil && c.runOnce() != nil {
-		g.cores[name] = nil // a keeper whose disk fails stops
+func (cluster *simCluster) runCore(name string) {
+	if c := cluster.cores[name]; c != nil && c.runOnce() != nil {
+		cluster.cores[name] = nil // a keeper whose disk fails stops
 	}
 }
 
-func (g *trio) deliver() {
+func (cluster *simCluster) deliverMessages() {
 	for range 3 {
-		wire := g.wire
-		g.wire = nil
-		for _, m := range wire {
-			from, _ := g.byID(m.From)
-			to, c := g.byID(m.To)
-			if c == nil || g.cut[from] || g.cut[to] {
+		messages := cluster.inFlight
+		cluster.inFlight = nil
+		for _, msg := range messages {
+			from, _ := cluster.coreByID(msg.From)
+			to, c := cluster.coreByID(msg.To)
+			if c == nil || cluster.partitioned[from] || cluster.partitioned[to] {
 				continue
 			}
-			c.node.Step(g.clock.Now(), m)
-			g.turn(to)
+			c.node.Step(cluster.clock.Now(), msg)
+			cluster.runCore(to)
 		}
 	}
 }
 
-func (g *trio) tickRouters() {
-	for _, conn := range g.links {
-		name := g.conns[conn]
-		s := g.routers[name]
-		s.Tick(g.clock.Now())
-		for _, a := range s.TakeActions() {
-			if r, ok := a.(dispatch.SendReport); ok && !g.cut[name] {
-				g.report(conn, r.Report)
+func (cluster *simCluster) tickRouters() {
+	for _, conn := range cluster.routerConns {
+		name := cluster.routerNames[conn]
+		scheduler := cluster.routers[name]
+		scheduler.Tick(cluster.clock.Now())
+		for _, action := range scheduler.TakeActions() {
+			if send, ok := action.(dispatch.SendReport); ok && !cluster.partitioned[name] {
+				cluster.deliverReport(conn, send.Report)
 			}
 		}
 	}
 }
 
-func (g *trio) report(conn *rpc.Conn, r message.Report) {
-	for _, name := range g.names {
-		c := g.cores[name]
-		if c == nil || g.cut[name] || c.divider == nil || !c.node.IsActiveLeader(g.clock.Now()) {
+func (cluster *simCluster) deliverReport(conn *rpc.Conn, report message.Report) {
+	for _, name := range cluster.names {
+		c := cluster.cores[name]
+		if c == nil || cluster.partitioned[name] || c.divider == nil || !c.node.IsActiveLeader(cluster.clock.Now()) {
 			continue
 		}
-		c.routers[routerKey{r.Router, r.Incarnation}] = conn
-		c.divider.Report(g.clock.Now(), r)
-		g.turn(name)
+		c.routers[routerKey{report.Router, report.Incarnation}] = conn
+		c.divider.Report(cluster.clock.Now(), report)
+		cluster.runCore(name)
 	}
 }
 
-// apply is an operator who asks one keeper and hears the answer or not.
-func (g *trio) apply(name string, number uint64, share float64) {
-	c := g.cores[name]
+// apply acts as an operator who sends a configuration to one keeper and may get no response.
+func (cluster *simCluster) apply(name string, number uint64, share float64) {
+	c := cluster.cores[name]
 	if c == nil {
 		return
 	}
 	config := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: share}}}
-	c.submitConfig(g.clock.Now(), config, "op", func(a message.ApplyResult, err error) {
-		if err != nil || a.Conflict {
+	c.submitConfig(cluster.clock.Now(), config, "op", func(result message.ApplyResult, err error) {
+		if err != nil || result.Conflict {
 			return
 		}
-		require.Equal(g.t, config.Digest(), a.Digest)
-		if before, ok := g.accepted[number]; ok {
-			require.Equal(g.t, before, a.Digest, "two configurations accepted under number %d", number)
+		require.Equal(cluster.t, config.Digest(), result.Digest)
+		if previous, ok := cluster.acceptedDigests[number]; ok {
+			require.Equal(cluster.t, previous, result.Digest, "two configurations accepted under number %d", number)
 		}
-		g.accepted[number] = a.Digest
-		g.newest = max(g.newest, number)
+		cluster.acceptedDigests[number] = result.Digest
+		cluster.newestAccepted = max(cluster.newestAccepted, number)
 	})
-	g.turn(name)
+	cluster.runCore(name)
 }
 
-// read checks every keeper that would answer a reader now.
-func (g *trio) read() {
+// checkReads checks the state of every keeper that would answer a read now.
+func (cluster *simCluster) checkReads() {
 	leaders := 0
-	for _, name := range g.names {
-		c := g.cores[name]
-		if c == nil || !c.node.IsActiveLeader(g.clock.Now()) {
+	for _, name := range cluster.names {
+		c := cluster.cores[name]
+		if c == nil || !c.node.IsActiveLeader(cluster.clock.Now()) {
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(g.t, c.store.Number(), g.newest, "a reader at %s sees an older configuration", name)
-		if want, ok := g.accepted[c.store.Number()]; ok {
-			require.Equal(g.t, want, c.store.Digest())
+		require.GreaterOrEqual(cluster.t, c.store.Number(), cluster.newestAccepted, "a reader at %s sees an older configuration", name)
+		if wantDigest, ok := cluster.acceptedDigests[c.store.Number()]; ok {
+			require.Equal(cluster.t, wantDigest, c.store.Digest())
 		}
 	}
-	require.LessOrEqual(g.t, leaders, 1)
+	require.LessOrEqual(cluster.t, leaders, 1)
 }
 
-// whole reports whether all three keepers are up, voting and caught up.
-func (g *trio) whole() (*core, bool) {
-	for _, name := range g.names {
-		c := g.cores[name]
-		if c == nil || !c.node.IsActiveLeader(g.clock.Now()) {
+// healthyLeader returns the leader and whether all three keepers are running, are voters and have
+// every committed entry.
+func (cluster *simCluster) healthyLeader() (*core, bool) {
+	for _, name := range cluster.names {
+		c := cluster.cores[name]
+		if c == nil || !c.node.IsActiveLeader(cluster.clock.Now()) {
 			continue
 		}
 		if c.node.MembershipChangePending() {
 			return c, false
 		}
-		for _, m := range c.node.Members() {
-			if g.cores[m.Name] == nil || g.cores[m.Name].node.ID != m.ID {
+		for _, member := range c.node.Members() {
+			if cluster.cores[member.Name] == nil || cluster.cores[member.Name].node.ID != member.ID {
 				return c, false
 			}
-			if !m.Voter || c.node.MatchIndex(m.ID) < c.node.CommitIndex() {
+			if !member.Voter || c.node.MatchIndex(member.ID) < c.node.CommitIndex() {
 				return c, false
 			}
 		}
@@ -210,42 +212,43 @@
 	return nil, false
 }
 
-// loseDisk replaces a keeper by one with an empty disk, and repairs.
-func (g *trio) loseDisk(name string) {
-	if _, ok := g.whole(); !ok {
+// replaceDisk replaces a keeper by one with an empty disk and waits until the group is healthy
+// again. It does nothing unless the group is healthy before.
+func (cluster *simCluster) replaceDisk(name string) {
+	if _, ok := cluster.healthyLeader(); !ok {
 		return
 	}
-	g.ids++
-	id := journal.Identity{Name: name, ID: fmt.Sprintf("%s-%d", name, g.ids)}
-	g.disks[name] = &journal.MockDisk{Seed: uint64(g.ids)}
-	g.boot(name, &id)
-	clear(g.cut)
-	g.lossy = false
+	cluster.replacementCount++
+	identity := journal.Identity{Name: name, ID: fmt.Sprintf("%s-%d", name, cluster.replacementCount)}
+	cluster.disks[name] = &journal.MockDisk{Seed: uint64(cluster.replacementCount)}
+	cluster.startKeeper(name, &identity)
+	clear(cluster.partitioned)
+	cluster.lossy = false
 	for range 400 {
-		g.run(20 * time.Millisecond)
-		for _, other := range g.names {
-			if c := g.cores[other]; c != nil && other != name {
-				// Refused while it does not lead or another change is on its way.
-				_ = c.admitMember(g.clock.Now(), joinParams{Name: name, ID: id.ID})
+		cluster.run(20 * time.Millisecond)
+		for _, other := range cluster.names {
+			if c := cluster.cores[other]; c != nil && other != name {
+				// A keeper refuses while it does not lead or another change is in progress.
+				_ = c.admitMember(cluster.clock.Now(), joinParams{Name: name, ID: identity.ID})
 			}
 		}
-		if _, ok := g.whole(); ok {
+		if _, ok := cluster.healthyLeader(); ok {
 			return
 		}
 	}
-	require.Fail(g.t, "the repair ends")
+	require.Fail(cluster.t, "the group did not become healthy in time")
 }
 
-func (g *trio) restart(name string) {
-	g.disks[name].Crash()
-	g.boot(name, nil)
+func (cluster *simCluster) crashAndRestart(name string) {
+	cluster.disks[name].Crash()
+	cluster.startKeeper(name, nil)
 }
 
-// newLeader returns a group of three keepers that is whole, and its leader.
-func newLeader(t require.TestingT, seed uint64) (*trio, *core) {
-	g := newTrio(t, seed)
-	g.run(3 * time.Second)
-	c, ok := g.whole()
+// newHealthyCluster returns a healthy group of three keepers and its leader.
+func newHealthyCluster(t require.TestingT, seed uint64) (*simCluster, *core) {
+	cluster := newSimCluster(t, seed)
+	cluster.run(3 * time.Second)
+	c, ok := cluster.healthyLeader()
 	require.True(t, ok)
-	return g, c
+	return cluster, c
 }
--- a/internal/keeper/simhistories_test.go
+++ b/internal/keeper/simhistories_test.go
@@ -15,172 +15,168 @@
 	"laburnumfall/internal/rpc"
 )
 
-// trio is three cores, two routers and two operators on fake disks, fake links
-// and one clock. Everything but those fakes is the real code.
-type trio struct {
-	t      require.TestingT
-	random *rand.Rand
-	clock  clock.MockClock
-	cores  map[string]*core // by name
-	disks  map[string]*journal.MockDisk
-	cut    map[string]bool
-	names  []string
-	wire   []quorum.Message
-	lossy  bool
+// A simCluster is a simulated group of three keepers with two routers. Operators apply
+// configurations to it. Disks, network and clock are fakes; all other code is real.
+type simCluster struct {
+	t           require.TestingT
+	random      *rand.Rand
+	clock       clock.MockClock
+	cores       map[string]*core // by name
+	disks       map[string]*journal.MockDisk
+	partitioned map[string]bool
+	names       []string
+	inFlight    []quorum.Message
+	lossy       bool
 
-	routers map[string]*dispatch.Scheduler
-	conns   map[*rpc.Conn]string // router by its link
-	links   []*rpc.Conn
-	ids     int
+	routers          map[string]*dispatch.Scheduler
+	routerNames      map[*rpc.Conn]string // by connection
+	routerConns      []*rpc.Conn
+	replacementCount int
 
-	// The naive model: what operators were told.
-	accepted map[uint64]string // digest by number
-	newest   uint64
-	seen     map[string]uint64 // highest number by router
+	// The reference model: the responses that operators got.
+	acceptedDigests map[uint64]string // digest by number
+	newestAccepted  uint64
+	highestNumbers  map[string]uint64 // by router
 }
 
-// Symptom: an accepted configuration is lost or replaced by an older one.
-// Sequence: random applies (equal numbers among them), crashes that drop
-// unsynced writes, full disks, cuts, lost messages, lost disks and repairs.
-// Cause: any promise made before it is durable on a quorum, or by a leader
-// that no longer is one.
-func TestThousandHistoriesLoseNothing(t *testing.T) {
+// Guards against accepted configurations that are lost or replaced by older ones, because a
+// keeper promises something before it is durable on a quorum or while it no longer leads. The
+// faults are random crashes that drop unsynced writes, full disks, partitions, lost messages and
+// replaced disks, during concurrent applies with equal numbers.
+func TestRandomFaultsWithFixedMembership(t *testing.T) {
 	histories := 1000
 	if testing.Short() {
 		histories = 50
 	}
-	accepted := 0
+	acceptedTotal := 0
 	for seed := range histories {
-		g := newTrio(t, uint64(seed))
-		g.run(2 * time.Second)
+		cluster := newSimCluster(t, uint64(seed))
+		cluster.run(2 * time.Second)
 		for range 25 {
-			g.act()
-			g.run(time.Duration(20+g.random.IntN(600)) * time.Millisecond)
-			g.read()
+			cluster.randomAction()
+			cluster.run(time.Duration(20+cluster.random.IntN(600)) * time.Millisecond)
+			cluster.checkReads()
 		}
-		clear(g.cut)
-		g.lossy = false
-		for _, name := range g.names {
-			if g.cores[name] == nil {
-				g.restart(name)
+		clear(cluster.partitioned)
+		cluster.lossy = false
+		for _, name := range cluster.names {
+			if cluster.cores[name] == nil {
+				cluster.crashAndRestart(name)
 			}
 		}
-		g.run(6 * time.Second)
-		g.read()
-		_, ok := g.whole()
-		require.True(t, ok, "history %d recovers", seed)
-		for name, s := range g.routers {
-			require.GreaterOrEqual(t, s.ConfigNumber(), g.newest, "router %s has what was accepted", name)
+		cluster.run(6 * time.Second)
+		cluster.checkReads()
+		_, ok := cluster.healthyLeader()
+		require.True(t, ok, "history %d: the group does not recover", seed)
+		for name, scheduler := range cluster.routers {
+			require.GreaterOrEqual(t, scheduler.ConfigNumber(), cluster.newestAccepted, "router %s lacks an accepted configuration", name)
 		}
-		accepted += len(g.accepted)
+		acceptedTotal += len(cluster.acceptedDigests)
 	}
 	if !testing.Short() {
-		require.Greater(t, accepted, 3*histories, "the histories accept something")
+		require.Greater(t, acceptedTotal, 3*histories, "too few configurations were accepted")
 	}
-	require.Positive(t, accepted)
+	require.Positive(t, acceptedTotal)
 }
 
-// act does one random thing.
-func (g *trio) act() {
-	name := g.names[g.random.IntN(len(g.names))]
-	switch g.random.IntN(12) {
+// randomAction applies configurations or injects a fault.
+func (cluster *simCluster) randomAction() {
+	name := cluster.names[cluster.random.IntN(len(cluster.names))]
+	switch cluster.random.IntN(12) {
 	case 0, 1, 2, 3, 4:
-		number := g.newest + uint64(g.random.IntN(3))
-		for _, n := range g.names {
-			g.apply(n, number, 1+float64(g.random.IntN(3)))
+		number := cluster.newestAccepted + uint64(cluster.random.IntN(3))
+		for _, keeperName := range cluster.names {
+			cluster.apply(keeperName, number, 1+float64(cluster.random.IntN(3)))
 		}
 	case 5:
-		g.cut[name] = !g.cut[name]
+		cluster.partitioned[name] = !cluster.partitioned[name]
 	case 6:
-		g.restart(name)
+		cluster.crashAndRestart(name)
 	case 7:
-		g.lossy = !g.lossy
+		cluster.lossy = !cluster.lossy
 	case 8:
-		g.loseDisk(name)
+		cluster.replaceDisk(name)
 	case 9:
-		g.disks[name].FailFromOp, g.disks[name].Fault = g.disks[name].Ops+1+g.random.IntN(4), journal.ErrDiskFull
-		g.run(200 * time.Millisecond)
-		g.restart(name)
+		cluster.disks[name].FailFromOp, cluster.disks[name].Fault = cluster.disks[name].Ops+1+cluster.random.IntN(4), journal.ErrDiskFull
+		cluster.run(200 * time.Millisecond)
+		cluster.crashAndRestart(name)
 	case 10:
-		router := []string{"r1", "r2"}[g.random.IntN(2)]
-		g.cut[router] = !g.cut[router]
+		router := []string{"r1", "r2"}[cluster.random.IntN(2)]
+		cluster.partitioned[router] = !cluster.partitioned[router]
 	default:
-		g.crashAll()
+		cluster.crashAndRestartAll()
 	}
 }
 
-// crashAll stops all keepers at once.
-func (g *trio) crashAll() {
-	for _, name := range g.names {
-		g.restart(name)
+// crashAndRestartAll crashes and restarts all keepers at once.
+func (cluster *simCluster) crashAndRestartAll() {
+	for _, name := range cluster.names {
+		cluster.crashAndRestart(name)
 	}
 }
 
-// Symptom: after a second loss right after a repair, an accepted configuration
-// is gone.
-// Sequence: a disk is lost and replaced; the moment the replacement votes,
-// another disk is lost.
-// Cause: a replacement that votes before it holds all that is committed.
-func TestSecondDiskLostRightAfterRepair(t *testing.T) {
+// Guards against the loss of an accepted configuration when a second disk is lost as soon as the
+// replacement of the first one votes, because the replacement votes before it has every committed
+// entry.
+func TestSecondDiskLossRightAfterReplacement(t *testing.T) {
 	for seed := range uint64(20) {
-		g := newTrio(t, seed)
-		g.run(3 * time.Second)
-		for _, n := range g.names {
-			g.apply(n, 1, 1)
+		cluster := newSimCluster(t, seed)
+		cluster.run(3 * time.Second)
+		for _, name := range cluster.names {
+			cluster.apply(name, 1, 1)
 		}
-		g.run(500 * time.Millisecond)
-		require.Equal(t, uint64(1), g.newest)
-		first := g.names[g.random.IntN(3)]
-		g.loseDisk(first)
-		second := g.names[g.random.IntN(3)]
-		g.loseDisk(second)
-		g.run(5 * time.Second)
-		g.read()
-		c, ok := g.whole()
+		cluster.run(500 * time.Millisecond)
+		require.Equal(t, uint64(1), cluster.newestAccepted)
+		first := cluster.names[cluster.random.IntN(3)]
+		cluster.replaceDisk(first)
+		second := cluster.names[cluster.random.IntN(3)]
+		cluster.replaceDisk(second)
+		cluster.run(5 * time.Second)
+		cluster.checkReads()
+		c, ok := cluster.healthyLeader()
 		require.True(t, ok)
 		require.Equal(t, uint64(1), c.store.Number())
 	}
 }
 
-// Symptom: a keeper frozen or cut off for an hour grants slots or answers a
-// reader when it is back.
-// Sequence: the leader is cut off silently; the others go on; an hour later
-// the link heals.
-// Cause: a role that outlives its lease.
-func TestLeaderCutOffForAnHour(t *testing.T) {
-	g := newTrio(t, 3)
-	g.run(3 * time.Second)
-	for _, n := range g.names {
-		g.apply(n, 1, 1)
+// Guards against a leader that, after an hour in a partition or frozen, still grants slots or
+// answers reads, because its role outlives its lease.
+func TestLeaderPartitionedForOneHour(t *testing.T) {
+	cluster := newSimCluster(t, 3)
+	cluster.run(3 * time.Second)
+	for _, name := range cluster.names {
+		cluster.apply(name, 1, 1)
 	}
-	g.run(time.Second)
-	c, ok := g.whole()
+	cluster.run(time.Second)
+	c, ok := cluster.healthyLeader()
 	require.True(t, ok)
-	old, _ := g.byID(c.node.ID)
-	g.cut[old] = true
-	cutAt := g.clock.Now()
-	for !slices.ContainsFunc(g.names, func(n string) bool { return n != old && g.cores[n].node.IsActiveLeader(g.clock.Now()) }) {
-		g.run(20 * time.Millisecond)
-		g.read()
+	oldLeader, _ := cluster.coreByID(c.node.ID)
+	cluster.partitioned[oldLeader] = true
+	partitionedAt := cluster.clock.Now()
+	for !slices.ContainsFunc(cluster.names, func(name string) bool {
+		return name != oldLeader && cluster.cores[name].node.IsActiveLeader(cluster.clock.Now())
+	}) {
+		cluster.run(20 * time.Millisecond)
+		cluster.checkReads()
 	}
-	without := g.clock.Now().Sub(cutAt)
-	t.Logf("time without a leader: %s", without)
-	require.Less(t, without, 2*quorum.ElectionTimeout+quorum.ElectionTimeout)
+	leaderless := cluster.clock.Now().Sub(partitionedAt)
+	t.Logf("time without leader: %s", leaderless)
+	require.Less(t, leaderless, 2*quorum.ElectionTimeout+quorum.ElectionTimeout)
 	term := uint64(0)
-	for _, n := range g.names {
-		if n != old {
-			g.apply(n, 2, 2)
-			term = max(term, g.cores[n].node.Term())
+	for _, name := range cluster.names {
+		if name != oldLeader {
+			cluster.apply(name, 2, 2)
+			term = max(term, cluster.cores[name].node.Term())
 		}
 	}
-	g.run(time.Minute)
-	g.clock.Time = g.clock.Time.Add(time.Hour) // all clocks; the old leader slept
-	g.run(3 * time.Second)
-	g.cut[old] = false
-	g.run(3 * time.Second)
-	g.read()
-	now, ok := g.whole()
+	cluster.run(time.Minute)
+	cluster.clock.Time = cluster.clock.Time.Add(time.Hour) // all clocks advance; the old leader was suspended
+	cluster.run(3 * time.Second)
+	cluster.partitioned[oldLeader] = false
+	cluster.run(3 * time.Second)
+	cluster.checkReads()
+	currentLeader, ok := cluster.healthyLeader()
 	require.True(t, ok)
-	require.Equal(t, uint64(2), now.store.Number())
-	require.Equal(t, uint64(2), g.cores[old].store.Number())
+	require.Equal(t, uint64(2), currentLeader.store.Number())
+	require.Equal(t, uint64(2), cluster.cores[oldLeader].store.Number())
 }
--- a/internal/keeper/stop_test.go
+++ b/internal/keeper/stop_test.go
@@ -18,20 +18,19 @@
 	"laburnumfall/internal/settings"
 )
 
-// Symptom: a keeper that was told to stop is killed at the end of its grace.
-// Sequence: somebody has sent half a request to its operators' address.
-// Cause: closing that address waited for each connection, without a bound.
-func TestAKeeperStopsWhileAnOperatorSendsHalfARequest(t *testing.T) {
-	folder := t.TempDir()
-	secret := filepath.Join(folder, "secret")
-	require.NoError(t, os.WriteFile(secret, []byte("0123456789abcdef"), 0o600))
+// Guards against a stopping keeper that is killed at the end of its grace period, because closing
+// the admin address waits without a bound for a connection with an incomplete request.
+func TestStopsDespiteIncompleteAdminRequest(t *testing.T) {
+	dir := t.TempDir()
+	secretFile := filepath.Join(dir, "secret")
+	require.NoError(t, os.WriteFile(secretFile, []byte("0123456789abcdef"), 0o600))
 	address, admin := freeAddress(t), freeAddress(t)
 	k := &keeper.Keeper{
 		Settings: settings.Keeper{
-			Name: "k1", Zone: "z", Listen: address, Admin: admin, Data: folder,
-			Peers: []string{"k1=" + address}, Secret: secret,
+			Name: "k1", Zone: "z", Listen: address, Admin: admin, Data: dir,
+			Peers: []string{"k1=" + address}, Secret: secretFile,
 		},
-		Log: hclog.NewNullLogger(), Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: filepath.Join(folder, "k1")}, Init: true,
+		Log: hclog.NewNullLogger(), Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: filepath.Join(dir, "k1")}, Init: true,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -46,7 +45,7 @@
 	defer func() { _ = conn.Close() }() // the keeper may have closed it
 	_, err := io.WriteString(conn, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\nPOST /metrics HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\n{")
 	require.NoError(t, err)
-	time.Sleep(50 * time.Millisecond) // it has begun to read
+	time.Sleep(50 * time.Millisecond) // until the keeper reads the request
 	cancel()
 	select {
 	case err := <-done:
--- a/internal/keeper/vmlist_test.go
+++ b/internal/keeper/vmlist_test.go
@@ -14,69 +14,68 @@
 	"laburnumfall/internal/message"
 )
 
-// Symptom: a target on a VM that the platform takes away gets new work.
-// Sequence: the platform's list shows the VM as leaving, then, lagging, as live
-// again; the leader changes; a new configuration names the target live.
-// Cause: a lagging list that is believed in both directions.
-func TestLeavingVMTakesItsTargetsOut(t *testing.T) {
-	g := newTrio(t, 5)
-	g.run(3 * time.Second)
-	c, ok := g.whole()
+// Guards against new work for a target on a leaving VM, because a later reading of the lagging
+// list shows the VM as live again. Neither such a reading nor a new leader brings the target
+// back, but a new configuration does.
+func TestTargetsOfLeavingVMStayUnavailable(t *testing.T) {
+	cluster := newSimCluster(t, 5)
+	cluster.run(3 * time.Second)
+	c, ok := cluster.healthyLeader()
 	require.True(t, ok)
 	apply := func(number uint64) {
-		c.submitConfig(g.clock.Now(), vmConfig(number), "op", func(_ message.ApplyResult, err error) { require.NoError(t, err) })
-		g.run(time.Second)
+		c.submitConfig(cluster.clock.Now(), vmConfig(number), "op", func(_ message.ApplyResult, err error) { require.NoError(t, err) })
+		cluster.run(time.Second)
 	}
 	apply(1)
-	require.Equal(t, 4, held(g), "slots of both targets are lent")
+	require.Equal(t, 4, leasedSlots(cluster), "slots of both targets are leased")
 	list := &MockVMList{List: []fleet.VM{{Name: "v1", Address: "10.0.0.1", Leaving: true}, {Name: "v2", Address: "10.0.0.2"}}}
-	show := func() {
+	readList := func() {
 		vms, err := list.VMs(context.Background())
 		require.NoError(t, err)
-		for _, name := range g.names {
-			g.cores[name].setVMs(vms)
+		for _, name := range cluster.names {
+			cluster.cores[name].setVMs(vms)
 		}
-		g.run(time.Second)
+		cluster.run(time.Second)
 	}
-	show()
-	require.Equal(t, 2, held(g), "only the other VM's target")
+	readList()
+	require.Equal(t, 2, leasedSlots(cluster), "only the target on the live VM has slots")
 	list.List[0].Leaving = false
-	show()
-	require.Equal(t, 2, held(g), "a list that lags brings nothing back")
-	old, _ := g.byID(c.node.ID)
-	g.cut[old] = true
-	g.run(6 * time.Second)
-	require.Equal(t, 2, held(g), "nor does a change of leader")
-	g.cut[old] = false
-	g.run(2 * time.Second)
-	c, ok = g.whole()
+	readList()
+	require.Equal(t, 2, leasedSlots(cluster), "a lagging list does not bring the target back")
+	oldLeader, _ := cluster.coreByID(c.node.ID)
+	cluster.partitioned[oldLeader] = true
+	cluster.run(6 * time.Second)
+	require.Equal(t, 2, leasedSlots(cluster), "a new leader does not bring the target back")
+	cluster.partitioned[oldLeader] = false
+	cluster.run(2 * time.Second)
+	c, ok = cluster.healthyLeader()
 	require.True(t, ok)
 	apply(2)
-	g.run(4 * time.Second)
-	require.Equal(t, 4, held(g), "an operator does")
+	cluster.run(4 * time.Second)
+	require.Equal(t, 4, leasedSlots(cluster), "a new configuration brings the target back")
 }
 
 func vmConfig(number uint64) fleet.Config {
-	c := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: 1}}}
-	for _, t := range []struct{ name, address string }{{"t1", "10.0.0.1:9000"}, {"t2", "10.0.0.2:9000"}} {
-		c.Targets = append(c.Targets, fleet.Target{Name: t.name, Address: t.address, Zone: "z", Kind: fleet.TargetService, Slots: 2, State: fleet.TargetLive})
+	config := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: 1}}}
+	for _, target := range []struct{ name, address string }{{"t1", "10.0.0.1:9000"}, {"t2", "10.0.0.2:9000"}} {
+		config.Targets = append(config.Targets, fleet.Target{Name: target.name, Address: target.address, Zone: "z", Kind: fleet.TargetService, Slots: 2, State: fleet.TargetLive})
 	}
-	c.Events = []fleet.Event{{Name: "e", Accounts: []string{"a"}, Targets: []string{"t1", "t2"}}}
-	return c
+	config.Events = []fleet.Event{{Name: "e", Accounts: []string{"a"}, Targets: []string{"t1", "t2"}}}
+	return config
 }
 
-// held counts the slots that the routers hold.
-func held(g *trio) int {
-	n := 0
-	for _, s := range g.routers {
-		for _, target := range s.View(g.clock.Now()).Targets {
-			n += target.Slots
+// leasedSlots returns how many slots the routers hold.
+func leasedSlots(cluster *simCluster) int {
+	total := 0
+	for _, scheduler := range cluster.routers {
+		for _, target := range scheduler.View(cluster.clock.Now()).Targets {
+			total += target.Slots
 		}
 	}
-	return n
+	return total
 }
 
-func TestRealVMListReadsJSON(t *testing.T) {
+func TestRealVMListDecodesJSON(t *testing.T) {
 	body := `[{"name":"v1","address":"10.0.0.1","zone":"z","leaving":true,"colour":"blue"}]`
 	status := http.StatusOK
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -96,41 +95,39 @@
 	require.ErrorContains(t, err, "503")
 }
 
-// Symptom: a target on a VM that leaves gets new work.
-// Sequence: another writer puts an entry of its own on the list of VMs.
-// Cause: the list was decoded as a whole.
-func TestADamagedVMSpoilsNoOthers(t *testing.T) {
-	good := `{"name":"v1","address":"10.0.0.1","zone":"z","leaving":true}`
+// Guards against new work for targets on a leaving VM, because an entry of another writer makes
+// the whole list unreadable.
+func TestDecodeVMsSkipsDamagedEntries(t *testing.T) {
+	validEntry := `{"name":"v1","address":"10.0.0.1","zone":"z","leaving":true}`
 	for _, entry := range []string{`7`, `null`, `[]`, `{}`, `{"name":"v2"}`, `{"name":3,"address":"10.0.0.2"}`, `{"name":"v2","address":"10.0.0.2","leaving":"yes"}`} {
-		vms, err := decodeVMs([]byte(`[` + entry + `,` + good + `]`))
+		vms, err := decodeVMs([]byte(`[` + entry + `,` + validEntry + `]`))
 		require.NoError(t, err)
 		require.Equal(t, []fleet.VM{{Name: "v1", Address: "10.0.0.1", Zone: "z", Leaving: true}}, vms, entry)
 	}
-	for _, body := range []string{``, `{}`, `null`, `7`, `[` + good} {
+	for _, body := range []string{``, `{}`, `null`, `7`, `[` + validEntry} {
 		_, err := decodeVMs([]byte(body))
 		require.Error(t, err, body)
 	}
 }
 
-// Symptom: a keeper grows until it is killed.
-// Sequence: the list of VMs sends bytes without end.
-// Cause: a reading is bounded by time only.
-func TestAListOfVMsWithoutEndIsNoList(t *testing.T) {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+// Guards against a keeper that runs out of memory because the list of VMs never ends. A timeout
+// alone does not bound the size.
+func TestRefusesOversizedVMList(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		block := make([]byte, 1<<20)
 		for range 64 {
 			if _, err := w.Write(block); err != nil {
-				return // the reader has left
+				return // the client has closed the connection
 			}
 		}
 	}))
-	defer s.Close()
-	list := &RealVMList{URL: s.URL}
+	defer server.Close()
+	list := &RealVMList{URL: server.URL}
 	_, err := list.VMs(context.Background())
 	require.ErrorIs(t, err, fasthttp.ErrBodyTooLarge)
 }
 
-// Whatever the list holds: a VM that is taken from it has a name and an address.
+// FuzzVMs checks that each VM decoded from any list has a name and an address.
 func FuzzVMs(f *testing.F) {
 	f.Add([]byte(`[{"name":"v1","address":"10.0.0.1","zone":"z","leaving":true},7,null,{"name":[]}]`))
 	f.Add([]byte(`{"name":"v1"}`))
