--- a/internal/keeper/autocluster_test.go
+++ b/internal/keeper/autocluster_test.go
@@ -251,8 +251,8 @@
 			continue
 		}
 		c := vm.core
-		cmd := statestore.Command{Document: &statestore.Document{Number: number, Text: fmt.Append(nil, number)}}
-		c.submit(cluster.clock.Time, cmd, func(_ statestore.Result, err error) {
+		command := statestore.Command{Document: &statestore.Document{Number: number, Text: fmt.Append(nil, number)}}
+		c.submit(cluster.clock.Time, command, func(_ statestore.Result, err error) {
 			if err == nil && number > cluster.newestAcked {
 				cluster.newestAcked, cluster.ackedAt = number, cluster.clock.Time
 			}
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -13,7 +13,7 @@
 )
 
 // Evacuate begins or ends the evacuation of an availability zone and returns once that is
-// durable. After an error whose kind is not [fleet.KindMalformed] the order may still take
+// durable. After an error whose kind is not [fleet.KindMalformed] the request may still take
 // effect; it is safe to send it again.
 func (c *LeaderClient) Evacuate(ctx context.Context, request message.EvacuateRequest) error {
 	return c.forward(ctx, func(ctx context.Context, conn *rpc.Conn) error {
@@ -29,8 +29,8 @@
 	return await(ctx, c, func(now time.Time, done func(message.EvacuateResult, error)) { c.proposeEvacuation(now, request, done) })
 }
 
-// proposeEvacuation proposes an operator's order. A zone that is neither evacuated nor found by
-// hasZone is refused. An order that changes nothing, such as a repeated one or the end of an
+// proposeEvacuation proposes an operator's request. A zone that is neither evacuated nor found by
+// hasZone is refused. A request that changes nothing, such as a repeated one or the end of an
 // evacuation that never began, is answered from the store.
 func (c *core) proposeEvacuation(now time.Time, request message.EvacuateRequest, done func(message.EvacuateResult, error)) {
 	evacuations := c.store.Evacuations()
--- a/internal/keeper/evacuation_test.go
+++ b/internal/keeper/evacuation_test.go
@@ -10,8 +10,8 @@
 	"laburnumfall/internal/message"
 )
 
-// evacuate sends an operator's order to the leader until it is acknowledged, and reports whether
-// it was.
+// evacuate sends an operator's request to the leader until it is acknowledged, and reports
+// whether it was.
 func (cluster *autoCluster) evacuate(request message.EvacuateRequest) bool {
 	acked := false
 	for range 400 {
@@ -63,28 +63,27 @@
 	}
 }
 
-// Guards against evacuations of zones that do not exist. Operators would not notice the typing
-// error.
+// Guards against evacuations of zones that do not exist, which no operator could take back.
 func TestRefusesEvacuationOfUnknownZone(t *testing.T) {
 	cluster := newAutoCluster(t, 1, 5)
 	require.True(t, cluster.waitHealthy())
 	c := cluster.leader().core
 	evacuate := func(request message.EvacuateRequest) (err error) {
-		c.proposeEvacuation(cluster.clock.Time, request, func(_ message.EvacuateResult, orderErr error) { err = orderErr })
+		c.proposeEvacuation(cluster.clock.Time, request, func(_ message.EvacuateResult, proposeErr error) { err = proposeErr })
 		cluster.run(5 * simStep)
 		return err
 	}
-	var refused *fleet.Error
+	var refusal *fleet.Error
 	for _, end := range []bool{false, true} {
-		require.ErrorAs(t, evacuate(message.EvacuateRequest{Zone: "nowhere", End: end}), &refused)
-		require.Equal(t, fleet.KindMalformed, refused.Kind)
+		require.ErrorAs(t, evacuate(message.EvacuateRequest{Zone: "nowhere", End: end}), &refusal)
+		require.Equal(t, fleet.KindMalformed, refusal.Kind)
 	}
 	require.Zero(t, c.store.Evacuations().Revision)
 
 	c.setTargets(cluster.clock.Now(), fleet.TargetListing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Zone: "z"}}})
 	require.NoError(t, evacuate(message.EvacuateRequest{Zone: "z"}))
 	c.setTargets(cluster.clock.Now(), fleet.TargetListing{})
-	require.NoError(t, evacuate(message.EvacuateRequest{Zone: "z"}), "an accepted order is not refused when it is repeated")
+	require.NoError(t, evacuate(message.EvacuateRequest{Zone: "z"}), "an accepted request is not refused when it is repeated")
 	require.NoError(t, evacuate(message.EvacuateRequest{Zone: "z", End: true}))
 	require.False(t, slices.Contains(c.store.Evacuations().Zones, "z"))
 }
--- a/internal/keeper/handlers.go
+++ b/internal/keeper/handlers.go
@@ -130,8 +130,8 @@
 	})
 }
 
-// withUnknownFates returns the results with the state unknown for each running claim whose
-// router's lease has expired: nobody will settle it.
+// withUnknownFates returns the results without their owners. The state of a running claim whose
+// router's lease has expired becomes unknown, because nobody will settle it.
 func (c *core) withUnknownFates(results []message.ClaimResult) []message.ClaimResult {
 	updated := make([]message.ClaimResult, len(results))
 	for i, result := range results {
--- a/internal/keeper/leaderclient.go
+++ b/internal/keeper/leaderclient.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// orderTimeout bounds how long an operator's order waits for a leader. Operators try another
-	// keeper after one second.
-	orderTimeout       = 900 * time.Millisecond
-	orderRetryInterval = 40 * time.Millisecond
+	// forwardTimeout bounds how long an operator's request waits for a leader. Operators try
+	// another keeper after one second.
+	forwardTimeout       = 900 * time.Millisecond
+	forwardRetryInterval = 40 * time.Millisecond
 	// leaderCallTimeout bounds one call to the leader.
 	leaderCallTimeout = 700 * time.Millisecond
 )
 
-// A LeaderClient sends the orders of operators to the leader, which may be this keeper or another
+// A LeaderClient sends the requests of operators to the leader, which may be this keeper or another
 // one. It is safe for concurrent use.
 type LeaderClient struct {
 	keeper *Keeper
@@ -67,7 +67,7 @@
 // forward calls the leader, with a nil conn if that is this keeper. It retries while no leader is
 // known or reachable, or the called keeper does not lead.
 func (c *LeaderClient) forward(ctx context.Context, call func(ctx context.Context, conn *rpc.Conn) error) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	for {
 		err := c.forwardOnce(ctx, call)
@@ -75,7 +75,7 @@
 		if err == nil || !errors.As(err, &refusal) || refusal.Kind != fleet.KindNotLeader {
 			return err
 		}
-		if !sleep(ctx, orderRetryInterval) {
+		if !sleep(ctx, forwardRetryInterval) {
 			return err
 		}
 	}
--- a/internal/keeper/rejoin.go
+++ b/internal/keeper/rejoin.go
@@ -19,8 +19,8 @@
 
 // keepMembership asks the group to admit this keeper again when needed. A keeper that was
 // unreachable for long may have been removed. No member sends to it then, and it cannot
-// distinguish that from a group without a leader. Asking is harmless: the leader answers a member
-// that it is one.
+// distinguish that from a group without a leader. Asking is harmless: the leader only confirms
+// an existing membership.
 func (k *Keeper) keepMembership(ctx context.Context, identity journal.Identity) error {
 	for sleep(ctx, rejoinInterval) {
 		needsRejoin := false
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -32,7 +32,7 @@
 	damagedIDs    []string // target IDs in damaged entries of the list
 	packedTargets []byte   // packed form of targets
 	packedLoads   packedLoads
-	accounts      quota.AccountList // in the order of the packed loads
+	accounts      quota.AccountList // in the order of the packed columns
 	// listRevision counts the changes of targets within listTerm.
 	listRevision uint64
 	listTerm     uint64
--- a/internal/keeper/renew_test.go
+++ b/internal/keeper/renew_test.go
@@ -67,14 +67,14 @@
 }
 
 // Guards against routers that drop a target whose entry is damaged, because the leader passes on
-// only the sound entries.
+// only the valid entries.
 func TestDamagedEntriesSentToRouters(t *testing.T) {
 	cluster, c := newHealthyCluster(t, 5)
-	sound := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p"}}
-	c.setTargets(cluster.clock.Now(), fleet.TargetListing{Targets: sound})
+	valid := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p"}}
+	c.setTargets(cluster.clock.Now(), fleet.TargetListing{Targets: valid})
 	first := c.renew(cluster.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true})
 	require.Empty(t, first.Damaged)
-	c.setTargets(cluster.clock.Now(), fleet.TargetListing{Targets: sound, Damaged: []fleet.DamagedEntry{{ID: "a", Field: "slots"}, {Field: "type"}}})
+	c.setTargets(cluster.clock.Now(), fleet.TargetListing{Targets: valid, Damaged: []fleet.DamagedEntry{{ID: "a", Field: "slots"}, {Field: "type"}}})
 	changed := c.renew(cluster.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: first.Term, ListRevision: first.ListRevision})
 	require.Greater(t, changed.ListRevision, first.ListRevision, "damaged entries change the list")
 	require.Equal(t, []string{"a"}, changed.Damaged)
--- a/internal/keeper/simcluster_test.go
+++ b/internal/keeper/simcluster_test.go
@@ -212,8 +212,8 @@
 	return nil, false
 }
 
-// replaceDisk replaces a keeper by one with an empty disk and waits until the group is healthy
-// again. It does nothing unless the group is healthy before.
+// replaceDisk replaces a keeper by one with an empty disk, ends partitions and message loss, and
+// waits until the group is healthy again. It does nothing unless the group is healthy before.
 func (cluster *simCluster) replaceDisk(name string) {
 	if _, ok := cluster.healthyLeader(); !ok {
 		return
--- a/internal/keeper/simhistories_test.go
+++ b/internal/keeper/simhistories_test.go
@@ -15,8 +15,9 @@
 	"laburnumfall/internal/rpc"
 )
 
-// A simCluster is a simulated group of three keepers with two routers. Operators apply
-// configurations to it. Disks, network and clock are fakes; all other code is real.
+// A simCluster is a simulated group of three keepers and two routers, to which operators apply
+// configurations. Members change only when a replacement joins. Disks, network and clock are
+// fakes; all other code is real.
 type simCluster struct {
 	t           require.TestingT
 	random      *rand.Rand
@@ -42,8 +43,8 @@
 // Guards against accepted configurations that are lost or replaced by older ones, because a
 // keeper promises something before it is durable on a quorum or while it no longer leads. The
 // faults are random crashes that drop unsynced writes, full disks, partitions, lost messages and
-// replaced disks, during concurrent applies with equal numbers.
-func TestRandomFaultsWithFixedMembership(t *testing.T) {
+// replaced disks, while operators apply configurations, some of them with equal numbers.
+func TestRandomFaultsWithoutAutomaticMembership(t *testing.T) {
 	histories := 1000
 	if testing.Short() {
 		histories = 50
--- a/internal/keeper/targetlist.go
+++ b/internal/keeper/targetlist.go
@@ -38,7 +38,7 @@
 const (
 	// targetListInterval is the time between two reads of the list by the leader. Together with
 	// the lag of the list and the interval of renewals, every router learns of a leaving target
-	// in less than half of the three seconds that the target has.
+	// in less than half of the three seconds that such a target has.
 	targetListInterval = 600 * time.Millisecond
 	// leaderPollInterval is the time between two checks whether this keeper leads.
 	leaderPollInterval = 100 * time.Millisecond
