--- a/internal/cmd/keepercmd.go
+++ b/internal/cmd/keepercmd.go
@@ -31,7 +31,7 @@
 			Settings: s, Log: settings.Logger(s.Name, s.Level, s.Format), Clock: clock.NewRealClock(),
 			Disk: &journal.RealDisk{Folder: s.Data}, Init: o.Init,
 		}
-		go func() { _ = (&stall.Watch{Log: k.Log}).Run(ctx) }() // it ends with ctx only
+		go func() { _ = (&stall.Monitor{Log: k.Log}).Run(ctx) }() // it ends with ctx only
 		return k.Run(ctx)
 	}
 	p.onPlatform = h.platformKeeper
--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -52,7 +52,7 @@
 
 // watchStalls logs and counts the stalls of this process until ctx ends.
 func (p *platformProgram) watchStalls(ctx context.Context) {
-	w := &stall.Watch{Log: p.log, Noted: func(s stall.Stall) { p.stalled.Add(int64(s.Late())) }}
+	w := &stall.Monitor{Log: p.log, OnStall: func(s stall.Stall) { p.stalled.Add(int64(s.Duration())) }}
 	go func() { _ = w.Run(ctx) }() // it ends with ctx only
 }
 
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -39,7 +39,7 @@
 	p := program[settings.Router]{name: "lf-router", read: settings.ReadRouter}
 	p.run = func(ctx context.Context, s settings.Router) error {
 		r := &router.Router{Settings: s, Log: settings.Logger(s.Name, s.Level, s.Format), Clock: clock.NewRealClock()}
-		go func() { _ = (&stall.Watch{Log: r.Log}).Run(ctx) }() // it ends with ctx only
+		go func() { _ = (&stall.Monitor{Log: r.Log}).Run(ctx) }() // it ends with ctx only
 		return r.Run(ctx)
 	}
 	p.onPlatform = h.platformRouter
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -90,7 +90,7 @@
 	if q.route.Keyless {
 		return refusal{}, true
 	}
-	if !g.Clock.Now().Before(s.KeysUntil) {
+	if !g.Clock.Now().Before(s.KeyLeaseExpiry) {
 		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonKeysUnverifiable, retryAfter: minRetryAfter}, false
 	}
 	holder, ok := s.Table.KeyOwner(g.Dialect.APIKey(q.r.Header))
--- a/internal/gateway/connmanager.go
+++ b/internal/gateway/connmanager.go
@@ -311,7 +311,7 @@
 // router that is behind would send a request on that nobody waits for.
 func callerLeft(ctx context.Context) bool {
 	c := connFromContext(ctx)
-	return ctx.Err() != nil || c != nil && target.Closed(c)
+	return ctx.Err() != nil || c != nil && target.PeerClosed(c)
 }
 
 // connFromContext returns the caller's connection of a request's context, or nil.
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -76,7 +76,7 @@
 	now := time.Now()
 	n := 0
 	for conn, known := range c.conns {
-		if known.mayHaveRequest(conn, now) || !target.Quiet(conn) {
+		if known.mayHaveRequest(conn, now) || !target.IsIdle(conn) {
 			n++
 		}
 	}
@@ -96,7 +96,7 @@
 		}
 	}
 	for conn := range c.conns {
-		if !target.Quiet(conn) {
+		if !target.IsIdle(conn) {
 			return true
 		}
 	}
@@ -113,7 +113,7 @@
 // hasRequestBytes reports whether a part of a request has come on a connection: read, or not
 // yet. The library tells of it only once it has read a whole head.
 func hasRequestBytes(conn net.Conn) bool {
-	return requestStarted(conn) || !target.Quiet(conn)
+	return requestStarted(conn) || !target.IsIdle(conn)
 }
 
 // A callerConn is a caller's connection that knows whether a part of a request was
--- a/internal/gateway/evict_test.go
+++ b/internal/gateway/evict_test.go
@@ -44,7 +44,7 @@
 	c := &connManager{conns: map[net.Conn]*connInfo{conn: {idleSince: time.Now()}}}
 	_, err = io.WriteString(kept, "GET / HTTP/1.1\r\n")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return !target.Quiet(conn) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return !target.IsIdle(conn) }, 5*time.Second, time.Millisecond)
 	require.Nil(t, c.removeOldestIdle(), "its request is waited for")
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -230,7 +230,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			g.pool.Sweep(g.Clock.Now(), g.accepts)
+			g.pool.Prune(g.Clock.Now(), g.accepts)
 			g.conns.logShed()
 		}
 	}
@@ -256,6 +256,6 @@
 func (g *Gateway) Ready() bool {
 	s := g.State()
 	keyed := s.Table != nil && len(s.Table.KeyOwners) > 0
-	lapsed := keyed && !g.Clock.Now().Before(s.KeysUntil)
+	lapsed := keyed && !g.Clock.Now().Before(s.KeyLeaseExpiry)
 	return g.ready.Load() && g.stoppingSince.Load() == nil && !lapsed
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -61,7 +61,7 @@
 	table, err := platform.Decode([]byte(testConfig))
 	require.NoError(t, err)
 	real := clock.NewRealClock()
-	b.state.Store(&keeperclient.State{Table: table, KeysUntil: real.Now().Add(time.Hour), Routers: 1})
+	b.state.Store(&keeperclient.State{Table: table, KeyLeaseExpiry: real.Now().Add(time.Hour), Routers: 1})
 	b.gateway = &gateway.Gateway{
 		Settings: settings.Routes{
 			Ready: b.ready, Grace: 5 * time.Second, Memory: 1 << 28,
@@ -179,7 +179,7 @@
 func TestWithoutALeaseNoKeyCountsAndKeylessRoutesGoOn(t *testing.T) {
 	b := newBed(t)
 	s := *b.state.Load()
-	s.KeysUntil = time.Time{}
+	s.KeyLeaseExpiry = time.Time{}
 	b.state.Store(&s)
 	resp, _, _ := b.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
--- a/internal/gateway/hang.go
+++ b/internal/gateway/hang.go
@@ -29,7 +29,7 @@
 // answers would cost the caller all its time; where the request may run twice, and
 // has an attempt left, it is given up in time for another target. GivenUp says so; the
 // retry budget has been asked then.
-func (g *Gateway) sendWithWatchdog(ctx context.Context, q *request, c *placement.Choice, conn *upstream.Conn) (a *upstream.Answer, givenUp bool, err error) {
+func (g *Gateway) sendWithWatchdog(ctx context.Context, q *request, c *placement.Choice, conn *upstream.Conn) (a *upstream.Response, givenUp bool, err error) {
 	w := &hangWatchdog{gateway: g, request: q, choice: c, conn: conn}
 	w.start()
 	a, err = g.pool.Send(ctx, c.Target.Incarnation, conn, g.targetRequest(q, c), q.deadline)
@@ -74,7 +74,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.gateway.Clock.Now()
-	if w.attemptEnded || !now.Before(w.request.deadline) || !w.conn.Quiet() {
+	if w.attemptEnded || !now.Before(w.request.deadline) || !w.conn.SocketIdle() {
 		return
 	}
 	if now.Sub(w.dueAt) > maxTimerDelay {
--- a/internal/gateway/hangwatchdog_test.go
+++ b/internal/gateway/hangwatchdog_test.go
@@ -44,7 +44,7 @@
 			if tt.answers {
 				_, err := there.Write([]byte("H"))
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return !conn.Quiet() }, time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { return !conn.SocketIdle() }, time.Second, time.Millisecond)
 			}
 			q := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, MaxAttempts: 2, Timeout: time.Minute}, arrivedAt: now.Time, deadline: now.Time.Add(time.Minute), attempts: 1}
 			w := &hangWatchdog{gateway: g, request: q, choice: &placement.Choice{}, conn: conn}
--- a/internal/gateway/interruption.go
+++ b/internal/gateway/interruption.go
@@ -21,7 +21,7 @@
 // recordInterruption takes note of an exchange that a target cut. If the target ended under it, the
 // request may have been why.
 func (g *Gateway) recordInterruption(q *request, c *placement.Choice, started time.Time, err error) {
-	if !target.Cut(err) {
+	if !target.IsConnClosed(err) {
 		return
 	}
 	g.Log.Warn("cut by the target", "request", q.id, "account", q.account, "route", q.route.Name, "print", q.fingerprint(),
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -89,7 +89,7 @@
 		return 0
 	})
 	m.addGauge("lf_keys_seconds", "For how long accounts' keys still count without an answer of the keepers.", func() float64 {
-		return max(g.State().KeysUntil.Sub(g.Clock.Now()).Seconds(), 0)
+		return max(g.State().KeyLeaseExpiry.Sub(g.Clock.Now()).Seconds(), 0)
 	})
 	m.addGauge("lf_targets", "Targets that take new work.", func() float64 {
 		g.mu.Lock()
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -19,19 +19,19 @@
 	g.probing[in.Incarnation] = true
 	go func() {
 		began := g.Clock.Now()
-		p := target.Look(in.Address)
+		p := target.Probe(in.Address)
 		g.Log.Info("target looked for after a cut", "target", in.ID, "born", in.StartMillis, "address", in.Address, "presence", p,
 			"took", g.Clock.Now().Sub(began).Milliseconds())
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		delete(g.probing, in.Incarnation)
 		switch p {
-		case target.Ended:
+		case target.Terminated:
 			g.Guard.RecordTermination(g.Clock.Now(), in.Incarnation)
 			g.pollLeader()
-		case target.Here:
+		case target.Alive:
 			now := g.Clock.Now()
-			g.Guard.RecordAlive(now, now.Add(-target.LookSlack), in.Incarnation)
+			g.Guard.RecordAlive(now, now.Add(-target.ProbeSlack), in.Incarnation)
 			if slices.Contains(g.Guard.UnconfirmedTargets(now), in.Incarnation) {
 				g.probe(in) // it has cut another one since
 			}
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -15,7 +15,7 @@
 
 // forwardBuffered reads an answer and passes it on. One of unknown or large size is
 // passed on as it comes.
-func (g *Gateway) forwardBuffered(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) attemptOutcome {
+func (g *Gateway) forwardBuffered(q *request, c *placement.Choice, started time.Time, a *upstream.Response) attemptOutcome {
 	g.recordFirstByte(q, c)
 	if a.Length > maxBufferedResponse {
 		return g.forwardUnbuffered(q, c, started, a)
@@ -28,7 +28,7 @@
 		q.responseStarted = false
 		return g.retryOrFail(q, fleet.ReasonAnswerTruncated, err)
 	}
-	if !a.Whole() && len(body) > maxBufferedResponse {
+	if !a.Complete() && len(body) > maxBufferedResponse {
 		return g.forwardUnbuffered(q, c, started, a, body...)
 	}
 	g.recordStatus(c, a.Status)
@@ -59,7 +59,7 @@
 	g.endAttempt(c, placement.Served)
 }
 
-func (g *Gateway) forwardUnbuffered(q *request, c *placement.Choice, started time.Time, a *upstream.Answer, begin ...byte) attemptOutcome {
+func (g *Gateway) forwardUnbuffered(q *request, c *placement.Choice, started time.Time, a *upstream.Response, begin ...byte) attemptOutcome {
 	g.copyHeaders(q, a)
 	if a.Length >= 0 {
 		q.w.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
@@ -89,7 +89,7 @@
 
 // forwardStream passes events on as they come. If the stream breaks off and may be
 // resumed, it goes on at another target after the last event that was passed on.
-func (g *Gateway) forwardStream(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) attemptOutcome {
+func (g *Gateway) forwardStream(q *request, c *placement.Choice, started time.Time, a *upstream.Response) attemptOutcome {
 	rc := http.NewResponseController(q.w)
 	events := eventReader{source: a}
 	for {
@@ -144,14 +144,14 @@
 }
 
 // isStream reports whether an answer is a stream of events.
-func (q *request) isStream(a *upstream.Answer) bool {
+func (q *request) isStream(a *upstream.Response) bool {
 	kind := a.Header.Get("Content-Type")
 	return a.Status == http.StatusOK && (q.route.Kind == fleet.RouteStream || strings.HasPrefix(kind, "text/event-stream"))
 }
 
 // copyHeaders passes a target's headers on, but those that concern only its
 // connection. The library must add none of its own.
-func (g *Gateway) copyHeaders(q *request, a *upstream.Answer) {
+func (g *Gateway) copyHeaders(q *request, a *upstream.Response) {
 	h := q.w.Header()
 	for name, values := range a.Header {
 		h[name] = values
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -121,7 +121,7 @@
 }
 
 // take passes an answer on, or judges it.
-func (g *Gateway) handleResponse(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) attemptOutcome {
+func (g *Gateway) handleResponse(q *request, c *placement.Choice, started time.Time, a *upstream.Response) attemptOutcome {
 	const success, failure = 200, 500
 	switch {
 	case g.Dialect.NotRun(a.Status, a.Header):
@@ -152,7 +152,7 @@
 }
 
 // handleNotRun judges an answer that says that the request was not run.
-func (g *Gateway) handleNotRun(q *request, c *placement.Choice, started time.Time, a *upstream.Answer) attemptOutcome {
+func (g *Gateway) handleNotRun(q *request, c *placement.Choice, started time.Time, a *upstream.Response) attemptOutcome {
 	discardBody(a)
 	if g.Dialect.AddressReused(a.Status) {
 		q.misaddressed++
@@ -166,7 +166,7 @@
 }
 
 // discardBody reads the rest of a small answer, so that its connection can be kept.
-func discardBody(a *upstream.Answer) {
+func discardBody(a *upstream.Response) {
 	// One that breaks off is not kept.
 	_, _ = io.Copy(io.Discard, io.LimitReader(a, maxBufferedResponse))
 }
--- a/internal/gateway/shed.go
+++ b/internal/gateway/shed.go
@@ -51,7 +51,7 @@
 // reading it. Where more callers come than a router can even refuse, it would else read
 // each of them too late, for nobody; other routers have room.
 func shedConn(conn net.Conn) {
-	if target.Quiet(conn) {
+	if target.IsIdle(conn) {
 		time.AfterFunc(requestStartTimeout, func() { refuseUnread(conn) })
 		return
 	}
@@ -60,7 +60,7 @@
 
 // refuseUnread answers a connection's request, if there is one by now.
 func refuseUnread(conn net.Conn) {
-	if target.Quiet(conn) {
+	if target.IsIdle(conn) {
 		_ = conn.Close() // no request to answer: it can be sent elsewhere
 		return
 	}
--- a/internal/gateway/throttle.go
+++ b/internal/gateway/throttle.go
@@ -40,7 +40,7 @@
 }
 
 // recordQueueLength takes from a target's answer whether it had room.
-func (g *Gateway) recordQueueLength(q *request, target fleet.Incarnation, a *upstream.Answer) {
+func (g *Gateway) recordQueueLength(q *request, target fleet.Incarnation, a *upstream.Response) {
 	waiting, told := g.Dialect.QueueLength(a.Header)
 	unrun := g.Dialect.NotRun(a.Status, a.Header)
 	g.mu.Lock()
--- a/internal/keeperclient/fuzz_test.go
+++ b/internal/keeperclient/fuzz_test.go
@@ -38,8 +38,8 @@
 		u := newUplink(&fakeList{})
 		p := &placement.Placer{}
 		now := u.Clock.Now()
-		u.Changed = func(_ State, targets []fleet.Instance) { p.SetTargets(now, targets) }
-		u.Heard = func(at time.Time, _ []message.Demand, others []message.Backlog) { p.SetRemoteBacklog(at, others) }
+		u.OnChange = func(_ State, targets []fleet.Instance) { p.SetTargets(now, targets) }
+		u.OnFleetLoad = func(at time.Time, _ []message.Demand, others []message.Backlog) { p.SetRemoteBacklog(at, others) }
 		u.hear(t, now.Add(-time.Minute), 1, instance("before", 1, false))
 		u.take(now, "k", nil, r)
 		u.take(now, "k", nil, r)
--- a/internal/keeperclient/incarnation_test.go
+++ b/internal/keeperclient/incarnation_test.go
@@ -58,7 +58,7 @@
 func TestAListOfTheVersionBeforeChangesNoTarget(t *testing.T) {
 	u := newUplink(&fakeList{})
 	changes := 0
-	u.Changed = func(State, []fleet.Instance) { changes++ }
+	u.OnChange = func(State, []fleet.Instance) { changes++ }
 	now := u.Clock.Now()
 	u.hear(t, now, 1, instance("a", 2000, false))
 	u.take(now.Add(time.Second), "k", nil, message.RenewResponse{Leads: true, Term: 2, Number: 1, ListRevision: 1, Targets: []fleet.Instance{instance("a", 0, false)}})
@@ -72,7 +72,7 @@
 func TestADamagedEntryOfTheLeadersListIsKnown(t *testing.T) {
 	u := newUplink(&fakeList{})
 	changes := 0
-	u.Changed = func(State, []fleet.Instance) { changes++ }
+	u.OnChange = func(State, []fleet.Instance) { changes++ }
 	now := u.Clock.Now()
 	u.hear(t, now, 1, instance("a", 1000, false), instance("b", 1000, false))
 	r := message.RenewResponse{Leads: true, Term: 1, Number: 1, ListRevision: 2, PackedTargets: pack(t, []fleet.Instance{instance("b", 1000, false)}), Damaged: []string{"a"}}
--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -50,8 +50,8 @@
 type State struct {
 	Table *fleet.RoutingTable
 	// KeysUntil is when accounts' keys stop counting, unless renewed.
-	KeysUntil time.Time
-	Routers   int
+	KeyLeaseExpiry time.Time
+	Routers        int
 	// Evacuated are the availability zones whose targets get no new work.
 	Evacuated fleet.EvacuatedZones
 }
@@ -65,39 +65,39 @@
 
 // An Client asks the keepers. Set the exported fields, then call Run.
 type Client struct {
-	Name  string
-	Zone  fleet.Zone
-	Inc   uint64
-	Clock clock.Clock
-	Log   hclog.Logger
+	Name        string
+	Zone        fleet.Zone
+	Incarnation uint64
+	Clock       clock.Clock
+	Log         hclog.Logger
 	// Secret proves to the keepers that this router belongs to the fleet.
 	Secret rpc.Secret
 	// Lease is how long after a question, answered by a leader, keys count.
-	Lease time.Duration
+	KeyLease time.Duration
 	// Decode reads a configuration.
 	Decode func(text []byte) (*fleet.RoutingTable, error)
 	// List is the platform's list, read while no keeper leads; Reads is how
 	// many reads a second it takes from all nodes.
-	List  TargetList
-	Reads float64
+	List     TargetList
+	ReadRate float64
 	// Changed is told of each change of the configuration and of the targets.
-	Changed func(s State, targets []fleet.Instance)
+	OnChange func(s State, targets []fleet.Instance)
 	// Load returns what this router reports to the leader, and Heard is told
 	// what the leader answers of all others.
-	Load  func(now time.Time) ([]message.Demand, []message.Backlog)
-	Heard func(now time.Time, demand []message.Demand, others []message.Backlog)
+	Load        func(now time.Time) ([]message.Demand, []message.Backlog)
+	OnFleetLoad func(now time.Time, demand []message.Demand, others []message.Backlog)
 	// Warming is told until when targets are cold, before Changed is told of them, and
 	// Seat of the part of what cold targets get that is leased to this router from a moment.
 	// Held returns that lease while it holds.
-	Warming func(until map[fleet.Incarnation]time.Time)
-	Seat    func(asked time.Time, s warmup.Lease)
-	Held    func(now time.Time) warmup.Lease
+	OnColdTargets func(until map[fleet.Incarnation]time.Time)
+	OnWarmupLease func(asked time.Time, s warmup.Lease)
+	WarmupLease   func(now time.Time) warmup.Lease
 	// Quarantine returns which requests targets have ended under, and Ruled is told which are
 	// held back, by the leader of a term in answer to a question of a time. Wake asks for a
 	// question at once.
-	Quarantine func(now time.Time) quarantine.Report
-	Ruled      func(now, asked time.Time, term uint64, r quarantine.RestrictionUpdate)
-	Wake       <-chan struct{}
+	QuarantineReport func(now time.Time) quarantine.Report
+	OnRestrictions   func(now, asked time.Time, term uint64, r quarantine.RestrictionUpdate)
+	PollNow          <-chan struct{}
 
 	count   rpc.Counter
 	seeds   atomic.Pointer[[]string]
@@ -141,9 +141,9 @@
 	return ok
 }
 
-// Damaged returns how many damaged entries this router's own readings of the list have
+// DamagedEntries returns how many damaged entries this router's own readings of the list have
 // held.
-func (u *Client) Damaged() uint64 {
+func (u *Client) DamagedEntries() uint64 {
 	return u.damaged.Load()
 }
 
@@ -181,7 +181,7 @@
 		if u.leader == "" {
 			pause = searchPause
 		}
-		if !u.Informed(u.Clock.Now()) {
+		if !u.StateIsFresh(u.Clock.Now()) {
 			pause = 0
 		}
 		u.rest(ctx, started, pause)
@@ -200,7 +200,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-u.Wake:
+	case <-u.PollNow:
 	}
 }
 
--- a/internal/keeperclient/keeperclient_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -141,11 +141,11 @@
 
 func newUplink(list *fakeList, seeds ...string) *Client {
 	u := &Client{
-		Name: "r1", Inc: 1, Clock: clock.NewRealClock(), Log: hclog.NewNullLogger(), Lease: 4 * time.Second,
-		Decode: decodeNumber, List: list, Reads: 40,
-		Changed: func(State, []fleet.Instance) {},
-		Load:    func(time.Time) ([]message.Demand, []message.Backlog) { return nil, nil },
-		Heard:   func(time.Time, []message.Demand, []message.Backlog) {},
+		Name: "r1", Incarnation: 1, Clock: clock.NewRealClock(), Log: hclog.NewNullLogger(), KeyLease: 4 * time.Second,
+		Decode: decodeNumber, List: list, ReadRate: 40,
+		OnChange:    func(State, []fleet.Instance) {},
+		Load:        func(time.Time) ([]message.Demand, []message.Backlog) { return nil, nil },
+		OnFleetLoad: func(time.Time, []message.Demand, []message.Backlog) {},
 	}
 	u.SetSeeds(seeds)
 	return u
@@ -164,7 +164,7 @@
 func startUplink(t *testing.T, list *fakeList, seeds ...string) (*Client, *seenTargets) {
 	seen := &seenTargets{}
 	u := newUplink(list, seeds...)
-	u.Changed = func(_ State, targets []fleet.Instance) {
+	u.OnChange = func(_ State, targets []fleet.Instance) {
 		seen.mu.Lock()
 		defer seen.mu.Unlock()
 		seen.targets = targets
@@ -198,7 +198,7 @@
 	u, _ := startUplink(t, &fakeList{}, follower.address)
 	require.Eventually(t, u.has(3), wait, tick)
 	require.Equal(t, 2, u.State().Routers)
-	require.True(t, u.State().KeysUntil.After(u.Clock.Now()))
+	require.True(t, u.State().KeyLeaseExpiry.After(u.Clock.Now()))
 }
 
 // Symptom: a router goes back to an older configuration.
@@ -220,9 +220,9 @@
 		return k.asked > 2
 	}, wait, tick)
 	require.True(t, u.has(9)())
-	before := u.State().KeysUntil
+	before := u.State().KeyLeaseExpiry
 	require.Eventually(t, func() bool { return u.Clock.Now().After(before.Add(-3 * time.Second)) }, wait, tick)
-	require.Equal(t, before, u.State().KeysUntil, "the lease on keys is not renewed by an older configuration")
+	require.Equal(t, before, u.State().KeyLeaseExpiry, "the lease on keys is not renewed by an older configuration")
 }
 
 // Symptom: a withdrawn key goes on working.
@@ -237,7 +237,7 @@
 	k.set(func(k *fakeKeeper) { k.asked = 0 })
 	require.Eventually(t, u.has(1), wait, time.Millisecond)
 	k.set(func(k *fakeKeeper) { k.mute = true })
-	require.LessOrEqual(t, u.State().KeysUntil, u.Clock.Now().Add(u.Lease-k.slow))
+	require.LessOrEqual(t, u.State().KeyLeaseExpiry, u.Clock.Now().Add(u.KeyLease-k.slow))
 }
 
 // Symptom: a router never gets a configuration of many routes.
@@ -339,7 +339,7 @@
 	loads := message.Loads{Accounts: []string{"x"}, Rates: []int{5}, Served: []int{4}, Tokens: []int{7, 0}, Running: []int{1, 2}}
 	heard := make(chan []message.Backlog, 100)
 	u := newUplink(&fakeList{}, k.address)
-	u.Heard = func(_ time.Time, _ []message.Demand, backlog []message.Backlog) { heard <- backlog }
+	u.OnFleetLoad = func(_ time.Time, _ []message.Demand, backlog []message.Backlog) { heard <- backlog }
 	// The list is older than this router: it goes on without, as after a reading of
 	// its own.
 	k.answer = message.RenewResponse{
--- a/internal/keeperclient/packed_test.go
+++ b/internal/keeperclient/packed_test.go
@@ -52,7 +52,7 @@
 func TestDemandsGoByTheNamesThatTheLeaderMeans(t *testing.T) {
 	u := newUplink(&fakeList{})
 	var heard []message.Demand
-	u.Heard = func(_ time.Time, demand []message.Demand, _ []message.Backlog) { heard = demand }
+	u.OnFleetLoad = func(_ time.Time, demand []message.Demand, _ []message.Backlog) { heard = demand }
 	take := func(l message.Loads) []message.Demand {
 		u.take(time.Now(), "a", nil, message.RenewResponse{Leads: true, PackedLoads: pack(t, l)})
 		return heard
--- a/internal/keeperclient/restart_test.go
+++ b/internal/keeperclient/restart_test.go
@@ -107,7 +107,7 @@
 func (d *restartDay) play(t *testing.T) time.Duration {
 	p := &restartPlay{restartDay: d, t: t, uplink: newUplink(&fakeList{}), reads: d.draw(readPeriod), asks: d.draw(quota.ReportPeriod(150))}
 	p.begin = p.uplink.Clock.Now()
-	p.uplink.Changed = func(_ State, targets []fleet.Instance) { p.placer.SetTargets(p.time(), targets) }
+	p.uplink.OnChange = func(_ State, targets []fleet.Instance) { p.placer.SetTargets(p.time(), targets) }
 	for ; p.now < simulated; p.now += stepTime {
 		p.read()
 		p.ask()
--- a/internal/keeperclient/round.go
+++ b/internal/keeperclient/round.go
@@ -45,15 +45,15 @@
 		q.conn = u.links[address]
 		q.packs = q.conn != nil && q.conn == u.packs
 	}
-	ask := message.RenewRequest{Router: u.Name, Zone: u.Zone, Incarnation: u.Inc, Number: u.number(), Term: u.term, ListRevision: u.list, AcceptsColumns: true, AccountsDigest: u.names, KeepersDigest: u.members}
+	ask := message.RenewRequest{Router: u.Name, Zone: u.Zone, Incarnation: u.Incarnation, Number: u.number(), Term: u.term, ListRevision: u.list, AcceptsColumns: true, AccountsDigest: u.names, KeepersDigest: u.members}
 	ask.Demand, ask.Backlog = u.Load(q.asked)
 	q.mine = ask.Backlog
 	ask.EvacuationRevision = u.State().Evacuated.Revision
-	if u.Held != nil {
-		ask.WarmupLease = u.Held(q.asked)
+	if u.WarmupLease != nil {
+		ask.WarmupLease = u.WarmupLease(q.asked)
 	}
-	if u.Quarantine != nil {
-		report := u.Quarantine(q.asked)
+	if u.QuarantineReport != nil {
+		report := u.QuarantineReport(q.asked)
 		ask.Quarantine = &report
 	}
 	if q.conn != nil {
--- a/internal/keeperclient/search_test.go
+++ b/internal/keeperclient/search_test.go
@@ -58,7 +58,7 @@
 		k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 2, PackedConfig: text(t, 2)}
 	})
 	require.Eventually(t, u.has(2), wait, tick)
-	require.True(t, u.State().KeysUntil.After(u.Clock.Now()), "the lease never lapsed")
+	require.True(t, u.State().KeyLeaseExpiry.After(u.Clock.Now()), "the lease never lapsed")
 }
 
 // Symptom: after a restart of everything no router has a configuration for a second after
--- a/internal/keeperclient/standstill.go
+++ b/internal/keeperclient/standstill.go
@@ -42,9 +42,9 @@
 	return woke == 0 || p.heard.Load() >= woke || at-woke >= int64(askFirst)
 }
 
-// Informed reports whether this router knows what the fleet does as well as it can: it may
+// StateIsFresh reports whether this router knows what the fleet does as well as it can: it may
 // have to ask first, after a standstill of its process. It may be called at any time.
-func (u *Client) Informed(now time.Time) bool {
+func (u *Client) StateIsFresh(now time.Time) bool {
 	return u.pulse.informed(now)
 }
 
--- a/internal/keeperclient/take.go
+++ b/internal/keeperclient/take.go
@@ -29,18 +29,18 @@
 	changed = u.takeEvacuations(&s, r) || changed
 	u.takeWarming(asked, r)
 	if s.Table != nil && s.Table.Number == r.Number {
-		s.KeysUntil = asked.Add(u.Lease)
+		s.KeyLeaseExpiry = asked.Add(u.KeyLease)
 	}
 	// Before the first configuration is there to serve by: a router that has just started
 	// would send what is held back.
-	if u.Ruled != nil && r.Restrictions != nil {
-		u.Ruled(u.Clock.Now(), asked, r.Term, *r.Restrictions)
+	if u.OnRestrictions != nil && r.Restrictions != nil {
+		u.OnRestrictions(u.Clock.Now(), asked, r.Term, *r.Restrictions)
 	}
 	u.state.Store(&s)
 	u.takeSent(r)
 	u.takeLoads(mine, r)
 	if u.takeList(asked, r) || changed {
-		u.Changed(s, u.roster.Targets())
+		u.OnChange(s, u.roster.Targets())
 	}
 }
 
@@ -76,10 +76,10 @@
 }
 
 func (u *Client) takeWarming(asked time.Time, r message.RenewResponse) {
-	if u.Seat != nil {
-		u.Seat(asked, r.WarmupLease)
+	if u.OnWarmupLease != nil {
+		u.OnWarmupLease(asked, r.WarmupLease)
 	}
-	if u.Warming == nil || len(r.Warming) == 0 {
+	if u.OnColdTargets == nil || len(r.Warming) == 0 {
 		return
 	}
 	now := u.Clock.Now()
@@ -87,7 +87,7 @@
 	for _, w := range r.Warming {
 		until[w.Incarnation()] = now.Add(w.Left)
 	}
-	u.Warming(until)
+	u.OnColdTargets(until)
 }
 
 // takeSent keeps the list of targets that the keepers sent last: what follows refers
@@ -122,7 +122,7 @@
 		}
 		demand, backlog = quota.DecodeColumns(loads, order)
 	}
-	u.Heard(u.Clock.Now(), demand, quota.ExcludeOwn(backlog, mine))
+	u.OnFleetLoad(u.Clock.Now(), demand, quota.ExcludeOwn(backlog, mine))
 }
 
 // nameAccounts keeps the accounts that the leader names, and puts them in where it leaves them
@@ -211,19 +211,19 @@
 		return
 	}
 	u.notes.Take(now, listing)
-	if u.Warming != nil && len(listing.Warming) > 0 {
-		u.Warming(listing.WarmingUntil(now))
+	if u.OnColdTargets != nil && len(listing.Warming) > 0 {
+		u.OnColdTargets(listing.WarmingUntil(now))
 	}
 	// What the keepers brought is not what this router holds any more.
 	u.list = 0
 	if u.takeTargets("own reading", now, listing) {
-		u.Changed(u.State(), u.roster.Targets())
+		u.OnChange(u.State(), u.roster.Targets())
 	}
 }
 
 // ownPeriod spreads the reads of all routers over what the platform takes.
 func (u *Client) ownPeriod() time.Duration {
 	routers := float64(max(u.State().Routers, 1))
-	spread := time.Duration(routers / (ownReads * max(u.Reads, 1)) * float64(time.Second))
+	spread := time.Duration(routers / (ownReads * max(u.ReadRate, 1)) * float64(time.Second))
 	return max(spread, leastOwnPeriod)
 }
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -12,14 +12,16 @@
 func (r *Router) probe(t fleet.Target) {
 	go func() {
 		began := r.Clock.Now()
-		p := target.Look(t.Address)
+		p := target.Probe(t.Address)
 		r.Log.Info("target looked for after a cut", "target", t.Name, "born", 0, "address", t.Address, "presence", p,
 			"took", r.Clock.Now().Sub(began).Milliseconds())
 		if p == target.Unknown {
 			return // the doubt lapses: nobody lists the targets of events
 		}
-		here := r.Clock.Now().Add(-target.LookSlack)
-		in := func(now time.Time, s *dispatch.Scheduler) { s.HandleProbeResult(now, here, t.Name, p == target.Ended) }
+		here := r.Clock.Now().Add(-target.ProbeSlack)
+		in := func(now time.Time, s *dispatch.Scheduler) {
+			s.HandleProbeResult(now, here, t.Name, p == target.Terminated)
+		}
 		select {
 		case r.desk.inputs <- in:
 		case <-r.desk.over:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -96,7 +96,7 @@
 	if r.Settings.Hosts != "" {
 		r.routes = &routing.Service{
 			Settings: r.Settings, Listen: r.Settings.Hosts, Clock: r.Clock, Log: r.Log, Secret: secret,
-			Dialect: routing.Headers{}, Decode: routing.DecodeConfig, Meters: gateway.NewMetrics(),
+			Dialect: routing.DefaultDialect{}, Decode: routing.DecodeConfig, Meters: gateway.NewMetrics(),
 		}
 		r.routes.SetSeeds(r.Settings.Keepers)
 	}
@@ -193,7 +193,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			r.dialer.Sweep(now)
+			r.dialer.Prune(now)
 		}
 	}
 }
--- a/internal/router/try.go
+++ b/internal/router/try.go
@@ -66,9 +66,9 @@
 // patience returns how long a try may take.
 func (r *Router) patience(now time.Time, a dispatch.Send) time.Duration {
 	if a.Deadline.IsZero() {
-		return target.MaxWait
+		return target.MaxResponseWait
 	}
-	return min(max(a.Deadline.Sub(now), time.Millisecond), target.MaxWait)
+	return min(max(a.Deadline.Sub(now), time.Millisecond), target.MaxResponseWait)
 }
 
 func (r *Router) failed(c *call, a dispatch.Send, of dispatch.Request, name string, sent bool, err error) {
@@ -77,12 +77,12 @@
 		r.noteCut(name, of, a.Target, err)
 	}
 	r.Log.Warn("try failed", "request", name, "target", a.Target.Name, "sent", sent, "gone", left, "error", err)
-	r.desk.ended(c.id, dispatch.AttemptResult{Sent: sent, Failed: !left, TargetClosed: sent && !left && target.Cut(err)})
+	r.desk.ended(c.id, dispatch.AttemptResult{Sent: sent, Failed: !left, TargetClosed: sent && !left && target.IsConnClosed(err)})
 }
 
 // noteCut takes note of an exchange that a target cut.
 func (r *Router) noteCut(name string, of dispatch.Request, t fleet.Target, err error) {
-	if !target.Cut(err) {
+	if !target.IsConnClosed(err) {
 		return
 	}
 	r.Log.Warn("cut by the target", "request", name, "account", of.Account, "route", of.Event, "print", of.Fingerprint,
@@ -107,7 +107,7 @@
 	req.SetBodyRaw(ctx.PostBody())
 }
 
-func copyHead(ctx *fasthttp.RequestCtx, a *target.Answer) {
+func copyHead(ctx *fasthttp.RequestCtx, a *target.Response) {
 	h := &ctx.Response.Header
 	name := string(h.Peek(headerRequest))
 	a.Header.CopyTo(h)
@@ -129,7 +129,7 @@
 type answerBody struct {
 	router *Router
 	call   *call
-	answer *target.Answer
+	answer *target.Response
 	name   string
 	of     dispatch.Request
 	target fleet.Target
@@ -144,7 +144,7 @@
 // pass hands the body to the HTTP library, which reads it to the end and then
 // closes it.
 func (b *answerBody) pass(ctx *fasthttp.RequestCtx) {
-	if b.answer.Whole() {
+	if b.answer.Complete() {
 		if n := b.answer.Length; ctx.IsHead() && n > 0 {
 			ctx.Response.Header.SetContentLength(n)
 			ctx.Response.SkipBody = true
@@ -164,7 +164,7 @@
 	switch {
 	case errors.Is(err, io.EOF):
 	case err != nil && !b.call.left():
-		b.failed, b.cut = true, target.Cut(err)
+		b.failed, b.cut = true, target.IsConnClosed(err)
 		b.router.noteCut(b.name, b.of, b.target, err)
 	}
 	return n, err
@@ -181,10 +181,10 @@
 		b.answer.Close()
 		b.router.watch.remove(b.call)
 		e := dispatch.AttemptResult{
-			Sent: true, ResponseStarted: true, ResponseComplete: b.answer.Whole(),
+			Sent: true, ResponseStarted: true, ResponseComplete: b.answer.Complete(),
 			Failed: b.failed || b.answer.Status >= fasthttp.StatusInternalServerError,
 			Cost:   b.cost(), TimeToFirstByte: b.first.Sub(b.start),
-			TargetClosed: b.cut, Succeeded: b.answer.Whole() && b.answer.Status < fasthttp.StatusMultipleChoices,
+			TargetClosed: b.cut, Succeeded: b.answer.Complete() && b.answer.Status < fasthttp.StatusMultipleChoices,
 		}
 		b.router.meters.finished(e)
 		b.router.Log.Info("end", "request", b.name, "target", b.target.Name, "status", b.answer.Status,
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -54,7 +54,7 @@
 	defer w.mu.Unlock()
 	var gone []*call
 	for c := range w.calls {
-		if target.Closed(c.caller) {
+		if target.PeerClosed(c.caller) {
 			gone = append(gone, c)
 			delete(w.calls, c)
 		}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -79,17 +79,17 @@
 	g, u := &s.gateway, &s.uplink
 	g.Settings, g.Name, g.Zone, g.Listen = *s.Settings.Routes, s.Settings.Name, s.Settings.Zone, s.Listen
 	g.Clock, g.Log, g.Dialect, g.Metrics, g.State = s.Clock, s.Log, s.Dialect, s.Meters, u.State
-	g.StateIsFresh = u.Informed
-	u.Name, u.Zone, u.Inc = s.Settings.Name, s.Settings.Zone, uint64(s.Clock.Now().UnixNano())
-	u.Clock, u.Log, u.Secret, u.Lease = s.Clock, s.Log, s.Secret, s.Settings.Routes.Lease
-	u.Decode, u.List, u.Reads = s.Decode, s.List, s.Settings.Routes.Reads
-	u.Changed, u.Load, u.Heard = g.SetTargets, g.Load, g.SetFleetLoad
+	g.StateIsFresh = u.StateIsFresh
+	u.Name, u.Zone, u.Incarnation = s.Settings.Name, s.Settings.Zone, uint64(s.Clock.Now().UnixNano())
+	u.Clock, u.Log, u.Secret, u.KeyLease = s.Clock, s.Log, s.Secret, s.Settings.Routes.Lease
+	u.Decode, u.List, u.ReadRate = s.Decode, s.List, s.Settings.Routes.Reads
+	u.OnChange, u.Load, u.OnFleetLoad = g.SetTargets, g.Load, g.SetFleetLoad
 	wake := make(chan struct{}, 1)
-	g.PollLeader, u.Wake = wake, wake
-	u.Quarantine, u.Ruled = g.QuarantineReport, g.ApplyRestrictions
-	u.Warming, u.Seat, u.Held = g.SetColdUntil, g.SetWarmupLease, g.WarmupLease
+	g.PollLeader, u.PollNow = wake, wake
+	u.QuarantineReport, u.OnRestrictions = g.QuarantineReport, g.ApplyRestrictions
+	u.OnColdTargets, u.OnWarmupLease, u.WarmupLease = g.SetColdUntil, g.SetWarmupLease, g.WarmupLease
 	// Targets that configurations list keep their names, and nobody tells their starts.
-	g.Guard = quarantine.Guard{Owner: message.ClaimOwner(u.Name, u.Inc), IDsReused: s.List == nil}
+	g.Guard = quarantine.Guard{Owner: message.ClaimOwner(u.Name, u.Incarnation), IDsReused: s.List == nil}
 	s.Meters.AddCounter("lf_list_damaged_total", "Damaged entries in this router's own readings of the list of targets.",
-		func() float64 { return float64(u.Damaged()) })
+		func() float64 { return float64(u.DamagedEntries()) })
 }
--- a/internal/soak/standstill_test.go
+++ b/internal/soak/standstill_test.go
@@ -80,10 +80,10 @@
 
 // watchStalls notes when this process does not run.
 func (p *player) watchStalls(ctx context.Context) {
-	w := &stall.Watch{Log: hclog.NewNullLogger(), Period: stallPeriod, Limit: stallLimit, Noted: func(s stall.Stall) {
+	w := &stall.Monitor{Log: hclog.NewNullLogger(), Period: stallPeriod, Threshold: stallLimit, OnStall: func(s stall.Stall) {
 		p.history.stall(s)
-		if s.Late() >= tellStall {
-			p.t.Logf("%s the soak stood still from %s on: %+v", clockTime(s.To), clockTime(s.From), s.Used)
+		if s.Duration() >= tellStall {
+			p.t.Logf("%s the soak stood still from %s on: %+v", clockTime(s.To), clockTime(s.From), s.Usage)
 		}
 	}}
 	p.notes.check(w.Run(ctx) == nil, "nobody watches for stalls")
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// Period is how often the ticker of a program comes.
-	Period = 500 * time.Millisecond
-	// Limit is how late the ticker of a program comes at least in a stall.
-	Limit = 250 * time.Millisecond
+	// DefaultPeriod is how often the ticker of a program comes.
+	DefaultPeriod = 500 * time.Millisecond
+	// DefaultThreshold is how late the ticker of a program comes at least in a stall.
+	DefaultThreshold = 250 * time.Millisecond
 )
 
 // A Stall is a stretch of time in which a process did not run.
 type Stall struct {
 	From, To time.Time
-	// Used is what the process used from the tick before until the late one.
-	Used Usage
+	// Usage is what the process used from the tick before until the late one.
+	Usage Usage
 }
 
-// Late is how late the tick came.
-func (s Stall) Late() time.Duration {
+// Duration is how late the tick came.
+func (s Stall) Duration() time.Duration {
 	return s.To.Sub(s.From)
 }
 
-// A Meter finds stalls in the times of a ticker. It has no clock of its own.
-type Meter struct {
+// A Detector finds stalls in the times of a ticker. It has no clock of its own.
+type Detector struct {
 	// Period is the ticker's, and Limit how late a tick comes at least in a stall.
-	Period, Limit time.Duration
+	Period, Threshold time.Duration
 
 	last time.Time
 	used Usage
@@ -40,30 +40,30 @@
 
 // Tick takes the time of a tick, and what the process has used since its start. It returns
 // a stall and true if the tick came late. A ticker drops the ticks that nobody took.
-func (m *Meter) Tick(now time.Time, used Usage) (Stall, bool) {
+func (m *Detector) Tick(now time.Time, used Usage) (Stall, bool) {
 	due, before := m.last.Add(m.Period), m.used
 	first := m.last.IsZero()
 	m.last, m.used = now, used
-	if first || now.Sub(due) < m.Limit {
+	if first || now.Sub(due) < m.Threshold {
 		return Stall{}, false
 	}
-	return Stall{From: due, To: now, Used: used.Sub(before)}, true
+	return Stall{From: due, To: now, Usage: used.Sub(before)}, true
 }
 
-// A Watch logs the stalls of its process. Set the exported fields, then call Run.
-type Watch struct {
+// A Monitor logs the stalls of its process. Set the exported fields, then call Run.
+type Monitor struct {
 	Log hclog.Logger
-	// Noted, if set, is told of each stall.
-	Noted func(Stall)
+	// OnStall, if set, is told of each stall.
+	OnStall func(Stall)
 	// Period and Limit are those of the package if they are not set.
-	Period, Limit time.Duration
+	Period, Threshold time.Duration
 }
 
 // Run watches until ctx ends.
-func (w *Watch) Run(ctx context.Context) error {
-	m := Meter{Period: orDefault(w.Period, Period), Limit: orDefault(w.Limit, Limit)}
+func (w *Monitor) Run(ctx context.Context) error {
+	m := Detector{Period: orDefault(w.Period, DefaultPeriod), Threshold: orDefault(w.Threshold, DefaultThreshold)}
 	for {
-		if s, ok := m.Tick(time.Now(), Use()); ok {
+		if s, ok := m.Tick(time.Now(), CurrentUsage()); ok {
 			w.note(s)
 		}
 		timer := time.NewTimer(m.Period)
@@ -76,12 +76,12 @@
 	}
 }
 
-func (w *Watch) note(s Stall) {
-	w.Log.Warn("stalled", "late", s.Late().Milliseconds(), "processor", s.Used.Processor.Milliseconds(),
-		"preempted", s.Used.Preempted, "faults", s.Used.Faults, "collections", s.Used.Collections,
-		"suspended", s.Used.Suspended.Milliseconds(), "pressure", pressure())
-	if w.Noted != nil {
-		w.Noted(s)
+func (w *Monitor) note(s Stall) {
+	w.Log.Warn("stalled", "late", s.Duration().Milliseconds(), "processor", s.Usage.CPUTime.Milliseconds(),
+		"preempted", s.Usage.Preemptions, "faults", s.Usage.MajorFaults, "collections", s.Usage.GCCycles,
+		"suspended", s.Usage.SuspendedTime.Milliseconds(), "pressure", pressure())
+	if w.OnStall != nil {
+		w.OnStall(s)
 	}
 }
 
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -23,7 +23,7 @@
 		os.Exit(m.Run())
 	}
 	log := hclog.New(&hclog.LoggerOptions{Output: os.Stdout, JSONFormat: true})
-	w := &stall.Watch{Log: log, Period: 20 * time.Millisecond}
+	w := &stall.Monitor{Log: log, Period: 20 * time.Millisecond}
 	_, _ = os.Stdout.WriteString("watching\n") // the test fails otherwise
 	if err := w.Run(context.Background()); err != nil {
 		os.Exit(1)
@@ -31,10 +31,10 @@
 }
 
 func TestAMeterFindsTicksThatComeLate(t *testing.T) {
-	m := stall.Meter{Period: 100 * time.Millisecond, Limit: 50 * time.Millisecond}
+	m := stall.Detector{Period: 100 * time.Millisecond, Threshold: 50 * time.Millisecond}
 	start := time.Unix(1e9, 0)
 	tick := func(at time.Duration, processor time.Duration) (stall.Stall, bool) {
-		return m.Tick(start.Add(at), stall.Usage{Processor: processor, Collections: uint64(processor)})
+		return m.Tick(start.Add(at), stall.Usage{CPUTime: processor, GCCycles: uint64(processor)})
 	}
 	for _, at := range []time.Duration{5 * time.Second, 5100 * time.Millisecond, 5249 * time.Millisecond} {
 		_, ok := tick(at, 10*time.Millisecond)
@@ -44,9 +44,9 @@
 	require.True(t, ok)
 	require.Equal(t, stall.Stall{
 		From: start.Add(5349 * time.Millisecond), To: start.Add(8 * time.Second),
-		Used: stall.Usage{Processor: 20 * time.Millisecond, Collections: uint64(20 * time.Millisecond)},
+		Usage: stall.Usage{CPUTime: 20 * time.Millisecond, GCCycles: uint64(20 * time.Millisecond)},
 	}, s)
-	require.Equal(t, 2651*time.Millisecond, s.Late())
+	require.Equal(t, 2651*time.Millisecond, s.Duration())
 	_, ok = tick(8100*time.Millisecond, 30*time.Millisecond)
 	require.False(t, ok, "ticks that were missed are not caught up")
 }
--- a/internal/stall/usage.go
+++ b/internal/stall/usage.go
@@ -11,41 +11,41 @@
 
 // Usage is what a process has used, or what it used in a stretch of time.
 type Usage struct {
-	// Processor is the time that its threads ran. In a stall without any, the process was
+	// CPUTime is the time that its threads ran. In a stall without any, the process was
 	// stopped or got no processor; one that used it all collected garbage or was busy.
-	Processor time.Duration
-	// Preempted is how often the system took the processor from one of its threads.
-	Preempted int64
-	// Faults is how many pages were read from the disk.
-	Faults int64
-	// Collections is how many garbage collections ended.
-	Collections uint64
-	// Suspended is for how long the machine was suspended.
-	Suspended time.Duration
+	CPUTime time.Duration
+	// Preemptions is how often the system took the processor from one of its threads.
+	Preemptions int64
+	// MajorFaults is how many pages were read from the disk.
+	MajorFaults int64
+	// GCCycles is how many garbage collections ended.
+	GCCycles uint64
+	// SuspendedTime is for how long the machine was suspended.
+	SuspendedTime time.Duration
 }
 
 // Sub returns what was used since before.
 func (u Usage) Sub(before Usage) Usage {
 	return Usage{
-		Processor: u.Processor - before.Processor, Preempted: u.Preempted - before.Preempted, Faults: u.Faults - before.Faults,
-		Collections: u.Collections - before.Collections, Suspended: u.Suspended - before.Suspended,
+		CPUTime: u.CPUTime - before.CPUTime, Preemptions: u.Preemptions - before.Preemptions, MajorFaults: u.MajorFaults - before.MajorFaults,
+		GCCycles: u.GCCycles - before.GCCycles, SuspendedTime: u.SuspendedTime - before.SuspendedTime,
 	}
 }
 
-// Use returns what this process has used since its start. What the system does not tell is 0.
-func Use() Usage {
+// CurrentUsage returns what this process has used since its start. What the system does not tell is 0.
+func CurrentUsage() Usage {
 	var u Usage
 	var r unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &r) == nil {
-		u.Processor = time.Duration(r.Utime.Nano() + r.Stime.Nano())
-		u.Preempted, u.Faults = r.Nivcsw, r.Majflt
+		u.CPUTime = time.Duration(r.Utime.Nano() + r.Stime.Nano())
+		u.Preemptions, u.MajorFaults = r.Nivcsw, r.Majflt
 	}
 	cycles := []metrics.Sample{{Name: "/gc/cycles/total:gc-cycles"}}
 	metrics.Read(cycles)
 	if cycles[0].Value.Kind() == metrics.KindUint64 {
-		u.Collections = cycles[0].Value.Uint64()
+		u.GCCycles = cycles[0].Value.Uint64()
 	}
-	u.Suspended = clockOf(unix.CLOCK_BOOTTIME) - clockOf(unix.CLOCK_MONOTONIC)
+	u.SuspendedTime = clockOf(unix.CLOCK_BOOTTIME) - clockOf(unix.CLOCK_MONOTONIC)
 	return u
 }
 
--- a/internal/target/bench_test.go
+++ b/internal/target/bench_test.go
@@ -25,7 +25,7 @@
 		require.NoError(b, <-done)
 	}()
 	address := l.Addr().String()
-	send := func(c net.Conn, keep bool) *Answer {
+	send := func(c net.Conn, keep bool) *Response {
 		var req fasthttp.Request
 		req.Header.SetHost(address)
 		if !keep {
--- a/internal/target/conn.go
+++ b/internal/target/conn.go
@@ -28,9 +28,9 @@
 	// maxSpare bounds the unused connections to one target.
 	maxSpare   = 4
 	readBuffer = 16 << 10
-	// MaxWait bounds the time to the first byte, and between bytes, of an
+	// MaxResponseWait bounds the time to the first byte, and between bytes, of an
 	// answer to a request without a deadline.
-	MaxWait = 10 * time.Minute
+	MaxResponseWait = 10 * time.Minute
 )
 
 // A DialError says that no connection was made, so no byte was sent.
@@ -49,8 +49,8 @@
 	return e.Err
 }
 
-// ErrShort says that an answer ended before its stated length.
-var ErrShort = errors.New("the answer ended before its stated length")
+// ErrTruncated says that an answer ended before its stated length.
+var ErrTruncated = errors.New("the answer ended before its stated length")
 
 // A Dialer opens connections to targets, some ahead of their use.
 type Dialer struct {
@@ -71,7 +71,7 @@
 		if !ok {
 			break
 		}
-		if time.Now().Before(c.until) && Quiet(c.Conn) {
+		if time.Now().Before(c.until) && IsIdle(c.Conn) {
 			go d.openAhead(address)
 			return c.Conn, nil
 		}
@@ -98,8 +98,8 @@
 	d.closed = true
 }
 
-// Sweep closes the connections that were unused for too long.
-func (d *Dialer) Sweep(now time.Time) {
+// Prune closes the connections that were unused for too long.
+func (d *Dialer) Prune(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for address, list := range d.spare {
@@ -175,8 +175,8 @@
 	return c, nil
 }
 
-// An Answer is a target's answer whose head has been read.
-type Answer struct {
+// A Response is a target's answer whose head has been read.
+type Response struct {
 	Status int
 	Header *fasthttp.ResponseHeader
 	// Length is the body's length, or -1 if only its end will tell.
@@ -193,14 +193,14 @@
 // Send writes a request and reads the head of its answer. Sent reports
 // whether any byte may have reached the target. The connection belongs to the
 // answer; on an error it is closed.
-func Send(c net.Conn, req *fasthttp.Request, until time.Time) (a *Answer, sent bool, err error) {
+func Send(c net.Conn, req *fasthttp.Request, until time.Time) (a *Response, sent bool, err error) {
 	if err := c.SetDeadline(until); err != nil {
 		return nil, false, closeWith(c, err)
 	}
 	if err := write(c, req); err != nil {
 		return nil, true, closeWith(c, fmt.Errorf("send the request: %w", err))
 	}
-	a = &Answer{conn: c, reader: takeReader(c), Header: &fasthttp.ResponseHeader{}}
+	a = &Response{conn: c, reader: takeReader(c), Header: &fasthttp.ResponseHeader{}}
 	if err := a.readHead(req.Header.IsHead()); err != nil {
 		a.Close()
 		return nil, true, fmt.Errorf("read the answer: %w", err)
@@ -214,7 +214,7 @@
 )
 
 func takeReader(c net.Conn) *bufio.Reader {
-	late := &LateReader{Conn: c}
+	late := &DeadlineReader{Conn: c}
 	r, ok := readers.Get().(*bufio.Reader)
 	if !ok {
 		return bufio.NewReaderSize(late, readBuffer)
@@ -243,7 +243,7 @@
 	return err
 }
 
-func (a *Answer) readHead(head bool) error {
+func (a *Response) readHead(head bool) error {
 	const firstFinal = 200
 	for {
 		if err := a.Header.Read(a.reader); err != nil {
@@ -260,7 +260,7 @@
 }
 
 // frame finds out how the end of the body is told.
-func (a *Answer) frame(head bool) {
+func (a *Response) frame(head bool) {
 	const chunked, noContent, notModified = -1, 204, 304
 	length := a.Header.ContentLength()
 	switch {
@@ -280,7 +280,7 @@
 }
 
 // Read reads the body. It returns io.EOF only if the body is whole.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	if a.done {
 		return 0, io.EOF
 	}
@@ -291,7 +291,7 @@
 	if a.Length >= 0 {
 		a.left -= int64(n)
 		if errors.Is(err, io.EOF) && a.left > 0 {
-			return n, ErrShort
+			return n, ErrTruncated
 		}
 		a.done = a.left == 0
 		return n, err
@@ -302,13 +302,13 @@
 	return n, err
 }
 
-// Whole reports whether the body was read to its end.
-func (a *Answer) Whole() bool {
+// Complete reports whether the body was read to its end.
+func (a *Response) Complete() bool {
 	return a.done
 }
 
 // Close ends the connection, and with it the request if it still runs.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	_ = a.conn.Close() // nothing more is read or written
 	if a.reader != nil {
 		a.reader.Reset(nil)
--- a/internal/target/conn_test.go
+++ b/internal/target/conn_test.go
@@ -173,7 +173,7 @@
 	defer func() { _ = spare.Close() }()
 	_, err = io.WriteString(spare, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nxyz")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return !Quiet(d.spare[l.Addr().String()][0].Conn) }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return !IsIdle(d.spare[l.Addr().String()][0].Conn) }, time.Second, time.Millisecond)
 	c, err := d.Conn(context.Background(), l.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
--- a/internal/target/cut.go
+++ b/internal/target/cut.go
@@ -6,10 +6,10 @@
 	"syscall"
 )
 
-// Cut reports whether an exchange ended because the target closed or reset its connection,
+// IsConnClosed reports whether an exchange ended because the target closed or reset its connection,
 // as one that ends does. Silence is no such sign, nor is an answer that cannot be read.
-func Cut(err error) bool {
-	for _, sign := range []error{io.EOF, io.ErrUnexpectedEOF, ErrShort, syscall.ECONNRESET, syscall.EPIPE} {
+func IsConnClosed(err error) bool {
+	for _, sign := range []error{io.EOF, io.ErrUnexpectedEOF, ErrTruncated, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, sign) {
 			return true
 		}
--- a/internal/target/cut_test.go
+++ b/internal/target/cut_test.go
@@ -15,12 +15,12 @@
 
 func TestWhatTellsThatATargetCutAnExchange(t *testing.T) {
 	for _, err := range []error{
-		io.EOF, fmt.Errorf("read the answer: %w", io.ErrUnexpectedEOF), target.ErrShort,
+		io.EOF, fmt.Errorf("read the answer: %w", io.ErrUnexpectedEOF), target.ErrTruncated,
 		&os.SyscallError{Syscall: "read", Err: syscall.ECONNRESET}, syscall.EPIPE,
 	} {
-		require.True(t, target.Cut(err), err)
+		require.True(t, target.IsConnClosed(err), err)
 	}
 	for _, err := range []error{nil, os.ErrDeadlineExceeded, errors.New("malformed answer"), syscall.ECONNREFUSED} {
-		require.False(t, target.Cut(err), err)
+		require.False(t, target.IsConnClosed(err), err)
 	}
 }
--- a/internal/target/late.go
+++ b/internal/target/late.go
@@ -16,10 +16,10 @@
 	readyBlock = 16 << 10
 )
 
-// A LateReader reads from a connection. When the connection's deadline passes, it still
+// A DeadlineReader reads from a connection. When the connection's deadline passes, it still
 // returns what had arrived by then: after a standstill of this process the rest of an
 // answer may lie unread while its deadline is over.
-type LateReader struct {
+type DeadlineReader struct {
 	Conn net.Conn
 
 	late  bool
@@ -27,13 +27,13 @@
 	end   error  // what follows it
 }
 
-// Late reports whether the deadline has passed while somebody read.
-func (r *LateReader) Late() bool {
+// DeadlineExceeded reports whether the deadline has passed while somebody read.
+func (r *DeadlineReader) DeadlineExceeded() bool {
 	return r.late
 }
 
 // Read implements io.Reader.
-func (r *LateReader) Read(p []byte) (int, error) {
+func (r *DeadlineReader) Read(p []byte) (int, error) {
 	if !r.late {
 		n, err := r.Conn.Read(p)
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/target/late_test.go
+++ b/internal/target/late_test.go
@@ -45,14 +45,14 @@
 				require.NoError(t, there.Close())
 			}
 			require.Eventually(t, func() bool { return arrived(t, here) == len(tt.sent) }, time.Second, time.Millisecond)
-			require.Eventually(t, func() bool { return !tt.closed || tt.sent != "" || target.Closed(here) }, time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return !tt.closed || tt.sent != "" || target.PeerClosed(here) }, time.Second, time.Millisecond)
 
 			require.NoError(t, here.SetDeadline(time.Now().Add(-time.Second)))
-			r := &target.LateReader{Conn: here}
+			r := &target.DeadlineReader{Conn: here}
 			got, err := io.ReadAll(r)
 			require.ErrorIs(t, err, tt.err)
 			require.Equal(t, tt.sent, string(got))
-			require.True(t, r.Late())
+			require.True(t, r.DeadlineExceeded())
 		})
 	}
 }
@@ -74,6 +74,6 @@
 	here, there := net.Pipe()
 	defer func() { _ = there.Close() }() // nothing was sent
 	require.NoError(t, here.SetDeadline(time.Now().Add(-time.Second)))
-	_, err := (&target.LateReader{Conn: here}).Read(make([]byte, 1))
+	_, err := (&target.DeadlineReader{Conn: here}).Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
--- a/internal/target/look.go
+++ b/internal/target/look.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// A Presence is what looking for a target has shown.
-type Presence string
+// A ProbeResult is what looking for a target has shown.
+type ProbeResult string
 
 // The presences.
 const (
-	Unknown Presence = "unknown" // nobody answers: it may be cut off, or its VM gone
-	Here    Presence = "here"
-	Ended   Presence = "ended"
+	Unknown    ProbeResult = "unknown" // nobody answers: it may be cut off, or its VM gone
+	Alive      ProbeResult = "here"
+	Terminated ProbeResult = "ended"
 )
 
 const (
@@ -25,16 +25,16 @@
 	dialTime = 100 * time.Millisecond
 	// lookHold is how long a connection must hold: a process that ends may still take one.
 	lookHold = 50 * time.Millisecond
-	// LookSlack is how long before the end of a look a target that is here was here for
+	// ProbeSlack is how long before the end of a look a target that is here was here for
 	// certain: the closing of one connection may be seen that much before another's.
-	LookSlack = 10 * time.Millisecond
+	ProbeSlack = 10 * time.Millisecond
 )
 
-// Look finds out whether a target that cut an exchange has ended or only closed a connection.
+// Probe finds out whether a target that cut an exchange has ended or only closed a connection.
 // A port where nobody listens refuses; one whose process lives lets a connection stand, and
 // takes another one after it: what a process took while it ended may look open and lead nowhere.
 // It must be asked within the time in which a target that ended cannot be back.
-func Look(address string) Presence {
+func Probe(address string) ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), lookTime)
 	defer cancel()
 	stood := false
@@ -48,10 +48,10 @@
 		}
 		if stood {
 			_ = conn.Close() // nothing was sent
-			return Here
+			return Alive
 		}
 		time.Sleep(lookHold)
-		stood = Quiet(conn)
+		stood = IsIdle(conn)
 		_ = conn.Close() // nothing was sent
 	}
 }
@@ -65,9 +65,9 @@
 
 // presenceOf judges a connection that was not made. Where nobody answers, the platform's list
 // of targets has to tell.
-func presenceOf(err error) Presence {
+func presenceOf(err error) ProbeResult {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return Ended
+		return Terminated
 	}
 	return Unknown
 }
--- a/internal/target/look_test.go
+++ b/internal/target/look_test.go
@@ -24,7 +24,7 @@
 			accepted <- c
 		}
 	}()
-	require.Equal(t, target.Here, target.Look(address))
+	require.Equal(t, target.Alive, target.Probe(address))
 	require.NoError(t, (<-accepted).Close())
 	go func() {
 		c, err := l.Accept()
@@ -33,8 +33,8 @@
 			_ = c.Close()
 		}
 	}()
-	require.Equal(t, target.Ended, target.Look(address))
-	require.Equal(t, target.Ended, target.Look(address), "nobody listens")
+	require.Equal(t, target.Terminated, target.Probe(address))
+	require.Equal(t, target.Terminated, target.Probe(address), "nobody listens")
 }
 
 // A target that ends in the very moment in which it is looked for is found to have ended: its
@@ -51,7 +51,7 @@
 			}
 			closed <- l.Close()
 		}()
-		require.Equal(t, target.Ended, target.Look(l.Addr().String()))
+		require.Equal(t, target.Terminated, target.Probe(l.Addr().String()))
 		require.NoError(t, <-closed)
 	}
 }
--- a/internal/target/peek.go
+++ b/internal/target/peek.go
@@ -29,16 +29,16 @@
 	return n, peekErr
 }
 
-// Quiet reports whether a connection is open and has nothing to read. Bytes on
+// IsIdle reports whether a connection is open and has nothing to read. Bytes on
 // a connection that has sent nothing can answer no request.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// Closed reports whether the other end has closed its side. The HTTP library
+// PeerClosed reports whether the other end has closed its side. The HTTP library
 // does not tell a handler that its caller went away, so it is looked up here.
-func Closed(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	n, err := peek(c)
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
 		return false
--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -19,7 +19,7 @@
 var somebody = fleet.Incarnation{ID: "a", StartMillis: 1000}
 
 // ask sends a request over a connection whose other end answers by what answer writes.
-func ask(p *Pool, answer func(w io.Writer)) (*Answer, error) {
+func ask(p *Pool, answer func(w io.Writer)) (*Response, error) {
 	here, there := net.Pipe()
 	go func() {
 		defer func() { _ = there.Close() }() // the answer ends with it
@@ -128,10 +128,10 @@
 		require.Equal(t, "1", a.Header.Get("Id"))
 		n, err := io.Copy(io.Discard, a)
 		require.LessOrEqual(t, n, int64(len(text)))
-		require.Equal(t, err == nil, a.Whole())
+		require.Equal(t, err == nil, a.Complete())
 		a.Close()
 		for _, c := range p.idle[somebody] {
-			require.True(t, a.Whole())
+			require.True(t, a.Complete())
 			require.Zero(t, c.reader.Buffered())
 			require.False(t, c.expires.After(p.Clock.Now().Add(longestIdle)))
 		}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -71,13 +71,13 @@
 // errLongHead says that the head of an answer is no head.
 var errLongHead = errors.New("the head of the answer is too long")
 
-// A ForeignError says that an answer belongs to no request of this connection.
-type ForeignError struct {
+// A ResponseIDError says that an answer belongs to no request of this connection.
+type ResponseIDError struct {
 	Want, Got string
 }
 
 // Error returns both IDs.
-func (e *ForeignError) Error() string {
+func (e *ResponseIDError) Error() string {
 	return fmt.Sprintf("the answer is for request %q, not %q (the connection is closed, the answer dropped)", e.Got, e.Want)
 }
 
@@ -87,7 +87,7 @@
 
 	reader  *bufio.Reader
 	bound   *boundReader // what reader reads from
-	late    *target.LateReader
+	late    *target.DeadlineReader
 	reused  bool
 	expires time.Time // from when on it is not used again
 }
@@ -97,15 +97,15 @@
 	return c.reused
 }
 
-// Quiet reports whether the connection is open and holds no bytes that nobody has read.
-func (c *Conn) Quiet() bool {
-	return target.Quiet(c.Conn)
+// SocketIdle reports whether the connection is open and holds no bytes that nobody has read.
+func (c *Conn) SocketIdle() bool {
+	return target.IsIdle(c.Conn)
 }
 
 // quiet reports whether the connection is open and has nothing to read: bytes
 // on a connection without a request answer nobody.
 func (c *Conn) quiet() bool {
-	return c.reader.Buffered() == 0 && c.Quiet()
+	return c.reader.Buffered() == 0 && c.SocketIdle()
 }
 
 func dial(ctx context.Context, address string) (*Conn, error) {
@@ -118,7 +118,7 @@
 }
 
 func newConn(raw net.Conn) *Conn {
-	late := &target.LateReader{Conn: raw}
+	late := &target.DeadlineReader{Conn: raw}
 	bound := &boundReader{source: late, left: math.MaxInt64}
 	return &Conn{Conn: raw, reader: bufio.NewReaderSize(bound, readBuffer), bound: bound, late: late}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -29,8 +29,8 @@
 	IDHeader string
 }
 
-// An Answer is a target's answer whose head has been read.
-type Answer struct {
+// A Response is a target's answer whose head has been read.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the body's length, or -1 if only its end will tell.
@@ -49,8 +49,8 @@
 // Send writes a request and reads the head of its answer. Until bounds the whole
 // exchange, and the end of ctx breaks it off. Unless the error is a DialError,
 // the target may have run the request.
-func (p *Pool) Send(ctx context.Context, target fleet.Incarnation, c *Conn, r Request, until time.Time) (*Answer, error) {
-	a := &Answer{pool: p, target: target, conn: c, written: make(chan error, 1)}
+func (p *Pool) Send(ctx context.Context, target fleet.Incarnation, c *Conn, r Request, until time.Time) (*Response, error) {
+	a := &Response{pool: p, target: target, conn: c, written: make(chan error, 1)}
 	a.stop = context.AfterFunc(ctx, func() { _ = c.Close() }) // the reader sees it
 	if err := a.exchange(r, until); err != nil {
 		a.Close()
@@ -62,7 +62,7 @@
 	return a, nil
 }
 
-func (a *Answer) exchange(r Request, until time.Time) error {
+func (a *Response) exchange(r Request, until time.Time) error {
 	// The socket's deadline runs on the runtime's clock, not on the fleet's.
 	left := until.Sub(a.pool.Clock.Now())
 	if err := a.conn.SetDeadline(time.Now().Add(left)); err != nil {
@@ -74,7 +74,7 @@
 	return a.readHead(r)
 }
 
-func (a *Answer) write(r Request) error {
+func (a *Response) write(r Request) error {
 	var b bytes.Buffer
 	b.Grow(1024 + min(len(r.Body), inlineBody))
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Path, r.Host)
@@ -101,7 +101,7 @@
 // readHead reads heads until one answers this request. A whole foreign answer
 // before it is skipped: it was late, and the one that is waited for comes next
 // on the same connection.
-func (a *Answer) readHead(r Request) error {
+func (a *Response) readHead(r Request) error {
 	const firstFinal = 200
 	foreign := false
 	a.conn.bound.left = maxHead
@@ -130,7 +130,7 @@
 			continue
 		}
 		if got != r.ID {
-			return &ForeignError{Want: r.ID, Got: got}
+			return &ResponseIDError{Want: r.ID, Got: got}
 		}
 		a.conn.bound.left = math.MaxInt64
 		a.resp = resp
@@ -146,7 +146,7 @@
 }
 
 // Read reads the body. It returns io.EOF only if the body is whole.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.resp.Body.Read(b)
 	if errors.Is(err, io.EOF) {
 		a.whole = true
@@ -154,18 +154,18 @@
 	return n, err
 }
 
-// Whole reports whether the body was read to its end.
-func (a *Answer) Whole() bool {
+// Complete reports whether the body was read to its end.
+func (a *Response) Complete() bool {
 	return a.whole
 }
 
 // Close keeps the connection if it stands at a clean boundary, and otherwise
 // ends it, and with it the request if it still runs.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.once.Do(a.close)
 }
 
-func (a *Answer) close() {
+func (a *Response) close() {
 	live := a.stop()
 	if live && a.whole && a.clean() {
 		a.pool.put(a.target, a.conn, idleUntil(a.pool.Clock.Now(), a.Header))
@@ -174,8 +174,8 @@
 	_ = a.conn.Close() // nothing more is read or written
 }
 
-func (a *Answer) clean() bool {
-	if a.resp.Close || !framed(a.resp) || a.conn.reader.Buffered() > 0 || a.conn.late.Late() {
+func (a *Response) clean() bool {
+	if a.resp.Close || !framed(a.resp) || a.conn.reader.Buffered() > 0 || a.conn.late.DeadlineExceeded() {
 		return false
 	}
 	select {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -71,9 +71,9 @@
 	p.idle[target] = append(p.idle[target], c)
 }
 
-// Sweep closes the connections that may not be used again, and those to targets
+// Prune closes the connections that may not be used again, and those to targets
 // that are gone.
-func (p *Pool) Sweep(now time.Time, known func(fleet.Incarnation) bool) {
+func (p *Pool) Prune(now time.Time, known func(fleet.Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for target, list := range p.idle {
@@ -94,7 +94,7 @@
 
 // Close closes the unused connections and keeps no more.
 func (p *Pool) Close() {
-	p.Sweep(time.Time{}, func(fleet.Incarnation) bool { return false })
+	p.Prune(time.Time{}, func(fleet.Incarnation) bool { return false })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -36,7 +36,7 @@
 	require.NoError(t, err)
 	require.NotSame(t, first, other)
 	p.put(next, other, until)
-	p.Sweep(p.Clock.Now(), func(target fleet.Incarnation) bool { return target == next })
+	p.Prune(p.Clock.Now(), func(target fleet.Incarnation) bool { return target == next })
 	_, err = first.Write([]byte("x"))
 	require.ErrorIs(t, err, net.ErrClosed, "the former's connections are closed")
 	kept, err := p.Get(context.Background(), next, l.Addr().String())
