--- a/internal/keeperclient/ask.go
+++ b/internal/keeperclient/ask.go
@@ -11,166 +11,172 @@
 	"laburnumfall/internal/rpc"
 )
 
-// A reply is what came of a question to one keeper.
-type reply struct {
-	address string
-	conn    *rpc.Conn
-	dialed  bool // for this question
-	packs   bool // the question may be packed
-	asked   time.Time
-	mine    []message.Backlog // that the question reported
-	answer  message.RenewResponse
-	err     error
+// A renewalReply is the outcome of one renewal request to one keeper.
+type renewalReply struct {
+	address    string
+	conn       *rpc.Conn
+	dialed     bool // conn was opened for this request
+	packed     bool // the request may be sent packed
+	sentAt     time.Time
+	ownBacklog []message.Backlog // the backlog that the request reported
+	response   message.RenewResponse
+	err        error
 }
 
-// ask puts the question to the leader last heard of. While that does not answer, it
-// asks the others by turns too, without giving the first one up: the leader may be
-// gone, its link silent, its answer long or this router behind, and nothing tells
-// which. One after the other, two keepers that are gone cost up to three seconds by
-// calculation; a configuration was not in force in time on a day with two gone.
-func (u *Client) ask(ctx context.Context) {
+// renew runs one renewal round: it sends a request to the keeper that is believed to lead and,
+// while that keeper does not answer, to the other keepers in turn, one per interval. The first
+// request stays open, because the router cannot distinguish a failed leader, a silent connection,
+// a response that takes long and a router that is itself overloaded. Strictly one request at a
+// time, two failed keepers would cost up to three seconds by calculation; with two failed
+// keepers, a configuration did not come into force in time.
+func (c *Client) renew(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	round := newRound(u)
+	round := newRenewalRound(c)
 	defer func() {
-		cancel() // ends what is still asked
-		round.drop()
+		cancel() // ends the requests that are still pending
+		round.discardPending()
 	}()
-	first, patience, most := u.last, callTimeout, longestCall
+	first, interval, timeout := c.likelyLeader, hedgeDelay, roundTimeout
 	if first == "" {
-		first, patience, most = u.nextOther(), searchPause, searchCall
+		first, interval, timeout = c.nextCandidate(), searchInterval, searchRoundTimeout
 	}
-	u.beat(patience)
-	round.ask(ctx, first, false)
-	end := time.After(most)
-	tick := time.NewTicker(patience)
-	defer tick.Stop()
-	for round.open > 0 {
+	c.noteProgress(interval)
+	round.send(ctx, first, false)
+	expired := time.After(timeout)
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for round.pending > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-end:
-			round.dropSilent()
-			u.lost()
+		case <-expired:
+			round.closeSilentConns()
+			c.markLeaderLost()
 			return
-		case <-tick.C:
-			u.beat(patience)
-			round.askNext(ctx)
-		case r := <-round.replies:
-			round.open--
-			if round.heard(ctx, r) {
+		case <-ticker.C:
+			c.noteProgress(interval)
+			round.sendToNext(ctx)
+		case reply := <-round.replies:
+			round.pending--
+			if round.handleReply(ctx, reply) {
 				return
 			}
 		}
 	}
-	u.lost()
+	c.markLeaderLost()
 }
 
-// call asks one keeper. It touches nothing of the uplink that changes.
-func (u *Client) call(ctx context.Context, q reply, ask message.RenewRequest) reply {
-	if q.conn == nil {
-		q.conn, q.err = rpc.Dial(ctx, q.address, u.Name, u.Secret, noCalls{}, &u.count)
-		q.dialed = true
+// sendRenewal sends one request to one keeper. It runs concurrently with the round, so it must
+// not touch fields of the client that change.
+func (c *Client) sendRenewal(ctx context.Context, reply renewalReply, request message.RenewRequest) renewalReply {
+	if reply.conn == nil {
+		reply.conn, reply.err = rpc.Dial(ctx, reply.address, c.Name, c.Secret, noCallsHandler{}, &c.rpcCounter)
+		reply.dialed = true
 	}
-	if q.err != nil {
-		return q
+	if reply.err != nil {
+		return reply
 	}
-	if !q.packs {
-		q.err = q.conn.Call(ctx, message.MethodRenew, ask, &q.answer)
-		return q
+	if !reply.packed {
+		reply.err = reply.conn.Call(ctx, message.MethodRenew, request, &reply.response)
+		return reply
 	}
-	var p message.PackedRenewRequest
-	if p, q.err = ask.Pack(); q.err == nil {
-		q.err = q.conn.Call(ctx, message.MethodRenewPacked, p, &q.answer)
+	var packed message.PackedRenewRequest
+	if packed, reply.err = request.Pack(); reply.err == nil {
+		reply.err = reply.conn.Call(ctx, message.MethodRenewPacked, packed, &reply.response)
 	}
-	return q
+	return reply
 }
 
-// keep keeps the link of a reply, or gives it up if it failed.
-func (u *Client) keep(q reply) {
-	if q.conn == nil {
+// updateConn keeps the connection of a reply for later requests, or closes it if the request
+// failed.
+func (c *Client) updateConn(reply renewalReply) {
+	if reply.conn == nil {
 		return
 	}
-	held := u.links[q.address]
+	current := c.conns[reply.address]
 	switch {
-	case q.err != nil:
-		q.conn.Close()
-		if held == q.conn {
-			delete(u.links, q.address)
+	case reply.err != nil:
+		reply.conn.Close()
+		if current == reply.conn {
+			delete(c.conns, reply.address)
 		}
-	case held != q.conn:
-		if held != nil {
-			held.Close() // it answered nothing, or later than the new one
+	case current != reply.conn:
+		if current != nil {
+			current.Close() // it did not answer, or answered later than the new connection
 		}
-		u.links[q.address] = q.conn
+		c.conns[reply.address] = reply.conn
 	}
-	if q.err == nil && q.answer.AcceptsPacked {
-		u.packs = q.conn
+	if reply.err == nil && reply.response.AcceptsPacked {
+		c.packedConn = reply.conn
 	}
 }
 
-// nextOther returns the keepers beside the one thought to lead, in turn.
-func (u *Client) nextOther() string {
-	list := u.others()
-	for range list {
-		u.turn++
-		if address := list[u.turn%len(list)]; address != u.last {
+// nextCandidate returns the address of the next keeper to try besides the likely leader, in
+// rotation, or "" if there is none.
+func (c *Client) nextCandidate() string {
+	candidates := c.knownKeepers()
+	for range candidates {
+		c.rotation++
+		if address := candidates[c.rotation%len(candidates)]; address != c.likelyLeader {
 			return address
 		}
 	}
 	return ""
 }
 
-// others returns every keeper that was ever heard of.
-func (u *Client) others() []string {
+// knownKeepers returns the addresses of all known keepers, without duplicates: those learned from
+// keepers, then the seeds.
+func (c *Client) knownKeepers() []string {
 	seen := make(map[string]bool)
-	var list []string
-	for _, a := range append(append([]string(nil), u.keepers...), u.seedList()...) {
-		if !seen[a] {
-			seen[a] = true
-			list = append(list, a)
+	var addresses []string
+	for _, address := range append(append([]string(nil), c.keepers...), c.seedAddresses()...) {
+		if !seen[address] {
+			seen[address] = true
+			addresses = append(addresses, address)
 		}
 	}
-	return list
+	return addresses
 }
 
-func (u *Client) lost() {
-	if u.leader == "" {
+func (c *Client) markLeaderLost() {
+	if c.leader == "" {
 		return
 	}
-	u.Log.Warn("keepers: no leader found; going on with what is known", "last", u.leader,
-		"silent", u.Clock.Now().Sub(u.renewed).Milliseconds(), "number", u.number())
-	u.leader = ""
+	c.Log.Warn("keepers: no leader found; going on with what is known", "last", c.leader,
+		"silent", c.Clock.Now().Sub(c.renewedAt).Milliseconds(), "number", c.configNumber())
+	c.leader = ""
 }
 
-func (u *Client) number() uint64 {
-	if s := u.state.Load(); s != nil && s.Table != nil {
-		return s.Table.Number
+func (c *Client) configNumber() uint64 {
+	if state := c.state.Load(); state != nil && state.Table != nil {
+		return state.Table.Number
 	}
 	return 0
 }
 
-// noCalls is the handler of a link over which the keepers ask nothing.
-type noCalls struct{}
+// noCallsHandler handles connections over which keepers make no calls.
+type noCallsHandler struct{}
 
 var errNoCalls = errors.New("a router serves no calls (ask a keeper)")
 
 // Call implements rpc.Handler.
-func (noCalls) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
+func (noCallsHandler) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, errNoCalls
 }
 
 // Notice implements rpc.Handler.
-func (noCalls) Notice(*rpc.Conn, string, json.RawMessage) {}
-
-// mostKeepers bounds the keepers that a router remembers from hearsay: some times as many
-// as there may be.
-const mostKeepers = 64
-
-// learn adds keepers that one who does not lead has named. What a leader says replaces it.
-func (u *Client) learn(addresses []string) {
-	for _, a := range addresses {
-		if a != "" && len(u.keepers) < mostKeepers && !slices.Contains(u.keepers, a) {
-			u.keepers, u.members = append(u.keepers, a), 0
+func (noCallsHandler) Notice(*rpc.Conn, string, json.RawMessage) {}
+
+// maxKnownKeepers limits how many keepers a router remembers from answers of followers. It is
+// several times the largest number of keepers.
+const maxKnownKeepers = 64
+
+// addKeepers adds keepers named by a keeper that does not lead. The next list of a leader
+// replaces all of them.
+func (c *Client) addKeepers(addresses []string) {
+	for _, address := range addresses {
+		if address != "" && len(c.keepers) < maxKnownKeepers && !slices.Contains(c.keepers, address) {
+			c.keepers, c.keepersDigest = append(c.keepers, address), 0
 		}
 	}
 }
--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -1,6 +1,6 @@
-// Package keeperclient is a router's side of its talk with the keepers: it renews the
-// lease on accounts' keys and learns the configuration, the targets and the
-// keepers themselves. While no keeper leads it goes on with what it has.
+// Package keeperclient is a router's client of the keepers. It renews the lease on the API keys
+// of accounts and receives the configuration, the targets and the addresses of the keepers. While
+// no keeper leads, it continues with the last known state.
 package keeperclient
 
 import (
@@ -21,186 +21,190 @@
 )
 
 const (
-	// callTimeout is how long a keeper may take to answer before another one is asked
-	// too. It may still answer until the round ends after longestCall: a large
-	// configuration takes longer, or this router may be behind.
-	callTimeout = 400 * time.Millisecond
-	longestCall = 2 * time.Second
-	// mostAsked bounds the questions of a round.
-	mostAsked = 12
-	// searchPause is kept between two rounds, and between the questions of a round,
-	// while no leader is known. searchCall ends such a round: a keeper that left a
-	// question may be back.
-	searchPause = 100 * time.Millisecond
-	searchCall  = 2 * callTimeout
-	// askPause is kept at least between two rounds.
-	askPause = 30 * time.Millisecond
-	// listPatience is how old the list of targets may grow before a router reads
-	// the platform's list itself. The leader reads it every 600 ms.
-	listPatience = 1800 * time.Millisecond
-	// ownReads is the part of the platform's reads that routers without a
-	// leader may use together; the leader, and other users, have the rest.
-	ownReads = 0.5
-	// leastOwnPeriod bounds how often one router reads the list itself.
-	leastOwnPeriod = 800 * time.Millisecond
-	listTimeout    = time.Second
+	// hedgeDelay is how long a keeper may take to answer before another one is asked as well. A
+	// later answer still counts until the round ends after roundTimeout, because a large
+	// configuration takes longer and this router may be overloaded.
+	hedgeDelay   = 400 * time.Millisecond
+	roundTimeout = 2 * time.Second
+	// maxRoundRequests limits the requests of one round.
+	maxRoundRequests = 12
+	// While no leader is known, searchInterval is the pause between two rounds and between the
+	// requests of a round. searchRoundTimeout ends such a round early, because a keeper that left
+	// a request unanswered may be running again.
+	searchInterval     = 100 * time.Millisecond
+	searchRoundTimeout = 2 * hedgeDelay
+	// minRoundPause is the minimum pause between two rounds.
+	minRoundPause = 30 * time.Millisecond
+	// maxListAge is the age of the list of targets from which a router reads the platform's list
+	// itself. The leader reads it every 600 ms.
+	maxListAge = 1800 * time.Millisecond
+	// ownReadShare is the share of the platform's read rate that all routers without a leader may
+	// use together. The rest is for the leader and for other users.
+	ownReadShare = 0.5
+	// minOwnReadPeriod is the shortest time between two reads of the list by one router.
+	minOwnReadPeriod = 800 * time.Millisecond
+	listReadTimeout  = time.Second
 )
 
-// A State is what a router knows from the keepers. It is never changed.
+// A State is what a router knows from the keepers. It is immutable.
 type State struct {
 	Table *fleet.RoutingTable
-	// KeysUntil is when accounts' keys stop counting, unless renewed.
+	// KeyLeaseExpiry is when the API keys of accounts expire unless the lease is renewed.
 	KeyLeaseExpiry time.Time
 	Routers        int
-	// Evacuated are the availability zones whose targets get no new work.
+	// Evacuated lists the availability zones whose targets get no new work.
 	Evacuated fleet.EvacuatedZones
 }
 
-// A TargetList is the platform's list of targets.
+// A TargetList reads the platform's list of targets.
 type TargetList interface {
 	Read(ctx context.Context) (fleet.TargetListing, error)
-	// Address is where it is read, for those who look for the cause of damage.
+	// Address returns where the list is read. It is logged with damaged entries.
 	Address() string
 }
 
-// An Client asks the keepers. Set the exported fields, then call Run.
+// A Client renews a router's state from the keepers. Set the exported fields, then call Run.
 type Client struct {
 	Name        string
 	Zone        fleet.Zone
 	Incarnation uint64
 	Clock       clock.Clock
 	Log         hclog.Logger
-	// Secret proves to the keepers that this router belongs to the fleet.
+	// Secret authenticates this router to the keepers.
 	Secret rpc.Secret
-	// Lease is how long after a question, answered by a leader, keys count.
+	// KeyLease is how long API keys are valid after the sending of a request that a leader
+	// answers.
 	KeyLease time.Duration
-	// Decode reads a configuration.
+	// Decode parses a configuration.
 	Decode func(text []byte) (*fleet.RoutingTable, error)
-	// List is the platform's list, read while no keeper leads; Reads is how
-	// many reads a second it takes from all nodes.
+	// List is the platform's list, read while no keeper leads. ReadRate is how many reads per
+	// second the platform accepts from all nodes together.
 	List     TargetList
 	ReadRate float64
-	// Changed is told of each change of the configuration and of the targets.
-	OnChange func(s State, targets []fleet.Instance)
-	// Load returns what this router reports to the leader, and Heard is told
-	// what the leader answers of all others.
+	// OnChange is called after each change of the configuration, the evacuated zones or the
+	// targets.
+	OnChange func(state State, targets []fleet.Instance)
+	// Load returns the demand and the backlog that this router reports to the leader. OnFleetLoad
+	// receives the fleet's demand and the backlog of all other routers from the leader's
+	// response.
 	Load        func(now time.Time) ([]message.Demand, []message.Backlog)
-	OnFleetLoad func(now time.Time, demand []message.Demand, others []message.Backlog)
-	// Warming is told until when targets are cold, before Changed is told of them, and
-	// Seat of the part of what cold targets get that is leased to this router from a moment.
-	// Held returns that lease while it holds.
-	OnColdTargets func(until map[fleet.Incarnation]time.Time)
-	OnWarmupLease func(asked time.Time, s warmup.Lease)
+	OnFleetLoad func(now time.Time, demand []message.Demand, backlog []message.Backlog)
+	// OnColdTargets receives the times until which targets are cold, before OnChange is called
+	// for those targets. OnWarmupLease receives this router's share of the requests that cold
+	// targets get, leased from sentAt on. WarmupLease returns the lease while it is valid.
+	OnColdTargets func(coldUntil map[fleet.Incarnation]time.Time)
+	OnWarmupLease func(sentAt time.Time, lease warmup.Lease)
 	WarmupLease   func(now time.Time) warmup.Lease
-	// Quarantine returns which requests targets have ended under, and Ruled is told which are
-	// held back, by the leader of a term in answer to a question of a time. Wake asks for a
-	// question at once.
+	// QuarantineReport returns the requests under which targets terminated. OnRestrictions
+	// receives the requests to hold back, decided by the leader of the term in response to the
+	// request sent at sentAt. A value in PollNow starts the next round early.
 	QuarantineReport func(now time.Time) quarantine.Report
-	OnRestrictions   func(now, asked time.Time, term uint64, r quarantine.RestrictionUpdate)
+	OnRestrictions   func(now, sentAt time.Time, term uint64, restrictions quarantine.RestrictionUpdate)
 	PollNow          <-chan struct{}
 
-	count   rpc.Counter
-	seeds   atomic.Pointer[[]string]
-	state   atomic.Pointer[State]
-	damaged atomic.Uint64
-	roster  targetlist.List
-	links   map[string]*rpc.Conn
-	turn    int // counts the keepers asked beside the leader
-	keepers []string
-	// accounts are those of the loads, as a leader named them last.
-	accounts []string
-	members  uint32    // digest of keepers as a leader sent them; 0 if others were added
-	names    uint32    // digest of accounts; 0 is none
-	packs    *rpc.Conn // over which questions may be packed
-	leader   string    // "" while none is known
-	last     string    // the keeper that is thought to lead, "" if none
-	renewed  time.Time
-	term     uint64
-	list     uint64
-	sent     sentList
-	notes    targetlist.DamageNotes
-	readOwn  time.Time // when this router last read the list itself
-	pulse    pulse
+	rpcCounter   rpc.Counter
+	seeds        atomic.Pointer[[]string]
+	state        atomic.Pointer[State]
+	damaged      atomic.Uint64
+	knownTargets targetlist.List
+	conns        map[string]*rpc.Conn
+	rotation     int // counts the candidates tried in nextCandidate
+	keepers      []string
+	// loadAccounts are the accounts of the fleet's load, as a leader last named them.
+	loadAccounts   []string
+	keepersDigest  uint32    // digest of keepers as a leader sent them; 0 if others were added
+	accountsDigest uint32    // digest of loadAccounts; 0 if there is none
+	packedConn     *rpc.Conn // connection to a keeper that accepts packed requests
+	leader         string    // "" while no leader is known
+	likelyLeader   string    // the keeper that is believed to lead; "" if none
+	renewedAt      time.Time
+	listTerm       uint64
+	listRevision   uint64
+	sentTargets    sentTargetList
+	damageNotes    targetlist.DamageNotes
+	lastOwnRead    time.Time // when this router last read the platform's list itself
+	stalls         stallDetector
 }
 
-// State returns what is known now.
-func (u *Client) State() State {
-	if s := u.state.Load(); s != nil {
-		return *s
+// State returns the current state.
+func (c *Client) State() State {
+	if state := c.state.Load(); state != nil {
+		return *state
 	}
 	return State{}
 }
 
-// routed reports whether the configuration in force has a pool.
-func (u *Client) routed(pool string) bool {
-	t := u.State().Table
-	if t == nil {
+// hasPool reports whether the configuration in force has a pool. It returns true while there is
+// no configuration.
+func (c *Client) hasPool(pool string) bool {
+	table := c.State().Table
+	if table == nil {
 		return true
 	}
-	_, ok := t.Pools[pool]
+	_, ok := table.Pools[pool]
 	return ok
 }
 
-// DamagedEntries returns how many damaged entries this router's own readings of the list have
-// held.
-func (u *Client) DamagedEntries() uint64 {
-	return u.damaged.Load()
+// DamagedEntries returns how many damaged entries this router has found in its own reads of the
+// platform's list.
+func (c *Client) DamagedEntries() uint64 {
+	return c.damaged.Load()
 }
 
-// SetSeeds names the keepers that the settings tell of. It may be called at any
-// time; keepers learned from others stay known.
-func (u *Client) SetSeeds(addresses []string) {
-	u.seeds.Store(&addresses)
+// SetSeeds sets the addresses of the keepers that the settings name. It may be called at any
+// time; keepers learned from other keepers stay known.
+func (c *Client) SetSeeds(addresses []string) {
+	c.seeds.Store(&addresses)
 }
 
-func (u *Client) seedList() []string {
-	if s := u.seeds.Load(); s != nil {
-		return *s
+func (c *Client) seedAddresses() []string {
+	if seeds := c.seeds.Load(); seeds != nil {
+		return *seeds
 	}
 	return nil
 }
 
-// Run asks until ctx ends.
-func (u *Client) Run(ctx context.Context) error {
-	u.links = make(map[string]*rpc.Conn)
-	if u.List != nil {
-		u.notes.List = u.List.Address()
+// Run renews the state until ctx ends.
+func (c *Client) Run(ctx context.Context) error {
+	c.conns = make(map[string]*rpc.Conn)
+	if c.List != nil {
+		c.damageNotes.List = c.List.Address()
 	}
-	u.notes.Log, u.notes.Count = u.Log, &u.damaged
-	u.roster.Routed = u.routed
+	c.damageNotes.Log, c.damageNotes.Count = c.Log, &c.damaged
+	c.knownTargets.Routed = c.hasPool
 	defer func() {
-		for _, c := range u.links {
-			c.Close()
+		for _, conn := range c.conns {
+			conn.Close()
 		}
 	}()
 	for ctx.Err() == nil {
-		started := u.Clock.Now()
-		u.ask(ctx)
-		u.readList(ctx)
-		pause := quota.ReportPeriod(u.State().Routers)
-		if u.leader == "" {
-			pause = searchPause
+		startedAt := c.Clock.Now()
+		c.renew(ctx)
+		c.readPlatformList(ctx)
+		pause := quota.ReportPeriod(c.State().Routers)
+		if c.leader == "" {
+			pause = searchInterval
 		}
-		if !u.StateIsFresh(u.Clock.Now()) {
+		if !c.StateIsFresh(c.Clock.Now()) {
 			pause = 0
 		}
-		u.rest(ctx, started, pause)
+		c.waitForNextRound(ctx, startedAt, pause)
 	}
 	return nil
 }
 
-// rest waits until a pause after a moment, or until something is to be told at once, but
-// for askPause at least.
-func (u *Client) rest(ctx context.Context, started time.Time, pause time.Duration) {
-	end := started.Add(pause)
-	u.beat(max(pause, askPause))
-	sleep(ctx, askPause)
-	timer := time.NewTimer(max(end.Sub(u.Clock.Now()), 0))
+// waitForNextRound waits until pause after startedAt, or until a value arrives in PollNow, but at
+// least for minRoundPause.
+func (c *Client) waitForNextRound(ctx context.Context, startedAt time.Time, pause time.Duration) {
+	nextRound := startedAt.Add(pause)
+	c.noteProgress(max(pause, minRoundPause))
+	sleep(ctx, minRoundPause)
+	timer := time.NewTimer(max(nextRound.Sub(c.Clock.Now()), 0))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-u.PollNow:
+	case <-c.PollNow:
 	}
 }
 
--- a/internal/keeperclient/keeperclient_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -20,107 +20,107 @@
 	"laburnumfall/internal/rpc"
 )
 
-// fakeKeeper answers renewals as it is told.
+// fakeKeeper answers renewal requests with a preset response.
 type fakeKeeper struct {
 	address string
 
-	mu     sync.Mutex
-	answer message.RenewResponse
-	asked  int
-	packed int                  // of these, packed
-	last   message.RenewRequest // asked last
-	slow   time.Duration        // before an answer that brings a configuration
-	mute   bool
+	mu           sync.Mutex
+	response     message.RenewResponse
+	requestCount int
+	packedCount  int // of requestCount, sent packed
+	lastRequest  message.RenewRequest
+	configDelay  time.Duration // delay of a response with a configuration
+	silent       bool
 }
 
 // Call implements rpc.Handler.
 func (k *fakeKeeper) Call(ctx context.Context, _ *rpc.Conn, method string, params json.RawMessage) (any, error) {
-	ask, err := readRenew(method, params)
+	request, err := decodeRenewRequest(method, params)
 	if err != nil {
 		return nil, err
 	}
 	k.mu.Lock()
-	k.asked++
+	k.requestCount++
 	if method == message.MethodRenewPacked {
-		k.packed++
+		k.packedCount++
 	}
-	k.last = ask
-	r, slow, mute := k.answer, k.slow, k.mute
+	k.lastRequest = request
+	response, configDelay, silent := k.response, k.configDelay, k.silent
 	k.mu.Unlock()
-	if mute {
+	if silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if ask.Number == r.Number {
-		r.PackedConfig = nil
+	if request.Number == response.Number {
+		response.PackedConfig = nil
 	}
-	if r.PackedConfig != nil {
-		time.Sleep(slow)
+	if response.PackedConfig != nil {
+		time.Sleep(configDelay)
 	}
-	return r, nil
+	return response, nil
 }
 
-func readRenew(method string, params json.RawMessage) (message.RenewRequest, error) {
+func decodeRenewRequest(method string, params json.RawMessage) (message.RenewRequest, error) {
 	if method == message.MethodRenewPacked {
-		var p message.PackedRenewRequest
-		if err := json.Unmarshal(params, &p); err != nil {
+		var packed message.PackedRenewRequest
+		if err := json.Unmarshal(params, &packed); err != nil {
 			return message.RenewRequest{}, err
 		}
-		return p.Unpack()
+		return packed.Unpack()
 	}
-	var ask message.RenewRequest
-	return ask, json.Unmarshal(params, &ask)
+	var request message.RenewRequest
+	return request, json.Unmarshal(params, &request)
 }
 
 // Notice implements rpc.Handler.
 func (k *fakeKeeper) Notice(*rpc.Conn, string, json.RawMessage) {}
 
-func (k *fakeKeeper) set(change func(k *fakeKeeper)) {
+func (k *fakeKeeper) update(change func(k *fakeKeeper)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	change(k)
 }
 
 func startKeeper(t *testing.T) *fakeKeeper {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	k := &fakeKeeper{address: l.Addr().String()}
+	keeper := &fakeKeeper{address: listener.Addr().String()}
 	ctx, cancel := context.WithCancel(context.Background())
-	var count rpc.Counter
-	go func() { _ = rpc.Serve(ctx, l, "keeper", nil, k, &count) }() // ends with the listener
+	var counter rpc.Counter
+	go func() { _ = rpc.Serve(ctx, listener, "keeper", nil, keeper, &counter) }() // ends with the listener
 	t.Cleanup(func() {
 		cancel()
-		require.NoError(t, l.Close())
+		require.NoError(t, listener.Close())
 	})
-	return k
+	return keeper
 }
 
-// text returns the packed form of a configuration that decodeNumber reads.
-func text(t *testing.T, number uint64) []byte {
+// packedConfig returns the packed form of a configuration that decodeConfigNumber reads.
+func packedConfig(t *testing.T, number uint64) []byte {
 	data, err := codec.Pack(fmt.Append(nil, number))
 	require.NoError(t, err)
 	return data
 }
 
-func decodeNumber(text []byte) (*fleet.RoutingTable, error) {
+func decodeConfigNumber(text []byte) (*fleet.RoutingTable, error) {
 	table := &fleet.RoutingTable{}
 	_, err := fmt.Sscan(string(text), &table.Number)
 	return table, err
 }
 
-// fakeList is the platform's list.
+// fakeList is a platform list with preset targets.
 type fakeList struct {
-	mu    sync.Mutex
-	list  []fleet.Instance
-	reads int
+	mu        sync.Mutex
+	targets   []fleet.Instance
+	readCount int
 }
 
 // Read implements TargetList.
 func (l *fakeList) Read(context.Context) (fleet.TargetListing, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reads++
-	return fleet.TargetListing{Targets: l.list}, nil
+	l.readCount++
+	return fleet.TargetListing{Targets: l.targets}, nil
 }
 
 // Address implements TargetList.
@@ -128,231 +128,225 @@
 	return "fake"
 }
 
-type seenTargets struct {
+type targetRecorder struct {
 	mu      sync.Mutex
 	targets []fleet.Instance
 }
 
-func (s *seenTargets) get() []fleet.Instance {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.targets
+func (r *targetRecorder) latest() []fleet.Instance {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.targets
 }
 
-func newUplink(list *fakeList, seeds ...string) *Client {
-	u := &Client{
+func newClient(platformList *fakeList, seeds ...string) *Client {
+	client := &Client{
 		Name: "r1", Incarnation: 1, Clock: clock.NewRealClock(), Log: hclog.NewNullLogger(), KeyLease: 4 * time.Second,
-		Decode: decodeNumber, List: list, ReadRate: 40,
+		Decode: decodeConfigNumber, List: platformList, ReadRate: 40,
 		OnChange:    func(State, []fleet.Instance) {},
 		Load:        func(time.Time) ([]message.Demand, []message.Backlog) { return nil, nil },
 		OnFleetLoad: func(time.Time, []message.Demand, []message.Backlog) {},
 	}
-	u.SetSeeds(seeds)
-	return u
+	client.SetSeeds(seeds)
+	return client
 }
 
-func runUplink(t *testing.T, u *Client) {
+func runClient(t *testing.T, client *Client) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- u.Run(ctx) }()
+	go func() { done <- client.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		require.NoError(t, <-done)
 	})
 }
 
-func startUplink(t *testing.T, list *fakeList, seeds ...string) (*Client, *seenTargets) {
-	seen := &seenTargets{}
-	u := newUplink(list, seeds...)
-	u.OnChange = func(_ State, targets []fleet.Instance) {
-		seen.mu.Lock()
-		defer seen.mu.Unlock()
-		seen.targets = targets
+func startClient(t *testing.T, platformList *fakeList, seeds ...string) (*Client, *targetRecorder) {
+	recorder := &targetRecorder{}
+	client := newClient(platformList, seeds...)
+	client.OnChange = func(_ State, targets []fleet.Instance) {
+		recorder.mu.Lock()
+		defer recorder.mu.Unlock()
+		recorder.targets = targets
 	}
-	runUplink(t, u)
-	return u, seen
+	runClient(t, client)
+	return client, recorder
 }
 
-func pack[T any](t *testing.T, value T) []byte {
+func packJSON[T any](t *testing.T, value T) []byte {
 	data, err := codec.PackJSON(value)
 	require.NoError(t, err)
 	return data
 }
 
-func (u *Client) has(number uint64) func() bool {
+func (c *Client) hasConfig(number uint64) func() bool {
 	return func() bool {
-		s := u.State()
-		return s.Table != nil && s.Table.Number == number
+		state := c.State()
+		return state.Table != nil && state.Table.Number == number
 	}
 }
 
 const (
-	wait = 10 * time.Second
-	tick = 5 * time.Millisecond
+	waitLimit    = 10 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-func TestRouterFindsTheLeaderThroughAnyKeeper(t *testing.T) {
+func TestFindsLeaderThroughFollower(t *testing.T) {
 	follower, leader := startKeeper(t), startKeeper(t)
-	follower.answer = message.RenewResponse{Leader: leader.address}
-	leader.answer = message.RenewResponse{Leads: true, Term: 1, Number: 3, PackedConfig: text(t, 3), Routers: 2}
-	u, _ := startUplink(t, &fakeList{}, follower.address)
-	require.Eventually(t, u.has(3), wait, tick)
-	require.Equal(t, 2, u.State().Routers)
-	require.True(t, u.State().KeyLeaseExpiry.After(u.Clock.Now()))
+	follower.response = message.RenewResponse{Leader: leader.address}
+	leader.response = message.RenewResponse{Leads: true, Term: 1, Number: 3, PackedConfig: packedConfig(t, 3), Routers: 2}
+	client, _ := startClient(t, &fakeList{}, follower.address)
+	require.Eventually(t, client.hasConfig(3), waitLimit, pollInterval)
+	require.Equal(t, 2, client.State().Routers)
+	require.True(t, client.State().KeyLeaseExpiry.After(client.Clock.Now()))
 }
 
-// Symptom: a router goes back to an older configuration.
-// Sequence: it has heard the newest number; a keeper that still believes that it
-// leads answers with an older one.
-// Cause: the answer that comes last counts.
-func TestRouterNeverGoesBack(t *testing.T) {
-	k := startKeeper(t)
-	k.answer = message.RenewResponse{Leads: true, Term: 2, Number: 9, PackedConfig: text(t, 9)}
-	u, _ := startUplink(t, &fakeList{}, k.address)
-	require.Eventually(t, u.has(9), wait, tick)
-	k.set(func(k *fakeKeeper) {
-		k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 8, PackedConfig: text(t, 8)}
-		k.asked = 0
+// Guards against a router that returns to an older configuration. The router has the newest
+// number, and then a keeper that still believes it leads answers with an older one.
+func TestIgnoresOlderConfig(t *testing.T) {
+	keeper := startKeeper(t)
+	keeper.response = message.RenewResponse{Leads: true, Term: 2, Number: 9, PackedConfig: packedConfig(t, 9)}
+	client, _ := startClient(t, &fakeList{}, keeper.address)
+	require.Eventually(t, client.hasConfig(9), waitLimit, pollInterval)
+	keeper.update(func(keeper *fakeKeeper) {
+		keeper.response = message.RenewResponse{Leads: true, Term: 1, Number: 8, PackedConfig: packedConfig(t, 8)}
+		keeper.requestCount = 0
 	})
 	require.Eventually(t, func() bool {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		return k.asked > 2
-	}, wait, tick)
-	require.True(t, u.has(9)())
-	before := u.State().KeyLeaseExpiry
-	require.Eventually(t, func() bool { return u.Clock.Now().After(before.Add(-3 * time.Second)) }, wait, tick)
-	require.Equal(t, before, u.State().KeyLeaseExpiry, "the lease on keys is not renewed by an older configuration")
+		keeper.mu.Lock()
+		defer keeper.mu.Unlock()
+		return keeper.requestCount > 2
+	}, waitLimit, pollInterval)
+	require.True(t, client.hasConfig(9)())
+	before := client.State().KeyLeaseExpiry
+	require.Eventually(t, func() bool { return client.Clock.Now().After(before.Add(-3 * time.Second)) }, waitLimit, pollInterval)
+	require.Equal(t, before, client.State().KeyLeaseExpiry, "a response with an older configuration must not renew the key lease")
 }
 
-// Symptom: a withdrawn key goes on working.
-// Sequence: the answer of a leader takes long; meanwhile another keeper leads and
-// takes the key away.
-// Cause: the lease on keys counts from when the answer is read.
-func TestLeaseCountsFromTheQuestion(t *testing.T) {
-	k := startKeeper(t)
-	k.slow = 300 * time.Millisecond
-	k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1)}
-	u, _ := startUplink(t, &fakeList{}, k.address)
-	k.set(func(k *fakeKeeper) { k.asked = 0 })
-	require.Eventually(t, u.has(1), wait, time.Millisecond)
-	k.set(func(k *fakeKeeper) { k.mute = true })
-	require.LessOrEqual(t, u.State().KeyLeaseExpiry, u.Clock.Now().Add(u.KeyLease-k.slow))
+// Guards against a revoked key that stays valid. A leader's response takes long, and meanwhile
+// another keeper takes over and revokes the key; so the lease must start when the request is
+// sent, not when the response is read.
+func TestKeyLeaseStartsWhenRequestIsSent(t *testing.T) {
+	keeper := startKeeper(t)
+	keeper.configDelay = 300 * time.Millisecond
+	keeper.response = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: packedConfig(t, 1)}
+	client, _ := startClient(t, &fakeList{}, keeper.address)
+	keeper.update(func(keeper *fakeKeeper) { keeper.requestCount = 0 })
+	require.Eventually(t, client.hasConfig(1), waitLimit, time.Millisecond)
+	keeper.update(func(keeper *fakeKeeper) { keeper.silent = true })
+	require.LessOrEqual(t, client.State().KeyLeaseExpiry, client.Clock.Now().Add(client.KeyLease-keeper.configDelay))
 }
 
-// Symptom: a router never gets a configuration of many routes.
-// Sequence: the answer that holds it takes longer than a question may; each time
-// the router gives up and asks again.
-// Cause: the time for a question is fixed.
-func TestAnAnswerThatTakesLongArrives(t *testing.T) {
-	k := startKeeper(t)
-	k.slow = 2 * callTimeout
-	k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1}
-	u, _ := startUplink(t, &fakeList{}, k.address)
+// Guards against a router that never gets a large configuration. The response takes longer than
+// hedgeDelay, and the router must not give the request up for a new one each time.
+func TestAcceptsResponseSlowerThanHedgeDelay(t *testing.T) {
+	keeper := startKeeper(t)
+	keeper.configDelay = 2 * hedgeDelay
+	keeper.response = message.RenewResponse{Leads: true, Term: 1, Number: 1}
+	client, _ := startClient(t, &fakeList{}, keeper.address)
 	require.Eventually(t, func() bool {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		return k.asked > 0
-	}, wait, tick)
-	k.set(func(k *fakeKeeper) {
-		k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 5, PackedConfig: text(t, 5)}
+		keeper.mu.Lock()
+		defer keeper.mu.Unlock()
+		return keeper.requestCount > 0
+	}, waitLimit, pollInterval)
+	keeper.update(func(keeper *fakeKeeper) {
+		keeper.response = message.RenewResponse{Leads: true, Term: 1, Number: 5, PackedConfig: packedConfig(t, 5)}
 	})
-	require.Eventually(t, u.has(5), wait, tick)
+	require.Eventually(t, client.hasConfig(5), waitLimit, pollInterval)
 }
 
-// Symptom: a leaving target gets work while no keeper leads.
-// Sequence: the keepers go away; a target starts to leave.
-// Cause: the list of targets comes from the leader only.
-func TestRouterReadsTheListItselfWithoutALeader(t *testing.T) {
-	k := startKeeper(t)
-	live := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p"}}
-	k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1), ListRevision: 1, PackedTargets: pack(t, live)}
-	list := &fakeList{list: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p", Leaving: true}}}
-	u, seen := startUplink(t, list, k.address)
-	require.Eventually(t, func() bool { return len(seen.get()) == 1 && !seen.get()[0].Leaving }, wait, tick)
-	require.Zero(t, list.reads, "one reader for all")
-	k.set(func(k *fakeKeeper) { k.answer = message.RenewResponse{} })
-	require.Eventually(t, func() bool { return seen.get()[0].Leaving }, wait, tick)
-	require.True(t, u.has(1)(), "it goes on with the configuration")
-	k.set(func(k *fakeKeeper) {
-		k.answer = message.RenewResponse{Leads: true, Term: 2, Number: 1, ListRevision: 1, Targets: live}
+// Guards against new work for a leaving target while no keeper leads. The keepers stop leading
+// and a target starts to leave, so the leader's list must not be the only source.
+func TestReadsPlatformListWithoutLeader(t *testing.T) {
+	keeper := startKeeper(t)
+	leaderTargets := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p"}}
+	keeper.response = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: packedConfig(t, 1), ListRevision: 1, PackedTargets: packJSON(t, leaderTargets)}
+	platformList := &fakeList{targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p", Leaving: true}}}
+	client, recorder := startClient(t, platformList, keeper.address)
+	require.Eventually(t, func() bool { return len(recorder.latest()) == 1 && !recorder.latest()[0].Leaving }, waitLimit, pollInterval)
+	require.Zero(t, platformList.readCount, "only the leader reads the list while it leads")
+	keeper.update(func(keeper *fakeKeeper) { keeper.response = message.RenewResponse{} })
+	require.Eventually(t, func() bool { return recorder.latest()[0].Leaving }, waitLimit, pollInterval)
+	require.True(t, client.hasConfig(1)(), "the router keeps its configuration")
+	keeper.update(func(keeper *fakeKeeper) {
+		keeper.response = message.RenewResponse{Leads: true, Term: 2, Number: 1, ListRevision: 1, Targets: leaderTargets}
 	})
 	time.Sleep(500 * time.Millisecond)
-	require.True(t, seen.get()[0].Leaving, "a list that lags brings nothing back")
+	require.True(t, recorder.latest()[0].Leaving, "a lagging list must not undo a newer read")
 }
 
-// Symptom: a router that is behind loses its lease on keys for many seconds,
-// though the leader is there.
-// Sequence: the leader's answer takes longer than a question may; the router
-// asks all other keepers, one after the other, which answer as late.
-// Cause: the leader is asked again only after all others.
-func TestARouterThatIsBehindComesBackToItsLeader(t *testing.T) {
+// Guards against a key lease that lapses for many seconds although the leader runs. The leader's
+// response takes longer than hedgeDelay, the other keepers do not answer at all, and the router
+// must not try all of them before it returns to the leader.
+func TestStaysWithSlowLeader(t *testing.T) {
 	leader := startKeeper(t)
 	seeds := []string{leader.address}
-	var mutes []*fakeKeeper
+	var silentKeepers []*fakeKeeper
 	for range 6 {
-		mute := startKeeper(t)
-		mute.mute = true
-		mutes = append(mutes, mute)
-		seeds = append(seeds, mute.address)
+		silent := startKeeper(t)
+		silent.silent = true
+		silentKeepers = append(silentKeepers, silent)
+		seeds = append(seeds, silent.address)
 	}
-	leader.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1), Keepers: seeds}
-	u, _ := startUplink(t, &fakeList{}, seeds...)
-	require.Eventually(t, u.has(1), wait, tick)
-	for _, mute := range mutes {
-		mute.set(func(k *fakeKeeper) { k.asked = 0 })
+	leader.response = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: packedConfig(t, 1), Keepers: seeds}
+	client, _ := startClient(t, &fakeList{}, seeds...)
+	require.Eventually(t, client.hasConfig(1), waitLimit, pollInterval)
+	for _, silent := range silentKeepers {
+		silent.update(func(keeper *fakeKeeper) { keeper.requestCount = 0 })
 	}
-	leader.set(func(k *fakeKeeper) {
-		k.answer.Number, k.answer.PackedConfig = 2, text(t, 2)
-		k.slow = 3 * callTimeout
+	leader.update(func(keeper *fakeKeeper) {
+		keeper.response.Number, keeper.response.PackedConfig = 2, packedConfig(t, 2)
+		keeper.configDelay = 3 * hedgeDelay
 	})
-	require.Eventually(t, u.has(2), wait, tick)
-	asked := 0
-	for _, mute := range mutes {
-		mute.set(func(k *fakeKeeper) { asked += k.asked })
+	require.Eventually(t, client.hasConfig(2), waitLimit, pollInterval)
+	requestCount := 0
+	for _, silent := range silentKeepers {
+		silent.update(func(keeper *fakeKeeper) { requestCount += keeper.requestCount })
 	}
-	require.LessOrEqual(t, asked, 3, "each late answer of the leader costs one question to another, so that the lease holds")
+	require.LessOrEqual(t, requestCount, 3, "each late response of the leader may cost one request to another keeper, so that the lease holds")
 }
 
-func TestANewLeaderIsFoundThroughAFollower(t *testing.T) {
-	old, follower, next := startKeeper(t), startKeeper(t), startKeeper(t)
-	seeds := []string{old.address, follower.address}
-	old.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1)}
-	u, _ := startUplink(t, &fakeList{}, seeds...)
-	require.Eventually(t, u.has(1), wait, tick)
-	follower.set(func(k *fakeKeeper) { k.answer = message.RenewResponse{Leader: next.address} })
-	next.set(func(k *fakeKeeper) {
-		k.answer = message.RenewResponse{Leads: true, Term: 2, Number: 2, PackedConfig: text(t, 2)}
+func TestFindsNewLeaderThroughFollower(t *testing.T) {
+	oldLeader, follower, newLeader := startKeeper(t), startKeeper(t), startKeeper(t)
+	seeds := []string{oldLeader.address, follower.address}
+	oldLeader.response = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: packedConfig(t, 1)}
+	client, _ := startClient(t, &fakeList{}, seeds...)
+	require.Eventually(t, client.hasConfig(1), waitLimit, pollInterval)
+	follower.update(func(keeper *fakeKeeper) { keeper.response = message.RenewResponse{Leader: newLeader.address} })
+	newLeader.update(func(keeper *fakeKeeper) {
+		keeper.response = message.RenewResponse{Leads: true, Term: 2, Number: 2, PackedConfig: packedConfig(t, 2)}
+	})
+	oldLeader.update(func(keeper *fakeKeeper) { keeper.silent, keeper.requestCount = true, 0 })
+	require.Eventually(t, client.hasConfig(2), waitLimit, pollInterval)
+	oldLeader.update(func(keeper *fakeKeeper) {
+		require.LessOrEqual(t, keeper.requestCount, 2, "the old leader must not be waited for again")
 	})
-	old.set(func(k *fakeKeeper) { k.mute, k.asked = true, 0 })
-	require.Eventually(t, u.has(2), wait, tick)
-	old.set(func(k *fakeKeeper) { require.LessOrEqual(t, k.asked, 2, "the old one is not waited for again") })
 }
 
-// Symptom: routers send work where others have filled the queue.
-// Sequence: the leader's list of targets changes; its sums come by the order of the
-// new list, while this router goes by a list that it has read itself since.
-// Cause: the sums are taken by the order of the list in use.
-func TestSumsGoByTheListThatTheKeepersSent(t *testing.T) {
-	k := startKeeper(t)
-	list := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p"}, {Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p"}}
+// Guards against work for targets whose queues other routers have filled. The leader's loads
+// follow the order of its new list, while the router uses a list that it has read itself since,
+// in another order.
+func TestBacklogUsesOrderOfSentTargets(t *testing.T) {
+	keeper := startKeeper(t)
+	targets := []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "b"}, Pool: "p"}, {Incarnation: fleet.Incarnation{ID: "a"}, Pool: "p"}}
 	loads := message.Loads{Accounts: []string{"x"}, Rates: []int{5}, Served: []int{4}, Tokens: []int{7, 0}, Running: []int{1, 2}}
-	heard := make(chan []message.Backlog, 100)
-	u := newUplink(&fakeList{}, k.address)
-	u.OnFleetLoad = func(_ time.Time, _ []message.Demand, backlog []message.Backlog) { heard <- backlog }
-	// The list is older than this router: it goes on without, as after a reading of
-	// its own.
-	k.answer = message.RenewResponse{
-		Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1), ListRevision: 3, ListAge: time.Hour, PackedTargets: pack(t, list), PackedLoads: pack(t, loads),
+	backlogs := make(chan []message.Backlog, 100)
+	client := newClient(&fakeList{}, keeper.address)
+	client.OnFleetLoad = func(_ time.Time, _ []message.Demand, backlog []message.Backlog) { backlogs <- backlog }
+	// The list is older than this router, so the router does not use it, as after its own read of
+	// the platform's list.
+	keeper.response = message.RenewResponse{
+		Leads: true, Term: 1, Number: 1, PackedConfig: packedConfig(t, 1), ListRevision: 3, ListAge: time.Hour, PackedTargets: packJSON(t, targets), PackedLoads: packJSON(t, loads),
 	}
-	runUplink(t, u)
-	require.Equal(t, []message.Backlog{{Target: "b", Tokens: 7, Running: 1}, {Target: "a", Running: 2}}, <-heard)
-	k.set(func(k *fakeKeeper) { k.answer.ListRevision, k.answer.PackedTargets = 4, nil })
-	require.Eventually(t, func() bool { return len(<-heard) == 0 }, wait, tick, "of a list that was not sent nothing is taken")
+	runClient(t, client)
+	require.Equal(t, []message.Backlog{{Target: "b", Tokens: 7, Running: 1}, {Target: "a", Running: 2}}, <-backlogs)
+	keeper.update(func(keeper *fakeKeeper) { keeper.response.ListRevision, keeper.response.PackedTargets = 4, nil })
+	require.Eventually(t, func() bool { return len(<-backlogs) == 0 }, waitLimit, pollInterval, "loads that refer to an unknown list must be dropped")
 }
 
-// A list that the leader reads in time never looks old to a router of the largest fleet,
-// even where two answers are lost: all of them would read the platform's list themselves.
-func TestAListThatIsReadInTimeNeverLooksOld(t *testing.T) {
-	require.Less(t, 3*quota.ReportPeriod(100_000), listPatience)
+// Guards against routers of the largest fleet that all read the platform's list themselves. A
+// list that the leader reads in time must stay younger than maxListAge even if two responses are
+// lost.
+func TestMaxListAgeCoversLostResponses(t *testing.T) {
+	require.Less(t, 3*quota.ReportPeriod(100_000), maxListAge)
 }
--- a/internal/keeperclient/packed_test.go
+++ b/internal/keeperclient/packed_test.go
@@ -9,60 +9,61 @@
 	"laburnumfall/internal/message"
 )
 
-// Guards against renewals that a keeper of the version before cannot read.
-func TestRenewalsArePackedOnlyWhereAKeeperTakesThem(t *testing.T) {
-	for name, packs := range map[string]bool{"takes them": true, "of the version before": false} {
+// Guards against packed requests to a keeper of the previous version, which cannot read them.
+func TestPacksRenewalsOnlyForKeepersThatAcceptThem(t *testing.T) {
+	for name, acceptsPacked := range map[string]bool{"accepts packed": true, "previous version": false} {
 		t.Run(name, func(t *testing.T) {
-			k := startKeeper(t)
-			k.answer = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: text(t, 1), AcceptsPacked: packs}
-			u, _ := startUplink(t, &fakeList{}, k.address)
-			require.Eventually(t, u.has(1), 5*time.Second, time.Millisecond)
+			keeper := startKeeper(t)
+			keeper.response = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: packedConfig(t, 1), AcceptsPacked: acceptsPacked}
+			client, _ := startClient(t, &fakeList{}, keeper.address)
+			require.Eventually(t, client.hasConfig(1), 5*time.Second, time.Millisecond)
 			require.Eventually(t, func() bool {
-				k.mu.Lock()
-				defer k.mu.Unlock()
-				return k.asked >= 5 && (k.packed >= 3 || !packs)
+				keeper.mu.Lock()
+				defer keeper.mu.Unlock()
+				return keeper.requestCount >= 5 && (keeper.packedCount >= 3 || !acceptsPacked)
 			}, 5*time.Second, time.Millisecond)
-			k.mu.Lock()
-			defer k.mu.Unlock()
-			require.Equal(t, packs, k.packed > 0)
-			require.Less(t, k.packed, k.asked, "the first is plain")
-			require.Equal(t, "r1", k.last.Router)
+			keeper.mu.Lock()
+			defer keeper.mu.Unlock()
+			require.Equal(t, acceptsPacked, keeper.packedCount > 0)
+			require.Less(t, keeper.packedCount, keeper.requestCount, "the first request must not be packed")
+			require.Equal(t, "r1", keeper.lastRequest.Router)
 		})
 	}
 }
 
-// Guards against a router that forgets the keepers where an answer does not name them, and
-// against one that is never told of all again once it has added hearsay.
-func TestKeepersStayUntilOthersAreTold(t *testing.T) {
-	u := newUplink(&fakeList{})
+// Guards against a router that forgets the keepers when a response does not name them, and
+// against one that never receives the full list again after it has added keepers named by a
+// follower.
+func TestKeepersPersistWithoutUpdate(t *testing.T) {
+	client := newClient(&fakeList{})
 	now := time.Now()
-	told := []string{"a", "b"}
-	u.take(now, "a", nil, message.RenewResponse{Leads: true, Keepers: told})
-	require.Equal(t, message.Digest(told), u.members)
-	u.take(now, "a", nil, message.RenewResponse{Leads: true})
-	require.Equal(t, told, u.keepers)
-	u.learn([]string{"c"})
-	require.Zero(t, u.members)
-	u.take(now, "a", nil, message.RenewResponse{Leads: true, Keepers: told})
-	require.Equal(t, told, u.keepers)
+	keepers := []string{"a", "b"}
+	client.applyLeaderResponse(now, "a", nil, message.RenewResponse{Leads: true, Keepers: keepers})
+	require.Equal(t, message.Digest(keepers), client.keepersDigest)
+	client.applyLeaderResponse(now, "a", nil, message.RenewResponse{Leads: true})
+	require.Equal(t, keepers, client.keepers)
+	client.addKeepers([]string{"c"})
+	require.Zero(t, client.keepersDigest)
+	client.applyLeaderResponse(now, "a", nil, message.RenewResponse{Leads: true, Keepers: keepers})
+	require.Equal(t, keepers, client.keepers)
 }
 
-// Guards against demands that go to other accounts, since the names that a router holds are not
-// those that the leader means.
-func TestDemandsGoByTheNamesThatTheLeaderMeans(t *testing.T) {
-	u := newUplink(&fakeList{})
-	var heard []message.Demand
-	u.OnFleetLoad = func(_ time.Time, demand []message.Demand, _ []message.Backlog) { heard = demand }
-	take := func(l message.Loads) []message.Demand {
-		u.take(time.Now(), "a", nil, message.RenewResponse{Leads: true, PackedLoads: pack(t, l)})
-		return heard
+// Guards against demand assigned to the wrong accounts, when the accounts that a router holds
+// differ from those that the leader's columns refer to.
+func TestDemandUsesAccountsOfDigest(t *testing.T) {
+	client := newClient(&fakeList{})
+	var latest []message.Demand
+	client.OnFleetLoad = func(_ time.Time, demand []message.Demand, _ []message.Backlog) { latest = demand }
+	applyLoads := func(loads message.Loads) []message.Demand {
+		client.applyLeaderResponse(time.Now(), "a", nil, message.RenewResponse{Leads: true, PackedLoads: packJSON(t, loads)})
+		return latest
 	}
-	whole := message.Loads{Accounts: []string{"x", "y"}, AccountsDigest: 7, Rates: []int{5, 0}, Served: []int{4, 0}}
+	withAccounts := message.Loads{Accounts: []string{"x", "y"}, AccountsDigest: 7, Rates: []int{5, 0}, Served: []int{4, 0}}
 	want := []message.Demand{{Account: "x", Rate: 5, Served: 4}}
-	require.Equal(t, want, take(whole), "who asks for nothing is left out")
-	require.EqualValues(t, 7, u.names)
-	require.Equal(t, want, take(message.Loads{AccountsDigest: 7, Rates: []int{5, 0}, Served: []int{4, 0}}))
-	require.Empty(t, take(message.Loads{AccountsDigest: 8, Rates: []int{5, 0}, Served: []int{4, 0}}))
-	require.Equal(t, want, take(message.Loads{Accounts: []string{"x"}, Rates: []int{5}, Served: []int{4}}), "of the version before")
-	require.Zero(t, u.names)
+	require.Equal(t, want, applyLoads(withAccounts), "accounts without demand are left out")
+	require.EqualValues(t, 7, client.accountsDigest)
+	require.Equal(t, want, applyLoads(message.Loads{AccountsDigest: 7, Rates: []int{5, 0}, Served: []int{4, 0}}))
+	require.Empty(t, applyLoads(message.Loads{AccountsDigest: 8, Rates: []int{5, 0}, Served: []int{4, 0}}))
+	require.Equal(t, want, applyLoads(message.Loads{Accounts: []string{"x"}, Rates: []int{5}, Served: []int{4}}), "a leader of the previous version sends no digest")
+	require.Zero(t, client.accountsDigest)
 }
--- a/internal/keeperclient/restart_test.go
+++ b/internal/keeperclient/restart_test.go
@@ -15,192 +15,193 @@
 )
 
 const (
-	stepTime   = 10 * time.Millisecond
-	mostLag    = 800 * time.Millisecond // of the list, as the sheets of the users' platform say
-	drainTime  = 3 * time.Second
-	readPeriod = 600 * time.Millisecond // of the leader
-	answerTime = 200 * time.Millisecond
-
-	requestPause = 50 * time.Millisecond
-	subjects     = 40 // of prompts
-	simulated    = 100 * time.Second
+	stepTime         = 10 * time.Millisecond
+	maxListLag       = 800 * time.Millisecond // lag of the platform's list, according to the platform's documentation
+	minDrainTime     = 3 * time.Second
+	leaderReadPeriod = 600 * time.Millisecond
+	responseTime     = 200 * time.Millisecond
+
+	requestInterval = 50 * time.Millisecond
+	promptPrefixes  = 40 // distinct prompt prefixes
+	simulatedTime   = 100 * time.Second
 )
 
-// restartDay is one target that goes and comes back under its ID, before a router.
-type restartDay struct {
-	told    bool // the list tells starts
-	drained bool // else it crashes
-	random  *rand.Rand
+// restartScenario is one target that terminates and restarts under the same ID, as a router sees
+// it.
+type restartScenario struct {
+	listsStarts bool // the list has start times
+	drained     bool // otherwise it crashes
+	random      *rand.Rand
 
-	// The target's life, since the beginning.
-	drains, ends, starts time.Duration
-	unlisted             time.Duration // when a crashed target would leave the list
+	// Times of the target, since the start of the simulation.
+	drainAt, endAt, startAt time.Duration
+	unlistedAt              time.Duration // when a crashed target would leave the list
 }
 
-func newRestartDay(seed uint64, drained, told bool) *restartDay {
-	d := &restartDay{told: told, drained: drained, random: rand.New(rand.NewPCG(seed, 7))}
-	d.drains = 10*time.Second + d.draw(2*time.Second)
-	d.ends = d.drains
+func newRestartScenario(seed uint64, drained, listsStarts bool) *restartScenario {
+	s := &restartScenario{listsStarts: listsStarts, drained: drained, random: rand.New(rand.NewPCG(seed, 7))}
+	s.drainAt = 10*time.Second + s.randomDuration(2*time.Second)
+	s.endAt = s.drainAt
 	if drained {
-		d.ends += drainTime + d.draw(time.Second)
+		s.endAt += minDrainTime + s.randomDuration(time.Second)
 	}
-	d.starts = d.ends + time.Second + d.draw(7*time.Second)
-	d.unlisted = d.ends + 2*time.Second + d.draw(3*time.Second)
-	return d
+	s.startAt = s.endAt + time.Second + s.randomDuration(7*time.Second)
+	s.unlistedAt = s.endAt + 2*time.Second + s.randomDuration(3*time.Second)
+	return s
 }
 
-func (d *restartDay) draw(most time.Duration) time.Duration {
-	return time.Duration(d.random.Int64N(int64(most)))
+func (s *restartScenario) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(limit)))
 }
 
-func (d *restartDay) runs(at time.Duration) bool {
-	return at < d.ends || at >= d.starts
+func (s *restartScenario) running(at time.Duration) bool {
+	return at < s.endAt || at >= s.startAt
 }
 
-// shown returns what the platform's list shows of a moment.
-func (d *restartDay) shown(at time.Duration) []fleet.Instance {
-	list := []fleet.Instance{instance("other", 1, false), instance("third", 1, false)}
-	target := instance("target", 1, d.drained && at >= d.drains && at < d.starts)
-	if at >= d.starts {
-		target.StartMillis = d.starts.Milliseconds()
+// listAt returns the platform's list at a time.
+func (s *restartScenario) listAt(at time.Duration) []fleet.Instance {
+	list := []fleet.Instance{newInstance("other", 1, false), newInstance("third", 1, false)}
+	target := newInstance("target", 1, s.drained && at >= s.drainAt && at < s.startAt)
+	if at >= s.startAt {
+		target.StartMillis = s.startAt.Milliseconds()
 	}
-	listed := at < d.ends || at >= d.starts || !d.drained && at < d.unlisted
+	listed := at < s.endAt || at >= s.startAt || !s.drained && at < s.unlistedAt
 	if listed {
 		list = append(list, target)
 	}
 	for i := range list {
 		list[i].Slots = 64
-		if !d.told {
+		if !s.listsStarts {
 			list[i].StartMillis = 0
 		}
 	}
 	return list
 }
 
-// flight is a request at a target.
-type flight struct {
+// inFlightRequest is a request in progress at a target.
+type inFlightRequest struct {
 	choice *placement.Choice
-	sent   time.Duration
+	sentAt time.Duration
 }
 
-// restartPlay is a router on such a day, and the keeper that leads.
-type restartPlay struct {
-	*restartDay
-	t       *testing.T
-	now     time.Duration
-	begin   time.Time
-	uplink  *Client
-	placer  placement.Placer
-	flights []flight
-
-	reads, asks time.Duration // when the leader reads, and the router asks, next
-	list        []fleet.Instance
-	number      uint64
-	readAt      time.Duration
+// restartSimulation runs a restartScenario with one router and the leading keeper.
+type restartSimulation struct {
+	*restartScenario
+	t         *testing.T
+	now       time.Duration
+	startTime time.Time
+	client    *Client
+	placer    placement.Placer
+	inFlight  []inFlightRequest
+
+	nextRead, nextRenewal time.Duration // when the leader reads the list next, and when the router renews next
+	list                  []fleet.Instance
+	revision              uint64
+	readAt                time.Duration
 }
 
-func (p *restartPlay) time() time.Time {
-	return p.begin.Add(p.now)
+func (s *restartSimulation) clockTime() time.Time {
+	return s.startTime.Add(s.now)
 }
 
-// play returns how long after its start the target got a request that it served.
-func (d *restartDay) play(t *testing.T) time.Duration {
-	p := &restartPlay{restartDay: d, t: t, uplink: newUplink(&fakeList{}), reads: d.draw(readPeriod), asks: d.draw(quota.ReportPeriod(150))}
-	p.begin = p.uplink.Clock.Now()
-	p.uplink.OnChange = func(_ State, targets []fleet.Instance) { p.placer.SetTargets(p.time(), targets) }
-	for ; p.now < simulated; p.now += stepTime {
-		p.read()
-		p.ask()
-		p.end()
-		if p.now%requestPause == 0 && p.request() {
-			return p.now - d.starts
+// timeUntilServed runs the simulation. It returns how long after its restart the target gets a
+// request that it serves.
+func (s *restartScenario) timeUntilServed(t *testing.T) time.Duration {
+	simulation := &restartSimulation{restartScenario: s, t: t, client: newClient(&fakeList{}), nextRead: s.randomDuration(leaderReadPeriod), nextRenewal: s.randomDuration(quota.ReportPeriod(150))}
+	simulation.startTime = simulation.client.Clock.Now()
+	simulation.client.OnChange = func(_ State, targets []fleet.Instance) { simulation.placer.SetTargets(simulation.clockTime(), targets) }
+	for ; simulation.now < simulatedTime; simulation.now += stepTime {
+		simulation.readList()
+		simulation.renew()
+		simulation.endRequests()
+		if simulation.now%requestInterval == 0 && simulation.sendRequest() {
+			return simulation.now - s.startAt
 		}
 	}
-	return simulated - d.starts
+	return simulatedTime - s.startAt
 }
 
-func (p *restartPlay) read() {
-	if p.now < p.reads {
+func (s *restartSimulation) readList() {
+	if s.now < s.nextRead {
 		return
 	}
-	p.reads += readPeriod
-	p.readAt = p.now
-	list := p.shown(max(p.now-p.draw(mostLag), 0))
-	if p.number == 0 || !slices.Equal(list, p.list) {
-		p.list, p.number = list, p.number+1
+	s.nextRead += leaderReadPeriod
+	s.readAt = s.now
+	list := s.listAt(max(s.now-s.randomDuration(maxListLag), 0))
+	if s.revision == 0 || !slices.Equal(list, s.list) {
+		s.list, s.revision = list, s.revision+1
 	}
 }
 
-func (p *restartPlay) ask() {
-	if p.now < p.asks || p.number == 0 {
+func (s *restartSimulation) renew() {
+	if s.now < s.nextRenewal || s.revision == 0 {
 		return
 	}
-	p.asks += quota.ReportPeriod(150)
-	r := message.RenewResponse{Leads: true, Term: 1, Number: 1, ListRevision: p.number, ListAge: p.now - p.readAt}
-	if p.uplink.list != p.number {
-		r.PackedTargets = pack(p.t, p.list)
+	s.nextRenewal += quota.ReportPeriod(150)
+	response := message.RenewResponse{Leads: true, Term: 1, Number: 1, ListRevision: s.revision, ListAge: s.now - s.readAt}
+	if s.client.listRevision != s.revision {
+		response.PackedTargets = packJSON(s.t, s.list)
 	}
-	p.uplink.take(p.time(), "k", nil, r)
+	s.client.applyLeaderResponse(s.clockTime(), "k", nil, response)
 }
 
-// end ends the requests that are answered, or that were lost in the target's crash.
-func (p *restartPlay) end() {
-	p.flights = slices.DeleteFunc(p.flights, func(f flight) bool {
-		lost := f.choice.Target.ID == "target" && !p.runs(p.now)
-		if p.now < f.sent+answerTime && !lost {
+// endRequests ends the requests that are answered, and those lost when the target crashed.
+func (s *restartSimulation) endRequests() {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(request inFlightRequest) bool {
+		lost := request.choice.Target.ID == "target" && !s.running(s.now)
+		if s.now < request.sentAt+responseTime && !lost {
 			return false
 		}
 		result := placement.Served
 		if lost {
 			result = placement.Failed
 		}
-		p.placer.RecordFirstByte(p.time(), f.choice)
-		p.placer.EndAttempt(p.time(), f.choice, result)
+		s.placer.RecordFirstByte(s.clockTime(), request.choice)
+		s.placer.EndAttempt(s.clockTime(), request.choice, result)
 		return true
 	})
 }
 
-// request sends one, and reports whether the target serves it after its new start.
-func (p *restartPlay) request() bool {
-	r := placement.Request{Pool: "p", Parts: []placement.PromptPart{{ID: p.random.Uint64N(subjects), Tokens: 4000}, {ID: p.random.Uint64(), Tokens: 200}}}
-	choice, ok := p.placer.Choose(p.time(), r)
+// sendRequest sends one request. It reports whether the restarted target serves it.
+func (s *restartSimulation) sendRequest() bool {
+	request := placement.Request{Pool: "p", Parts: []placement.PromptPart{{ID: s.random.Uint64N(promptPrefixes), Tokens: 4000}, {ID: s.random.Uint64(), Tokens: 200}}}
+	choice, ok := s.placer.Choose(s.clockTime(), request)
 	if !ok {
 		return false
 	}
-	p.placer.StartAttempt(p.time(), choice, r)
-	if choice.Target.ID == "target" && !p.runs(p.now) {
-		p.placer.EndAttempt(p.time(), choice, placement.ConnectFailed)
+	s.placer.StartAttempt(s.clockTime(), choice, request)
+	if choice.Target.ID == "target" && !s.running(s.now) {
+		s.placer.EndAttempt(s.clockTime(), choice, placement.ConnectFailed)
 		return false
 	}
-	p.flights = append(p.flights, flight{choice: choice, sent: p.now})
-	return choice.Target.ID == "target" && p.now >= p.starts
+	s.inFlight = append(s.inFlight, inFlightRequest{choice: choice, sentAt: s.now})
+	return choice.Target.ID == "target" && s.now >= s.startAt
 }
 
-// Symptom: a target that was restarted idles, for up to a minute after it was drained,
-// while the others are crowded.
-// Sequence: it crashes, or is drained and ends, and starts again under its ID.
-// Cause: leaving, failures and that it could not be reached were remembered by its ID.
-func TestTimeUntilARestartedTargetGetsWork(t *testing.T) {
+// Guards against a restarted target that idles for up to a minute while the others are
+// overloaded. It crashes, or is drained and ends, and restarts under the same ID; so state such
+// as leaving, failed and unreachable must not be kept by ID alone.
+func TestRestartedTargetGetsWorkInTime(t *testing.T) {
 	const seeds = 20
 	for _, tt := range []struct {
-		name          string
-		drained, told bool
-		worst         time.Duration // as simulated
+		name                 string
+		drained, listsStarts bool
+		limit                time.Duration // largest time until work, from the simulation
 	}{
 		{"crashed", false, true, 3 * time.Second},
-		{"crashed, start not told", false, false, 5 * time.Second},
+		{"crashed, without start times", false, false, 5 * time.Second},
 		{"drained", true, true, 2 * time.Second},
-		{"drained, start not told", true, false, 6 * time.Second},
+		{"drained, without start times", true, false, 6 * time.Second},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var times []time.Duration
 			for seed := range uint64(seeds) {
-				times = append(times, newRestartDay(seed, tt.drained, tt.told).play(t))
+				times = append(times, newRestartScenario(seed, tt.drained, tt.listsStarts).timeUntilServed(t))
 			}
 			slices.Sort(times)
 			median, worst := times[seeds/2], times[seeds-1]
 			t.Logf("median %.2f s, worst %.2f s of %d seeds", median.Seconds(), worst.Seconds(), seeds)
-			require.LessOrEqual(t, worst, tt.worst)
+			require.LessOrEqual(t, worst, tt.limit)
 		})
 	}
 }
--- a/internal/keeperclient/round.go
+++ b/internal/keeperclient/round.go
@@ -8,145 +8,146 @@
 	"laburnumfall/internal/rpc"
 )
 
-// A round is one search for the leader's answer.
-type round struct {
-	uplink  *Client
-	replies chan reply
-	open    int // questions without a reply
-	count   int // questions
-	asked   map[string]bool
-	fresh   map[string]bool      // asked over a fresh link
-	since   map[string]time.Time // when it was asked first
-	waiting map[string]*rpc.Conn // links over which a question has no reply
+// A renewalRound is one attempt to get a response from the leader.
+type renewalRound struct {
+	client       *Client
+	replies      chan renewalReply
+	pending      int // requests without a reply
+	requestCount int // requests sent
+	askedKeepers map[string]bool
+	redialed     map[string]bool      // keepers asked again over a new connection
+	firstAsked   map[string]time.Time // when each keeper was first asked in this round
+	pendingConns map[string]*rpc.Conn // connections with an unanswered request
 }
 
-func newRound(u *Client) *round {
-	return &round{
-		uplink: u, replies: make(chan reply, mostAsked), asked: make(map[string]bool), fresh: make(map[string]bool),
-		since: make(map[string]time.Time), waiting: make(map[string]*rpc.Conn),
+func newRenewalRound(client *Client) *renewalRound {
+	return &renewalRound{
+		client: client, replies: make(chan renewalReply, maxRoundRequests), askedKeepers: make(map[string]bool), redialed: make(map[string]bool),
+		firstAsked: make(map[string]time.Time), pendingConns: make(map[string]*rpc.Conn),
 	}
 }
 
-// ask puts the question to a keeper, unless it was asked in this round. A fresh
-// question goes over a link of its own: the one that is there may have gone silent.
-func (r *round) ask(ctx context.Context, address string, fresh bool) {
-	if address == "" || r.count >= mostAsked || r.asked[address] && !fresh {
+// send sends a renewal request to a keeper, unless the keeper was already asked in this round.
+// With redial, it asks again over a new connection, because the existing one may be silent.
+func (r *renewalRound) send(ctx context.Context, address string, redial bool) {
+	if address == "" || r.requestCount >= maxRoundRequests || r.askedKeepers[address] && !redial {
 		return
 	}
-	r.asked[address] = true
-	r.open++
-	r.count++
-	u := r.uplink
-	q := reply{address: address, asked: u.Clock.Now()}
-	if _, ok := r.since[address]; !ok {
-		r.since[address] = q.asked
+	r.askedKeepers[address] = true
+	r.pending++
+	r.requestCount++
+	client := r.client
+	reply := renewalReply{address: address, sentAt: client.Clock.Now()}
+	if _, ok := r.firstAsked[address]; !ok {
+		r.firstAsked[address] = reply.sentAt
 	}
-	if !fresh {
-		q.conn = u.links[address]
-		q.packs = q.conn != nil && q.conn == u.packs
+	if !redial {
+		reply.conn = client.conns[address]
+		reply.packed = reply.conn != nil && reply.conn == client.packedConn
 	}
-	ask := message.RenewRequest{Router: u.Name, Zone: u.Zone, Incarnation: u.Incarnation, Number: u.number(), Term: u.term, ListRevision: u.list, AcceptsColumns: true, AccountsDigest: u.names, KeepersDigest: u.members}
-	ask.Demand, ask.Backlog = u.Load(q.asked)
-	q.mine = ask.Backlog
-	ask.EvacuationRevision = u.State().Evacuated.Revision
-	if u.WarmupLease != nil {
-		ask.WarmupLease = u.WarmupLease(q.asked)
+	request := message.RenewRequest{Router: client.Name, Zone: client.Zone, Incarnation: client.Incarnation, Number: client.configNumber(), Term: client.listTerm, ListRevision: client.listRevision, AcceptsColumns: true, AccountsDigest: client.accountsDigest, KeepersDigest: client.keepersDigest}
+	request.Demand, request.Backlog = client.Load(reply.sentAt)
+	reply.ownBacklog = request.Backlog
+	request.EvacuationRevision = client.State().Evacuated.Revision
+	if client.WarmupLease != nil {
+		request.WarmupLease = client.WarmupLease(reply.sentAt)
 	}
-	if u.QuarantineReport != nil {
-		report := u.QuarantineReport(q.asked)
-		ask.Quarantine = &report
+	if client.QuarantineReport != nil {
+		report := client.QuarantineReport(reply.sentAt)
+		request.Quarantine = &report
 	}
-	if q.conn != nil {
-		r.waiting[address] = q.conn
+	if reply.conn != nil {
+		r.pendingConns[address] = reply.conn
 	}
-	go func() { r.replies <- u.call(ctx, q, ask) }()
+	go func() { r.replies <- client.sendRenewal(ctx, reply, request) }()
 }
 
-// askNext puts the question to the next keeper. While no leader is known, to one that
-// was asked already too, over a fresh link: after a restart of everything, keepers that
-// were asked before they ran leave their question without any reply, and a router that
-// waited for the end of its round had no configuration for up to half a second longer
-// than one that had started after them.
-func (r *round) askNext(ctx context.Context) {
-	r.ask(ctx, r.uplink.nextOther(), r.uplink.last == "")
+// sendToNext sends a request to the next keeper. While no leader is known, keepers that were
+// already asked are asked again over a new connection: after a restart of the whole fleet,
+// keepers that were asked before they ran never reply, and a router that waited for the end of
+// its round got its configuration up to half a second later than one that started after the
+// keepers.
+func (r *renewalRound) sendToNext(ctx context.Context) {
+	r.send(ctx, r.client.nextCandidate(), r.client.likelyLeader == "")
 }
 
-// heard takes a reply, and reports whether the round is over: a leader has answered,
-// or nobody is known to lead, so that it is better to ask again shortly than to wait
-// for a keeper that may be gone. Another reply tells whom to ask next.
-func (r *round) heard(ctx context.Context, q reply) bool {
-	u := r.uplink
-	if r.waiting[q.address] == q.conn {
-		delete(r.waiting, q.address)
+// handleReply processes a reply and reports whether the round is over: either a leader has
+// answered, or no leader is known and a new round is better than waiting for a keeper that may
+// have failed. Any other reply determines which keeper to ask next.
+func (r *renewalRound) handleReply(ctx context.Context, reply renewalReply) bool {
+	client := r.client
+	if r.pendingConns[reply.address] == reply.conn {
+		delete(r.pendingConns, reply.address)
 	}
-	u.keep(q)
-	if q.err == nil && !q.answer.Leads {
-		u.learn(q.answer.Keepers)
+	client.updateConn(reply)
+	if reply.err == nil && !reply.response.Leads {
+		client.addKeepers(reply.response.Keepers)
 	}
-	leader := q.answer.Leader
+	leader := reply.response.Leader
 	switch {
-	case q.err != nil:
-		u.Log.Debug("a keeper did not answer: asking on", "keeper", q.address, "error", q.err)
-		if r.open == 0 {
-			r.ask(ctx, u.nextOther(), false)
+	case reply.err != nil:
+		client.Log.Debug("keeper did not answer; asking another one", "keeper", reply.address, "error", reply.err)
+		if r.pending == 0 {
+			r.send(ctx, client.nextCandidate(), false)
 		}
-	case q.answer.Leads:
-		u.take(q.asked, q.address, q.mine, q.answer)
+	case reply.response.Leads:
+		client.applyLeaderResponse(reply.sentAt, reply.address, reply.ownBacklog, reply.response)
 		return true
 	case leader == "":
-		if q.address == u.last {
-			u.last = "" // it led before
+		if reply.address == client.likelyLeader {
+			client.likelyLeader = "" // it led before
 		}
-		delete(r.asked, q.address) // it may know by the next time
-		if u.last == "" {
-			u.lost()
+		delete(r.askedKeepers, reply.address) // it may name a leader the next time
+		if client.likelyLeader == "" {
+			client.markLeaderLost()
 			return true
 		}
-	case leader == q.address:
-		u.last = leader // it has just been elected and may not answer as leader yet
-		u.lost()
+	case leader == reply.address:
+		client.likelyLeader = leader // it has just been elected and may not answer as the leader yet
+		client.markLeaderLost()
 		return true
-	case r.stalled(leader):
-		r.ask(ctx, leader, !r.again(leader))
+	case r.overdue(leader):
+		r.send(ctx, leader, !r.markRedialed(leader))
 	default:
-		u.last = leader
-		r.ask(ctx, leader, false)
+		client.likelyLeader = leader
+		r.send(ctx, leader, false)
 	}
 	return false
 }
 
-// stalled reports whether a keeper that others say leads has left a question without a
-// reply for too long. To open links sooner would swamp a leader that has just been
-// elected: all routers ask it at that moment.
-func (r *round) stalled(address string) bool {
-	at, asked := r.since[address]
-	return asked && r.uplink.Clock.Now().Sub(at) >= callTimeout
+// overdue reports whether a keeper that others name as the leader has left a request unanswered
+// for hedgeDelay. Opening new connections earlier would overload a newly elected leader, because
+// all routers send to it at that moment.
+func (r *renewalRound) overdue(address string) bool {
+	sentAt, asked := r.firstAsked[address]
+	return asked && r.client.Clock.Now().Sub(sentAt) >= hedgeDelay
 }
 
-// again reports whether a keeper was asked over a fresh link already, and notes it.
-func (r *round) again(address string) bool {
-	was := r.fresh[address]
-	r.fresh[address] = true
-	return was
+// markRedialed records that a keeper is asked over a new connection. It reports whether that was
+// already done.
+func (r *renewalRound) markRedialed(address string) bool {
+	alreadyRedialed := r.redialed[address]
+	r.redialed[address] = true
+	return alreadyRedialed
 }
 
-// dropSilent gives up links that left a whole round without an answer: they, or their
-// keepers, may have gone silent.
-func (r *round) dropSilent() {
-	for address, conn := range r.waiting {
+// closeSilentConns closes connections on which a request stayed unanswered for the whole round:
+// the connections or their keepers may no longer respond.
+func (r *renewalRound) closeSilentConns() {
+	for address, conn := range r.pendingConns {
 		conn.Close()
-		if r.uplink.links[address] == conn {
-			delete(r.uplink.links, address)
+		if r.client.conns[address] == conn {
+			delete(r.client.conns, address)
 		}
 	}
 }
 
-// drop closes links that were opened for questions whose reply nobody takes.
-func (r *round) drop() {
+// discardPending closes the connections opened for requests whose replies are no longer needed.
+func (r *renewalRound) discardPending() {
 	go func() {
-		for range r.open {
-			if q := <-r.replies; q.dialed && q.conn != nil {
-				q.conn.Close()
+		for range r.pending {
+			if reply := <-r.replies; reply.dialed && reply.conn != nil {
+				reply.conn.Close()
 			}
 		}
 	}()
--- a/internal/keeperclient/round_test.go
+++ b/internal/keeperclient/round_test.go
@@ -14,47 +14,46 @@
 	"laburnumfall/internal/rpc"
 )
 
-// silentKeepers returns a router's uplink to keepers that take connections and say
-// nothing.
-func silentKeepers(t *testing.T, count int) *Client {
-	u := &Client{
+// newClientOfSilentKeepers returns a client of keepers that accept connections and never send
+// anything.
+func newClientOfSilentKeepers(t *testing.T, count int) *Client {
+	client := &Client{
 		Name: "r1", Clock: clock.NewRealClock(), Log: hclog.NewNullLogger(), Secret: rpc.Secret("0123456789abcdef"),
 		Load: func(time.Time) ([]message.Demand, []message.Backlog) { return nil, nil },
 	}
-	u.links = map[string]*rpc.Conn{}
+	client.conns = map[string]*rpc.Conn{}
 	var seeds []string
 	for range count {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		require.NoError(t, err)
-		t.Cleanup(func() { _ = l.Close() })
-		seeds = append(seeds, l.Addr().String())
+		t.Cleanup(func() { _ = listener.Close() })
+		seeds = append(seeds, listener.Addr().String())
 	}
-	u.SetSeeds(seeds)
-	return u
+	client.SetSeeds(seeds)
+	return client
 }
 
-// Symptom: after a restart of everything, the routers that start first serve last.
-// Sequence: a router asks each keeper before that runs; the questions have no reply;
-// then the keepers run.
-// Cause: a keeper was asked once a round, and the round went on in silence.
-func TestARouterWithoutALeaderKeepsAsking(t *testing.T) {
+// Guards against routers that start first and get their configuration last after a restart of the
+// whole fleet. A router asks keepers that do not run yet, gets no reply, and must ask them again
+// within the same round.
+func TestRepeatsRequestsWithoutLeader(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	u := silentKeepers(t, 2)
-	r := newRound(u)
+	client := newClientOfSilentKeepers(t, 2)
+	round := newRenewalRound(client)
 	for range 5 {
-		r.askNext(ctx)
+		round.sendToNext(ctx)
 	}
-	require.Equal(t, 5, r.count)
-	for range 2 * mostAsked {
-		r.askNext(ctx)
+	require.Equal(t, 5, round.requestCount)
+	for range 2 * maxRoundRequests {
+		round.sendToNext(ctx)
 	}
-	require.Equal(t, mostAsked, r.count, "a round is bounded")
+	require.Equal(t, maxRoundRequests, round.requestCount, "the number of requests of a round must be limited")
 
-	u.last = u.others()[0]
-	known := newRound(u)
+	client.likelyLeader = client.knownKeepers()[0]
+	roundWithLeader := newRenewalRound(client)
 	for range 5 {
-		known.askNext(ctx)
+		roundWithLeader.sendToNext(ctx)
 	}
-	require.Equal(t, 1, known.count, "where a leader is known, the other one is asked once")
+	require.Equal(t, 1, roundWithLeader.requestCount, "with a known leader, the other keeper must be asked only once")
 }
--- a/internal/keeperclient/standstill.go
+++ b/internal/keeperclient/standstill.go
@@ -6,51 +6,52 @@
 )
 
 const (
-	// standstill is how late the talk with the keepers goes on at least where the process
-	// stood still.
-	standstill = 600 * time.Millisecond
-	// askFirst is how long after a standstill a router waits for the leader's answer before it
-	// goes on with what it knows.
-	askFirst = 200 * time.Millisecond
+	// minStall is the minimum delay of the renewal loop that counts as a stall of the process.
+	minStall = 600 * time.Millisecond
+	// leaderWait is how long a router waits for the leader's response after a stall before it
+	// continues with its old state.
+	leaderWait = 200 * time.Millisecond
 )
 
-// A pulse tells whether the process has stood still, and whether the leader was heard since.
-// What a router knew before is as old as the standstill was long. It may be read at any time.
-type pulse struct {
-	due   atomic.Int64 // when the talk with the keepers goes on at the latest
-	woke  atomic.Int64 // when it last did after a standstill; 0 if never
-	heard atomic.Int64 // when the question was asked that the leader answered last
+// A stallDetector detects stalls of the process and whether the leader has answered since. After
+// a stall, the state is at least as old as the stall is long. It may be read at any time.
+type stallDetector struct {
+	deadline  atomic.Int64 // when the renewal loop continues at the latest
+	resumedAt atomic.Int64 // when the loop continued after the last stall; 0 if never
+	renewedAt atomic.Int64 // send time of the last request that the leader answered
 }
 
-// beat notes that the talk goes on now, and will within a pause. It reports whether the process
-// stood still before.
-func (p *pulse) beat(now time.Time, pause time.Duration) bool {
-	due := p.due.Swap(now.Add(pause).UnixNano())
-	if due == 0 || now.UnixNano()-due < int64(standstill) {
+// noteProgress records that the renewal loop runs now and will run again within maxPause. It
+// reports whether the process stalled before.
+func (d *stallDetector) noteProgress(now time.Time, maxPause time.Duration) bool {
+	deadline := d.deadline.Swap(now.Add(maxPause).UnixNano())
+	if deadline == 0 || now.UnixNano()-deadline < int64(minStall) {
 		return false
 	}
-	p.woke.Store(now.UnixNano())
+	d.resumedAt.Store(now.UnixNano())
 	return true
 }
 
-// informed reports whether a standstill is over and the leader has answered since, or does not.
-func (p *pulse) informed(now time.Time) bool {
-	at, due, woke := now.UnixNano(), p.due.Load(), p.woke.Load()
-	if due != 0 && at-due >= int64(standstill) {
+// stateIsFresh reports whether the process is not stalled and, since the last stall, the leader
+// has answered or leaderWait has passed.
+func (d *stallDetector) stateIsFresh(now time.Time) bool {
+	nowNanos, deadline, resumedAt := now.UnixNano(), d.deadline.Load(), d.resumedAt.Load()
+	if deadline != 0 && nowNanos-deadline >= int64(minStall) {
 		return false
 	}
-	return woke == 0 || p.heard.Load() >= woke || at-woke >= int64(askFirst)
+	return resumedAt == 0 || d.renewedAt.Load() >= resumedAt || nowNanos-resumedAt >= int64(leaderWait)
 }
 
-// StateIsFresh reports whether this router knows what the fleet does as well as it can: it may
-// have to ask first, after a standstill of its process. It may be called at any time.
-func (u *Client) StateIsFresh(now time.Time) bool {
-	return u.pulse.informed(now)
+// StateIsFresh reports whether this router's state is as current as possible. After a stall of
+// the process it returns false until the leader has answered or does not answer in time. It may
+// be called at any time.
+func (c *Client) StateIsFresh(now time.Time) bool {
+	return c.stalls.stateIsFresh(now)
 }
 
-// beat notes that the talk with the keepers goes on.
-func (u *Client) beat(pause time.Duration) {
-	if now := u.Clock.Now(); u.pulse.beat(now, pause) {
-		u.Log.Warn("stood still: asking the keepers before new work is sent", "silent", now.Sub(u.renewed).Milliseconds())
+// noteProgress records that the renewal loop runs, and logs a stall.
+func (c *Client) noteProgress(maxPause time.Duration) {
+	if now := c.Clock.Now(); c.stalls.noteProgress(now, maxPause) {
+		c.Log.Warn("stood still: asking the keepers before new work is sent", "silent", now.Sub(c.renewedAt).Milliseconds())
 	}
 }
--- a/internal/keeperclient/standstill_test.go
+++ b/internal/keeperclient/standstill_test.go
@@ -7,39 +7,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against new work that is sent by what a router knew before its process stood still.
-func TestARouterThatStoodStillIsNotInformed(t *testing.T) {
+// Guards against new work placed on the basis of the state from before a stall of the process.
+func TestStateIsStaleAfterStall(t *testing.T) {
 	start := time.Unix(1e9, 0)
-	at := func(d time.Duration) time.Time { return start.Add(d) }
-	const pause = 500 * time.Millisecond
-	newPulse := func() *pulse {
-		p := &pulse{}
-		require.True(t, p.informed(start), "it has just started")
-		require.False(t, p.beat(start, pause))
-		require.False(t, p.beat(at(pause+standstill/2), pause), "it was late, and ran")
-		p.heard.Store(at(pause + standstill/2).UnixNano())
-		return p
+	at := func(offset time.Duration) time.Time { return start.Add(offset) }
+	const maxPause = 500 * time.Millisecond
+	newDetector := func() *stallDetector {
+		detector := &stallDetector{}
+		require.True(t, detector.stateIsFresh(start), "a router that has just started is fresh")
+		require.False(t, detector.noteProgress(start, maxPause))
+		require.False(t, detector.noteProgress(at(maxPause+minStall/2), maxPause), "a small delay is not a stall")
+		detector.renewedAt.Store(at(maxPause + minStall/2).UnixNano())
+		return detector
 	}
-	const wake = 10 * time.Second
+	const resume = 10 * time.Second
 	for name, tt := range map[string]struct {
-		asked    time.Duration // of the answer that came after the standstill, if any
-		after    time.Duration // the standstill
-		informed bool
+		renewed time.Duration // send time of the request answered after the stall; 0 if none
+		after   time.Duration // time since the end of the stall
+		fresh   bool
 	}{
-		"nothing is heard yet":                  {after: askFirst / 2},
-		"an answer from before is read":         {asked: time.Second, after: askFirst / 2},
-		"the leader has answered":               {asked: wake, after: askFirst / 2, informed: true},
-		"no leader answers":                     {after: askFirst, informed: true},
-		"an old answer, and no leader is there": {asked: time.Second, after: askFirst, informed: true},
+		"no response yet": {after: leaderWait / 2},
+		"response to a request from before the stall": {renewed: time.Second, after: leaderWait / 2},
+		"leader has answered":                         {renewed: resume, after: leaderWait / 2, fresh: true},
+		"no leader answers in time":                   {after: leaderWait, fresh: true},
+		"old response and no leader in time":          {renewed: time.Second, after: leaderWait, fresh: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPulse()
-			require.False(t, p.informed(at(wake)), "requests may run before the talk goes on")
-			require.True(t, p.beat(at(wake), pause))
-			if tt.asked > 0 {
-				p.heard.Store(at(tt.asked).UnixNano())
+			detector := newDetector()
+			require.False(t, detector.stateIsFresh(at(resume)), "requests may arrive before the renewal loop continues")
+			require.True(t, detector.noteProgress(at(resume), maxPause))
+			if tt.renewed > 0 {
+				detector.renewedAt.Store(at(tt.renewed).UnixNano())
 			}
-			require.Equal(t, tt.informed, p.informed(at(wake+tt.after)))
+			require.Equal(t, tt.fresh, detector.stateIsFresh(at(resume+tt.after)))
 		})
 	}
 }
--- a/internal/keeperclient/take.go
+++ b/internal/keeperclient/take.go
@@ -10,220 +10,221 @@
 	"laburnumfall/internal/quota"
 )
 
-// take puts a leader's answer in force. The lease counts from when the question
-// was sent: the leader led after that moment, so a key that it still counted
-// was not yet withdrawn then, however late the answer is read.
-func (u *Client) take(asked time.Time, address string, mine []message.Backlog, r message.RenewResponse) {
-	if u.leader != address {
-		u.Log.Info("keepers: leader found", "leader", address, "term", r.Term, "number", r.Number)
-		u.leader, u.last = address, address
-	}
-	u.renewed = asked
-	defer func() { u.pulse.heard.Store(asked.UnixNano()) }() // once all of it is in force
-	if len(r.Keepers) > 0 {
-		u.keepers, u.members = r.Keepers, message.Digest(r.Keepers)
-	}
-	s := u.State()
-	s.Routers = r.Routers
-	changed := u.takeTable(&s, r)
-	changed = u.takeEvacuations(&s, r) || changed
-	u.takeWarming(asked, r)
-	if s.Table != nil && s.Table.Number == r.Number {
-		s.KeyLeaseExpiry = asked.Add(u.KeyLease)
-	}
-	// Before the first configuration is there to serve by: a router that has just started
-	// would send what is held back.
-	if u.OnRestrictions != nil && r.Restrictions != nil {
-		u.OnRestrictions(u.Clock.Now(), asked, r.Term, *r.Restrictions)
-	}
-	u.state.Store(&s)
-	u.takeSent(r)
-	u.takeLoads(mine, r)
-	if u.takeList(asked, r) || changed {
-		u.OnChange(s, u.roster.Targets())
+// applyLeaderResponse puts a leader's response in force. The key lease counts from sentAt: the
+// leader led after that time, so a key that it still accepted was not yet revoked then, however
+// late the response is read.
+func (c *Client) applyLeaderResponse(sentAt time.Time, address string, ownBacklog []message.Backlog, response message.RenewResponse) {
+	if c.leader != address {
+		c.Log.Info("keepers: leader found", "leader", address, "term", response.Term, "number", response.Number)
+		c.leader, c.likelyLeader = address, address
+	}
+	c.renewedAt = sentAt
+	defer func() { c.stalls.renewedAt.Store(sentAt.UnixNano()) }() // once all of it is in force
+	if len(response.Keepers) > 0 {
+		c.keepers, c.keepersDigest = response.Keepers, message.Digest(response.Keepers)
+	}
+	state := c.State()
+	state.Routers = response.Routers
+	changed := c.applyConfig(&state, response)
+	changed = c.applyEvacuations(&state, response) || changed
+	c.applyWarmup(sentAt, response)
+	if state.Table != nil && state.Table.Number == response.Number {
+		state.KeyLeaseExpiry = sentAt.Add(c.KeyLease)
+	}
+	// The restrictions are applied before the first configuration is stored. Otherwise a router
+	// that has just started would send requests that are held back.
+	if c.OnRestrictions != nil && response.Restrictions != nil {
+		c.OnRestrictions(c.Clock.Now(), sentAt, response.Term, *response.Restrictions)
+	}
+	c.state.Store(&state)
+	c.storeSentTargets(response)
+	c.applyLoads(ownBacklog, response)
+	if c.applySentTargets(sentAt, response) || changed {
+		c.OnChange(state, c.knownTargets.Targets())
 	}
 }
 
-// takeTable never goes back to a lower number: a leader always has the highest,
-// so a lower one comes from an answer that was overtaken.
-func (u *Client) takeTable(s *State, r message.RenewResponse) bool {
-	if len(r.PackedConfig) == 0 || r.Number <= u.number() {
+// applyConfig never returns to a lower configuration number. A leader always has the highest, so
+// a lower one is from a response that was overtaken.
+func (c *Client) applyConfig(state *State, response message.RenewResponse) bool {
+	if len(response.PackedConfig) == 0 || response.Number <= c.configNumber() {
 		return false
 	}
-	text, err := codec.Unpack(r.PackedConfig)
+	text, err := codec.Unpack(response.PackedConfig)
 	if err != nil {
-		u.Log.Error("configuration cannot be unpacked: going on with the one before", "number", r.Number, "error", err)
+		c.Log.Error("configuration cannot be unpacked: going on with the one before", "number", response.Number, "error", err)
 		return false
 	}
-	table, err := u.Decode(text)
+	table, err := c.Decode(text)
 	if err != nil {
-		u.Log.Error("configuration cannot be read: going on with the one before", "number", r.Number, "error", err)
+		c.Log.Error("configuration cannot be read: going on with the one before", "number", response.Number, "error", err)
 		return false
 	}
-	u.Log.Info("configuration in force", "number", table.Number, "before", u.number(), "bytes", len(r.PackedConfig))
-	s.Table = table
+	c.Log.Info("configuration in force", "number", table.Number, "before", c.configNumber(), "bytes", len(response.PackedConfig))
+	state.Table = table
 	return true
 }
 
-// takeEvacuations never goes back to a lower revision, for the same reason.
-func (u *Client) takeEvacuations(s *State, r message.RenewResponse) bool {
-	if r.EvacuatedZones == nil || r.EvacuatedZones.Revision <= s.Evacuated.Revision {
+// applyEvacuations never returns to a lower revision, for the same reason.
+func (c *Client) applyEvacuations(state *State, response message.RenewResponse) bool {
+	if response.EvacuatedZones == nil || response.EvacuatedZones.Revision <= state.Evacuated.Revision {
 		return false
 	}
-	s.Evacuated = *r.EvacuatedZones
-	u.Log.Info("evacuated zones changed", "zones", s.Evacuated.Zones, "revision", s.Evacuated.Revision)
+	state.Evacuated = *response.EvacuatedZones
+	c.Log.Info("evacuated zones changed", "zones", state.Evacuated.Zones, "revision", state.Evacuated.Revision)
 	return true
 }
 
-func (u *Client) takeWarming(asked time.Time, r message.RenewResponse) {
-	if u.OnWarmupLease != nil {
-		u.OnWarmupLease(asked, r.WarmupLease)
+func (c *Client) applyWarmup(sentAt time.Time, response message.RenewResponse) {
+	if c.OnWarmupLease != nil {
+		c.OnWarmupLease(sentAt, response.WarmupLease)
 	}
-	if u.OnColdTargets == nil || len(r.Warming) == 0 {
+	if c.OnColdTargets == nil || len(response.Warming) == 0 {
 		return
 	}
-	now := u.Clock.Now()
-	until := make(map[fleet.Incarnation]time.Time, len(r.Warming))
-	for _, w := range r.Warming {
-		until[w.Incarnation()] = now.Add(w.Left)
+	now := c.Clock.Now()
+	coldUntil := make(map[fleet.Incarnation]time.Time, len(response.Warming))
+	for _, target := range response.Warming {
+		coldUntil[target.Incarnation()] = now.Add(target.Left)
 	}
-	u.OnColdTargets(until)
+	c.OnColdTargets(coldUntil)
 }
 
-// takeSent keeps the list of targets that the keepers sent last: what follows refers
-// to its order, whichever list this router goes by.
-func (u *Client) takeSent(r message.RenewResponse) {
-	list := r.Targets
-	if len(r.PackedTargets) > 0 {
+// storeSentTargets keeps the list of targets that the keepers sent last. Later responses refer to
+// its order, even if this router uses another list.
+func (c *Client) storeSentTargets(response message.RenewResponse) {
+	targets := response.Targets
+	if len(response.PackedTargets) > 0 {
 		var err error
-		if list, err = codec.UnpackJSON[[]fleet.Instance](r.PackedTargets); err != nil {
-			u.Log.Error("the list of targets cannot be unpacked: going on with the one before", "list", r.ListRevision, "error", err)
+		if targets, err = codec.UnpackJSON[[]fleet.Instance](response.PackedTargets); err != nil {
+			c.Log.Error("the list of targets cannot be unpacked: going on with the one before", "list", response.ListRevision, "error", err)
 			return
 		}
 	}
-	if list != nil || len(r.PackedTargets) > 0 {
-		u.sent = sentList{term: r.Term, number: r.ListRevision, targets: list, damaged: r.Damaged}
+	if targets != nil || len(response.PackedTargets) > 0 {
+		c.sentTargets = sentTargetList{term: response.Term, revision: response.ListRevision, targets: targets, damaged: response.Damaged}
 	}
 }
 
-// takeLoads hands on what all other routers report.
-func (u *Client) takeLoads(mine []message.Backlog, r message.RenewResponse) {
-	demand, backlog := r.Demand, r.Backlog
-	if len(r.PackedLoads) > 0 {
-		loads, err := codec.UnpackJSON[message.Loads](r.PackedLoads)
+// applyLoads passes on the load of all other routers.
+func (c *Client) applyLoads(ownBacklog []message.Backlog, response message.RenewResponse) {
+	demand, backlog := response.Demand, response.Backlog
+	if len(response.PackedLoads) > 0 {
+		loads, err := codec.UnpackJSON[message.Loads](response.PackedLoads)
 		if err != nil {
-			u.Log.Error("loads cannot be unpacked: going on with those before", "term", r.Term, "error", err)
+			c.Log.Error("loads cannot be unpacked: going on with those before", "term", response.Term, "error", err)
 			return
 		}
-		u.nameAccounts(&loads)
-		var order []fleet.Instance
-		if u.sent.is(r) {
-			order = u.sent.targets
+		c.resolveAccounts(&loads)
+		var targetOrder []fleet.Instance
+		if c.sentTargets.matches(response) {
+			targetOrder = c.sentTargets.targets
 		}
-		demand, backlog = quota.DecodeColumns(loads, order)
+		demand, backlog = quota.DecodeColumns(loads, targetOrder)
 	}
-	u.OnFleetLoad(u.Clock.Now(), demand, quota.ExcludeOwn(backlog, mine))
+	c.OnFleetLoad(c.Clock.Now(), demand, quota.ExcludeOwn(backlog, ownBacklog))
 }
 
-// nameAccounts keeps the accounts that the leader names, and puts them in where it leaves them
-// out. Demands whose accounts are not known are left out by quota.Rows.
-func (u *Client) nameAccounts(l *message.Loads) {
+// resolveAccounts stores the accounts that the leader names, and fills them in where it omits
+// them. quota.DecodeColumns leaves out the demand of unknown accounts.
+func (c *Client) resolveAccounts(loads *message.Loads) {
 	switch {
-	case len(l.Accounts) > 0:
-		u.accounts, u.names = l.Accounts, l.AccountsDigest
-	case l.AccountsDigest == u.names:
-		l.Accounts = u.accounts
+	case len(loads.Accounts) > 0:
+		c.loadAccounts, c.accountsDigest = loads.Accounts, loads.AccountsDigest
+	case loads.AccountsDigest == c.accountsDigest:
+		loads.Accounts = c.loadAccounts
 	}
 }
 
-// A sentList is a list of targets as the keepers sent it.
-type sentList struct {
-	term, number uint64
-	targets      []fleet.Instance
-	damaged      []string // IDs
+// A sentTargetList is a list of targets as the keepers sent it.
+type sentTargetList struct {
+	term, revision uint64
+	targets        []fleet.Instance
+	damaged        []string // target IDs
 }
 
-// listing returns the list as it was read.
-func (s sentList) listing() fleet.TargetListing {
-	l := fleet.TargetListing{Targets: s.targets}
+// listing returns the list in the form of a read from the platform.
+func (s sentTargetList) listing() fleet.TargetListing {
+	listing := fleet.TargetListing{Targets: s.targets}
 	for _, id := range s.damaged {
-		l.Damaged = append(l.Damaged, fleet.DamagedEntry{ID: id})
+		listing.Damaged = append(listing.Damaged, fleet.DamagedEntry{ID: id})
 	}
-	return l
+	return listing
 }
 
-func (s sentList) is(r message.RenewResponse) bool {
-	return s.number != 0 && s.term == r.Term && s.number == r.ListRevision
+func (s sentTargetList) matches(response message.RenewResponse) bool {
+	return s.revision != 0 && s.term == response.Term && s.revision == response.ListRevision
 }
 
-func (u *Client) takeList(asked time.Time, r message.RenewResponse) bool {
-	if r.ListRevision == 0 {
+func (c *Client) applySentTargets(sentAt time.Time, response message.RenewResponse) bool {
+	if response.ListRevision == 0 {
 		return false
 	}
-	readAt := asked.Add(-max(r.ListAge, 0))
-	if readAt.Before(u.roster.ReadAt()) {
+	readAt := sentAt.Add(-max(response.ListAge, 0))
+	if readAt.Before(c.knownTargets.ReadAt()) {
 		return false // this router has read the list since
 	}
-	if !u.sent.is(r) {
-		return false // it could not be read
+	if !c.sentTargets.matches(response) {
+		return false // the list could not be decoded
 	}
-	u.term, u.list = r.Term, r.ListRevision
-	return u.takeTargets("keepers", readAt, u.sent.listing())
+	c.listTerm, c.listRevision = response.Term, response.ListRevision
+	return c.applyTargets("keepers", readAt, c.sentTargets.listing())
 }
 
-func (u *Client) takeTargets(source string, readAt time.Time, listing fleet.TargetListing) bool {
-	before := u.roster.Targets()
-	if !u.roster.Take(readAt, listing) {
+func (c *Client) applyTargets(source string, readAt time.Time, listing fleet.TargetListing) bool {
+	before := c.knownTargets.Targets()
+	if !c.knownTargets.Take(readAt, listing) {
 		return false
 	}
-	born := make(map[string]int64, len(before))
-	for _, in := range before {
-		born[in.ID] = in.StartMillis
+	startMillis := make(map[string]int64, len(before))
+	for _, target := range before {
+		startMillis[target.ID] = target.StartMillis
 	}
-	leaving, again := 0, 0
-	for _, in := range u.roster.Targets() {
-		if in.Leaving {
-			leaving++
+	leavingCount, restartedCount := 0, 0
+	for _, target := range c.knownTargets.Targets() {
+		if target.Leaving {
+			leavingCount++
 		}
-		if former, ok := born[in.ID]; ok && former != in.StartMillis {
-			again++
+		if previousStart, ok := startMillis[target.ID]; ok && previousStart != target.StartMillis {
+			restartedCount++
 		}
 	}
-	u.Log.Info("targets changed", "source", source, "age", u.Clock.Now().Sub(readAt).Milliseconds(),
-		"targets", len(u.roster.Targets()), "leaving", leaving, "again", again)
+	c.Log.Info("targets changed", "source", source, "age", c.Clock.Now().Sub(readAt).Milliseconds(),
+		"targets", len(c.knownTargets.Targets()), "leaving", leavingCount, "again", restartedCount)
 	return true
 }
 
-// readList reads the platform's list when the keepers bring no fresh one: a
-// target that leaves must get no new work even then.
-func (u *Client) readList(ctx context.Context) {
-	now := u.Clock.Now()
-	if u.List == nil || now.Sub(u.roster.ReadAt()) < listPatience || now.Sub(u.readOwn) < u.ownPeriod() {
+// readPlatformList reads the platform's list when the keepers send no fresh one: a leaving target
+// must get no new work even then.
+func (c *Client) readPlatformList(ctx context.Context) {
+	now := c.Clock.Now()
+	if c.List == nil || now.Sub(c.knownTargets.ReadAt()) < maxListAge || now.Sub(c.lastOwnRead) < c.ownReadPeriod() {
 		return
 	}
-	u.readOwn = now
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+	c.lastOwnRead = now
+	ctx, cancel := context.WithTimeout(ctx, listReadTimeout)
 	defer cancel()
-	listing, err := u.List.Read(ctx)
+	listing, err := c.List.Read(ctx)
 	if err != nil {
-		u.Log.Warn("the list of targets cannot be read: going on with what is known", "error", err,
-			"age", now.Sub(u.roster.ReadAt()).Milliseconds())
+		c.Log.Warn("the list of targets cannot be read: going on with what is known", "error", err,
+			"age", now.Sub(c.knownTargets.ReadAt()).Milliseconds())
 		return
 	}
-	u.notes.Take(now, listing)
-	if u.OnColdTargets != nil && len(listing.Warming) > 0 {
-		u.OnColdTargets(listing.WarmingUntil(now))
+	c.damageNotes.Take(now, listing)
+	if c.OnColdTargets != nil && len(listing.Warming) > 0 {
+		c.OnColdTargets(listing.WarmingUntil(now))
 	}
-	// What the keepers brought is not what this router holds any more.
-	u.list = 0
-	if u.takeTargets("own reading", now, listing) {
-		u.OnChange(u.State(), u.roster.Targets())
+	// The list in use is no longer the one from the keepers.
+	c.listRevision = 0
+	if c.applyTargets("own reading", now, listing) {
+		c.OnChange(c.State(), c.knownTargets.Targets())
 	}
 }
 
-// ownPeriod spreads the reads of all routers over what the platform takes.
-func (u *Client) ownPeriod() time.Duration {
-	routers := float64(max(u.State().Routers, 1))
-	spread := time.Duration(routers / (ownReads * max(u.ReadRate, 1)) * float64(time.Second))
-	return max(spread, leastOwnPeriod)
+// ownReadPeriod returns the period at which every router may read the list so that all of them
+// together stay within their share of the platform's read rate.
+func (c *Client) ownReadPeriod() time.Duration {
+	routers := float64(max(c.State().Routers, 1))
+	period := time.Duration(routers / (ownReadShare * max(c.ReadRate, 1)) * float64(time.Second))
+	return max(period, minOwnReadPeriod)
 }
