--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -91,7 +91,7 @@
 	if req.route.Keyless {
 		return refusal{}, true
 	}
-	if !g.Clock.Now().Before(state.KeysUntil) {
+	if !g.Clock.Now().Before(state.KeyLeaseExpiry) {
 		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindNoLease, reason: fleet.ReasonKeysUnverifiable, retryAfter: minRetryAfter}, false
 	}
 	owner, ok := state.Table.KeyOwner(g.Dialect.APIKey(req.r.Header))
--- a/internal/gateway/connmanager.go
+++ b/internal/gateway/connmanager.go
@@ -310,7 +310,7 @@
 // would otherwise send requests to targets after their callers have left.
 func callerLeft(ctx context.Context) bool {
 	conn := connFromContext(ctx)
-	return ctx.Err() != nil || conn != nil && target.Closed(conn)
+	return ctx.Err() != nil || conn != nil && target.PeerClosed(conn)
 }
 
 // connFromContext returns the connection that a request came in on, or nil.
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -77,7 +77,7 @@
 	now := time.Now()
 	count := 0
 	for conn, info := range c.conns {
-		if info.mayHaveRequest(conn, now) || !target.Quiet(conn) {
+		if info.mayHaveRequest(conn, now) || !target.IsIdle(conn) {
 			count++
 		}
 	}
@@ -97,7 +97,7 @@
 		}
 	}
 	for conn := range c.conns {
-		if !target.Quiet(conn) {
+		if !target.IsIdle(conn) {
 			return true
 		}
 	}
@@ -114,7 +114,7 @@
 // hasRequestBytes reports whether a part of a request has arrived on a connection, read or unread.
 // net/http reports a request only after it has read its complete header.
 func hasRequestBytes(conn net.Conn) bool {
-	return requestStarted(conn) || !target.Quiet(conn)
+	return requestStarted(conn) || !target.IsIdle(conn)
 }
 
 // A callerConn is a caller's connection that tracks whether a part of a request has been read,
--- a/internal/gateway/evict_test.go
+++ b/internal/gateway/evict_test.go
@@ -41,7 +41,7 @@
 	manager := &connManager{conns: map[net.Conn]*connInfo{conn: {idleSince: time.Now()}}}
 	_, err = io.WriteString(caller, "GET / HTTP/1.1\r\n")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return !target.Quiet(conn) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return !target.IsIdle(conn) }, 5*time.Second, time.Millisecond)
 	require.Nil(t, manager.removeOldestIdle(), "a connection with an unread request is not idle")
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -230,7 +230,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			g.connPool.Sweep(g.Clock.Now(), g.accepts)
+			g.connPool.Prune(g.Clock.Now(), g.accepts)
 			g.conns.logShed()
 		}
 	}
@@ -257,6 +257,6 @@
 func (g *Gateway) Ready() bool {
 	state := g.State()
 	hasKeys := state.Table != nil && len(state.Table.KeyOwners) > 0
-	leaseLapsed := hasKeys && !g.Clock.Now().Before(state.KeysUntil)
+	leaseLapsed := hasKeys && !g.Clock.Now().Before(state.KeyLeaseExpiry)
 	return g.ready.Load() && g.stoppingSince.Load() == nil && !leaseLapsed
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -61,7 +61,7 @@
 	table, err := platform.Decode([]byte(testConfig))
 	require.NoError(t, err)
 	realClock := clock.NewRealClock()
-	bed.state.Store(&keeperclient.State{Table: table, KeysUntil: realClock.Now().Add(time.Hour), Routers: 1})
+	bed.state.Store(&keeperclient.State{Table: table, KeyLeaseExpiry: realClock.Now().Add(time.Hour), Routers: 1})
 	bed.gateway = &gateway.Gateway{
 		Settings: settings.Routes{
 			Ready: bed.readyAddress, Grace: 5 * time.Second, Memory: 1 << 28,
@@ -178,7 +178,7 @@
 func TestRejectsKeysAfterLeaseLapsed(t *testing.T) {
 	bed := newTestbed(t)
 	state := *bed.state.Load()
-	state.KeysUntil = time.Time{}
+	state.KeyLeaseExpiry = time.Time{}
 	bed.state.Store(&state)
 	resp, _, _ := bed.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
--- a/internal/gateway/hang.go
+++ b/internal/gateway/hang.go
@@ -31,7 +31,7 @@
 // request and never answers would use up all the caller's time. If the request may be retried, the
 // attempt is therefore abandoned early enough for another target; abandoned is then true, and the
 // retry budget has been charged.
-func (g *Gateway) sendWithWatchdog(ctx context.Context, req *request, choice *placement.Choice, conn *upstream.Conn) (response *upstream.Answer, abandoned bool, err error) {
+func (g *Gateway) sendWithWatchdog(ctx context.Context, req *request, choice *placement.Choice, conn *upstream.Conn) (response *upstream.Response, abandoned bool, err error) {
 	watchdog := &hangWatchdog{gateway: g, request: req, choice: choice, conn: conn}
 	watchdog.start()
 	response, err = g.connPool.Send(ctx, choice.Target.Incarnation, conn, g.targetRequest(req, choice), req.deadline)
@@ -76,7 +76,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.gateway.Clock.Now()
-	if w.attemptEnded || !now.Before(w.request.deadline) || !w.conn.Quiet() {
+	if w.attemptEnded || !now.Before(w.request.deadline) || !w.conn.SocketIdle() {
 		return
 	}
 	if now.Sub(w.dueAt) > maxTimerDelay {
--- a/internal/gateway/hangwatchdog_test.go
+++ b/internal/gateway/hangwatchdog_test.go
@@ -44,7 +44,7 @@
 			if tt.responds {
 				_, err := targetConn.Write([]byte("H"))
 				require.NoError(t, err)
-				require.Eventually(t, func() bool { return !conn.Quiet() }, time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { return !conn.SocketIdle() }, time.Second, time.Millisecond)
 			}
 			req := &request{route: &fleet.Route{Kind: fleet.RouteIdempotent, MaxAttempts: 2, Timeout: time.Minute}, arrivedAt: mockClock.Time, deadline: mockClock.Time.Add(time.Minute), attempts: 1}
 			watchdog := &hangWatchdog{gateway: g, request: req, choice: &placement.Choice{}, conn: conn}
--- a/internal/gateway/interruption.go
+++ b/internal/gateway/interruption.go
@@ -22,7 +22,7 @@
 // recordInterruption records that a target closed the connection before the end of its response. If
 // the target has ended, the request may have caused it.
 func (g *Gateway) recordInterruption(req *request, choice *placement.Choice, started time.Time, err error) {
-	if !target.Cut(err) {
+	if !target.IsConnClosed(err) {
 		return
 	}
 	g.Log.Warn("cut by the target", "request", req.id, "account", req.account, "route", req.route.Name, "print", req.fingerprint(),
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -19,19 +19,19 @@
 	g.probing[instance.Incarnation] = true
 	go func() {
 		startedAt := g.Clock.Now()
-		presence := target.Look(instance.Address)
+		presence := target.Probe(instance.Address)
 		g.Log.Info("target looked for after a cut", "target", instance.ID, "born", instance.StartMillis, "address", instance.Address, "presence", presence,
 			"took", g.Clock.Now().Sub(startedAt).Milliseconds())
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		delete(g.probing, instance.Incarnation)
 		switch presence {
-		case target.Ended:
+		case target.Terminated:
 			g.Guard.RecordTermination(g.Clock.Now(), instance.Incarnation)
 			g.pollLeader()
-		case target.Here:
+		case target.Alive:
 			now := g.Clock.Now()
-			g.Guard.RecordAlive(now, now.Add(-target.LookSlack), instance.Incarnation)
+			g.Guard.RecordAlive(now, now.Add(-target.ProbeSlack), instance.Incarnation)
 			if slices.Contains(g.Guard.UnconfirmedTargets(now), instance.Incarnation) {
 				g.probe(instance) // it has interrupted another exchange since the probe
 			}
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -15,7 +15,7 @@
 
 // forwardBuffered reads a response completely and then forwards it. A response of more than
 // maxBufferedResponse bytes is forwarded while it arrives.
-func (g *Gateway) forwardBuffered(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer) attemptOutcome {
+func (g *Gateway) forwardBuffered(req *request, choice *placement.Choice, started time.Time, response *upstream.Response) attemptOutcome {
 	g.recordFirstByte(req, choice)
 	if response.Length > maxBufferedResponse {
 		return g.forwardUnbuffered(req, choice, started, response)
@@ -28,7 +28,7 @@
 		req.responseStarted = false
 		return g.retryOrFail(req, fleet.ReasonAnswerTruncated, err)
 	}
-	if !response.Whole() && len(body) > maxBufferedResponse {
+	if !response.Complete() && len(body) > maxBufferedResponse {
 		return g.forwardUnbuffered(req, choice, started, response, body...)
 	}
 	g.recordStatus(choice, response.Status)
@@ -59,7 +59,7 @@
 	g.endAttempt(choice, placement.Served)
 }
 
-func (g *Gateway) forwardUnbuffered(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer, bodyStart ...byte) attemptOutcome {
+func (g *Gateway) forwardUnbuffered(req *request, choice *placement.Choice, started time.Time, response *upstream.Response, bodyStart ...byte) attemptOutcome {
 	g.copyHeaders(req, response)
 	if response.Length >= 0 {
 		req.w.Header().Set("Content-Length", strconv.FormatInt(response.Length, 10))
@@ -89,7 +89,7 @@
 
 // forwardStream forwards events while they arrive. If the stream ends early and is resumable, it is
 // resumed at another target after the last event that was forwarded.
-func (g *Gateway) forwardStream(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer) attemptOutcome {
+func (g *Gateway) forwardStream(req *request, choice *placement.Choice, started time.Time, response *upstream.Response) attemptOutcome {
 	rc := http.NewResponseController(req.w)
 	events := eventReader{source: response}
 	for {
@@ -144,14 +144,14 @@
 }
 
 // isStream reports whether a response is a stream of events.
-func (req *request) isStream(response *upstream.Answer) bool {
+func (req *request) isStream(response *upstream.Response) bool {
 	contentType := response.Header.Get("Content-Type")
 	return response.Status == http.StatusOK && (req.route.Kind == fleet.RouteStream || strings.HasPrefix(contentType, "text/event-stream"))
 }
 
 // copyHeaders copies the headers of a target's response, except for hop-by-hop headers. It also
 // prevents net/http from adding Content-Type and Date headers.
-func (g *Gateway) copyHeaders(req *request, response *upstream.Answer) {
+func (g *Gateway) copyHeaders(req *request, response *upstream.Response) {
 	header := req.w.Header()
 	for name, values := range response.Header {
 		header[name] = values
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -122,7 +122,7 @@
 
 // handleResponse forwards a response to the caller, or discards it if it is invalid or the request
 // is to be retried.
-func (g *Gateway) handleResponse(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer) attemptOutcome {
+func (g *Gateway) handleResponse(req *request, choice *placement.Choice, started time.Time, response *upstream.Response) attemptOutcome {
 	const minSuccess, minServerError = 200, 500
 	switch {
 	case g.Dialect.NotRun(response.Status, response.Header):
@@ -153,7 +153,7 @@
 }
 
 // handleNotRun ends an attempt with a response that says that the target did not run the request.
-func (g *Gateway) handleNotRun(req *request, choice *placement.Choice, started time.Time, response *upstream.Answer) attemptOutcome {
+func (g *Gateway) handleNotRun(req *request, choice *placement.Choice, started time.Time, response *upstream.Response) attemptOutcome {
 	discardBody(response)
 	if g.Dialect.AddressReused(response.Status) {
 		req.misaddressed++
@@ -167,7 +167,7 @@
 }
 
 // discardBody reads the rest of a small response, so that its connection can be reused.
-func discardBody(response *upstream.Answer) {
+func discardBody(response *upstream.Response) {
 	// After a read error the connection is not reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(response, maxBufferedResponse))
 }
--- a/internal/gateway/throttle.go
+++ b/internal/gateway/throttle.go
@@ -41,7 +41,7 @@
 }
 
 // recordTargetLoad records from a response whether the target had spare capacity.
-func (g *Gateway) recordTargetLoad(req *request, target fleet.Incarnation, response *upstream.Answer) {
+func (g *Gateway) recordTargetLoad(req *request, target fleet.Incarnation, response *upstream.Response) {
 	queueLength, reported := g.Dialect.QueueLength(response.Header)
 	notRun := g.Dialect.NotRun(response.Status, response.Header)
 	g.mu.Lock()
