--- a/internal/dispatch/once_test.go
+++ b/internal/dispatch/once_test.go
@@ -94,7 +94,7 @@
 // planKey has a key sent up to three times. Some keys may be repeated.
 func (w *world) planKey(i int) {
 	account := fmt.Sprintf("a%02d", w.random.IntN(2))
-	claim := statestore.KeyOf(account, fmt.Sprint(i))
+	claim := statestore.HashKey(account, fmt.Sprint(i))
 	if i%4 == 3 {
 		claim = ""
 	}
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -180,7 +180,7 @@
 		w.claim(n, s, a)
 	case dispatch.SettleClaim:
 		w.at(w.delay, func() {
-			w.do(statestore.Command{At: w.now, Settlements: []message.Settlement{a.Settlement}})
+			w.do(statestore.Command{ProposedAt: w.now, Settlements: []message.Settlement{a.Settlement}})
 		})
 	case dispatch.Refuse:
 		r := n.live[a.ID]
@@ -197,7 +197,7 @@
 }
 
 func (w *world) do(c statestore.Command) statestore.Result {
-	result, err := w.ledger.Do(c.Encode())
+	result, err := w.ledger.ApplyCommand(c.Encode())
 	if err != nil {
 		panic(err)
 	}
@@ -259,7 +259,7 @@
 		return
 	}
 	w.at(w.delay, func() {
-		v := w.do(statestore.Command{At: w.now, Claims: []message.Claim{a.Claim}}).Verdicts[0]
+		v := w.do(statestore.Command{ProposedAt: w.now, Claims: []message.Claim{a.Claim}}).ClaimResults[0]
 		if fault.lostAfter {
 			w.at(patience, func() { answer(message.ClaimResult{}, true) })
 			return
--- a/internal/keeper/admin.go
+++ b/internal/keeper/admin.go
@@ -107,7 +107,7 @@
 	_ = c.runAndWait(ctx, func(now time.Time) {
 		result.ID, result.Leader, result.Leads = c.node.ID, c.node.LeaderID(), c.node.IsActiveLeader(now)
 		result.Term, result.Commit = c.node.Term(), c.node.CommitIndex()
-		result.Number, result.Digest = c.store.Number(), c.store.Digest()
+		result.Number, result.Digest = c.store.ConfigNumber(), c.store.ConfigDigest()
 		result.Members = c.node.Members()
 	})
 	if status, err := c.status(ctx); err == nil {
--- a/internal/keeper/autocluster_test.go
+++ b/internal/keeper/autocluster_test.go
@@ -253,7 +253,7 @@
 			continue
 		}
 		c := vm.core
-		cmd := statestore.Command{Document: &statestore.Document{Number: number, Text: fmt.Append(nil, number)}}
+		cmd := statestore.Command{RouteConfig: &statestore.RouteConfig{Number: number, Text: fmt.Append(nil, number)}}
 		c.submit(g.clock.Time, cmd, func(_ statestore.Result, err error) {
 			if err == nil && number > g.acked {
 				g.acked, g.ackAt = number, g.clock.Time
@@ -272,7 +272,7 @@
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(g.t, vm.core.store.Document().Number, g.acked, "a reader at %s would see an older configuration", vm.name)
+		require.GreaterOrEqual(g.t, vm.core.store.RouteConfig().Number, g.acked, "a reader at %s would see an older configuration", vm.name)
 	}
 	require.LessOrEqual(g.t, leaders, 1)
 	for _, r := range g.routers {
@@ -322,7 +322,7 @@
 	for _, vm := range g.vms {
 		text += fmt.Sprintf("%s cut %d gone %t joined %t", vm.name, vm.cut, vm.gone, vm.joined)
 		if c := vm.core; c != nil {
-			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.CommitIndex(), c.store.Document().Number)
+			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.CommitIndex(), c.store.RouteConfig().Number)
 			for _, m := range c.node.Members() {
 				text += fmt.Sprintf(" %s/%t", m.ID, m.Voter)
 			}
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -166,7 +166,7 @@
 	var p message.ClaimRequest
 	for range batch {
 		n := next.Add(1)
-		p.Claims = append(p.Claims, message.Claim{Key: statestore.KeyOf("a", fmt.Sprint(n)), Owner: "r1/abc", Attempt: n})
+		p.Claims = append(p.Claims, message.Claim{Key: statestore.HashKey("a", fmt.Sprint(n)), Owner: "r1/abc", Attempt: n})
 	}
 	start := time.Now()
 	var v message.ClaimResponse
@@ -245,10 +245,10 @@
 				var l statestore.Store
 				require.NoError(b, l.Restore(base.Data))
 				for _, e := range entries {
-					_, err := l.Do(e.Data)
+					_, err := l.ApplyCommand(e.Data)
 					require.NoError(b, err)
 				}
-				require.Equal(b, uint64(changes), l.Number())
+				require.Equal(b, uint64(changes), l.ConfigNumber())
 				require.NoError(b, j.Close())
 			}
 			b.ReportMetric(float64(size)/1e6, "folder-MB")
@@ -267,9 +267,9 @@
 	limit, grown := 4<<20, 0
 	var batch []quorum.Entry
 	for i := range changes {
-		cmd := statestore.Command{At: time.Unix(1e9, 0), Apply: &statestore.Apply{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
+		cmd := statestore.Command{ProposedAt: time.Unix(1e9, 0), ConfigUpdate: &statestore.ConfigUpdate{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
 		e := quorum.Entry{Index: uint64(i) + 1, Term: 1, Kind: quorum.EntryData, Data: cmd.Encode()}
-		_, err := l.Do(e.Data)
+		_, err := l.ApplyCommand(e.Data)
 		require.NoError(b, err)
 		batch = append(batch, e)
 		grown += len(e.Data)
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -234,7 +234,7 @@
 		if err := c.store.Restore(output.RestoreFrom.Data); err != nil {
 			return fmt.Errorf("restore the leader's snapshot: %w", err)
 		}
-		c.log.Info("snapshot taken over", "index", output.RestoreFrom.Index, "number", c.store.Number())
+		c.log.Info("snapshot taken over", "index", output.RestoreFrom.Index, "number", c.store.ConfigNumber())
 	}
 	for _, entry := range output.Committed {
 		c.applyEntry(entry)
@@ -254,19 +254,19 @@
 	var result statestore.Result
 	var err error
 	if entry.Kind == quorum.EntryData {
-		previousNumber := c.store.Number()
-		previousRoutesNumber := c.store.Document().Number
-		previousEvacuations := c.store.Evacuations()
-		result, err = c.store.Do(entry.Data)
+		previousNumber := c.store.ConfigNumber()
+		previousRoutesNumber := c.store.RouteConfig().Number
+		previousEvacuations := c.store.EvacuatedZones()
+		result, err = c.store.ApplyCommand(entry.Data)
 		if err != nil {
 			c.log.Error("command refused", "index", entry.Index, "error", err)
 		}
-		if c.store.Number() != previousNumber {
-			c.log.Info("configuration accepted", "number", c.store.Number(), "digest", c.store.Digest(), "index", entry.Index)
+		if c.store.ConfigNumber() != previousNumber {
+			c.log.Info("configuration accepted", "number", c.store.ConfigNumber(), "digest", c.store.ConfigDigest(), "index", entry.Index)
 			c.updateDividerConfig()
 		}
-		c.handleEvacuationChange(previousEvacuations, c.store.Evacuations())
-		if document := c.store.Document(); document.Number != previousRoutesNumber {
+		c.handleEvacuationChange(previousEvacuations, c.store.EvacuatedZones())
+		if document := c.store.RouteConfig(); document.Number != previousRoutesNumber {
 			c.log.Info("configuration of routes accepted", "number", document.Number, "before", previousRoutesNumber,
 				"bytes", len(document.Text), "index", entry.Index, "term", entry.Term)
 		}
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -32,7 +32,7 @@
 // order proposes an operator's order. Where it changes nothing, it was sent again, and what
 // the log holds answers it: also an end of what has never begun, of a zone that is known.
 func (c *core) proposeEvacuation(now time.Time, request message.EvacuateRequest, done func(message.EvacuateResult, error)) {
-	evacuations := c.store.Evacuations()
+	evacuations := c.store.EvacuatedZones()
 	switch {
 	case !c.isReadyLeader(now):
 		done(message.EvacuateResult{}, quorum.NewNotLeaderError(c.leaderAddress()))
@@ -42,9 +42,9 @@
 		done(message.EvacuateResult{Zones: evacuations.Zones}, nil)
 	default:
 		c.log.Info("evacuation ordered", "zone", request.Zone, "end", request.End, "operator", request.Operator)
-		command := statestore.Command{Evacuation: &statestore.Evacuation{Zone: request.Zone, End: request.End}}
+		command := statestore.Command{Evacuation: &statestore.EvacuationChange{Zone: request.Zone, End: request.End}}
 		c.submit(now, command, func(_ statestore.Result, err error) {
-			done(message.EvacuateResult{Zones: c.store.Evacuations().Zones}, err)
+			done(message.EvacuateResult{Zones: c.store.EvacuatedZones().Zones}, err)
 		})
 	}
 }
--- a/internal/keeper/evacuation_test.go
+++ b/internal/keeper/evacuation_test.go
@@ -52,7 +52,7 @@
 					vm.core.zones = zones
 				}
 			}
-			held := g.leader().core.store.Evacuations()
+			held := g.leader().core.store.EvacuatedZones()
 			for zone, evacuated := range want {
 				require.Equal(t, evacuated, held.Contains(zone), "seed %d", seed)
 			}
@@ -78,12 +78,12 @@
 		require.ErrorAs(t, try(message.EvacuateRequest{Zone: "nowhere", End: end}), &refused)
 		require.Equal(t, fleet.KindMalformed, refused.Kind)
 	}
-	require.Zero(t, c.store.Evacuations().Revision)
+	require.Zero(t, c.store.EvacuatedZones().Revision)
 
 	c.setTargets(g.clock.Now(), fleet.TargetListing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Zone: "z"}}})
 	require.NoError(t, try(message.EvacuateRequest{Zone: "z"}))
 	c.setTargets(g.clock.Now(), fleet.TargetListing{})
 	require.NoError(t, try(message.EvacuateRequest{Zone: "z"}), "it was accepted, and is never refused after that")
 	require.NoError(t, try(message.EvacuateRequest{Zone: "z", End: true}))
-	require.False(t, slices.Contains(c.store.Evacuations().Zones, "z"))
+	require.False(t, slices.Contains(c.store.EvacuatedZones().Zones, "z"))
 }
--- a/internal/keeper/handlers.go
+++ b/internal/keeper/handlers.go
@@ -186,13 +186,13 @@
 		done(message.ApplyResult{}, quorum.NewNotLeaderError(c.node.LeaderID()))
 		return
 	}
-	command := statestore.Command{Apply: &statestore.Apply{Config: config.JSON(), Operator: operator}}
+	command := statestore.Command{ConfigUpdate: &statestore.ConfigUpdate{Config: config.JSON(), Operator: operator}}
 	c.submit(now, command, func(result statestore.Result, err error) {
-		if err != nil || result.Applied == nil {
+		if err != nil || result.ApplyResult == nil {
 			done(message.ApplyResult{}, err)
 			return
 		}
-		done(*result.Applied, nil)
+		done(*result.ApplyResult, nil)
 	})
 }
 
@@ -229,7 +229,7 @@
 			return
 		}
 		_, text := c.store.Config()
-		done(message.ShowResult{Config: text, History: c.store.History()}, nil)
+		done(message.ShowResult{Config: text, History: c.store.ConfigHistory()}, nil)
 	})
 }
 
@@ -241,8 +241,8 @@
 		}
 		status := message.Status{
 			Leader: c.node.ID, Term: c.node.Term(), CommitIndex: c.node.CommitIndex(),
-			Number: c.store.Number(), Digest: c.store.Digest(), Claims: c.store.Claims(), Quarantined: len(c.store.Quarantine().Entries()),
-			Changing: c.node.MembershipChangePending(), Evacuated: c.store.Evacuations().Zones,
+			Number: c.store.ConfigNumber(), Digest: c.store.ConfigDigest(), Claims: c.store.ClaimCount(), Quarantined: len(c.store.Quarantine().Entries()),
+			Changing: c.node.MembershipChangePending(), Evacuated: c.store.EvacuatedZones().Zones,
 			ServiceGap: c.divider.Gap(), Routers: c.divider.Routers(),
 		}
 		status.SlotsBusy, status.Slots = c.divider.Load()
--- a/internal/keeper/leader.go
+++ b/internal/keeper/leader.go
@@ -32,11 +32,11 @@
 		return // the term may go on once a quorum answers again
 	}
 	if c.divider == nil || c.divider.Term != c.node.Term() {
-		c.log.Info("leading", "term", c.node.Term(), "number", c.store.Number())
-		c.divider = &fairshare.Divider{Term: c.node.Term(), Blank: c.store.Number() == 0}
+		c.log.Info("leading", "term", c.node.Term(), "number", c.store.ConfigNumber())
+		c.divider = &fairshare.Divider{Term: c.node.Term(), Blank: c.store.ConfigNumber() == 0}
 		c.divider.Start(now)
 		c.coordinator = nil // of the term before
-		if c.store.Number() > 0 {
+		if c.store.ConfigNumber() > 0 {
 			c.updateDividerConfig()
 		}
 	}
@@ -98,7 +98,7 @@
 				call.done(nil, err)
 				continue
 			}
-			call.done(result.Verdicts[offset:offset+len(call.claims)], nil)
+			call.done(result.ClaimResults[offset:offset+len(call.claims)], nil)
 			offset += len(call.claims)
 		}
 		for _, call := range settleCalls {
@@ -109,7 +109,7 @@
 
 // submit proposes a command and has done told what became of it.
 func (c *core) submit(now time.Time, command statestore.Command, done func(statestore.Result, error)) {
-	command.At = now
+	command.ProposedAt = now
 	index, term, err := c.node.Propose(now, command.Encode())
 	if err != nil {
 		done(statestore.Result{}, err)
--- a/internal/keeper/quarantine_test.go
+++ b/internal/keeper/quarantine_test.go
@@ -113,7 +113,7 @@
 			}
 			g.wipe(victim)
 			require.True(t, g.settle(), "seed %d", seed)
-			require.GreaterOrEqual(t, g.leader().core.store.Document().Number, acked, "seed %d", seed)
+			require.GreaterOrEqual(t, g.leader().core.store.RouteConfig().Number, acked, "seed %d", seed)
 		}
 	}
 }
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -38,7 +38,7 @@
 	listTerm     uint64
 	listReadAt   time.Time
 	aggregator   quota.Aggregator
-	ownDocument  statestore.Document // the product's own configuration, packed
+	ownDocument  statestore.RouteConfig // the product's own configuration, packed
 
 	warming      warmingTargets
 	warmupLeases warmup.LeaseTable // of seatsOf
@@ -61,7 +61,7 @@
 	c.renewals.aggregator.Report(now, request.Router, request.Demand, request.Backlog)
 	response.Leads = true
 	response.WarmupLease = c.warmupLeaseTable(now).Renew(now, request.Router, request.Incarnation, request.WarmupLease)
-	if evacuations := c.store.Evacuations(); evacuations.Revision != request.EvacuationRevision {
+	if evacuations := c.store.EvacuatedZones(); evacuations.Revision != request.EvacuationRevision {
 		response.EvacuatedZones = &evacuations
 	}
 	if request.AcceptsColumns {
@@ -135,8 +135,8 @@
 
 // document returns the configuration that routers of routes serve: the one in an
 // operator's own form, or else the product's own.
-func (c *core) servedDocument() statestore.Document {
-	if document := c.store.Document(); document.Number > 0 {
+func (c *core) servedDocument() statestore.RouteConfig {
+	if document := c.store.RouteConfig(); document.Number > 0 {
 		return document
 	}
 	config, text := c.store.Config()
@@ -148,7 +148,7 @@
 		c.log.Error("a configuration cannot be packed: its routes are not served", "number", config.Number, "error", err)
 		return c.renewals.ownDocument
 	}
-	c.renewals.ownDocument = statestore.Document{Number: config.Number, Text: packed}
+	c.renewals.ownDocument = statestore.RouteConfig{Number: config.Number, Text: packed}
 	return c.renewals.ownDocument
 }
 
@@ -259,11 +259,11 @@
 			done(struct{}{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
-		if request.Number <= c.store.Document().Number {
+		if request.Number <= c.store.RouteConfig().Number {
 			done(struct{}{}, nil) // overtaken, or sent again: it changes nothing
 			return
 		}
-		command := statestore.Command{Document: &statestore.Document{Number: request.Number, Text: request.PackedConfig}}
+		command := statestore.Command{RouteConfig: &statestore.RouteConfig{Number: request.Number, Text: request.PackedConfig}}
 		c.submit(now, command, func(_ statestore.Result, err error) { done(struct{}{}, err) })
 	})
 }
@@ -276,7 +276,7 @@
 			done(message.RoutesDocument{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
-		document := c.store.Document()
+		document := c.store.RouteConfig()
 		done(message.RoutesDocument{Number: document.Number, PackedConfig: document.Text}, nil)
 	})
 }
--- a/internal/keeper/simcluster_test.go
+++ b/internal/keeper/simcluster_test.go
@@ -179,9 +179,9 @@
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(g.t, c.store.Number(), g.newest, "a reader at %s sees an older configuration", name)
-		if want, ok := g.accepted[c.store.Number()]; ok {
-			require.Equal(g.t, want, c.store.Digest())
+		require.GreaterOrEqual(g.t, c.store.ConfigNumber(), g.newest, "a reader at %s sees an older configuration", name)
+		if want, ok := g.accepted[c.store.ConfigNumber()]; ok {
+			require.Equal(g.t, want, c.store.ConfigDigest())
 		}
 	}
 	require.LessOrEqual(g.t, leaders, 1)
--- a/internal/keeper/simhistories_test.go
+++ b/internal/keeper/simhistories_test.go
@@ -138,7 +138,7 @@
 		g.read()
 		c, ok := g.whole()
 		require.True(t, ok)
-		require.Equal(t, uint64(1), c.store.Number())
+		require.Equal(t, uint64(1), c.store.ConfigNumber())
 	}
 }
 
@@ -181,6 +181,6 @@
 	g.read()
 	now, ok := g.whole()
 	require.True(t, ok)
-	require.Equal(t, uint64(2), now.store.Number())
-	require.Equal(t, uint64(2), g.cores[old].store.Number())
+	require.Equal(t, uint64(2), now.store.ConfigNumber())
+	require.Equal(t, uint64(2), g.cores[old].store.ConfigNumber())
 }
--- a/internal/keeper/vmlist.go
+++ b/internal/keeper/vmlist.go
@@ -117,7 +117,7 @@
 
 // setVMs takes the list. Before this keeper has loaded its state it is ignored.
 func (c *core) setVMs(vms []fleet.VM) {
-	if number := c.store.Number(); c.leavingVMs.addresses == nil || c.leavingVMs.configNumber != number {
+	if number := c.store.ConfigNumber(); c.leavingVMs.addresses == nil || c.leavingVMs.configNumber != number {
 		c.leavingVMs = leavingVMs{configNumber: number, addresses: make(map[string]bool)}
 	}
 	for _, vm := range vms {
@@ -134,7 +134,7 @@
 	if c.divider == nil {
 		return
 	}
-	if c.leavingVMs.configNumber != c.store.Number() {
+	if c.leavingVMs.configNumber != c.store.ConfigNumber() {
 		c.leavingVMs.addresses = nil
 	}
 	config, _ := c.store.Config()
@@ -144,7 +144,7 @@
 		switch {
 		case err == nil && c.leavingVMs.addresses[host]:
 			leaving = append(leaving, target.Name)
-		case c.store.Evacuations().Contains(target.Zone):
+		case c.store.EvacuatedZones().Contains(target.Zone):
 			evacuated = append(evacuated, target.Name)
 		}
 	}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -147,7 +147,7 @@
 	case key == "":
 		return malformed(headerKey, "a key, since Lf-Repeat is never")
 	default:
-		req.ClaimKey = statestore.KeyOf(req.Account, key)
+		req.ClaimKey = statestore.HashKey(req.Account, key)
 	}
 	if text := string(h.Peek(headerDeadline)); text != "" {
 		t, err := time.Parse(time.RFC3339, text)
--- a/internal/statestore/bench_test.go
+++ b/internal/statestore/bench_test.go
@@ -20,11 +20,11 @@
 			runtime.ReadMemStats(&before)
 			var l Store
 			for i := range claims {
-				l.claims.claim(message.Claim{Key: KeyOf("a", fmt.Sprint(i)), Owner: "r1/abc", Attempt: 1}, start, claims)
+				l.claims.claim(message.Claim{Key: HashKey("a", fmt.Sprint(i)), Owner: "r1/abc", Attempt: 1}, start, claims)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			key := KeyOf("a", "7")
+			key := HashKey("a", "7")
 			b.ResetTimer()
 			for range b.N {
 				l.claims.claim(message.Claim{Key: key, Owner: "r2/abc", Attempt: 1}, start, claims)
@@ -55,7 +55,7 @@
 			marks := make(map[claimKey]producerMark)
 			keys := make([]claimKey, producers)
 			for i := range producers {
-				keys[i] = parseKey(KeyOf("a", fmt.Sprint(i)))
+				keys[i] = parseKey(HashKey("a", fmt.Sprint(i)))
 				marks[keys[i]] = producerMark{clock: 1}
 			}
 			runtime.GC()
--- a/internal/statestore/claim.go
+++ b/internal/statestore/claim.go
@@ -13,17 +13,17 @@
 
 // The bounds of the claims kept.
 const (
-	// Retention is how long a claim is kept at the least.
-	Retention = 24 * time.Hour
-	// DefaultLimit bounds the number of claims kept. Beyond it a claim is
+	// ClaimRetention is how long a claim is kept at the least.
+	ClaimRetention = 24 * time.Hour
+	// DefaultClaimLimit bounds the number of claims kept. Beyond it a claim is
 	// refused: forgetting one early could let its request run twice.
-	DefaultLimit = 4_000_000
+	DefaultClaimLimit = 4_000_000
 	// generationSpan is how much time one generation of claims covers.
-	generationSpan = Retention / 8
+	generationSpan = ClaimRetention / 8
 )
 
-// KeyOf returns the name under which an account's key is claimed.
-func KeyOf(account, key string) string {
+// HashKey returns the name under which an account's key is claimed.
+func HashKey(account, key string) string {
 	sum := sha256.Sum256([]byte(account + "\x00" + key))
 	return base64.RawURLEncoding.EncodeToString(sum[:keySize])
 }
@@ -88,7 +88,7 @@
 func (t *claimTable) expire(now time.Time) {
 	for len(t.generations) > 0 {
 		g := t.generations[0]
-		if now.Before(g.start.Add(generationSpan + Retention)) {
+		if now.Before(g.start.Add(generationSpan + ClaimRetention)) {
 			return
 		}
 		t.size -= len(g.records)
--- a/internal/statestore/document_test.go
+++ b/internal/statestore/document_test.go
@@ -13,18 +13,18 @@
 func TestHighestDocumentWinsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Store
-		var want Document
+		var want RouteConfig
 		for i := range rapid.IntRange(1, 20).Draw(t, "orders") {
-			d := Document{
+			d := RouteConfig{
 				Number: rapid.Uint64Range(1, 8).Draw(t, "number"),
 				Text:   fmt.Appendf(nil, "{ \"order\":%d, \"odd\" : \"<&>\u2028\" }\n", i),
 			}
-			_, err := l.Do(Command{Document: &d}.Encode())
+			_, err := l.ApplyCommand(Command{RouteConfig: &d}.Encode())
 			require.NoError(t, err)
 			if d.Number > want.Number {
 				want = d
 			}
-			require.Equal(t, want, l.Document())
+			require.Equal(t, want, l.RouteConfig())
 			if rapid.Bool().Draw(t, "snapshot") {
 				data, err := l.Snapshot()
 				require.NoError(t, err)
--- a/internal/statestore/evacuation_test.go
+++ b/internal/statestore/evacuation_test.go
@@ -17,18 +17,18 @@
 		var l Store
 		want := map[fleet.Zone]bool{}
 		for range rapid.IntRange(1, 30).Draw(t, "orders") {
-			order := Evacuation{
+			order := EvacuationChange{
 				Zone: rapid.SampledFrom([]fleet.Zone{"a", "b", "c"}).Draw(t, "zone"),
 				End:  rapid.Bool().Draw(t, "end"),
 			}
-			before := l.Evacuations()
+			before := l.EvacuatedZones()
 			changes := want[order.Zone] == order.End
 			want[order.Zone] = !order.End
 			for range rapid.IntRange(1, 3).Draw(t, "times") {
-				_, err := l.Do(Command{Evacuation: &order}.Encode())
+				_, err := l.ApplyCommand(Command{Evacuation: &order}.Encode())
 				require.NoError(t, err)
 			}
-			now := l.Evacuations()
+			now := l.EvacuatedZones()
 			require.Equal(t, changes, now.Revision == before.Revision+1)
 			require.Equal(t, !changes, now.Revision == before.Revision)
 			for zone, evacuated := range want {
@@ -48,7 +48,7 @@
 // Guards against a keeper that cannot start on the snapshot of the version before.
 func TestASnapshotWithoutEvacuations(t *testing.T) {
 	var l Store
-	_, err := l.Do(Command{Document: &Document{Number: 3, Text: []byte("x")}}.Encode())
+	_, err := l.ApplyCommand(Command{RouteConfig: &RouteConfig{Number: 3, Text: []byte("x")}}.Encode())
 	require.NoError(t, err)
 	data, err := l.Snapshot()
 	require.NoError(t, err)
@@ -56,6 +56,6 @@
 	require.NoError(t, json.Unmarshal(data, &fields))
 	require.NotContains(t, fields, "evacuations", "nothing is written where there are none")
 	require.NoError(t, l.Restore(data))
-	require.Empty(t, l.Evacuations())
-	require.Equal(t, uint64(3), l.Document().Number)
+	require.Empty(t, l.EvacuatedZones())
+	require.Equal(t, uint64(3), l.RouteConfig().Number)
 }
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -14,37 +14,37 @@
 	"laburnumfall/internal/quarantine"
 )
 
-// HistoryLength is how many accepted configurations the history lists.
-const HistoryLength = 1000
+// MaxHistoryLength is how many accepted configurations the history lists.
+const MaxHistoryLength = 1000
 
 // A Command is one change of the ledger. One of its fields is set.
 type Command struct {
-	// At is the time of the leader that proposed the command. The ledger's
+	// ProposedAt is the time of the leader that proposed the command. The ledger's
 	// own time never goes back, whatever the leaders' clocks say.
-	At          time.Time            `json:"at"`
-	Apply       *Apply               `json:"apply,omitempty"`
-	Claims      []message.Claim      `json:"claims,omitempty"`
-	Settlements []message.Settlement `json:"settlements,omitempty"`
-	Document    *Document            `json:"document,omitempty"`
-	Quarantine  []quarantine.Entry   `json:"quarantine,omitempty"`
-	Evacuation  *Evacuation          `json:"evacuation,omitempty"`
+	ProposedAt   time.Time            `json:"at"`
+	ConfigUpdate *ConfigUpdate        `json:"apply,omitempty"`
+	Claims       []message.Claim      `json:"claims,omitempty"`
+	Settlements  []message.Settlement `json:"settlements,omitempty"`
+	RouteConfig  *RouteConfig         `json:"document,omitempty"`
+	Quarantine   []quarantine.Entry   `json:"quarantine,omitempty"`
+	Evacuation   *EvacuationChange    `json:"evacuation,omitempty"`
 }
 
-// An Evacuation begins or ends the evacuation of an availability zone.
-type Evacuation struct {
+// An EvacuationChange begins or ends the evacuation of an availability zone.
+type EvacuationChange struct {
 	Zone fleet.Zone `json:"zone"`
 	End  bool       `json:"end,omitempty"`
 }
 
-// A Document is a configuration of routes in the operator's own bytes, packed,
+// A RouteConfig is a configuration of routes in the operator's own bytes, packed,
 // which are given back as they came. The highest number is in force.
-type Document struct {
+type RouteConfig struct {
 	Number uint64 `json:"number"`
 	Text   []byte `json:"text"`
 }
 
-// An Apply puts a configuration in force.
-type Apply struct {
+// A ConfigUpdate puts a configuration in force.
+type ConfigUpdate struct {
 	Config   json.RawMessage `json:"config"`
 	Operator string          `json:"operator"`
 }
@@ -60,16 +60,16 @@
 
 // A Result is what a command brought about.
 type Result struct {
-	Applied  *message.ApplyResult
-	Verdicts []message.ClaimResult
+	ApplyResult  *message.ApplyResult
+	ClaimResults []message.ClaimResult
 }
 
 // A Store is the state. Its zero value is the state before any command. It is
 // used by one goroutine.
 type Store struct {
-	// Limit bounds the claims kept; 0 means DefaultLimit. It must be the same
+	// ClaimLimit bounds the claims kept; 0 means DefaultLimit. It must be the same
 	// on every keeper.
-	Limit int
+	ClaimLimit int
 
 	at      time.Time
 	config  fleet.Config
@@ -78,7 +78,7 @@
 	history []message.ConfigChange
 	claims  claimTable
 
-	document    Document
+	document    RouteConfig
 	quarantine  quarantine.EntryStore
 	evacuations fleet.EvacuatedZones
 }
@@ -88,29 +88,29 @@
 	return l.config, l.text
 }
 
-// Number returns the number of the configuration in force, or 0.
-func (l *Store) Number() uint64 {
+// ConfigNumber returns the number of the configuration in force, or 0.
+func (l *Store) ConfigNumber() uint64 {
 	return l.config.Number
 }
 
-// Digest returns the digest of the configuration in force.
-func (l *Store) Digest() string {
+// ConfigDigest returns the digest of the configuration in force.
+func (l *Store) ConfigDigest() string {
 	return l.digest
 }
 
-// History returns the accepted configurations, the oldest first.
-func (l *Store) History() []message.ConfigChange {
+// ConfigHistory returns the accepted configurations, the oldest first.
+func (l *Store) ConfigHistory() []message.ConfigChange {
 	return l.history
 }
 
-// Claims returns the number of claims kept.
-func (l *Store) Claims() int {
+// ClaimCount returns the number of claims kept.
+func (l *Store) ClaimCount() int {
 	return l.claims.len()
 }
 
-// Document returns the configuration of routes in force; its number is 0 before
+// RouteConfig returns the configuration of routes in force; its number is 0 before
 // any.
-func (l *Store) Document() Document {
+func (l *Store) RouteConfig() RouteConfig {
 	return l.document
 }
 
@@ -119,33 +119,33 @@
 	return &l.quarantine
 }
 
-// Evacuations returns the availability zones that are evacuated.
-func (l *Store) Evacuations() fleet.EvacuatedZones {
+// EvacuatedZones returns the availability zones that are evacuated.
+func (l *Store) EvacuatedZones() fleet.EvacuatedZones {
 	return l.evacuations
 }
 
-// Do carries out a command from the log.
-func (l *Store) Do(data json.RawMessage) (Result, error) {
+// ApplyCommand carries out a command from the log.
+func (l *Store) ApplyCommand(data json.RawMessage) (Result, error) {
 	var c Command
 	if err := json.Unmarshal(data, &c); err != nil {
 		return Result{}, fmt.Errorf("decode a command: %w", err)
 	}
-	if c.At.After(l.at) {
-		l.at = c.At
+	if c.ProposedAt.After(l.at) {
+		l.at = c.ProposedAt
 	}
 	l.claims.expire(l.at)
 	var r Result
-	if c.Apply != nil {
-		applied, err := l.apply(*c.Apply)
+	if c.ConfigUpdate != nil {
+		applied, err := l.apply(*c.ConfigUpdate)
 		if err != nil {
 			return Result{}, err
 		}
-		r.Applied = &applied
+		r.ApplyResult = &applied
 	}
-	if c.Document != nil && c.Document.Number > l.document.Number {
+	if c.RouteConfig != nil && c.RouteConfig.Number > l.document.Number {
 		// A lower number, or the same one, changes nothing: it was overtaken, or
 		// it is the same order sent again.
-		l.document = *c.Document
+		l.document = *c.RouteConfig
 	}
 	if len(c.Quarantine) > 0 {
 		l.quarantine.Put(c.Quarantine)
@@ -156,7 +156,7 @@
 		l.evacuations = l.evacuations.With(e.Zone)
 	}
 	for _, claim := range c.Claims {
-		r.Verdicts = append(r.Verdicts, l.claims.claim(claim, l.at, l.limit()))
+		r.ClaimResults = append(r.ClaimResults, l.claims.claim(claim, l.at, l.limit()))
 	}
 	for _, s := range c.Settlements {
 		l.claims.settle(s, l.at)
@@ -165,15 +165,15 @@
 }
 
 func (l *Store) limit() int {
-	if l.Limit > 0 {
-		return l.Limit
+	if l.ClaimLimit > 0 {
+		return l.ClaimLimit
 	}
-	return DefaultLimit
+	return DefaultClaimLimit
 }
 
 // apply puts a configuration in force if its number is above the present one.
 // The same number with the same content is the same request sent again.
-func (l *Store) apply(a Apply) (message.ApplyResult, error) {
+func (l *Store) apply(a ConfigUpdate) (message.ApplyResult, error) {
 	var c fleet.Config
 	if err := json.Unmarshal(a.Config, &c); err != nil {
 		return message.ApplyResult{}, fmt.Errorf("decode a configuration: %w", err)
@@ -184,8 +184,8 @@
 	}
 	l.config, l.text, l.digest = c, a.Config, digest
 	l.history = append(l.history, message.ConfigChange{Number: c.Number, Digest: digest, Operator: a.Operator, Accepted: l.at})
-	if len(l.history) > HistoryLength {
-		l.history = append([]message.ConfigChange(nil), l.history[len(l.history)-HistoryLength:]...)
+	if len(l.history) > MaxHistoryLength {
+		l.history = append([]message.ConfigChange(nil), l.history[len(l.history)-MaxHistoryLength:]...)
 	}
 	return message.ApplyResult{Number: c.Number, Digest: digest}, nil
 }
@@ -213,7 +213,7 @@
 	History []message.ConfigChange `json:"history,omitempty"`
 	Claims  []savedClaims          `json:"claims,omitempty"`
 
-	Document    Document                 `json:"document,omitzero"`
+	Document    RouteConfig              `json:"document,omitzero"`
 	Quarantine  quarantine.EntrySnapshot `json:"quarantine,omitzero"`
 	Evacuations fleet.EvacuatedZones     `json:"evacuations,omitzero"`
 }
@@ -236,7 +236,7 @@
 	if err := json.Unmarshal(data, &s); err != nil {
 		return fmt.Errorf("decode a snapshot: %w", err)
 	}
-	fresh := Store{Limit: l.Limit, at: s.At, text: s.Config, history: s.History, document: s.Document, evacuations: s.Evacuations}
+	fresh := Store{ClaimLimit: l.ClaimLimit, at: s.At, text: s.Config, history: s.History, document: s.Document, evacuations: s.Evacuations}
 	if len(s.Config) > 0 {
 		if err := json.Unmarshal(s.Config, &fresh.config); err != nil {
 			return fmt.Errorf("decode the configuration of a snapshot: %w", err)
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -15,13 +15,13 @@
 var start = time.Unix(1e9, 0)
 
 func (l *Store) claimOne(t require.TestingT, at time.Time, c message.Claim) message.ClaimResult {
-	r, err := l.Do(Command{At: at, Claims: []message.Claim{c}}.Encode())
+	r, err := l.ApplyCommand(Command{ProposedAt: at, Claims: []message.Claim{c}}.Encode())
 	require.NoError(t, err)
-	return r.Verdicts[0]
+	return r.ClaimResults[0]
 }
 
 func (l *Store) settleOne(t require.TestingT, at time.Time, s message.Settlement) {
-	_, err := l.Do(Command{At: at, Settlements: []message.Settlement{s}}.Encode())
+	_, err := l.ApplyCommand(Command{ProposedAt: at, Settlements: []message.Settlement{s}}.Encode())
 	require.NoError(t, err)
 }
 
@@ -32,7 +32,7 @@
 // Cause: the late claim finds no record and is granted.
 func TestReleaseThatOvertakesItsClaim(t *testing.T) {
 	var l Store
-	key := KeyOf("a", "k")
+	key := HashKey("a", "k")
 	l.settleOne(t, start, message.Settlement{Key: key, Owner: "r1/1", Attempt: 1, State: message.RunStateNotRun})
 	v := l.claimOne(t, start, message.Claim{Key: key, Owner: "r1/1", Attempt: 1})
 	require.False(t, v.Granted)
@@ -42,7 +42,7 @@
 
 func TestClaimSentAgainGetsTheSameAnswer(t *testing.T) {
 	var l Store
-	c := message.Claim{Key: KeyOf("a", "k"), Owner: "r1/1", Attempt: 1}
+	c := message.Claim{Key: HashKey("a", "k"), Owner: "r1/1", Attempt: 1}
 	require.True(t, l.claimOne(t, start, c).Granted)
 	require.True(t, l.claimOne(t, start, c).Granted)
 	other := message.Claim{Key: c.Key, Owner: "r1/1", Attempt: 2}
@@ -54,19 +54,19 @@
 }
 
 func TestClaimsAreBoundedAndKeptForTheirTime(t *testing.T) {
-	l := Store{Limit: 3}
+	l := Store{ClaimLimit: 3}
 	claim := func(at time.Time, n int) message.ClaimResult {
-		return l.claimOne(t, at, message.Claim{Key: KeyOf("a", fmt.Sprint(n)), Owner: "r1/1", Attempt: uint64(n)})
+		return l.claimOne(t, at, message.Claim{Key: HashKey("a", fmt.Sprint(n)), Owner: "r1/1", Attempt: uint64(n)})
 	}
 	for n := range 3 {
 		require.True(t, claim(start, n+1).Granted)
 	}
 	require.True(t, claim(start.Add(time.Hour), 4).ClaimsFull)
-	require.Equal(t, 3, l.Claims())
-	require.Equal(t, message.RunStateRunning, l.claimOne(t, start.Add(Retention), message.Claim{Key: KeyOf("a", "1"), Owner: "x"}).State)
-	late := start.Add(Retention + generationSpan)
+	require.Equal(t, 3, l.ClaimCount())
+	require.Equal(t, message.RunStateRunning, l.claimOne(t, start.Add(ClaimRetention), message.Claim{Key: HashKey("a", "1"), Owner: "x"}).State)
+	late := start.Add(ClaimRetention + generationSpan)
 	require.True(t, claim(late, 4).Granted)
-	require.Equal(t, 1, l.Claims())
+	require.Equal(t, 1, l.ClaimCount())
 }
 
 // The ledger agrees with a naive one that keeps whole claims in a map, also
@@ -81,7 +81,7 @@
 		}
 		records := make(map[string]naive)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			key := KeyOf("a", rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "key"))
+			key := HashKey("a", rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "key"))
 			owner := rapid.SampledFrom([]string{"r1/1", "r1/2", "r2/1"}).Draw(t, "owner")
 			attempt := rapid.Uint64Range(1, 3).Draw(t, "attempt")
 			old, found := records[key]
@@ -106,7 +106,7 @@
 				l = Store{}
 				require.NoError(t, l.Restore(data))
 			}
-			require.Equal(t, len(records), l.Claims())
+			require.Equal(t, len(records), l.ClaimCount())
 		}
 	})
 }
@@ -115,9 +115,9 @@
 	var l Store
 	apply := func(number uint64, share float64) message.ApplyResult {
 		c := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: share}}}
-		r, err := l.Do(Command{At: start, Apply: &Apply{Config: c.JSON(), Operator: "op"}}.Encode())
+		r, err := l.ApplyCommand(Command{ProposedAt: start, ConfigUpdate: &ConfigUpdate{Config: c.JSON(), Operator: "op"}}.Encode())
 		require.NoError(t, err)
-		return *r.Applied
+		return *r.ApplyResult
 	}
 	require.False(t, apply(1, 1).Conflict)
 	require.False(t, apply(1, 1).Conflict, "the same again")
@@ -133,24 +133,24 @@
 	require.NoError(t, err)
 	var again Store
 	require.NoError(t, again.Restore(data))
-	require.Equal(t, l.Digest(), again.Digest())
-	require.Equal(t, l.History(), again.History())
+	require.Equal(t, l.ConfigDigest(), again.ConfigDigest())
+	require.Equal(t, l.ConfigHistory(), again.ConfigHistory())
 }
 
 func FuzzCommand(f *testing.F) {
-	f.Add([]byte(Command{At: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode()))
+	f.Add([]byte(Command{ProposedAt: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode()))
 	f.Add([]byte(`{"apply":{"config":{}}}`))
 	f.Add([]byte(`{`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var l Store
-		if _, err := l.Do(data); err != nil {
+		if _, err := l.ApplyCommand(data); err != nil {
 			return
 		}
 		snap, err := l.Snapshot()
 		require.NoError(t, err)
 		var again Store
 		require.NoError(t, again.Restore(snap))
-		require.Equal(t, l.Claims(), again.Claims())
+		require.Equal(t, l.ClaimCount(), again.ClaimCount())
 	})
 }
 
@@ -158,7 +158,7 @@
 // can be stored again.
 func FuzzRestore(f *testing.F) {
 	var l Store
-	_, err := l.Do(Command{At: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
+	_, err := l.ApplyCommand(Command{ProposedAt: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
 	require.NoError(f, err)
 	good, err := l.Snapshot()
 	require.NoError(f, err)
@@ -169,17 +169,17 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var l Store
 		if err := l.Restore(data); err != nil {
-			require.Zero(t, l.Claims())
-			require.Zero(t, l.Number())
+			require.Zero(t, l.ClaimCount())
+			require.Zero(t, l.ConfigNumber())
 			return
 		}
 		snap, err := l.Snapshot()
 		require.NoError(t, err)
 		var again Store
 		require.NoError(t, again.Restore(snap))
-		require.Equal(t, l.Claims(), again.Claims())
-		require.Equal(t, l.Digest(), again.Digest())
-		_, err = l.Do(Command{At: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
+		require.Equal(t, l.ClaimCount(), again.ClaimCount())
+		require.Equal(t, l.ConfigDigest(), again.ConfigDigest())
+		_, err = l.ApplyCommand(Command{ProposedAt: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
 		require.NoError(t, err)
 	})
 }
