--- a/internal/statestore/claim.go
+++ b/internal/statestore/claim.go
@@ -11,68 +11,69 @@
 	"laburnumfall/internal/message"
 )
 
-// The bounds of the claims kept.
+// The limits of stored claims.
 const (
-	// ClaimRetention is how long a claim is kept at the least.
+	// ClaimRetention is the minimum time for which a claim is stored.
 	ClaimRetention = 24 * time.Hour
-	// DefaultClaimLimit bounds the number of claims kept. Beyond it a claim is
-	// refused: forgetting one early could let its request run twice.
+	// DefaultClaimLimit is the default for the maximum number of claims. Further claims are refused:
+	// dropping a claim early could let its request run twice.
 	DefaultClaimLimit = 4_000_000
-	// generationSpan is how much time one generation of claims covers.
+	// generationSpan is the time that one generation of claims covers.
 	generationSpan = ClaimRetention / 8
 )
 
-// HashKey returns the name under which an account's key is claimed.
+// HashKey returns the key of the claim for an account's idempotency key: a hash of both.
 func HashKey(account, key string) string {
 	sum := sha256.Sum256([]byte(account + "\x00" + key))
-	return base64.RawURLEncoding.EncodeToString(sum[:keySize])
+	return base64.RawURLEncoding.EncodeToString(sum[:claimKeySize])
 }
 
 const (
-	keySize = 16
-	// recordSize is the stored size of a claim: key, owner, attempt, fate.
-	recordSize = keySize + 8 + 8 + 1
+	claimKeySize = 16
+	// claimRecordSize is the encoded size of a claim: key, owner, attempt and run state.
+	claimRecordSize = claimKeySize + 8 + 8 + 1
 )
 
-type claimKey [keySize]byte
+type claimKey [claimKeySize]byte
 
-// A claimRecord is what is kept of a claim. The owner is kept as a hash.
+// A claimRecord is a stored claim. The owner is stored as a hash.
 type claimRecord struct {
 	owner   uint64
 	attempt uint64
-	fate    fateCode
+	state   runStateCode
 }
 
-type fateCode uint8
+// A runStateCode represents a message.RunState in a claimRecord and in snapshots.
+type runStateCode uint8
 
 const (
-	codeRunning fateCode = iota
+	codeRunning runStateCode = iota
 	codeRan
-	codeUnrun
+	codeNotRun
 	codeUnknown
 )
 
-var fates = [...]message.RunState{
+var runStates = [...]message.RunState{
 	codeRunning: message.RunStateRunning,
 	codeRan:     message.RunStateRan,
-	codeUnrun:   message.RunStateNotRun,
+	codeNotRun:  message.RunStateNotRun,
 	codeUnknown: message.RunStateUnknown,
 }
 
-func codeOf(f message.RunState) fateCode {
-	for c, fate := range fates {
-		if fate == f {
-			return fateCode(c)
+func codeOfRunState(state message.RunState) runStateCode {
+	for code, known := range runStates {
+		if known == state {
+			return runStateCode(code)
 		}
 	}
 	return codeUnknown
 }
 
-// A claimTable keeps claims in generations by their time, so that the old ones
-// are dropped a generation at a time and nothing is scanned.
+// A claimTable stores claims in generations by their time, so that expired claims are dropped one
+// generation at a time without a scan.
 type claimTable struct {
-	generations []generation // the oldest first
-	size        int
+	generations []generation // oldest first
+	claimCount  int
 }
 
 type generation struct {
@@ -80,66 +81,66 @@
 	records map[claimKey]claimRecord
 }
 
-func (t *claimTable) len() int {
-	return t.size
+func (t *claimTable) count() int {
+	return t.claimCount
 }
 
-// expire drops the generations in which every claim is older than Retention.
+// expire drops the generations in which every claim is older than ClaimRetention.
 func (t *claimTable) expire(now time.Time) {
 	for len(t.generations) > 0 {
-		g := t.generations[0]
-		if now.Before(g.start.Add(generationSpan + ClaimRetention)) {
+		oldest := t.generations[0]
+		if now.Before(oldest.start.Add(generationSpan + ClaimRetention)) {
 			return
 		}
-		t.size -= len(g.records)
+		t.claimCount -= len(oldest.records)
 		t.generations = t.generations[1:]
 	}
 }
 
-// claim records a claim unless the key is taken. A claim sent again gets the
-// answer that it got before. An attempt that its owner has given up is never
-// granted, even if its claim arrives after its release.
-func (t *claimTable) claim(c message.Claim, now time.Time, limit int) message.ClaimResult {
-	key := parseKey(c.Key)
-	mine := claimRecord{owner: HashOwner(c.Owner), attempt: c.Attempt}
-	g, found := t.find(key)
+// claim stores a claim unless the key is claimed already. A repeated claim gets the same result as
+// before. An attempt that its owner has released is never granted, even if its claim arrives after
+// its release.
+func (t *claimTable) claim(request message.Claim, now time.Time, limit int) message.ClaimResult {
+	key := parseKey(request.Key)
+	record := claimRecord{owner: HashOwner(request.Owner), attempt: request.Attempt}
+	gen, found := t.find(key)
 	if found {
-		old := g.records[key]
-		same := old.owner == mine.owner && old.attempt == mine.attempt
+		existing := gen.records[key]
+		sameAttempt := existing.owner == record.owner && existing.attempt == record.attempt
 		switch {
-		case same && old.fate == codeRunning:
+		case sameAttempt && existing.state == codeRunning:
 			return message.ClaimResult{Granted: true}
-		case old.fate != codeUnrun || same:
-			return message.ClaimResult{State: fates[old.fate], Owner: old.owner}
+		case existing.state != codeNotRun || sameAttempt:
+			return message.ClaimResult{State: runStates[existing.state], Owner: existing.owner}
 		}
-		// A claim after a released one starts its retention anew.
-		delete(g.records, key)
-		t.size--
+		// The retention of a claim that follows a released one starts again.
+		delete(gen.records, key)
+		t.claimCount--
 	}
-	if t.size >= limit {
+	if t.claimCount >= limit {
 		return message.ClaimResult{ClaimsFull: true}
 	}
-	t.put(key, mine, now)
+	t.insert(key, record, now)
 	return message.ClaimResult{Granted: true}
 }
 
-// settle records the fate of a claim. Only its owner's attempt may; a release
-// that overtakes its claim is kept, so that the claim finds it.
-func (t *claimTable) settle(s message.Settlement, now time.Time) {
-	key := parseKey(s.Key)
-	mine := claimRecord{owner: HashOwner(s.Owner), attempt: s.Attempt, fate: codeOf(s.State)}
-	g, found := t.find(key)
+// settle stores the run state of a claim. Only the owner's attempt may settle it. A release that
+// arrives before its claim is stored, so that the claim is refused when it arrives.
+func (t *claimTable) settle(settlement message.Settlement, now time.Time) {
+	key := parseKey(settlement.Key)
+	record := claimRecord{owner: HashOwner(settlement.Owner), attempt: settlement.Attempt, state: codeOfRunState(settlement.State)}
+	gen, found := t.find(key)
 	if !found {
-		if mine.fate == codeUnrun {
-			t.put(key, mine, now)
+		if record.state == codeNotRun {
+			t.insert(key, record, now)
 		}
 		return
 	}
-	old := g.records[key]
-	if old.owner != mine.owner || old.attempt != mine.attempt || old.fate == codeRan {
+	existing := gen.records[key]
+	if existing.owner != record.owner || existing.attempt != record.attempt || existing.state == codeRan {
 		return
 	}
-	g.records[key] = mine
+	gen.records[key] = record
 }
 
 func (t *claimTable) find(key claimKey) (generation, bool) {
@@ -151,71 +152,71 @@
 	return generation{}, false
 }
 
-func (t *claimTable) put(key claimKey, r claimRecord, now time.Time) {
+func (t *claimTable) insert(key claimKey, record claimRecord, now time.Time) {
 	last := len(t.generations) - 1
 	if last < 0 || !now.Before(t.generations[last].start.Add(generationSpan)) {
 		t.generations = append(t.generations, generation{start: now, records: make(map[claimKey]claimRecord)})
 		last++
 	}
-	t.generations[last].records[key] = r
-	t.size++
+	t.generations[last].records[key] = record
+	t.claimCount++
 }
 
-// savedClaims is the stored form of a generation: records of recordSize bytes.
-type savedClaims struct {
+// savedGeneration is the encoded form of a generation. Each record has claimRecordSize bytes.
+type savedGeneration struct {
 	Start   time.Time `json:"start"`
 	Records []byte    `json:"records"`
 }
 
-func (t *claimTable) save() []savedClaims {
-	saved := make([]savedClaims, 0, len(t.generations))
-	for _, g := range t.generations {
-		buf := make([]byte, 0, len(g.records)*recordSize)
-		for key, r := range g.records {
-			buf = append(buf, key[:]...)
-			buf = binary.LittleEndian.AppendUint64(buf, r.owner)
-			buf = binary.LittleEndian.AppendUint64(buf, r.attempt)
-			buf = append(buf, byte(r.fate))
+func (t *claimTable) save() []savedGeneration {
+	saved := make([]savedGeneration, 0, len(t.generations))
+	for _, gen := range t.generations {
+		records := make([]byte, 0, len(gen.records)*claimRecordSize)
+		for key, record := range gen.records {
+			records = append(records, key[:]...)
+			records = binary.LittleEndian.AppendUint64(records, record.owner)
+			records = binary.LittleEndian.AppendUint64(records, record.attempt)
+			records = append(records, byte(record.state))
 		}
-		saved = append(saved, savedClaims{Start: g.start, Records: buf})
+		saved = append(saved, savedGeneration{Start: gen.start, Records: records})
 	}
 	return saved
 }
 
-func (t *claimTable) load(saved []savedClaims) error {
-	for _, s := range saved {
-		if len(s.Records)%recordSize != 0 {
-			return fmt.Errorf("a snapshot's claims of %s have %d bytes", s.Start, len(s.Records))
+func (t *claimTable) load(savedGenerations []savedGeneration) error {
+	for _, saved := range savedGenerations {
+		if len(saved.Records)%claimRecordSize != 0 {
+			return fmt.Errorf("claims from %s in a snapshot have %d bytes, which is no multiple of the record size", saved.Start, len(saved.Records))
 		}
-		g := generation{start: s.Start, records: make(map[claimKey]claimRecord, len(s.Records)/recordSize)}
-		for b := s.Records; len(b) > 0; b = b[recordSize:] {
-			rest := b[keySize:]
-			g.records[claimKey(b[:keySize])] = claimRecord{
-				owner:   binary.LittleEndian.Uint64(rest),
-				attempt: binary.LittleEndian.Uint64(rest[8:]),
-				fate:    fateCode(rest[16]),
+		gen := generation{start: saved.Start, records: make(map[claimKey]claimRecord, len(saved.Records)/claimRecordSize)}
+		for records := saved.Records; len(records) > 0; records = records[claimRecordSize:] {
+			fields := records[claimKeySize:]
+			gen.records[claimKey(records[:claimKeySize])] = claimRecord{
+				owner:   binary.LittleEndian.Uint64(fields),
+				attempt: binary.LittleEndian.Uint64(fields[8:]),
+				state:   runStateCode(fields[16]),
 			}
 		}
-		t.generations = append(t.generations, g)
-		t.size += len(g.records)
+		t.generations = append(t.generations, gen)
+		t.claimCount += len(gen.records)
 	}
 	return nil
 }
 
-// parseKey reads a claim's key. One of another form is hashed into shape.
+// parseKey decodes the key of a claim. A key that is not the result of HashKey is hashed.
 func parseKey(key string) claimKey {
 	raw, err := base64.RawURLEncoding.DecodeString(key)
-	if err == nil && len(raw) == keySize {
+	if err == nil && len(raw) == claimKeySize {
 		return claimKey(raw)
 	}
 	sum := sha256.Sum256([]byte(key))
-	return claimKey(sum[:keySize])
+	return claimKey(sum[:claimKeySize])
 }
 
-// HashOwner returns the form in which a claim's owner is kept.
+// HashOwner returns the hash under which the owner of a claim is stored.
 func HashOwner(owner string) uint64 {
-	h := fnv.New64a()
-	// A hash never fails to take bytes.
-	_, _ = h.Write([]byte(owner))
-	return h.Sum64()
+	hash := fnv.New64a()
+	// Write of a hash never returns an error.
+	_, _ = hash.Write([]byte(owner))
+	return hash.Sum64()
 }
--- a/internal/statestore/evacuation_test.go
+++ b/internal/statestore/evacuation_test.go
@@ -10,52 +10,53 @@
 	"laburnumfall/internal/fleet"
 )
 
-// TestTheLastOrderOfAZoneHolds checks that orders which are sent again change nothing, that
-// the revision tells each change, and that snapshots keep both.
-func TestTheLastOrderOfAZoneHolds(t *testing.T) {
+// The last change of a zone decides whether it is evacuated. Repeated changes have no effect, the
+// revision increases with each effective change, and snapshots preserve both.
+func TestLastEvacuationChangeOfZoneWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Store
+		var store Store
 		want := map[fleet.Zone]bool{}
 		for range rapid.IntRange(1, 30).Draw(t, "orders") {
-			order := EvacuationChange{
+			change := EvacuationChange{
 				Zone: rapid.SampledFrom([]fleet.Zone{"a", "b", "c"}).Draw(t, "zone"),
 				End:  rapid.Bool().Draw(t, "end"),
 			}
-			before := l.EvacuatedZones()
-			changes := want[order.Zone] == order.End
-			want[order.Zone] = !order.End
+			before := store.EvacuatedZones()
+			takesEffect := want[change.Zone] == change.End
+			want[change.Zone] = !change.End
 			for range rapid.IntRange(1, 3).Draw(t, "times") {
-				_, err := l.ApplyCommand(Command{Evacuation: &order}.Encode())
+				_, err := store.ApplyCommand(Command{Evacuation: &change}.Encode())
 				require.NoError(t, err)
 			}
-			now := l.EvacuatedZones()
-			require.Equal(t, changes, now.Revision == before.Revision+1)
-			require.Equal(t, !changes, now.Revision == before.Revision)
+			after := store.EvacuatedZones()
+			require.Equal(t, takesEffect, after.Revision == before.Revision+1)
+			require.Equal(t, !takesEffect, after.Revision == before.Revision)
 			for zone, evacuated := range want {
-				require.Equal(t, evacuated, now.Contains(zone))
+				require.Equal(t, evacuated, after.Contains(zone))
 			}
 			if rapid.Bool().Draw(t, "snapshot") {
-				data, err := l.Snapshot()
+				data, err := store.Snapshot()
 				require.NoError(t, err)
-				var again Store
-				require.NoError(t, again.Restore(data))
-				l = again
+				var restored Store
+				require.NoError(t, restored.Restore(data))
+				store = restored
 			}
 		}
 	})
 }
 
-// Guards against a keeper that cannot start on the snapshot of the version before.
-func TestASnapshotWithoutEvacuations(t *testing.T) {
-	var l Store
-	_, err := l.ApplyCommand(Command{RouteConfig: &RouteConfig{Number: 3, Text: []byte("x")}}.Encode())
+// Guards against a keeper that cannot start from a snapshot of the previous version, which has no
+// evacuations.
+func TestRestoresSnapshotWithoutEvacuations(t *testing.T) {
+	var store Store
+	_, err := store.ApplyCommand(Command{RouteConfig: &RouteConfig{Number: 3, Text: []byte("x")}}.Encode())
 	require.NoError(t, err)
-	data, err := l.Snapshot()
+	data, err := store.Snapshot()
 	require.NoError(t, err)
 	var fields map[string]json.RawMessage
 	require.NoError(t, json.Unmarshal(data, &fields))
-	require.NotContains(t, fields, "evacuations", "nothing is written where there are none")
-	require.NoError(t, l.Restore(data))
-	require.Empty(t, l.EvacuatedZones())
-	require.Equal(t, uint64(3), l.RouteConfig().Number)
+	require.NotContains(t, fields, "evacuations", "empty evacuations are not encoded")
+	require.NoError(t, store.Restore(data))
+	require.Empty(t, store.EvacuatedZones())
+	require.Equal(t, uint64(3), store.RouteConfig().Number)
 }
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -1,7 +1,7 @@
-// Package statestore is the durable state of the fleet: the configuration in
-// force, its history, and the claims of non-repeatable requests. It changes
-// only by commands from the keepers' log, so that every keeper computes the
-// same state from the same commands.
+// Package statestore is the replicated state machine of the keepers. It holds the active
+// configurations, their history, the claims of non-idempotent requests, the quarantine and the
+// evacuated zones. The state changes only by commands from the keepers' log, so that every keeper
+// computes the same state.
 package statestore
 
 import (
@@ -14,13 +14,14 @@
 	"laburnumfall/internal/quarantine"
 )
 
-// MaxHistoryLength is how many accepted configurations the history lists.
+// MaxHistoryLength is the number of accepted configurations that the history keeps.
 const MaxHistoryLength = 1000
 
-// A Command is one change of the ledger. One of its fields is set.
+// A Command is one change of the state. Besides ProposedAt, only the fields of the parts that it
+// changes are set.
 type Command struct {
-	// ProposedAt is the time of the leader that proposed the command. The ledger's
-	// own time never goes back, whatever the leaders' clocks say.
+	// ProposedAt is the proposing leader's time. The store's time never decreases, even if the clock
+	// of a new leader is behind.
 	ProposedAt   time.Time            `json:"at"`
 	ConfigUpdate *ConfigUpdate        `json:"apply,omitempty"`
 	Claims       []message.Claim      `json:"claims,omitempty"`
@@ -30,199 +31,199 @@
 	Evacuation   *EvacuationChange    `json:"evacuation,omitempty"`
 }
 
-// An EvacuationChange begins or ends the evacuation of an availability zone.
+// An EvacuationChange starts the evacuation of an availability zone or, with End, ends it.
 type EvacuationChange struct {
 	Zone fleet.Zone `json:"zone"`
 	End  bool       `json:"end,omitempty"`
 }
 
-// A RouteConfig is a configuration of routes in the operator's own bytes, packed,
-// which are given back as they came. The highest number is in force.
+// A RouteConfig is a configuration of routes. Text is the operator's text, compressed, and is
+// returned byte for byte. The configuration with the highest number is active.
 type RouteConfig struct {
 	Number uint64 `json:"number"`
 	Text   []byte `json:"text"`
 }
 
-// A ConfigUpdate puts a configuration in force.
+// A ConfigUpdate activates a configuration.
 type ConfigUpdate struct {
 	Config   json.RawMessage `json:"config"`
 	Operator string          `json:"operator"`
 }
 
-// Encode returns the command in the form that the log holds.
+// Encode returns the command as it is stored in the log.
 func (c Command) Encode() json.RawMessage {
 	data, err := json.Marshal(c)
 	if err != nil {
-		panic(fmt.Sprintf("a command holds only plain fields: %v", err))
+		panic(fmt.Sprintf("a command of plain fields cannot be encoded: %v", err))
 	}
 	return data
 }
 
-// A Result is what a command brought about.
+// A Result is the outcome of a command: of its ConfigUpdate, if it has one, and of each of its Claims.
 type Result struct {
 	ApplyResult  *message.ApplyResult
 	ClaimResults []message.ClaimResult
 }
 
-// A Store is the state. Its zero value is the state before any command. It is
-// used by one goroutine.
+// A Store is the replicated state. The zero value is the state before any command. It is not safe for
+// concurrent use.
 type Store struct {
-	// ClaimLimit bounds the claims kept; 0 means DefaultLimit. It must be the same
-	// on every keeper.
+	// ClaimLimit is the maximum number of claims; 0 means DefaultClaimLimit. It must be the same on
+	// every keeper.
 	ClaimLimit int
 
-	at      time.Time
-	config  fleet.Config
-	text    json.RawMessage
-	digest  string
-	history []message.ConfigChange
-	claims  claimTable
+	latestTime    time.Time
+	config        fleet.Config
+	configJSON    json.RawMessage
+	configDigest  string
+	configHistory []message.ConfigChange
+	claims        claimTable
 
-	document    RouteConfig
-	quarantine  quarantine.EntryStore
-	evacuations fleet.EvacuatedZones
+	routeConfig    RouteConfig
+	quarantine     quarantine.EntryStore
+	evacuatedZones fleet.EvacuatedZones
 }
 
-// Config returns the configuration in force, in its parsed and stored forms.
-func (l *Store) Config() (fleet.Config, json.RawMessage) {
-	return l.config, l.text
+// Config returns the active configuration, parsed and as JSON.
+func (s *Store) Config() (fleet.Config, json.RawMessage) {
+	return s.config, s.configJSON
 }
 
-// ConfigNumber returns the number of the configuration in force, or 0.
-func (l *Store) ConfigNumber() uint64 {
-	return l.config.Number
+// ConfigNumber returns the number of the active configuration, or 0 if there is none.
+func (s *Store) ConfigNumber() uint64 {
+	return s.config.Number
 }
 
-// ConfigDigest returns the digest of the configuration in force.
-func (l *Store) ConfigDigest() string {
-	return l.digest
+// ConfigDigest returns the digest of the active configuration.
+func (s *Store) ConfigDigest() string {
+	return s.configDigest
 }
 
-// ConfigHistory returns the accepted configurations, the oldest first.
-func (l *Store) ConfigHistory() []message.ConfigChange {
-	return l.history
+// ConfigHistory returns the accepted configurations, oldest first.
+func (s *Store) ConfigHistory() []message.ConfigChange {
+	return s.configHistory
 }
 
-// ClaimCount returns the number of claims kept.
-func (l *Store) ClaimCount() int {
-	return l.claims.len()
+// ClaimCount returns the number of stored claims.
+func (s *Store) ClaimCount() int {
+	return s.claims.count()
 }
 
-// RouteConfig returns the configuration of routes in force; its number is 0 before
-// any.
-func (l *Store) RouteConfig() RouteConfig {
-	return l.document
+// RouteConfig returns the active configuration of routes. Its number is 0 if there is none.
+func (s *Store) RouteConfig() RouteConfig {
+	return s.routeConfig
 }
 
-// Quarantine returns the requests under which targets have ended.
-func (l *Store) Quarantine() *quarantine.EntryStore {
-	return &l.quarantine
+// Quarantine returns the requests that are quarantined because targets ended while running them.
+func (s *Store) Quarantine() *quarantine.EntryStore {
+	return &s.quarantine
 }
 
-// EvacuatedZones returns the availability zones that are evacuated.
-func (l *Store) EvacuatedZones() fleet.EvacuatedZones {
-	return l.evacuations
+// EvacuatedZones returns the evacuated availability zones and their revision.
+func (s *Store) EvacuatedZones() fleet.EvacuatedZones {
+	return s.evacuatedZones
 }
 
-// ApplyCommand carries out a command from the log.
-func (l *Store) ApplyCommand(data json.RawMessage) (Result, error) {
-	var c Command
-	if err := json.Unmarshal(data, &c); err != nil {
+// ApplyCommand applies an encoded command from the log. It returns an error if the command or its
+// configuration cannot be decoded.
+func (s *Store) ApplyCommand(data json.RawMessage) (Result, error) {
+	var command Command
+	if err := json.Unmarshal(data, &command); err != nil {
 		return Result{}, fmt.Errorf("decode a command: %w", err)
 	}
-	if c.ProposedAt.After(l.at) {
-		l.at = c.ProposedAt
+	if command.ProposedAt.After(s.latestTime) {
+		s.latestTime = command.ProposedAt
 	}
-	l.claims.expire(l.at)
-	var r Result
-	if c.ConfigUpdate != nil {
-		applied, err := l.apply(*c.ConfigUpdate)
+	s.claims.expire(s.latestTime)
+	var result Result
+	if command.ConfigUpdate != nil {
+		applied, err := s.applyConfig(*command.ConfigUpdate)
 		if err != nil {
 			return Result{}, err
 		}
-		r.ApplyResult = &applied
+		result.ApplyResult = &applied
 	}
-	if c.RouteConfig != nil && c.RouteConfig.Number > l.document.Number {
-		// A lower number, or the same one, changes nothing: it was overtaken, or
-		// it is the same order sent again.
-		l.document = *c.RouteConfig
+	if command.RouteConfig != nil && command.RouteConfig.Number > s.routeConfig.Number {
+		// A lower number is out of date, and the same number is a repeated request: both change
+		// nothing.
+		s.routeConfig = *command.RouteConfig
 	}
-	if len(c.Quarantine) > 0 {
-		l.quarantine.Put(c.Quarantine)
+	if len(command.Quarantine) > 0 {
+		s.quarantine.Put(command.Quarantine)
 	}
-	if e := c.Evacuation; e != nil && e.End {
-		l.evacuations = l.evacuations.Without(e.Zone)
-	} else if e != nil {
-		l.evacuations = l.evacuations.With(e.Zone)
+	if change := command.Evacuation; change != nil && change.End {
+		s.evacuatedZones = s.evacuatedZones.Without(change.Zone)
+	} else if change != nil {
+		s.evacuatedZones = s.evacuatedZones.With(change.Zone)
 	}
-	for _, claim := range c.Claims {
-		r.ClaimResults = append(r.ClaimResults, l.claims.claim(claim, l.at, l.limit()))
+	for _, claim := range command.Claims {
+		result.ClaimResults = append(result.ClaimResults, s.claims.claim(claim, s.latestTime, s.claimLimit()))
 	}
-	for _, s := range c.Settlements {
-		l.claims.settle(s, l.at)
+	for _, settlement := range command.Settlements {
+		s.claims.settle(settlement, s.latestTime)
 	}
-	return r, nil
+	return result, nil
 }
 
-func (l *Store) limit() int {
-	if l.ClaimLimit > 0 {
-		return l.ClaimLimit
+func (s *Store) claimLimit() int {
+	if s.ClaimLimit > 0 {
+		return s.ClaimLimit
 	}
 	return DefaultClaimLimit
 }
 
-// apply puts a configuration in force if its number is above the present one.
-// The same number with the same content is the same request sent again.
-func (l *Store) apply(a ConfigUpdate) (message.ApplyResult, error) {
-	var c fleet.Config
-	if err := json.Unmarshal(a.Config, &c); err != nil {
+// applyConfig activates a configuration if its number is higher than that of the active one. The same
+// number with the same content is a repeated request.
+func (s *Store) applyConfig(update ConfigUpdate) (message.ApplyResult, error) {
+	var config fleet.Config
+	if err := json.Unmarshal(update.Config, &config); err != nil {
 		return message.ApplyResult{}, fmt.Errorf("decode a configuration: %w", err)
 	}
-	digest := c.Digest()
-	if c.Number <= l.config.Number {
-		return l.answerOld(c.Number, digest), nil
+	digest := config.Digest()
+	if config.Number <= s.config.Number {
+		return s.resultForOldNumber(config.Number, digest), nil
 	}
-	l.config, l.text, l.digest = c, a.Config, digest
-	l.history = append(l.history, message.ConfigChange{Number: c.Number, Digest: digest, Operator: a.Operator, Accepted: l.at})
-	if len(l.history) > MaxHistoryLength {
-		l.history = append([]message.ConfigChange(nil), l.history[len(l.history)-MaxHistoryLength:]...)
+	s.config, s.configJSON, s.configDigest = config, update.Config, digest
+	s.configHistory = append(s.configHistory, message.ConfigChange{Number: config.Number, Digest: digest, Operator: update.Operator, Accepted: s.latestTime})
+	if len(s.configHistory) > MaxHistoryLength {
+		s.configHistory = append([]message.ConfigChange(nil), s.configHistory[len(s.configHistory)-MaxHistoryLength:]...)
 	}
-	return message.ApplyResult{Number: c.Number, Digest: digest}, nil
+	return message.ApplyResult{Number: config.Number, Digest: digest}, nil
 }
 
-// answerOld answers for a number that is not above the present one. One that
-// was accepted with the same content counts as accepted, even if a later one
-// has replaced it since.
-func (l *Store) answerOld(number uint64, digest string) message.ApplyResult {
-	for i := len(l.history) - 1; i >= 0; i-- {
-		if h := l.history[i]; h.Number == number && h.Digest == digest {
-			applied := message.ApplyResult{Number: number, Digest: digest}
-			if number != l.config.Number {
-				applied.NewerNumber = l.config.Number
+// resultForOldNumber returns the result for a number that is not higher than that of the active
+// configuration. An update counts as accepted if one with the same number and content was accepted
+// before, even if a later one has replaced it since; otherwise it is a conflict.
+func (s *Store) resultForOldNumber(number uint64, digest string) message.ApplyResult {
+	for i := len(s.configHistory) - 1; i >= 0; i-- {
+		if accepted := s.configHistory[i]; accepted.Number == number && accepted.Digest == digest {
+			result := message.ApplyResult{Number: number, Digest: digest}
+			if number != s.config.Number {
+				result.NewerNumber = s.config.Number
 			}
-			return applied
+			return result
 		}
 	}
-	return message.ApplyResult{Number: l.config.Number, Digest: l.digest, Conflict: true}
+	return message.ApplyResult{Number: s.config.Number, Digest: s.configDigest, Conflict: true}
 }
 
-// snapshot is the stored form of a Store.
-type snapshot struct {
-	At      time.Time              `json:"at"`
+// storeSnapshot is the encoded form of a Store.
+type storeSnapshot struct {
+	Time    time.Time              `json:"at"`
 	Config  json.RawMessage        `json:"config,omitempty"`
 	History []message.ConfigChange `json:"history,omitempty"`
-	Claims  []savedClaims          `json:"claims,omitempty"`
+	Claims  []savedGeneration      `json:"claims,omitempty"`
 
-	Document    RouteConfig              `json:"document,omitzero"`
-	Quarantine  quarantine.EntrySnapshot `json:"quarantine,omitzero"`
-	Evacuations fleet.EvacuatedZones     `json:"evacuations,omitzero"`
+	RouteConfig    RouteConfig              `json:"document,omitzero"`
+	Quarantine     quarantine.EntrySnapshot `json:"quarantine,omitzero"`
+	EvacuatedZones fleet.EvacuatedZones     `json:"evacuations,omitzero"`
 }
 
-// Snapshot returns the state in its stored form.
-func (l *Store) Snapshot() (json.RawMessage, error) {
-	data, err := json.Marshal(snapshot{
-		At: l.at, Config: l.text, History: l.history, Claims: l.claims.save(),
-		Document: l.document, Quarantine: l.quarantine.Snapshot(), Evacuations: l.evacuations,
+// Snapshot returns the encoded state.
+func (s *Store) Snapshot() (json.RawMessage, error) {
+	data, err := json.Marshal(storeSnapshot{
+		Time: s.latestTime, Config: s.configJSON, History: s.configHistory, Claims: s.claims.save(),
+		RouteConfig: s.routeConfig, Quarantine: s.quarantine.Snapshot(), EvacuatedZones: s.evacuatedZones,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("encode a snapshot: %w", err)
@@ -230,23 +231,24 @@
 	return data, nil
 }
 
-// Restore replaces the state by a stored one.
-func (l *Store) Restore(data json.RawMessage) error {
-	var s snapshot
-	if err := json.Unmarshal(data, &s); err != nil {
+// Restore replaces the state by a snapshot. If the snapshot cannot be decoded, it returns an error and
+// changes nothing.
+func (s *Store) Restore(data json.RawMessage) error {
+	var saved storeSnapshot
+	if err := json.Unmarshal(data, &saved); err != nil {
 		return fmt.Errorf("decode a snapshot: %w", err)
 	}
-	fresh := Store{ClaimLimit: l.ClaimLimit, at: s.At, text: s.Config, history: s.History, document: s.Document, evacuations: s.Evacuations}
-	if len(s.Config) > 0 {
-		if err := json.Unmarshal(s.Config, &fresh.config); err != nil {
+	restored := Store{ClaimLimit: s.ClaimLimit, latestTime: saved.Time, configJSON: saved.Config, configHistory: saved.History, routeConfig: saved.RouteConfig, evacuatedZones: saved.EvacuatedZones}
+	if len(saved.Config) > 0 {
+		if err := json.Unmarshal(saved.Config, &restored.config); err != nil {
 			return fmt.Errorf("decode the configuration of a snapshot: %w", err)
 		}
-		fresh.digest = fresh.config.Digest()
+		restored.configDigest = restored.config.Digest()
 	}
-	if err := fresh.claims.load(s.Claims); err != nil {
+	if err := restored.claims.load(saved.Claims); err != nil {
 		return err
 	}
-	fresh.quarantine.Restore(s.Quarantine)
-	*l = fresh
+	restored.quarantine.Restore(saved.Quarantine)
+	*s = restored
 	return nil
 }
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -14,127 +14,125 @@
 
 var start = time.Unix(1e9, 0)
 
-func (l *Store) claimOne(t require.TestingT, at time.Time, c message.Claim) message.ClaimResult {
-	r, err := l.ApplyCommand(Command{ProposedAt: at, Claims: []message.Claim{c}}.Encode())
+func (s *Store) claimOne(t require.TestingT, at time.Time, claim message.Claim) message.ClaimResult {
+	result, err := s.ApplyCommand(Command{ProposedAt: at, Claims: []message.Claim{claim}}.Encode())
 	require.NoError(t, err)
-	return r.ClaimResults[0]
+	return result.ClaimResults[0]
 }
 
-func (l *Store) settleOne(t require.TestingT, at time.Time, s message.Settlement) {
-	_, err := l.ApplyCommand(Command{ProposedAt: at, Settlements: []message.Settlement{s}}.Encode())
+func (s *Store) settleOne(t require.TestingT, at time.Time, settlement message.Settlement) {
+	_, err := s.ApplyCommand(Command{ProposedAt: at, Settlements: []message.Settlement{settlement}}.Encode())
 	require.NoError(t, err)
 }
 
-// Symptom: a request stays claimed for ever, or runs though its router gave it
-// up.
-// Sequence: a claim's answer is lost; the router releases it; the release
-// overtakes the claim, which is still on its way.
-// Cause: the late claim finds no record and is granted.
-func TestReleaseThatOvertakesItsClaim(t *testing.T) {
-	var l Store
+// Guards against a claim that is granted after its release: a router that got no result releases its
+// claim, and the release arrives before the delayed claim. The request would stay claimed, or run
+// although its router has given it up.
+func TestRefusesClaimThatArrivesAfterItsRelease(t *testing.T) {
+	var store Store
 	key := HashKey("a", "k")
-	l.settleOne(t, start, message.Settlement{Key: key, Owner: "r1/1", Attempt: 1, State: message.RunStateNotRun})
-	v := l.claimOne(t, start, message.Claim{Key: key, Owner: "r1/1", Attempt: 1})
-	require.False(t, v.Granted)
-	require.Equal(t, message.RunStateNotRun, v.State)
-	require.True(t, l.claimOne(t, start, message.Claim{Key: key, Owner: "r2/1", Attempt: 1}).Granted)
+	store.settleOne(t, start, message.Settlement{Key: key, Owner: "r1/1", Attempt: 1, State: message.RunStateNotRun})
+	result := store.claimOne(t, start, message.Claim{Key: key, Owner: "r1/1", Attempt: 1})
+	require.False(t, result.Granted)
+	require.Equal(t, message.RunStateNotRun, result.State)
+	require.True(t, store.claimOne(t, start, message.Claim{Key: key, Owner: "r2/1", Attempt: 1}).Granted)
 }
 
-func TestClaimSentAgainGetsTheSameAnswer(t *testing.T) {
-	var l Store
-	c := message.Claim{Key: HashKey("a", "k"), Owner: "r1/1", Attempt: 1}
-	require.True(t, l.claimOne(t, start, c).Granted)
-	require.True(t, l.claimOne(t, start, c).Granted)
-	other := message.Claim{Key: c.Key, Owner: "r1/1", Attempt: 2}
-	require.Equal(t, message.RunStateRunning, l.claimOne(t, start, other).State)
-	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, State: message.RunStateRan})
-	require.Equal(t, message.RunStateRan, l.claimOne(t, start, c).State)
-	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, State: message.RunStateNotRun})
-	require.Equal(t, message.RunStateRan, l.claimOne(t, start, other).State, "what ran stays so")
+func TestRepeatedClaimGetsSameResult(t *testing.T) {
+	var store Store
+	claim := message.Claim{Key: HashKey("a", "k"), Owner: "r1/1", Attempt: 1}
+	require.True(t, store.claimOne(t, start, claim).Granted)
+	require.True(t, store.claimOne(t, start, claim).Granted)
+	otherAttempt := message.Claim{Key: claim.Key, Owner: "r1/1", Attempt: 2}
+	require.Equal(t, message.RunStateRunning, store.claimOne(t, start, otherAttempt).State)
+	store.settleOne(t, start, message.Settlement{Key: claim.Key, Owner: "r1/1", Attempt: 1, State: message.RunStateRan})
+	require.Equal(t, message.RunStateRan, store.claimOne(t, start, claim).State)
+	store.settleOne(t, start, message.Settlement{Key: claim.Key, Owner: "r1/1", Attempt: 1, State: message.RunStateNotRun})
+	require.Equal(t, message.RunStateRan, store.claimOne(t, start, otherAttempt).State, "a request that ran stays so")
 }
 
-func TestClaimsAreBoundedAndKeptForTheirTime(t *testing.T) {
-	l := Store{ClaimLimit: 3}
-	claim := func(at time.Time, n int) message.ClaimResult {
-		return l.claimOne(t, at, message.Claim{Key: HashKey("a", fmt.Sprint(n)), Owner: "r1/1", Attempt: uint64(n)})
+func TestClaimLimitAndRetention(t *testing.T) {
+	store := Store{ClaimLimit: 3}
+	claim := func(at time.Time, id int) message.ClaimResult {
+		return store.claimOne(t, at, message.Claim{Key: HashKey("a", fmt.Sprint(id)), Owner: "r1/1", Attempt: uint64(id)})
 	}
-	for n := range 3 {
-		require.True(t, claim(start, n+1).Granted)
+	for id := range 3 {
+		require.True(t, claim(start, id+1).Granted)
 	}
 	require.True(t, claim(start.Add(time.Hour), 4).ClaimsFull)
-	require.Equal(t, 3, l.ClaimCount())
-	require.Equal(t, message.RunStateRunning, l.claimOne(t, start.Add(ClaimRetention), message.Claim{Key: HashKey("a", "1"), Owner: "x"}).State)
+	require.Equal(t, 3, store.ClaimCount())
+	require.Equal(t, message.RunStateRunning, store.claimOne(t, start.Add(ClaimRetention), message.Claim{Key: HashKey("a", "1"), Owner: "x"}).State)
 	late := start.Add(ClaimRetention + generationSpan)
 	require.True(t, claim(late, 4).Granted)
-	require.Equal(t, 1, l.ClaimCount())
+	require.Equal(t, 1, store.ClaimCount())
 }
 
-// The ledger agrees with a naive one that keeps whole claims in a map, also
-// across snapshots.
-func TestClaimsAgainstNaive(t *testing.T) {
+// The store agrees with a reference model that keeps claims in a map, also after snapshots are
+// restored.
+func TestClaimsMatchReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Store
-		type naive struct {
-			owner   string
-			attempt uint64
-			fate    message.RunState
+		var store Store
+		type modelClaim struct {
+			owner    string
+			attempt  uint64
+			runState message.RunState
 		}
-		records := make(map[string]naive)
+		records := make(map[string]modelClaim)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			key := HashKey("a", rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "key"))
 			owner := rapid.SampledFrom([]string{"r1/1", "r1/2", "r2/1"}).Draw(t, "owner")
 			attempt := rapid.Uint64Range(1, 3).Draw(t, "attempt")
-			old, found := records[key]
-			mine := found && old.owner == owner && old.attempt == attempt
+			existing, found := records[key]
+			sameAttempt := found && existing.owner == owner && existing.attempt == attempt
 			switch rapid.IntRange(0, 4).Draw(t, "act") {
 			case 0, 1:
-				v := l.claimOne(t, start, message.Claim{Key: key, Owner: owner, Attempt: attempt})
-				want := !found || mine && old.fate == message.RunStateRunning || !mine && old.fate == message.RunStateNotRun
-				require.Equal(t, want, v.Granted)
-				if want {
-					records[key] = naive{owner, attempt, message.RunStateRunning}
+				result := store.claimOne(t, start, message.Claim{Key: key, Owner: owner, Attempt: attempt})
+				wantGranted := !found || sameAttempt && existing.runState == message.RunStateRunning || !sameAttempt && existing.runState == message.RunStateNotRun
+				require.Equal(t, wantGranted, result.Granted)
+				if wantGranted {
+					records[key] = modelClaim{owner, attempt, message.RunStateRunning}
 				}
 			case 2, 3:
-				fate := rapid.SampledFrom([]message.RunState{message.RunStateRan, message.RunStateNotRun, message.RunStateUnknown}).Draw(t, "fate")
-				l.settleOne(t, start, message.Settlement{Key: key, Owner: owner, Attempt: attempt, State: fate})
-				if mine && old.fate != message.RunStateRan || !found && fate == message.RunStateNotRun {
-					records[key] = naive{owner, attempt, fate}
+				runState := rapid.SampledFrom([]message.RunState{message.RunStateRan, message.RunStateNotRun, message.RunStateUnknown}).Draw(t, "fate")
+				store.settleOne(t, start, message.Settlement{Key: key, Owner: owner, Attempt: attempt, State: runState})
+				if sameAttempt && existing.runState != message.RunStateRan || !found && runState == message.RunStateNotRun {
+					records[key] = modelClaim{owner, attempt, runState}
 				}
 			default:
-				data, err := l.Snapshot()
+				data, err := store.Snapshot()
 				require.NoError(t, err)
-				l = Store{}
-				require.NoError(t, l.Restore(data))
+				store = Store{}
+				require.NoError(t, store.Restore(data))
 			}
-			require.Equal(t, len(records), l.ClaimCount())
+			require.Equal(t, len(records), store.ClaimCount())
 		}
 	})
 }
 
-func TestConfigurationsSentAgain(t *testing.T) {
-	var l Store
+func TestRepeatedConfigUpdates(t *testing.T) {
+	var store Store
 	apply := func(number uint64, share float64) message.ApplyResult {
-		c := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: share}}}
-		r, err := l.ApplyCommand(Command{ProposedAt: start, ConfigUpdate: &ConfigUpdate{Config: c.JSON(), Operator: "op"}}.Encode())
+		config := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: share}}}
+		result, err := store.ApplyCommand(Command{ProposedAt: start, ConfigUpdate: &ConfigUpdate{Config: config.JSON(), Operator: "op"}}.Encode())
 		require.NoError(t, err)
-		return *r.ApplyResult
+		return *result.ApplyResult
 	}
 	require.False(t, apply(1, 1).Conflict)
-	require.False(t, apply(1, 1).Conflict, "the same again")
-	require.True(t, apply(1, 2).Conflict, "other content")
+	require.False(t, apply(1, 1).Conflict, "repeated update")
+	require.True(t, apply(1, 2).Conflict, "same number with other content")
 	require.False(t, apply(3, 1).Conflict)
-	require.Zero(t, apply(3, 1).NewerNumber, "it is in force")
-	require.False(t, apply(1, 1).Conflict, "accepted before, and replaced since")
-	require.Equal(t, uint64(3), apply(1, 1).NewerNumber, "the answer says which is in force")
+	require.Zero(t, apply(3, 1).NewerNumber, "it is active")
+	require.False(t, apply(1, 1).Conflict, "accepted before and replaced since")
+	require.Equal(t, uint64(3), apply(1, 1).NewerNumber, "the result has the number of the active one")
 	conflict := apply(2, 1)
 	require.True(t, conflict.Conflict)
 	require.Equal(t, uint64(3), conflict.Number)
-	data, err := l.Snapshot()
+	data, err := store.Snapshot()
 	require.NoError(t, err)
-	var again Store
-	require.NoError(t, again.Restore(data))
-	require.Equal(t, l.ConfigDigest(), again.ConfigDigest())
-	require.Equal(t, l.ConfigHistory(), again.ConfigHistory())
+	var restored Store
+	require.NoError(t, restored.Restore(data))
+	require.Equal(t, store.ConfigDigest(), restored.ConfigDigest())
+	require.Equal(t, store.ConfigHistory(), restored.ConfigHistory())
 }
 
 func FuzzCommand(f *testing.F) {
@@ -142,44 +140,44 @@
 	f.Add([]byte(`{"apply":{"config":{}}}`))
 	f.Add([]byte(`{`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var l Store
-		if _, err := l.ApplyCommand(data); err != nil {
+		var store Store
+		if _, err := store.ApplyCommand(data); err != nil {
 			return
 		}
-		snap, err := l.Snapshot()
+		snapshot, err := store.Snapshot()
 		require.NoError(t, err)
-		var again Store
-		require.NoError(t, again.Restore(snap))
-		require.Equal(t, l.ClaimCount(), again.ClaimCount())
+		var restored Store
+		require.NoError(t, restored.Restore(snapshot))
+		require.Equal(t, store.ClaimCount(), restored.ClaimCount())
 	})
 }
 
-// Whatever stands in place of a snapshot is an error that changes nothing, or a state that
-// can be stored again.
+// For any snapshot data, Restore returns an error and changes nothing, or it yields a state that can be
+// saved and restored again.
 func FuzzRestore(f *testing.F) {
-	var l Store
-	_, err := l.ApplyCommand(Command{ProposedAt: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
+	var store Store
+	_, err := store.ApplyCommand(Command{ProposedAt: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
 	require.NoError(f, err)
-	good, err := l.Snapshot()
+	validSnapshot, err := store.Snapshot()
 	require.NoError(f, err)
-	f.Add([]byte(good))
+	f.Add([]byte(validSnapshot))
 	f.Add([]byte(`{"claims":[{"records":"AAAA"}]}`))
 	f.Add([]byte(`{"config":7,"document":{"number":-1}}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var l Store
-		if err := l.Restore(data); err != nil {
-			require.Zero(t, l.ClaimCount())
-			require.Zero(t, l.ConfigNumber())
+		var store Store
+		if err := store.Restore(data); err != nil {
+			require.Zero(t, store.ClaimCount())
+			require.Zero(t, store.ConfigNumber())
 			return
 		}
-		snap, err := l.Snapshot()
+		snapshot, err := store.Snapshot()
 		require.NoError(t, err)
-		var again Store
-		require.NoError(t, again.Restore(snap))
-		require.Equal(t, l.ClaimCount(), again.ClaimCount())
-		require.Equal(t, l.ConfigDigest(), again.ConfigDigest())
-		_, err = l.ApplyCommand(Command{ProposedAt: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
+		var restored Store
+		require.NoError(t, restored.Restore(snapshot))
+		require.Equal(t, store.ClaimCount(), restored.ClaimCount())
+		require.Equal(t, store.ConfigDigest(), restored.ConfigDigest())
+		_, err = store.ApplyCommand(Command{ProposedAt: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
 		require.NoError(t, err)
 	})
 }
