--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -145,7 +145,7 @@
 	return slices.ContainsFunc(members, func(member quorum.Member) bool { return member.ID == j.identity.ID })
 }
 
-// SetIdentity makes the identity durable.
+// SetIdentity makes the identity durable. It starts a log if the folder has none.
 func (j *Journal) SetIdentity(identity Identity) error {
 	if j.logFile == nil {
 		if err := j.startLog(j.generation); err != nil {
@@ -179,7 +179,7 @@
 	return j.write(records...)
 }
 
-// Close closes the open file.
+// Close closes the log.
 func (j *Journal) Close() error {
 	if j.logFile == nil {
 		return nil
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -194,11 +194,11 @@
 		require.GreaterOrEqual(t, len(entries), synced)
 		// A torn write of a second crash, after the truncation, must not count as corruption either.
 		disk.FailFromOp, disk.Fault = disk.Ops+2, ErrCrash
-		next := uint64(len(entries) + 1)
-		require.Error(t, reopened.Write(quorum.Output{Append: []quorum.Entry{entry(next), entry(next + 1)}}))
+		nextIndex := uint64(len(entries) + 1)
+		require.Error(t, reopened.Write(quorum.Output{Append: []quorum.Entry{entry(nextIndex), entry(nextIndex + 1)}}))
 		disk.Crash()
-		third := &Journal{Disk: disk}
-		_, err = third.Open()
+		reopenedAgain := &Journal{Disk: disk}
+		_, err = reopenedAgain.Open()
 		require.NoError(t, err)
 	})
 }
@@ -253,16 +253,16 @@
 // For any content of the log, the folder is refused as corrupted, or it opens, and then opens again
 // with the same entries and state.
 func FuzzOpen(f *testing.F) {
-	good, err := appendBatch(nil, 1, record{Identity: &Identity{Name: "k1", ID: "i"}}, record{State: &quorum.State{Term: 3, Vote: "k2"}})
+	validLog, err := appendBatch(nil, 1, record{Identity: &Identity{Name: "k1", ID: "i"}}, record{State: &quorum.State{Term: 3, Vote: "k2"}})
 	require.NoError(f, err)
-	good, err = appendBatch(good, 2, record{Entry: &quorum.Entry{Index: 1, Term: 3}})
+	validLog, err = appendBatch(validLog, 2, record{Entry: &quorum.Entry{Index: 1, Term: 3}})
 	require.NoError(f, err)
-	gap, err := appendBatch(good, 3, record{Entry: &quorum.Entry{Index: 9, Term: 3}})
+	logWithGap, err := appendBatch(validLog, 3, record{Entry: &quorum.Entry{Index: 9, Term: 3}})
 	require.NoError(f, err)
-	f.Add(good)
-	f.Add(good[:len(good)-5])
-	f.Add(append(append([]byte(nil), good...), make([]byte, sectorSize)...))
-	f.Add(gap)
+	f.Add(validLog)
+	f.Add(validLog[:len(validLog)-5])
+	f.Add(append(append([]byte(nil), validLog...), make([]byte, sectorSize)...))
+	f.Add(logWithGap)
 	f.Add([]byte("no log at all"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		disk := &MockDisk{}
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -105,15 +105,15 @@
 }
 
 // isTornWrite reports whether the invalid record at offset belongs to a batch that a crash
-// interrupted. The mark is that of the record before.
+// interrupted. Previous is the mark of the record before it.
 //
 // If a record of a later batch follows, the invalid record was synced before and is corrupted. In
 // the last batch, a crash leaves a record that is cut off by the end of the file, or a sector that
 // was never written. A complete record with a wrong checksum is corrupted: its data may have been
 // acknowledged and must not be dropped.
-func isTornWrite(data []byte, offset int, before batchMark) bool {
+func isTornWrite(data []byte, offset int, previous batchMark) bool {
 	tail := data[offset:]
-	if hasLaterBatch(tail, before.followingBatch()) {
+	if hasLaterBatch(tail, previous.followingBatch()) {
 		return false
 	}
 	if len(tail) < headerSize {
@@ -130,7 +130,7 @@
 	}
 }
 
-// hasZeroSector reports whether the part from offset on of any sector holds only zeros.
+// hasZeroSector reports whether, from offset on, the data of any sector consists only of zeros.
 func hasZeroSector(data []byte, offset int) bool {
 	for start := offset; start < len(data); {
 		end := min((start/sectorSize+1)*sectorSize, len(data))
