--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -166,7 +166,7 @@
 	var request message.ClaimRequest
 	for range batch {
 		number := next.Add(1)
-		request.Claims = append(request.Claims, message.Claim{Key: statestore.KeyOf("a", fmt.Sprint(number)), Owner: "r1/abc", Attempt: number})
+		request.Claims = append(request.Claims, message.Claim{Key: statestore.HashKey("a", fmt.Sprint(number)), Owner: "r1/abc", Attempt: number})
 	}
 	start := time.Now()
 	var response message.ClaimResponse
@@ -245,10 +245,10 @@
 				var store statestore.Store
 				require.NoError(b, store.Restore(snapshot.Data))
 				for _, entry := range entries {
-					_, err := store.Do(entry.Data)
+					_, err := store.ApplyCommand(entry.Data)
 					require.NoError(b, err)
 				}
-				require.Equal(b, uint64(changes), store.Number())
+				require.Equal(b, uint64(changes), store.ConfigNumber())
 				require.NoError(b, wal.Close())
 			}
 			b.ReportMetric(float64(size)/1e6, "folder-MB")
@@ -267,9 +267,9 @@
 	compactThreshold, logBytes := 4<<20, 0
 	var batch []quorum.Entry
 	for i := range changes {
-		command := statestore.Command{At: time.Unix(1e9, 0), Apply: &statestore.Apply{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
+		command := statestore.Command{ProposedAt: time.Unix(1e9, 0), ConfigUpdate: &statestore.ConfigUpdate{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
 		entry := quorum.Entry{Index: uint64(i) + 1, Term: 1, Kind: quorum.EntryData, Data: command.Encode()}
-		_, err := store.Do(entry.Data)
+		_, err := store.ApplyCommand(entry.Data)
 		require.NoError(b, err)
 		batch = append(batch, entry)
 		logBytes += len(entry.Data)
--- a/internal/keeper/quarantine_test.go
+++ b/internal/keeper/quarantine_test.go
@@ -111,7 +111,7 @@
 			}
 			cluster.replaceDisk(victim)
 			require.True(t, cluster.waitHealthy(), "seed %d", seed)
-			require.GreaterOrEqual(t, cluster.leader().core.store.Document().Number, acked, "seed %d", seed)
+			require.GreaterOrEqual(t, cluster.leader().core.store.RouteConfig().Number, acked, "seed %d", seed)
 		}
 	}
 }
