--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock tells the time to the programs that wrap the fleet's decisions.
+// Package clock provides the time to programs, and a settable clock to their tests.
 package clock
 
 import (
@@ -7,43 +7,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// A Clock tells the time. It never goes back.
+// A Clock returns the current time, which never goes back.
 type Clock interface {
 	Now() time.Time
 }
 
-// A RealClock is the wall time of its making plus the time since, suspension
-// of the machine included. A step of the wall clock does not move it, so that
-// leases neither stretch nor snap.
+// A RealClock returns the wall time at its creation plus the time elapsed since, including time
+// in which the machine was suspended. A step of the wall clock does not affect it, so leases
+// become neither longer nor shorter.
 type RealClock struct {
-	start time.Time
-	boot  time.Duration
+	wallStart time.Time
+	bootStart time.Duration
 }
 
 var _ Clock = &RealClock{}
 
-// NewRealClock returns a clock that starts at the wall time.
+// NewRealClock returns a clock that starts at the current wall time.
 func NewRealClock() *RealClock {
-	return &RealClock{start: time.Now().Round(0), boot: bootTime()}
+	return &RealClock{wallStart: time.Now().Round(0), bootStart: bootTime()}
 }
 
 // Now implements Clock.
 func (c *RealClock) Now() time.Time {
-	return c.start.Add(bootTime() - c.boot)
+	return c.wallStart.Add(bootTime() - c.bootStart)
 }
 
-// bootTime returns the time since the machine's start. Unlike the clock of the
-// time package it goes on while the machine is suspended: a lease must not
-// outlive a pause.
+// bootTime returns the time since the machine booted. Unlike the monotonic clock of the time
+// package, it includes suspended time: a lease must not outlive a suspension.
 func bootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("every Linux since 2.6.39 has CLOCK_BOOTTIME: " + err.Error())
+		panic("read CLOCK_BOOTTIME (available on Linux since 2.6.39): " + err.Error())
 	}
 	return time.Duration(ts.Nano())
 }
 
-// A MockClock is set by hand.
+// A MockClock returns a time that tests set.
 type MockClock struct {
 	Time time.Time
 }
--- a/internal/keeperclient/apply.go
+++ b/internal/keeperclient/apply.go
@@ -65,7 +65,8 @@
 	return true
 }
 
-// applyEvacuations never returns to a lower revision, for the same reason.
+// applyEvacuations never returns to a lower revision, because a lower one is from a response that
+// was overtaken.
 func (c *Client) applyEvacuations(state *State, response message.RenewResponse) bool {
 	if response.EvacuatedZones == nil || response.EvacuatedZones.Revision <= state.Evacuated.Revision {
 		return false
--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -46,7 +46,7 @@
 	listReadTimeout  = time.Second
 )
 
-// A State is what a router knows from the keepers. It is immutable.
+// A State is what a router last received from the keepers. It is immutable.
 type State struct {
 	Table *fleet.RoutingTable
 	// KeyLeaseExpiry is when the API keys of accounts expire unless the lease is renewed.
--- a/internal/keeperclient/keeperclient_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -283,16 +283,16 @@
 	seeds := []string{leader.address}
 	var silentKeepers []*fakeKeeper
 	for range 6 {
-		silent := startKeeper(t)
-		silent.silent = true
-		silentKeepers = append(silentKeepers, silent)
-		seeds = append(seeds, silent.address)
+		silentKeeper := startKeeper(t)
+		silentKeeper.silent = true
+		silentKeepers = append(silentKeepers, silentKeeper)
+		seeds = append(seeds, silentKeeper.address)
 	}
 	leader.response = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: packedConfig(t, 1), Keepers: seeds}
 	client, _ := startClient(t, &fakeList{}, seeds...)
 	require.Eventually(t, client.hasConfig(1), waitLimit, pollInterval)
-	for _, silent := range silentKeepers {
-		silent.update(func(keeper *fakeKeeper) { keeper.requestCount = 0 })
+	for _, silentKeeper := range silentKeepers {
+		silentKeeper.update(func(keeper *fakeKeeper) { keeper.requestCount = 0 })
 	}
 	leader.update(func(keeper *fakeKeeper) {
 		keeper.response.Number, keeper.response.PackedConfig = 2, packedConfig(t, 2)
@@ -300,8 +300,8 @@
 	})
 	require.Eventually(t, client.hasConfig(2), waitLimit, pollInterval)
 	requestCount := 0
-	for _, silent := range silentKeepers {
-		silent.update(func(keeper *fakeKeeper) { requestCount += keeper.requestCount })
+	for _, silentKeeper := range silentKeepers {
+		silentKeeper.update(func(keeper *fakeKeeper) { requestCount += keeper.requestCount })
 	}
 	require.LessOrEqual(t, requestCount, 3, "each late response of the leader may cost one request to another keeper, so that the lease holds")
 }
--- a/internal/keeperclient/round_test.go
+++ b/internal/keeperclient/round_test.go
@@ -16,7 +16,7 @@
 
 // newClientOfSilentKeepers returns a client of keepers that accept connections and never send
 // anything.
-func newClientOfSilentKeepers(t *testing.T, count int) *Client {
+func newClientWithSilentKeepers(t *testing.T, count int) *Client {
 	client := &Client{
 		Name: "r1", Clock: clock.NewRealClock(), Log: hclog.NewNullLogger(), Secret: rpc.Secret("0123456789abcdef"),
 		Load: func(time.Time) ([]message.Demand, []message.Backlog) { return nil, nil },
@@ -39,7 +39,7 @@
 func TestRepeatsRequestsWithoutLeader(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	client := newClientOfSilentKeepers(t, 2)
+	client := newClientWithSilentKeepers(t, 2)
 	round := newRenewalRound(client)
 	for range 5 {
 		round.sendToNext(ctx)
--- a/internal/routing/headers.go
+++ b/internal/routing/headers.go
@@ -10,24 +10,24 @@
 	"laburnumfall/internal/placement"
 )
 
-// The headers of the outside interface.
+// The headers of the public interface.
 const (
-	headerRequest  = "Lf-Request"
-	headerOutcome  = "Lf-Outcome"
-	headerDeadline = "Lf-Deadline"
-	headerLast     = "Last-Event-Id"
+	headerRequest     = "Lf-Request"
+	headerOutcome     = "Lf-Outcome"
+	headerDeadline    = "Lf-Deadline"
+	headerLastEventID = "Last-Event-Id"
 )
 
-// kept are headers for the router that are not passed on to targets.
-var kept = []string{"Authorization", "Lf-Repeat", "Lf-Cost", headerDeadline, headerOutcome}
+// routerHeaders are meant for the router and not passed on to targets.
+var routerHeaders = []string{"Authorization", "Lf-Repeat", "Lf-Cost", headerDeadline, headerOutcome}
 
-// DefaultDialect reads and writes the outside interface's own headers. Targets that a configuration
-// lists echo no ID and sign nothing.
+// DefaultDialect reads and writes the headers of the public interface. The targets of a
+// configuration neither echo request IDs nor sign their responses.
 type DefaultDialect struct{}
 
 var _ gateway.Dialect = DefaultDialect{}
 
-// RequestID implements gateway.Dialect: the router names requests.
+// RequestID implements gateway.Dialect. The router assigns the request IDs.
 func (DefaultDialect) RequestID(http.Header) string {
 	return ""
 }
@@ -38,13 +38,13 @@
 }
 
 // SetRequestHeaders implements gateway.Dialect.
-func (DefaultDialect) SetRequestHeaders(h http.Header, i gateway.AttemptInfo) {
-	for _, name := range kept {
+func (DefaultDialect) SetRequestHeaders(h http.Header, info gateway.AttemptInfo) {
+	for _, name := range routerHeaders {
 		h.Del(name)
 	}
-	h.Set(headerRequest, i.RequestID)
-	if i.LastEventID != "" {
-		h.Set(headerLast, i.LastEventID)
+	h.Set(headerRequest, info.RequestID)
+	if info.LastEventID != "" {
+		h.Set(headerLastEventID, info.LastEventID)
 	}
 }
 
@@ -54,20 +54,20 @@
 	return key
 }
 
-// TimeLeft implements gateway.Dialect. The caller's clock and the router's are
-// compared, so a caller whose clock is off waits as long as its route says.
+// TimeLeft implements gateway.Dialect. It compares the caller's clock with the router's. A caller
+// whose clock is wrong waits at most for the timeout of its route, which limits the time left.
 func (DefaultDialect) TimeLeft(h http.Header) (time.Duration, bool) {
-	at, err := time.Parse(time.RFC3339, h.Get(headerDeadline))
+	deadline, err := time.Parse(time.RFC3339, h.Get(headerDeadline))
 	if err != nil {
 		return 0, false
 	}
-	return max(time.Until(at), 0), true
+	return max(time.Until(deadline), 0), true
 }
 
 // SetResponseHeaders implements gateway.Dialect.
-func (DefaultDialect) SetResponseHeaders(h http.Header, id string, o fleet.Outcome) {
+func (DefaultDialect) SetResponseHeaders(h http.Header, id string, outcome fleet.Outcome) {
 	h.Set(headerRequest, id)
-	h.Set(headerOutcome, string(o))
+	h.Set(headerOutcome, string(outcome))
 }
 
 // AddressReused implements gateway.Dialect.
@@ -75,7 +75,7 @@
 	return false
 }
 
-// Prompt implements gateway.Dialect: callers tell nothing of their prompts.
+// Prompt implements gateway.Dialect. Callers send no information about their prompts.
 func (DefaultDialect) Prompt(http.Header) (parts []placement.PromptPart, output int) {
 	return nil, 0
 }
@@ -85,7 +85,8 @@
 	return true
 }
 
-// NotRun implements gateway.Dialect: no answer of a target promises anything.
+// NotRun implements gateway.Dialect. No response of a target guarantees that the request did not
+// run.
 func (DefaultDialect) NotRun(int, http.Header) bool {
 	return false
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing joins a gateway with its talk to the keepers: the part of a
-// router that serves routes.
+// Package routing runs a gateway together with its keeper client. It is the part of a router that
+// serves routes.
 package routing
 
 import (
@@ -20,39 +20,38 @@
 	"laburnumfall/internal/settings"
 )
 
-// A Service serves the routes of one router. Set the exported fields, then call
-// Run.
+// A Service serves the routes of one router. Set the exported fields, then call Run.
 type Service struct {
 	Settings settings.Router
-	// Listen is where callers of routes come in.
+	// Listen is the address for callers of routes.
 	Listen  string
 	Clock   clock.Clock
 	Log     hclog.Logger
 	Secret  rpc.Secret
 	Dialect gateway.Dialect
-	// Decode reads a configuration as the keepers keep it.
+	// Decode parses a configuration in the form that the keepers store.
 	Decode func(text []byte) (*fleet.RoutingTable, error)
-	// List is the platform's list of targets; nil where configurations list them.
+	// List is the platform's list of targets; nil if configurations list the targets.
 	List   keeperclient.TargetList
 	Meters *gateway.Metrics
 
 	gateway gateway.Gateway
-	uplink  keeperclient.Client
+	client  keeperclient.Client
 }
 
-// DecodeConfig reads a configuration of the product's own form.
+// DecodeConfig parses a configuration in the project's own format.
 func DecodeConfig(text []byte) (*fleet.RoutingTable, error) {
-	var c fleet.Config
-	if err := json.Unmarshal(text, &c); err != nil {
-		return nil, fmt.Errorf("read the configuration: %w", err)
+	var config fleet.Config
+	if err := json.Unmarshal(text, &config); err != nil {
+		return nil, fmt.Errorf("parse the configuration: %w", err)
 	}
-	return c.RoutingTable()
+	return config.RoutingTable()
 }
 
-// SetSeeds names the keepers that the settings tell of. It may be called at any
+// SetSeeds sets the addresses of the keepers that the settings name. It may be called at any
 // time.
 func (s *Service) SetSeeds(addresses []string) {
-	s.uplink.SetSeeds(addresses)
+	s.client.SetSeeds(addresses)
 }
 
 // Ready reports whether callers are served.
@@ -60,36 +59,37 @@
 	return s.gateway.Ready()
 }
 
-// Run serves until ctx ends and what is in progress is done. The talk with the
-// keepers goes on until then: requests still need the lease on keys.
+// Run serves until ctx ends and the requests in progress are done. The keeper client runs until
+// then as well, because these requests still need the key lease.
 func (s *Service) Run(ctx context.Context) error {
 	s.assemble()
-	talk, endTalk := context.WithCancel(context.WithoutCancel(ctx))
-	defer endTalk()
-	group, talk := errgroup.WithContext(talk)
-	group.Go(func() error { return s.uplink.Run(talk) })
+	clientCtx, stopClient := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopClient()
+	group, clientCtx := errgroup.WithContext(clientCtx)
+	group.Go(func() error { return s.client.Run(clientCtx) })
 	group.Go(func() error {
-		defer endTalk()
+		defer stopClient()
 		return s.gateway.Run(ctx)
 	})
 	return group.Wait()
 }
 
 func (s *Service) assemble() {
-	g, u := &s.gateway, &s.uplink
-	g.Settings, g.Name, g.Zone, g.Listen = *s.Settings.Routes, s.Settings.Name, s.Settings.Zone, s.Listen
-	g.Clock, g.Log, g.Dialect, g.Metrics, g.State = s.Clock, s.Log, s.Dialect, s.Meters, u.State
-	g.StateIsFresh = u.StateIsFresh
-	u.Name, u.Zone, u.Incarnation = s.Settings.Name, s.Settings.Zone, uint64(s.Clock.Now().UnixNano())
-	u.Clock, u.Log, u.Secret, u.KeyLease = s.Clock, s.Log, s.Secret, s.Settings.Routes.Lease
-	u.Decode, u.List, u.ReadRate = s.Decode, s.List, s.Settings.Routes.Reads
-	u.OnChange, u.Load, u.OnFleetLoad = g.SetTargets, g.Load, g.SetFleetLoad
-	wake := make(chan struct{}, 1)
-	g.PollLeader, u.PollNow = wake, wake
-	u.QuarantineReport, u.OnRestrictions = g.QuarantineReport, g.ApplyRestrictions
-	u.OnColdTargets, u.OnWarmupLease, u.WarmupLease = g.SetColdUntil, g.SetWarmupLease, g.WarmupLease
-	// Targets that configurations list keep their names, and nobody tells their starts.
-	g.Guard = quarantine.Guard{Owner: message.ClaimOwner(u.Name, u.Incarnation), IDsReused: s.List == nil}
+	gw, client := &s.gateway, &s.client
+	gw.Settings, gw.Name, gw.Zone, gw.Listen = *s.Settings.Routes, s.Settings.Name, s.Settings.Zone, s.Listen
+	gw.Clock, gw.Log, gw.Dialect, gw.Metrics, gw.State = s.Clock, s.Log, s.Dialect, s.Meters, client.State
+	gw.StateIsFresh = client.StateIsFresh
+	client.Name, client.Zone, client.Incarnation = s.Settings.Name, s.Settings.Zone, uint64(s.Clock.Now().UnixNano())
+	client.Clock, client.Log, client.Secret, client.KeyLease = s.Clock, s.Log, s.Secret, s.Settings.Routes.Lease
+	client.Decode, client.List, client.ReadRate = s.Decode, s.List, s.Settings.Routes.Reads
+	client.OnChange, client.Load, client.OnFleetLoad = gw.SetTargets, gw.Load, gw.SetFleetLoad
+	pollLeader := make(chan struct{}, 1)
+	gw.PollLeader, client.PollNow = pollLeader, pollLeader
+	client.QuarantineReport, client.OnRestrictions = gw.QuarantineReport, gw.ApplyRestrictions
+	client.OnColdTargets, client.OnWarmupLease, client.WarmupLease = gw.SetColdUntil, gw.SetWarmupLease, gw.WarmupLease
+	// Targets of a configuration keep their names after a restart, and their start times are not
+	// reported.
+	gw.Guard = quarantine.Guard{Owner: message.ClaimOwner(client.Name, client.Incarnation), IDsReused: s.List == nil}
 	s.Meters.AddCounter("lf_list_damaged_total", "Damaged entries in this router's own readings of the list of targets.",
-		func() float64 { return float64(u.DamagedEntries()) })
+		func() float64 { return float64(client.DamagedEntries()) })
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -7,8 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever a keeper keeps in place of a configuration of the product's own form is an
-// error, or can be served.
+// Guards against a stored configuration that is accepted but cannot be served.
 func FuzzDecodeConfig(f *testing.F) {
 	f.Add([]byte(`{"number":3,"pool":[{"name":"p","targets":["a"]}],"target":[{"name":"a","address":"127.0.0.1:1","slots":1,"state":"live"}],"route":[{"name":"r","host":"h","prefix":"/","kind":"once","timeout":"8s","pools":[{"pool":"p","weight":1}]}]}`))
 	f.Add([]byte(`{"route":[{"timeout":-1}]}`))
@@ -19,9 +18,9 @@
 		if err != nil {
 			return
 		}
-		if r, ok := table.Route("h", "/x"); ok {
-			require.GreaterOrEqual(t, r.Timeout, time.Duration(0))
-			require.NotPanics(t, func() { r.PoolFor(1 << 63) })
+		if route, ok := table.Route("h", "/x"); ok {
+			require.GreaterOrEqual(t, route.Timeout, time.Duration(0))
+			require.NotPanics(t, func() { route.PoolFor(1 << 63) })
 		}
 	})
 }
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,6 +1,5 @@
-// Package stall tells when a process stood still: a ticker that comes late shows that no
-// goroutine of the process ran. A lock that is held, or a disk that is slow, does not delay
-// the ticker.
+// Package stall detects stalls of a process. A ticker that fires late shows that no goroutine of
+// the process ran; a held lock or a slow disk does not delay the ticker.
 package stall
 
 import (
@@ -11,62 +10,64 @@
 )
 
 const (
-	// DefaultPeriod is how often the ticker of a program comes.
+	// DefaultPeriod is the period of a Monitor's ticker.
 	DefaultPeriod = 500 * time.Millisecond
-	// DefaultThreshold is how late the ticker of a program comes at least in a stall.
+	// DefaultThreshold is the minimum delay of a tick that counts as a stall.
 	DefaultThreshold = 250 * time.Millisecond
 )
 
-// A Stall is a stretch of time in which a process did not run.
+// A Stall is a period in which a process did not run.
 type Stall struct {
 	From, To time.Time
-	// Usage is what the process used from the tick before until the late one.
+	// Usage is the resource usage of the process between the previous tick and the late one.
 	Usage Usage
 }
 
-// Duration is how late the tick came.
+// Duration returns how late the tick was.
 func (s Stall) Duration() time.Duration {
 	return s.To.Sub(s.From)
 }
 
-// A Detector finds stalls in the times of a ticker. It has no clock of its own.
+// A Detector finds stalls from the times of a ticker. It has no clock of its own.
 type Detector struct {
-	// Period is the ticker's, and Limit how late a tick comes at least in a stall.
+	// Period is the ticker's period, and Threshold the minimum delay of a tick that counts as a
+	// stall.
 	Period, Threshold time.Duration
 
-	last time.Time
-	used Usage
+	lastTick  time.Time
+	lastUsage Usage
 }
 
-// Tick takes the time of a tick, and what the process has used since its start. It returns
-// a stall and true if the tick came late. A ticker drops the ticks that nobody took.
-func (m *Detector) Tick(now time.Time, used Usage) (Stall, bool) {
-	due, before := m.last.Add(m.Period), m.used
-	first := m.last.IsZero()
-	m.last, m.used = now, used
-	if first || now.Sub(due) < m.Threshold {
+// Tick records the time of a tick and the resource usage of the process since its start. It
+// returns the stall and true if the tick was late. A ticker drops ticks that are not received, so
+// missed ticks need no handling.
+func (d *Detector) Tick(now time.Time, usage Usage) (Stall, bool) {
+	due, lastUsage := d.lastTick.Add(d.Period), d.lastUsage
+	first := d.lastTick.IsZero()
+	d.lastTick, d.lastUsage = now, usage
+	if first || now.Sub(due) < d.Threshold {
 		return Stall{}, false
 	}
-	return Stall{From: due, To: now, Usage: used.Sub(before)}, true
+	return Stall{From: due, To: now, Usage: usage.Sub(lastUsage)}, true
 }
 
 // A Monitor logs the stalls of its process. Set the exported fields, then call Run.
 type Monitor struct {
 	Log hclog.Logger
-	// OnStall, if set, is told of each stall.
+	// OnStall, if set, is called for each stall.
 	OnStall func(Stall)
-	// Period and Limit are those of the package if they are not set.
+	// Period and Threshold default to DefaultPeriod and DefaultThreshold.
 	Period, Threshold time.Duration
 }
 
-// Run watches until ctx ends.
-func (w *Monitor) Run(ctx context.Context) error {
-	m := Detector{Period: orDefault(w.Period, DefaultPeriod), Threshold: orDefault(w.Threshold, DefaultThreshold)}
+// Run monitors the process until ctx ends.
+func (m *Monitor) Run(ctx context.Context) error {
+	detector := Detector{Period: orDefault(m.Period, DefaultPeriod), Threshold: orDefault(m.Threshold, DefaultThreshold)}
 	for {
-		if s, ok := m.Tick(time.Now(), CurrentUsage()); ok {
-			w.note(s)
+		if stall, ok := detector.Tick(time.Now(), CurrentUsage()); ok {
+			m.report(stall)
 		}
-		timer := time.NewTimer(m.Period)
+		timer := time.NewTimer(detector.Period)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -76,12 +77,12 @@
 	}
 }
 
-func (w *Monitor) note(s Stall) {
-	w.Log.Warn("stalled", "late", s.Duration().Milliseconds(), "processor", s.Usage.CPUTime.Milliseconds(),
-		"preempted", s.Usage.Preemptions, "faults", s.Usage.MajorFaults, "collections", s.Usage.GCCycles,
-		"suspended", s.Usage.SuspendedTime.Milliseconds(), "pressure", pressure())
-	if w.OnStall != nil {
-		w.OnStall(s)
+func (m *Monitor) report(stall Stall) {
+	m.Log.Warn("stalled", "late", stall.Duration().Milliseconds(), "processor", stall.Usage.CPUTime.Milliseconds(),
+		"preempted", stall.Usage.Preemptions, "faults", stall.Usage.MajorFaults, "collections", stall.Usage.GCCycles,
+		"suspended", stall.Usage.SuspendedTime.Milliseconds(), "pressure", pressure())
+	if m.OnStall != nil {
+		m.OnStall(stall)
 	}
 }
 
--- a/internal/stall/usage.go
+++ b/internal/stall/usage.go
@@ -9,22 +9,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Usage is what a process has used, or what it used in a stretch of time.
+// Usage is the resource usage of a process since its start or in a period.
 type Usage struct {
-	// CPUTime is the time that its threads ran. In a stall without any, the process was
-	// stopped or got no processor; one that used it all collected garbage or was busy.
+	// CPUTime is the CPU time of all threads. A stall without CPU time means that the process was
+	// stopped or got no CPU; one with full CPU time means that it collected garbage or was busy.
 	CPUTime time.Duration
-	// Preemptions is how often the system took the processor from one of its threads.
+	// Preemptions counts how often the kernel took the CPU from one of the threads.
 	Preemptions int64
-	// MajorFaults is how many pages were read from the disk.
+	// MajorFaults counts the pages read from disk.
 	MajorFaults int64
-	// GCCycles is how many garbage collections ended.
+	// GCCycles counts the completed garbage collections.
 	GCCycles uint64
-	// SuspendedTime is for how long the machine was suspended.
+	// SuspendedTime is how long the machine was suspended.
 	SuspendedTime time.Duration
 }
 
-// Sub returns what was used since before.
+// Sub returns the usage since before.
 func (u Usage) Sub(before Usage) Usage {
 	return Usage{
 		CPUTime: u.CPUTime - before.CPUTime, Preemptions: u.Preemptions - before.Preemptions, MajorFaults: u.MajorFaults - before.MajorFaults,
@@ -32,24 +32,25 @@
 	}
 }
 
-// CurrentUsage returns what this process has used since its start. What the system does not tell is 0.
+// CurrentUsage returns the usage of this process since its start. Values that the system does not
+// provide are 0.
 func CurrentUsage() Usage {
-	var u Usage
-	var r unix.Rusage
-	if unix.Getrusage(unix.RUSAGE_SELF, &r) == nil {
-		u.CPUTime = time.Duration(r.Utime.Nano() + r.Stime.Nano())
-		u.Preemptions, u.MajorFaults = r.Nivcsw, r.Majflt
+	var usage Usage
+	var rusage unix.Rusage
+	if unix.Getrusage(unix.RUSAGE_SELF, &rusage) == nil {
+		usage.CPUTime = time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano())
+		usage.Preemptions, usage.MajorFaults = rusage.Nivcsw, rusage.Majflt
 	}
 	cycles := []metrics.Sample{{Name: "/gc/cycles/total:gc-cycles"}}
 	metrics.Read(cycles)
 	if cycles[0].Value.Kind() == metrics.KindUint64 {
-		u.GCCycles = cycles[0].Value.Uint64()
+		usage.GCCycles = cycles[0].Value.Uint64()
 	}
-	u.SuspendedTime = clockOf(unix.CLOCK_BOOTTIME) - clockOf(unix.CLOCK_MONOTONIC)
-	return u
+	usage.SuspendedTime = readClock(unix.CLOCK_BOOTTIME) - readClock(unix.CLOCK_MONOTONIC)
+	return usage
 }
 
-func clockOf(id int32) time.Duration {
+func readClock(id int32) time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(id, &ts) != nil {
 		return 0
@@ -57,18 +58,18 @@
 	return time.Duration(ts.Nano())
 }
 
-// pressure returns for which part of the last ten seconds, in percent, work on this machine
-// waited for the processor, the memory and the disk; "" where the system does not tell.
+// pressure returns the percentage of the last ten seconds in which work on this machine waited
+// for the CPU, for memory and for the disk, or "" if the system does not provide it.
 func pressure() string {
-	var list []string
-	for _, what := range []string{"cpu", "memory", "io"} {
-		text, err := os.ReadFile("/proc/pressure/" + what)
+	var parts []string
+	for _, resource := range []string{"cpu", "memory", "io"} {
+		content, err := os.ReadFile("/proc/pressure/" + resource)
 		if err != nil {
 			return ""
 		}
-		_, value, _ := strings.Cut(string(text), "avg10=")
+		_, value, _ := strings.Cut(string(content), "avg10=")
 		value, _, _ = strings.Cut(value, " ")
-		list = append(list, what+" "+value)
+		parts = append(parts, resource+" "+value)
 	}
-	return strings.Join(list, ", ")
+	return strings.Join(parts, ", ")
 }
--- a/internal/target/bench_test.go
+++ b/internal/target/bench_test.go
@@ -11,54 +11,53 @@
 	"github.com/valyala/fasthttp"
 )
 
-// BenchmarkConnection measures what a connection of its own costs a request:
-// opened ahead, opened when it is needed, and, as the mark to measure by, kept
-// and used again as the router never does.
+// BenchmarkConnection measures the cost of one connection per request, opened ahead or on demand.
+// As a baseline it also measures a reused connection, which the router never uses.
 func BenchmarkConnection(b *testing.B) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("abc") }}
 	done := make(chan error, 1)
-	go func() { done <- server.Serve(l) }()
+	go func() { done <- server.Serve(listener) }()
 	defer func() {
 		require.NoError(b, server.Shutdown())
 		require.NoError(b, <-done)
 	}()
-	address := l.Addr().String()
-	send := func(c net.Conn, keep bool) *Response {
-		var req fasthttp.Request
-		req.Header.SetHost(address)
-		if !keep {
-			req.Header.SetConnectionClose()
+	address := listener.Addr().String()
+	send := func(conn net.Conn, keepAlive bool) *Response {
+		var request fasthttp.Request
+		request.Header.SetHost(address)
+		if !keepAlive {
+			request.Header.SetConnectionClose()
 		}
-		a, _, err := Send(c, &req, time.Now().Add(time.Minute))
+		response, _, err := Send(conn, &request, time.Now().Add(time.Minute))
 		require.NoError(b, err)
-		_, err = io.Copy(io.Discard, a)
+		_, err = io.Copy(io.Discard, response)
 		require.NoError(b, err)
-		return a
+		return response
 	}
 	b.Run("ahead", func(b *testing.B) {
-		var d Dialer
-		defer d.Close()
+		var dialer Dialer
+		defer dialer.Close()
 		for range b.N {
-			c, err := d.Conn(context.Background(), address)
+			conn, err := dialer.Conn(context.Background(), address)
 			require.NoError(b, err)
-			send(c, false).Close()
+			send(conn, false).Close()
 		}
 	})
 	b.Run("then", func(b *testing.B) {
 		for range b.N {
-			c, err := dial(context.Background(), address)
+			conn, err := dial(context.Background(), address)
 			require.NoError(b, err)
-			send(c, false).Close()
+			send(conn, false).Close()
 		}
 	})
 	b.Run("kept", func(b *testing.B) {
-		c, err := dial(context.Background(), address)
+		conn, err := dial(context.Background(), address)
 		require.NoError(b, err)
-		defer func() { _ = c.Close() }()
+		defer func() { _ = conn.Close() }()
 		for range b.N {
-			send(c, true)
+			send(conn, true)
 		}
 	})
 }
--- a/internal/target/conn.go
+++ b/internal/target/conn.go
@@ -1,9 +1,8 @@
-// Package target carries one request to one target and its answer back.
+// Package target sends one request to one target and returns its response.
 //
-// A connection carries one request and is then closed. A late, doubled or
-// crossed answer therefore reaches nobody: there is no later request on the
-// connection that it could be taken for. Connections are opened ahead, so that
-// this costs no round trip.
+// Each connection carries one request and is then closed. A late, duplicated or misrouted
+// response therefore reaches no caller, because no later request uses the connection. Connections
+// are opened ahead, so this costs no extra round trip.
 package target
 
 import (
@@ -22,18 +21,18 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// idleLimit is how long an unused connection is kept: servers close idle
-	// ones, and a request sent into a closing one has an unknown fate.
-	idleLimit = 2 * time.Second
-	// maxSpare bounds the unused connections to one target.
-	maxSpare   = 4
-	readBuffer = 16 << 10
-	// MaxResponseWait bounds the time to the first byte, and between bytes, of an
-	// answer to a request without a deadline.
+	// maxIdleTime is how long an unused connection is kept. Servers close idle connections, and a
+	// request sent on a closing one has an unknown outcome.
+	maxIdleTime = 2 * time.Second
+	// maxSpareConns limits the unused connections to one target.
+	maxSpareConns  = 4
+	readBufferSize = 16 << 10
+	// MaxResponseWait is the longest time that an exchange of a request without a deadline may
+	// take.
 	MaxResponseWait = 10 * time.Minute
 )
 
-// A DialError says that no connection was made, so no byte was sent.
+// A DialError reports that no connection was opened, so no byte was sent.
 type DialError struct {
 	Address string
 	Err     error
@@ -49,10 +48,10 @@
 	return e.Err
 }
 
-// ErrTruncated says that an answer ended before its stated length.
-var ErrTruncated = errors.New("the answer ended before its stated length")
+// ErrTruncated reports that a response ended before its stated length.
+var ErrTruncated = errors.New("the response ended before its stated length")
 
-// A Dialer opens connections to targets, some ahead of their use.
+// A Dialer opens connections to targets, some of them ahead of use.
 type Dialer struct {
 	mu     sync.Mutex
 	spare  map[string][]spareConn
@@ -61,55 +60,55 @@
 
 type spareConn struct {
 	net.Conn
-	until time.Time
+	expiresAt time.Time
 }
 
-// Conn returns a connection that has carried nothing yet.
+// Conn returns a connection over which nothing was sent yet.
 func (d *Dialer) Conn(ctx context.Context, address string) (net.Conn, error) {
 	for {
-		c, ok := d.takeSpare(address)
+		conn, ok := d.takeSpare(address)
 		if !ok {
 			break
 		}
-		if time.Now().Before(c.until) && IsIdle(c.Conn) {
-			go d.openAhead(address)
-			return c.Conn, nil
+		if time.Now().Before(conn.expiresAt) && IsIdle(conn.Conn) {
+			go d.preconnect(address)
+			return conn.Conn, nil
 		}
-		_ = c.Close() // unused, so nothing is lost
+		_ = conn.Close() // unused, so no request is lost
 	}
-	c, err := dial(ctx, address)
+	conn, err := dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	go d.openAhead(address)
-	return c, nil
+	go d.preconnect(address)
+	return conn, nil
 }
 
-// Close closes the unused connections.
+// Close closes the unused connections and stops opening new ones ahead.
 func (d *Dialer) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, list := range d.spare {
-		for _, c := range list {
-			_ = c.Close() // unused, so nothing is lost
+	for _, conns := range d.spare {
+		for _, conn := range conns {
+			_ = conn.Close() // unused, so no request is lost
 		}
 	}
 	d.spare = nil
 	d.closed = true
 }
 
-// Prune closes the connections that were unused for too long.
+// Prune closes the connections that were unused for maxIdleTime.
 func (d *Dialer) Prune(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for address, list := range d.spare {
-		kept := list[:0]
-		for _, c := range list {
-			if now.Before(c.until) {
-				kept = append(kept, c)
+	for address, conns := range d.spare {
+		kept := conns[:0]
+		for _, conn := range conns {
+			if now.Before(conn.expiresAt) {
+				kept = append(kept, conn)
 				continue
 			}
-			_ = c.Close() // unused, so nothing is lost
+			_ = conn.Close() // unused, so no request is lost
 		}
 		d.spare[address] = kept
 		if len(kept) == 0 {
@@ -121,198 +120,198 @@
 func (d *Dialer) takeSpare(address string) (spareConn, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list := d.spare[address]
-	if len(list) == 0 {
+	conns := d.spare[address]
+	if len(conns) == 0 {
 		return spareConn{}, false
 	}
-	c := list[len(list)-1]
-	d.spare[address] = list[:len(list)-1]
-	return c, true
+	conn := conns[len(conns)-1]
+	d.spare[address] = conns[:len(conns)-1]
+	return conn, true
 }
 
-// openAhead opens a connection for the next request to the address.
-func (d *Dialer) openAhead(address string) {
-	if !d.wantsSpare(address) {
+// preconnect opens a connection for the next request to the address.
+func (d *Dialer) preconnect(address string) {
+	if !d.needsSpare(address) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	c, err := dial(ctx, address)
+	conn, err := dial(ctx, address)
 	if err != nil {
-		return // the next request meets and reports it
+		return // the next request gets the same error and reports it
 	}
-	if !d.keep(address, c) {
-		_ = c.Close() // unused, so nothing is lost
+	if !d.addSpare(address, conn) {
+		_ = conn.Close() // unused, so no request is lost
 	}
 }
 
-func (d *Dialer) wantsSpare(address string) bool {
+func (d *Dialer) needsSpare(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.closed && len(d.spare[address]) < maxSpare
+	return !d.closed && len(d.spare[address]) < maxSpareConns
 }
 
-// keep takes a spare connection in, unless others did so while it was opened.
-func (d *Dialer) keep(address string, c net.Conn) bool {
+// addSpare adds a spare connection, unless enough others were added while it was opened.
+func (d *Dialer) addSpare(address string, conn net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.closed || len(d.spare[address]) >= maxSpare {
+	if d.closed || len(d.spare[address]) >= maxSpareConns {
 		return false
 	}
 	if d.spare == nil {
 		d.spare = make(map[string][]spareConn)
 	}
-	d.spare[address] = append(d.spare[address], spareConn{Conn: c, until: time.Now().Add(idleLimit)})
+	d.spare[address] = append(d.spare[address], spareConn{Conn: conn, expiresAt: time.Now().Add(maxIdleTime)})
 	return true
 }
 
 func dial(ctx context.Context, address string) (net.Conn, error) {
-	nd := net.Dialer{Timeout: dialTimeout}
-	c, err := nd.DialContext(ctx, "tcp", address)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, &DialError{Address: address, Err: err}
 	}
-	return c, nil
+	return conn, nil
 }
 
-// A Response is a target's answer whose head has been read.
+// A Response is a target's response whose header has been read.
 type Response struct {
 	Status int
 	Header *fasthttp.ResponseHeader
-	// Length is the body's length, or -1 if only its end will tell.
+	// Length is the length of the body in bytes, or -1 if it is not stated.
 	Length int
 
-	conn   net.Conn
-	reader *bufio.Reader
-	body   io.Reader
-	chunks bool
-	left   int64
-	done   bool
+	conn      net.Conn
+	reader    *bufio.Reader
+	body      io.Reader
+	chunked   bool
+	remaining int64
+	complete  bool
 }
 
-// Send writes a request and reads the head of its answer. Sent reports
-// whether any byte may have reached the target. The connection belongs to the
-// answer; on an error it is closed.
-func Send(c net.Conn, req *fasthttp.Request, until time.Time) (a *Response, sent bool, err error) {
-	if err := c.SetDeadline(until); err != nil {
-		return nil, false, closeWith(c, err)
+// Send writes a request and reads the header of its response. The result sent reports whether any
+// byte may have reached the target. The connection belongs to the response; on an error it is
+// closed.
+func Send(conn net.Conn, request *fasthttp.Request, deadline time.Time) (response *Response, sent bool, err error) {
+	if err := conn.SetDeadline(deadline); err != nil {
+		return nil, false, closeAndReturn(conn, err)
 	}
-	if err := write(c, req); err != nil {
-		return nil, true, closeWith(c, fmt.Errorf("send the request: %w", err))
+	if err := writeRequest(conn, request); err != nil {
+		return nil, true, closeAndReturn(conn, fmt.Errorf("send the request: %w", err))
 	}
-	a = &Response{conn: c, reader: takeReader(c), Header: &fasthttp.ResponseHeader{}}
-	if err := a.readHead(req.Header.IsHead()); err != nil {
-		a.Close()
-		return nil, true, fmt.Errorf("read the answer: %w", err)
+	response = &Response{conn: conn, reader: acquireReader(conn), Header: &fasthttp.ResponseHeader{}}
+	if err := response.readHeader(request.Header.IsHead()); err != nil {
+		response.Close()
+		return nil, true, fmt.Errorf("read the response: %w", err)
 	}
-	return a, true, nil
+	return response, true, nil
 }
 
 var (
-	readers sync.Pool
-	writers sync.Pool
+	readerPool sync.Pool
+	writerPool sync.Pool
 )
 
-func takeReader(c net.Conn) *bufio.Reader {
-	late := &DeadlineReader{Conn: c}
-	r, ok := readers.Get().(*bufio.Reader)
+func acquireReader(conn net.Conn) *bufio.Reader {
+	deadlineReader := &DeadlineReader{Conn: conn}
+	reader, ok := readerPool.Get().(*bufio.Reader)
 	if !ok {
-		return bufio.NewReaderSize(late, readBuffer)
+		return bufio.NewReaderSize(deadlineReader, readBufferSize)
 	}
-	r.Reset(late)
-	return r
+	reader.Reset(deadlineReader)
+	return reader
 }
 
-func write(c net.Conn, req *fasthttp.Request) error {
-	w, ok := writers.Get().(*bufio.Writer)
+func writeRequest(conn net.Conn, request *fasthttp.Request) error {
+	writer, ok := writerPool.Get().(*bufio.Writer)
 	if !ok {
-		w = bufio.NewWriter(c)
+		writer = bufio.NewWriter(conn)
 	}
-	w.Reset(c)
-	err := req.Write(w)
+	writer.Reset(conn)
+	err := request.Write(writer)
 	if err == nil {
-		err = w.Flush()
+		err = writer.Flush()
 	}
-	w.Reset(nil)
-	writers.Put(w)
+	writer.Reset(nil)
+	writerPool.Put(writer)
 	return err
 }
 
-func closeWith(c net.Conn, err error) error {
-	_ = c.Close() // the error before tells more
+func closeAndReturn(conn net.Conn, err error) error {
+	_ = conn.Close() // the first error is the one to report
 	return err
 }
 
-func (a *Response) readHead(head bool) error {
-	const firstFinal = 200
+func (r *Response) readHeader(isHead bool) error {
+	const firstFinalStatus = 200
 	for {
-		if err := a.Header.Read(a.reader); err != nil {
+		if err := r.Header.Read(r.reader); err != nil {
 			return err
 		}
-		a.Status = a.Header.StatusCode()
-		if a.Status >= firstFinal {
+		r.Status = r.Header.StatusCode()
+		if r.Status >= firstFinalStatus {
 			break
 		}
-		a.Header.Reset()
+		r.Header.Reset()
 	}
-	a.frame(head)
+	r.initBody(isHead)
 	return nil
 }
 
-// frame finds out how the end of the body is told.
-func (a *Response) frame(head bool) {
-	const chunked, noContent, notModified = -1, 204, 304
-	length := a.Header.ContentLength()
+// initBody sets up the reading of the body by the way in which the response states its end.
+func (r *Response) initBody(isHead bool) {
+	const chunkedLength, noContent, notModified = -1, 204, 304
+	length := r.Header.ContentLength()
 	switch {
-	case head || a.Status == noContent || a.Status == notModified:
-		a.Length, a.done = max(length, 0), true
+	case isHead || r.Status == noContent || r.Status == notModified:
+		r.Length, r.complete = max(length, 0), true
 	case length >= 0:
-		a.Length, a.left = length, int64(length)
-		a.body = io.LimitReader(a.reader, a.left)
-		a.done = length == 0
-	case length == chunked:
-		a.Length, a.chunks = -1, true
-		a.body = httputil.NewChunkedReader(a.reader)
+		r.Length, r.remaining = length, int64(length)
+		r.body = io.LimitReader(r.reader, r.remaining)
+		r.complete = length == 0
+	case length == chunkedLength:
+		r.Length, r.chunked = -1, true
+		r.body = httputil.NewChunkedReader(r.reader)
 	default:
-		a.Length = -1
-		a.body = a.reader
+		r.Length = -1
+		r.body = r.reader
 	}
 }
 
-// Read reads the body. It returns io.EOF only if the body is whole.
-func (a *Response) Read(b []byte) (int, error) {
-	if a.done {
+// Read reads the body. It returns io.EOF only if the body is complete.
+func (r *Response) Read(p []byte) (int, error) {
+	if r.complete {
 		return 0, io.EOF
 	}
-	if a.reader == nil {
+	if r.reader == nil {
 		return 0, net.ErrClosed
 	}
-	n, err := a.body.Read(b)
-	if a.Length >= 0 {
-		a.left -= int64(n)
-		if errors.Is(err, io.EOF) && a.left > 0 {
+	n, err := r.body.Read(p)
+	if r.Length >= 0 {
+		r.remaining -= int64(n)
+		if errors.Is(err, io.EOF) && r.remaining > 0 {
 			return n, ErrTruncated
 		}
-		a.done = a.left == 0
+		r.complete = r.remaining == 0
 		return n, err
 	}
 	if errors.Is(err, io.EOF) {
-		a.done = true
+		r.complete = true
 	}
 	return n, err
 }
 
 // Complete reports whether the body was read to its end.
-func (a *Response) Complete() bool {
-	return a.done
+func (r *Response) Complete() bool {
+	return r.complete
 }
 
-// Close ends the connection, and with it the request if it still runs.
-func (a *Response) Close() {
-	_ = a.conn.Close() // nothing more is read or written
-	if a.reader != nil {
-		a.reader.Reset(nil)
-		readers.Put(a.reader)
-		a.reader = nil
+// Close closes the connection, which aborts a request that still runs.
+func (r *Response) Close() {
+	_ = r.conn.Close() // nothing more is read or written
+	if r.reader != nil {
+		r.reader.Reset(nil)
+		readerPool.Put(r.reader)
+		r.reader = nil
 	}
 }
--- a/internal/target/cut.go
+++ b/internal/target/cut.go
@@ -6,11 +6,11 @@
 	"syscall"
 )
 
-// IsConnClosed reports whether an exchange ended because the target closed or reset its connection,
-// as one that ends does. Silence is no such sign, nor is an answer that cannot be read.
+// IsConnClosed reports whether an exchange failed because the target closed or reset its
+// connection, as a terminating target does. A timeout and a malformed response do not count.
 func IsConnClosed(err error) bool {
-	for _, sign := range []error{io.EOF, io.ErrUnexpectedEOF, ErrTruncated, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(err, sign) {
+	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, ErrTruncated, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(err, cause) {
 			return true
 		}
 	}
--- a/internal/target/cut_test.go
+++ b/internal/target/cut_test.go
@@ -13,14 +13,14 @@
 	"laburnumfall/internal/target"
 )
 
-func TestWhatTellsThatATargetCutAnExchange(t *testing.T) {
+func TestIsConnClosed(t *testing.T) {
 	for _, err := range []error{
-		io.EOF, fmt.Errorf("read the answer: %w", io.ErrUnexpectedEOF), target.ErrTruncated,
+		io.EOF, fmt.Errorf("read the response: %w", io.ErrUnexpectedEOF), target.ErrTruncated,
 		&os.SyscallError{Syscall: "read", Err: syscall.ECONNRESET}, syscall.EPIPE,
 	} {
 		require.True(t, target.IsConnClosed(err), err)
 	}
-	for _, err := range []error{nil, os.ErrDeadlineExceeded, errors.New("malformed answer"), syscall.ECONNREFUSED} {
+	for _, err := range []error{nil, os.ErrDeadlineExceeded, errors.New("malformed response"), syscall.ECONNREFUSED} {
 		require.False(t, target.IsConnClosed(err), err)
 	}
 }
--- a/internal/target/late.go
+++ b/internal/target/late.go
@@ -11,66 +11,66 @@
 )
 
 const (
-	// maxReady bounds what is taken of a connection behind its deadline, in bytes.
-	maxReady   = 1 << 20
-	readyBlock = 16 << 10
+	// maxBuffered limits how many bytes are read from a connection after its deadline.
+	maxBuffered   = 1 << 20
+	readBlockSize = 16 << 10
 )
 
-// A DeadlineReader reads from a connection. When the connection's deadline passes, it still
-// returns what had arrived by then: after a standstill of this process the rest of an
-// answer may lie unread while its deadline is over.
+// A DeadlineReader reads from a connection. After the connection's deadline, it still returns the
+// bytes that arrived before the deadline was noticed: after a stall of this process, the rest of
+// a response may be unread although its deadline has passed.
 type DeadlineReader struct {
 	Conn net.Conn
 
-	late  bool
-	ready []byte // what had arrived, not yet returned
-	end   error  // what follows it
+	expired     bool
+	buffered    []byte // bytes that had arrived but are not returned yet
+	bufferedErr error  // returned after the buffered bytes
 }
 
-// DeadlineExceeded reports whether the deadline has passed while somebody read.
+// DeadlineExceeded reports whether the deadline passed during a Read.
 func (r *DeadlineReader) DeadlineExceeded() bool {
-	return r.late
+	return r.expired
 }
 
 // Read implements io.Reader.
 func (r *DeadlineReader) Read(p []byte) (int, error) {
-	if !r.late {
+	if !r.expired {
 		n, err := r.Conn.Read(p)
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		r.late = true
-		r.ready, r.end = takeReady(r.Conn, err)
+		r.expired = true
+		r.buffered, r.bufferedErr = readAvailable(r.Conn, err)
 	}
-	if len(r.ready) == 0 {
-		return 0, r.end
+	if len(r.buffered) == 0 {
+		return 0, r.bufferedErr
 	}
-	n := copy(p, r.ready)
-	r.ready = r.ready[n:]
+	n := copy(p, r.buffered)
+	r.buffered = r.buffered[n:]
 	return n, nil
 }
 
-// takeReady reads what has arrived on a connection without waiting. The end is io.EOF if
-// the other side has closed, and else the error that is given.
-func takeReady(c net.Conn, otherwise error) (data []byte, end error) {
-	sc, ok := c.(syscall.Conn)
+// readAvailable reads the bytes that have arrived on a connection, without waiting. The error
+// finalErr is io.EOF if the peer has closed the connection, and fallbackErr otherwise.
+func readAvailable(conn net.Conn, fallbackErr error) (data []byte, finalErr error) {
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, otherwise
+		return nil, fallbackErr
 	}
-	raw, err := sc.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
-		return nil, otherwise
+		return nil, fallbackErr
 	}
-	end = otherwise
-	ctlErr := raw.Control(func(fd uintptr) {
-		block := make([]byte, readyBlock)
-		for len(data) < maxReady {
+	finalErr = fallbackErr
+	ctlErr := rawConn.Control(func(fd uintptr) {
+		block := make([]byte, readBlockSize)
+		for len(data) < maxBuffered {
 			n, _, err := unix.Recvfrom(int(fd), block, unix.MSG_DONTWAIT)
 			if errors.Is(err, unix.EINTR) {
 				continue
 			}
 			if err == nil && n == 0 {
-				end = io.EOF
+				finalErr = io.EOF
 			}
 			if err != nil || n <= 0 {
 				return
@@ -79,7 +79,7 @@
 		}
 	})
 	if ctlErr != nil {
-		return nil, otherwise
+		return nil, fallbackErr
 	}
-	return data, end
+	return data, finalErr
 }
--- a/internal/target/late_test.go
+++ b/internal/target/late_test.go
@@ -14,66 +14,65 @@
 	"laburnumfall/internal/target"
 )
 
-// Guards against bytes that arrived before the deadline was found to have passed and are
-// thrown away unread.
-func TestWhatArrivedIsReadAfterTheDeadline(t *testing.T) {
+// Guards against the loss of bytes that arrived before the passed deadline was noticed.
+func TestReadsArrivedBytesAfterDeadline(t *testing.T) {
 	long := strings.Repeat("x", 40<<10)
 	for name, tt := range map[string]struct {
 		sent   string
 		closed bool
 		err    error
 	}{
-		"nothing":           {err: os.ErrDeadlineExceeded},
-		"a part":            {sent: "part", err: os.ErrDeadlineExceeded},
-		"all, and a close":  {sent: "whole", closed: true},
-		"more than a block": {sent: long, err: os.ErrDeadlineExceeded},
-		"only a close":      {closed: true},
+		"nothing":               {err: os.ErrDeadlineExceeded},
+		"partial data":          {sent: "part", err: os.ErrDeadlineExceeded},
+		"complete, then closed": {sent: "whole", closed: true},
+		"more than a block":     {sent: long, err: os.ErrDeadlineExceeded},
+		"only closed":           {closed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp4", "127.0.0.1:0")
+			listener, err := net.Listen("tcp4", "127.0.0.1:0")
 			require.NoError(t, err)
-			defer func() { require.NoError(t, l.Close()) }()
-			here, err := net.Dial("tcp4", l.Addr().String())
+			defer func() { require.NoError(t, listener.Close()) }()
+			localConn, err := net.Dial("tcp4", listener.Addr().String())
 			require.NoError(t, err)
-			defer func() { _ = here.Close() }() // it is read
-			there, err := l.Accept()
+			defer func() { _ = localConn.Close() }() // only read from
+			remoteConn, err := listener.Accept()
 			require.NoError(t, err)
-			defer func() { _ = there.Close() }() // it may be closed
-			_, err = io.WriteString(there, tt.sent)
+			defer func() { _ = remoteConn.Close() }() // may be closed already
+			_, err = io.WriteString(remoteConn, tt.sent)
 			require.NoError(t, err)
 			if tt.closed {
-				require.NoError(t, there.Close())
+				require.NoError(t, remoteConn.Close())
 			}
-			require.Eventually(t, func() bool { return arrived(t, here) == len(tt.sent) }, time.Second, time.Millisecond)
-			require.Eventually(t, func() bool { return !tt.closed || tt.sent != "" || target.PeerClosed(here) }, time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return unreadBytes(t, localConn) == len(tt.sent) }, time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return !tt.closed || tt.sent != "" || target.PeerClosed(localConn) }, time.Second, time.Millisecond)
 
-			require.NoError(t, here.SetDeadline(time.Now().Add(-time.Second)))
-			r := &target.DeadlineReader{Conn: here}
-			got, err := io.ReadAll(r)
+			require.NoError(t, localConn.SetDeadline(time.Now().Add(-time.Second)))
+			reader := &target.DeadlineReader{Conn: localConn}
+			got, err := io.ReadAll(reader)
 			require.ErrorIs(t, err, tt.err)
 			require.Equal(t, tt.sent, string(got))
-			require.True(t, r.DeadlineExceeded())
+			require.True(t, reader.DeadlineExceeded())
 		})
 	}
 }
 
-// arrived returns how many bytes a connection holds unread.
-func arrived(t *testing.T, c net.Conn) int {
-	tcp, ok := c.(*net.TCPConn)
+// unreadBytes returns how many bytes have arrived on a connection and are unread.
+func unreadBytes(t *testing.T, conn net.Conn) int {
+	tcpConn, ok := conn.(*net.TCPConn)
 	require.True(t, ok)
-	raw, err := tcp.SyscallConn()
+	rawConn, err := tcpConn.SyscallConn()
 	require.NoError(t, err)
 	n := 0
-	require.NoError(t, raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.TIOCINQ) }))
+	require.NoError(t, rawConn.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.TIOCINQ) }))
 	require.NoError(t, err)
 	return n
 }
 
-// Guards against a stream without end that is read on behind its deadline.
-func TestWhatArrivesBehindTheDeadlineIsNotWaitedFor(t *testing.T) {
-	here, there := net.Pipe()
-	defer func() { _ = there.Close() }() // nothing was sent
-	require.NoError(t, here.SetDeadline(time.Now().Add(-time.Second)))
-	_, err := (&target.DeadlineReader{Conn: here}).Read(make([]byte, 1))
+// Guards against a stream without end that is still read after its deadline.
+func TestDoesNotWaitAfterDeadline(t *testing.T) {
+	localConn, remoteConn := net.Pipe()
+	defer func() { _ = remoteConn.Close() }() // nothing was sent
+	require.NoError(t, localConn.SetDeadline(time.Now().Add(-time.Second)))
+	_, err := (&target.DeadlineReader{Conn: localConn}).Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
--- a/internal/target/look.go
+++ b/internal/target/look.go
@@ -8,64 +8,68 @@
 	"time"
 )
 
-// A ProbeResult is what looking for a target has shown.
+// A ProbeResult is the state of a target found by Probe.
 type ProbeResult string
 
-// The presences.
+// The results of a probe.
 const (
-	Unknown    ProbeResult = "unknown" // nobody answers: it may be cut off, or its VM gone
+	Unknown    ProbeResult = "unknown" // no response: the target may be unreachable or its VM may not exist any more
 	Alive      ProbeResult = "here"
 	Terminated ProbeResult = "ended"
 )
 
 const (
-	// lookTime bounds the looking; a VM whose process ended refuses within a round trip.
-	lookTime = 500 * time.Millisecond
-	// dialTime bounds one try: a process that ends while it is asked may leave it unanswered.
-	dialTime = 100 * time.Millisecond
-	// lookHold is how long a connection must hold: a process that ends may still take one.
-	lookHold = 50 * time.Millisecond
-	// ProbeSlack is how long before the end of a look a target that is here was here for
-	// certain: the closing of one connection may be seen that much before another's.
+	// probeTimeout limits a probe. A VM whose process has ended refuses a connection within one
+	// round trip.
+	probeTimeout = 500 * time.Millisecond
+	// probeDialTimeout limits one connection attempt. A process that terminates during the
+	// attempt may leave it unanswered.
+	probeDialTimeout = 100 * time.Millisecond
+	// probeHold is how long a connection must stay open, because a terminating process may still
+	// accept one.
+	probeHold = 50 * time.Millisecond
+	// ProbeSlack is how long before the end of a probe a live target was certainly alive. The
+	// closing of one connection may be noticed that much earlier than that of another.
 	ProbeSlack = 10 * time.Millisecond
 )
 
-// Probe finds out whether a target that cut an exchange has ended or only closed a connection.
-// A port where nobody listens refuses; one whose process lives lets a connection stand, and
-// takes another one after it: what a process took while it ended may look open and lead nowhere.
-// It must be asked within the time in which a target that ended cannot be back.
+// Probe determines whether a target that closed a connection has terminated or only closed that
+// connection. A port without a listener refuses a connection. A live process keeps a connection
+// open and accepts a second one; a single connection is no proof, because one accepted by a
+// terminating process may look open. Probe must run before a terminated target could have
+// restarted.
 func Probe(address string) ProbeResult {
-	ctx, cancel := context.WithTimeout(context.Background(), lookTime)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	stood := false
+	stayedOpen := false
 	for {
-		conn, err := (&net.Dialer{KeepAlive: -1, Timeout: dialTime}).DialContext(ctx, "tcp4", address)
+		conn, err := (&net.Dialer{KeepAlive: -1, Timeout: probeDialTimeout}).DialContext(ctx, "tcp4", address)
 		if err != nil {
-			if ctx.Err() == nil && endingOf(err) {
+			if ctx.Err() == nil && mayBeTerminating(err) {
 				continue
 			}
-			return presenceOf(err)
+			return resultOfDialError(err)
 		}
-		if stood {
+		if stayedOpen {
 			_ = conn.Close() // nothing was sent
 			return Alive
 		}
-		time.Sleep(lookHold)
-		stood = IsIdle(conn)
+		time.Sleep(probeHold)
+		stayedOpen = IsIdle(conn)
 		_ = conn.Close() // nothing was sent
 	}
 }
 
-// endingOf reports whether a connection may have failed because its process ended just then:
-// it was reset, or dropped without a word.
-func endingOf(err error) bool {
-	var failed net.Error
-	return errors.Is(err, syscall.ECONNRESET) || errors.As(err, &failed) && failed.Timeout()
+// mayBeTerminating reports whether a connection attempt may have failed because the process
+// terminated at that moment: it was reset, or dropped without a response.
+func mayBeTerminating(err error) bool {
+	var netErr net.Error
+	return errors.Is(err, syscall.ECONNRESET) || errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// presenceOf judges a connection that was not made. Where nobody answers, the platform's list
-// of targets has to tell.
-func presenceOf(err error) ProbeResult {
+// resultOfDialError classifies a failed connection attempt. If nothing responds, the platform's
+// list of targets must decide.
+func resultOfDialError(err error) ProbeResult {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return Terminated
 	}
--- a/internal/target/look_test.go
+++ b/internal/target/look_test.go
@@ -10,48 +10,47 @@
 	"laburnumfall/internal/target"
 )
 
-// Symptom: targets that end under a request are not counted, or such that live are.
-// Sequence: a connection closes; its target is looked for.
-// Cause: a process that ends, one that closes a connection, and one that ends a moment after
-// it took one look alike at first.
-func TestATargetIsLookedFor(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// Guards against terminations that are not recorded, and against live targets recorded as
+// terminated. After a connection closes, a process that terminates, one that closed only the
+// connection, and one that terminates right after accepting another connection look alike.
+func TestProbeDetectsTermination(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	address := l.Addr().String()
+	address := listener.Addr().String()
 	accepted := make(chan net.Conn, 1)
 	go func() {
-		if c, err := l.Accept(); err == nil {
-			accepted <- c
+		if conn, err := listener.Accept(); err == nil {
+			accepted <- conn
 		}
 	}()
 	require.Equal(t, target.Alive, target.Probe(address))
 	require.NoError(t, (<-accepted).Close())
 	go func() {
-		c, err := l.Accept()
-		_ = l.Close() // the process ends while it has taken a connection
+		conn, err := listener.Accept()
+		_ = listener.Close() // the process terminates after it has accepted a connection
 		if err == nil {
-			_ = c.Close()
+			_ = conn.Close()
 		}
 	}()
 	require.Equal(t, target.Terminated, target.Probe(address))
-	require.Equal(t, target.Terminated, target.Probe(address), "nobody listens")
+	require.Equal(t, target.Terminated, target.Probe(address), "no process listens")
 }
 
-// A target that ends in the very moment in which it is looked for is found to have ended: its
-// port resets or drops a connection then, and refuses the next.
-func TestATargetThatEndsWhileItIsLookedForHasEnded(t *testing.T) {
-	const times = 200
-	for i := range times {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
+// Guards against a target that terminates during the probe and is not found to be terminated. Its
+// port resets or drops one connection and refuses the next.
+func TestProbeDuringTermination(t *testing.T) {
+	const rounds = 200
+	for i := range rounds {
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		require.NoError(t, err)
 		closed := make(chan error, 1)
 		go func() {
 			for range i % 50 {
 				runtime.Gosched()
 			}
-			closed <- l.Close()
+			closed <- listener.Close()
 		}()
-		require.Equal(t, target.Terminated, target.Probe(l.Addr().String()))
+		require.Equal(t, target.Terminated, target.Probe(listener.Addr().String()))
 		require.NoError(t, <-closed)
 	}
 }
--- a/internal/target/peek.go
+++ b/internal/target/peek.go
@@ -8,19 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// peek looks at what a connection would read, without reading it.
-func peek(c net.Conn) (n int, err error) {
-	sc, ok := c.(syscall.Conn)
+// peek returns how many bytes, up to one, are readable on a connection, without consuming them.
+func peek(conn net.Conn) (n int, err error) {
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, unix.EAGAIN
 	}
-	raw, err := sc.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	var buf [1]byte
 	var peekErr error
-	ctlErr := raw.Control(func(fd uintptr) {
+	ctlErr := rawConn.Control(func(fd uintptr) {
 		n, _, peekErr = unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if ctlErr != nil {
@@ -29,17 +29,17 @@
 	return n, peekErr
 }
 
-// IsIdle reports whether a connection is open and has nothing to read. Bytes on
-// a connection that has sent nothing can answer no request.
-func IsIdle(c net.Conn) bool {
-	_, err := peek(c)
+// IsIdle reports whether a connection is open and has no unread bytes. Bytes on a connection over
+// which nothing was sent answer no request.
+func IsIdle(conn net.Conn) bool {
+	_, err := peek(conn)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// PeerClosed reports whether the other end has closed its side. The HTTP library
-// does not tell a handler that its caller went away, so it is looked up here.
-func PeerClosed(c net.Conn) bool {
-	n, err := peek(c)
+// PeerClosed reports whether the peer has closed its side of the connection. The HTTP library
+// does not report to a handler that its caller has disconnected, so it is checked on the socket.
+func PeerClosed(conn net.Conn) bool {
+	n, err := peek(conn)
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
 		return false
 	}
--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -16,26 +16,27 @@
 	"laburnumfall/internal/fleet"
 )
 
-var somebody = fleet.Incarnation{ID: "a", StartMillis: 1000}
+var testTarget = fleet.Incarnation{ID: "a", StartMillis: 1000}
 
-// ask sends a request over a connection whose other end answers by what answer writes.
-func ask(p *Pool, answer func(w io.Writer)) (*Response, error) {
-	here, there := net.Pipe()
+// sendTestRequest sends a request over a connection whose server end sends what respond writes.
+func sendTestRequest(pool *Pool, respond func(w io.Writer)) (*Response, error) {
+	clientEnd, serverEnd := net.Pipe()
 	go func() {
-		defer func() { _ = there.Close() }() // the answer ends with it
-		if _, err := http.ReadRequest(newConn(there).reader); err != nil {
+		defer func() { _ = serverEnd.Close() }() // ends the response
+		if _, err := http.ReadRequest(newConn(serverEnd).reader); err != nil {
 			return
 		}
-		answer(there)
+		respond(serverEnd)
 	}()
-	r := Request{Method: http.MethodGet, Path: "/x", Host: "h", Header: http.Header{}, ID: "1", IDHeader: "Id"}
-	return p.Send(context.Background(), somebody, newConn(here), r, p.Clock.Now().Add(5*time.Second))
+	request := Request{Method: http.MethodGet, Path: "/x", Host: "h", Header: http.Header{}, ID: "1", IDHeader: "Id"}
+	return pool.Send(context.Background(), testTarget, newConn(clientEnd), request, pool.Clock.Now().Add(5*time.Second))
 }
 
-// endless writes a text until nobody reads it any more, or most bytes are out.
-func endless(w io.Writer, text string, most int) (written int) {
+// writeEndless writes a text repeatedly until the connection is closed or limit bytes are
+// written.
+func writeEndless(w io.Writer, text string, limit int) (written int) {
 	block := []byte(strings.Repeat(text, 1+4096/len(text)))
-	for written < most {
+	for written < limit {
 		n, err := w.Write(block)
 		written += n
 		if err != nil {
@@ -45,12 +46,10 @@
 	return written
 }
 
-// Symptom: a router grows until it is killed.
-// Sequence: a target, or what has taken its address, sends headers, or answers before the
-// answer, without end.
-// Cause: the head of an answer is bounded by time only.
-func TestAHeadWithoutEndIsNoAnswer(t *testing.T) {
-	const most = 64 << 20
+// Guards against a router whose memory grows until the process is killed. A target, or a process
+// that has taken over its address, sends a header or interim responses without end.
+func TestRejectsEndlessHeader(t *testing.T) {
+	const limit = 64 << 20
 	for name, tt := range map[string]struct{ begin, text string }{
 		"line":    {"HTTP/1.1 200 ", "x"},
 		"header":  {"HTTP/1.1 200 OK\r\nId: ", "x"},
@@ -60,53 +59,51 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			written := make(chan int, 1)
-			_, err := ask(&Pool{Clock: clock.NewRealClock()}, func(w io.Writer) {
-				_, _ = io.WriteString(w, tt.begin) // the reader may have left
-				written <- endless(w, tt.text, most)
+			_, err := sendTestRequest(&Pool{Clock: clock.NewRealClock()}, func(w io.Writer) {
+				_, _ = io.WriteString(w, tt.begin) // the reader may have closed the connection
+				written <- writeEndless(w, tt.text, limit)
 			})
-			require.ErrorIs(t, err, errLongHead)
-			require.Less(t, <-written, 2*maxHead)
+			require.ErrorIs(t, err, errHeaderTooLong)
+			require.Less(t, <-written, 2*maxHeaderBytes)
 		})
 	}
 }
 
-// The bound is on heads: a body may be long, also that of an answer that is skipped.
-func TestALongBodyIsPassedOn(t *testing.T) {
-	const size = 4 * maxHead
-	a, err := ask(&Pool{Clock: clock.NewRealClock()}, func(w io.Writer) {
-		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 262144\r\n\r\n") // the test fails otherwise
-		endless(w, "x", size)
+// Guards against a header limit that also applies to the body.
+func TestForwardsLongBody(t *testing.T) {
+	const size = 4 * maxHeaderBytes
+	response, err := sendTestRequest(&Pool{Clock: clock.NewRealClock()}, func(w io.Writer) {
+		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 262144\r\n\r\n") // a failed write makes the test fail below
+		writeEndless(w, "x", size)
 	})
 	require.NoError(t, err)
-	defer a.Close()
-	body, err := io.ReadAll(io.LimitReader(a, size))
+	defer response.Close()
+	body, err := io.ReadAll(io.LimitReader(response, size))
 	require.NoError(t, err)
 	require.Len(t, body, size)
 }
 
-// Symptom: a connection is used again when its target has closed it, or is never used
-// again.
-// Sequence: a target tells an idle time that is no time.
-// Cause: seconds were turned into a time without looking whether they fit.
-func TestIdleTimesThatAreDamaged(t *testing.T) {
+// Guards against reuse of a connection that its target has closed, and against connections that
+// are never reused. A target states an idle timeout that is malformed or does not fit a duration.
+func TestIdleExpiryOfMalformedKeepAlive(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for value, want := range map[string]time.Duration{
-		"timeout=5":                    5*time.Second - idleMargin,
-		"max=9, timeout=2":             2*time.Second - idleMargin,
-		"timeout=0":                    -idleMargin,
-		"timeout=-9":                   idleLimit,
-		"timeout=9223372036854775807":  longestIdle - idleMargin,
-		"timeout=92233720368547758070": idleLimit,
-		"timeout=1e3":                  idleLimit,
-		"timeout=":                     idleLimit,
-		"":                             idleLimit,
+		"timeout=5":                    5*time.Second - idleTimeoutMargin,
+		"max=9, timeout=2":             2*time.Second - idleTimeoutMargin,
+		"timeout=0":                    -idleTimeoutMargin,
+		"timeout=-9":                   defaultIdleTimeout,
+		"timeout=9223372036854775807":  maxIdleTimeout - idleTimeoutMargin,
+		"timeout=92233720368547758070": defaultIdleTimeout,
+		"timeout=1e3":                  defaultIdleTimeout,
+		"timeout=":                     defaultIdleTimeout,
+		"":                             defaultIdleTimeout,
 	} {
-		require.Equal(t, now.Add(want), idleUntil(now, http.Header{"Keep-Alive": {value}}), value)
+		require.Equal(t, now.Add(want), idleExpiry(now, http.Header{"Keep-Alive": {value}}), value)
 	}
 }
 
-// Whatever comes in place of an answer: it is an error, or an answer to this request that
-// ends, and a connection is kept only if nothing is left on it.
+// Guards against arbitrary bytes in place of a response: they must give an error, or a response
+// to this request whose body ends, and the connection may be kept only if it has no unread bytes.
 func FuzzAnswer(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok")
 	f.Add("HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n\r\n")
@@ -115,25 +112,25 @@
 	f.Add("HTTP/1.1 204 \r\nId: 1\r\nContent-Length: 9223372036854775807\r\n\r\n")
 	f.Add("\x00\xff")
 	f.Fuzz(func(t *testing.T, text string) {
-		p := &Pool{Clock: clock.NewRealClock()}
-		defer p.Close()
-		a, err := ask(p, func(w io.Writer) {
-			_, _ = io.WriteString(w, text) // the reader may have left
+		pool := &Pool{Clock: clock.NewRealClock()}
+		defer pool.Close()
+		response, err := sendTestRequest(pool, func(w io.Writer) {
+			_, _ = io.WriteString(w, text) // the reader may have closed the connection
 		})
 		if err != nil {
-			var dial *DialError
-			require.False(t, errors.As(err, &dial), "the request may have run")
+			var dialErr *DialError
+			require.False(t, errors.As(err, &dialErr), "after sending, an error must not be a DialError, because the request may have run")
 			return
 		}
-		require.Equal(t, "1", a.Header.Get("Id"))
-		n, err := io.Copy(io.Discard, a)
+		require.Equal(t, "1", response.Header.Get("Id"))
+		n, err := io.Copy(io.Discard, response)
 		require.LessOrEqual(t, n, int64(len(text)))
-		require.Equal(t, err == nil, a.Complete())
-		a.Close()
-		for _, c := range p.idle[somebody] {
-			require.True(t, a.Complete())
-			require.Zero(t, c.reader.Buffered())
-			require.False(t, c.expires.After(p.Clock.Now().Add(longestIdle)))
+		require.Equal(t, err == nil, response.Complete())
+		response.Close()
+		for _, conn := range pool.idle[testTarget] {
+			require.True(t, response.Complete())
+			require.Zero(t, conn.reader.Buffered())
+			require.False(t, conn.expiresAt.After(pool.Clock.Now().Add(maxIdleTimeout)))
 		}
 	})
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,9 +1,8 @@
-// Package upstream carries requests to targets over kept connections.
+// Package upstream sends requests to targets over pooled keep-alive connections.
 //
-// A connection is used again only at a clean boundary: the answer before was
-// whole, of stated length, bore the ID of its request, did not announce a
-// close, and nothing came after it. Otherwise a late or doubled answer of one
-// request could reach the caller of the next.
+// A connection is reused only at a clean message boundary: the previous response was complete, of
+// stated length, had the ID of its request, did not announce a close, and nothing followed it.
+// Otherwise a late or duplicated response to one request could reach the caller of the next.
 package upstream
 
 import (
@@ -26,33 +25,33 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. Within a region that takes
-	// some milliseconds; a VM without power never answers.
-	dialTimeout = 500 * time.Millisecond
-	readBuffer  = 8 << 10
-	// idleLimit is how long an unused connection is kept where the target
-	// states no time of its own.
-	idleLimit = 4 * time.Second
-	// idleMargin is kept from the idle time that a target states: a request
-	// must not cross the target's close.
-	idleMargin = 700 * time.Millisecond
-	// inlineBody is the size up to which a body is written before the answer is
-	// read. A larger one may fill the link's window, and a target that answers
-	// before it has read all of it would wait for this end to read.
-	inlineBody = 4 << 10
-	// bodyGrace is how long the rest of a body may take after its answer has
-	// ended.
-	bodyGrace = 100 * time.Millisecond
-	// maxHead bounds the head of an answer, what comes before it included, in bytes.
-	maxHead = 64 << 10
-	// longestIdle bounds the idle time that a target states.
-	longestIdle = time.Hour
-	// userTimeout ends a connection whose bytes nobody acknowledges: a target
-	// that was cut off shows nothing else.
-	userTimeout = 3 * time.Second
+	// dialTimeout limits how long a connection may take to open. Within a region this takes some
+	// milliseconds; a VM without power never answers.
+	dialTimeout    = 500 * time.Millisecond
+	readBufferSize = 8 << 10
+	// defaultIdleTimeout is how long an unused connection is kept if the target states no idle
+	// timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the idle timeout that a target states, so that a
+	// request does not cross the target's close.
+	idleTimeoutMargin = 700 * time.Millisecond
+	// maxInlineBody is the size up to which a body is written before the response is read. A
+	// larger body may fill the send window, and a target that responds before it has read the
+	// whole body would block until the router reads.
+	maxInlineBody = 4 << 10
+	// bodyWriteGrace is how long writing the rest of a request body may take after its response
+	// has ended.
+	bodyWriteGrace = 100 * time.Millisecond
+	// maxHeaderBytes limits the header of a response, including the interim responses before it.
+	maxHeaderBytes = 64 << 10
+	// maxIdleTimeout limits the idle timeout that a target states.
+	maxIdleTimeout = time.Hour
+	// tcpUserTimeout closes a connection whose sent bytes are not acknowledged. A target that was
+	// cut off from the network gives no other sign.
+	tcpUserTimeout = 3 * time.Second
 )
 
-// A DialError says that no connection was made, so that nothing was sent.
+// A DialError reports that no connection was opened, so nothing was sent.
 type DialError struct {
 	Address string
 	Err     error
@@ -60,7 +59,7 @@
 
 // Error returns the address and the cause.
 func (e *DialError) Error() string {
-	return fmt.Sprintf("dial %s (nothing was sent; another target may be tried): %v", e.Address, e.Err)
+	return fmt.Sprintf("dial %s (nothing was sent, so another target may be tried): %v", e.Address, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -68,28 +67,28 @@
 	return e.Err
 }
 
-// errLongHead says that the head of an answer is no head.
-var errLongHead = errors.New("the head of the answer is too long")
+// errHeaderTooLong reports a response header of more than maxHeaderBytes.
+var errHeaderTooLong = errors.New("the response header exceeds the limit of 64 KiB (check the target)")
 
-// A ResponseIDError says that an answer belongs to no request of this connection.
+// A ResponseIDError reports a response whose ID is not the ID of the request.
 type ResponseIDError struct {
 	Want, Got string
 }
 
 // Error returns both IDs.
 func (e *ResponseIDError) Error() string {
-	return fmt.Sprintf("the answer is for request %q, not %q (the connection is closed, the answer dropped)", e.Got, e.Want)
+	return fmt.Sprintf("the response is for request %q instead of %q (the response is dropped and the connection closed)", e.Got, e.Want)
 }
 
 // A Conn is a connection to one incarnation of a target.
 type Conn struct {
 	net.Conn
 
-	reader  *bufio.Reader
-	bound   *boundReader // what reader reads from
-	late    *target.DeadlineReader
-	reused  bool
-	expires time.Time // from when on it is not used again
+	reader         *bufio.Reader
+	limiter        *limitedReader // source of reader
+	deadlineReader *target.DeadlineReader
+	reused         bool
+	expiresAt      time.Time // not reused from then on
 }
 
 // Reused reports whether the connection has carried a request before.
@@ -97,53 +96,53 @@
 	return c.reused
 }
 
-// SocketIdle reports whether the connection is open and holds no bytes that nobody has read.
+// SocketIdle reports whether the connection is open and its socket has no unread bytes.
 func (c *Conn) SocketIdle() bool {
 	return target.IsIdle(c.Conn)
 }
 
-// quiet reports whether the connection is open and has nothing to read: bytes
-// on a connection without a request answer nobody.
-func (c *Conn) quiet() bool {
+// isIdle reports whether the connection is open and neither its buffer nor its socket has unread
+// bytes. Bytes on a connection without a request belong to no request.
+func (c *Conn) isIdle() bool {
 	return c.reader.Buffered() == 0 && c.SocketIdle()
 }
 
 func dial(ctx context.Context, address string) (*Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
-	raw, err := d.DialContext(ctx, "tcp4", address)
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setTCPUserTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, &DialError{Address: address, Err: err}
 	}
-	return newConn(raw), nil
+	return newConn(conn), nil
 }
 
-func newConn(raw net.Conn) *Conn {
-	late := &target.DeadlineReader{Conn: raw}
-	bound := &boundReader{source: late, left: math.MaxInt64}
-	return &Conn{Conn: raw, reader: bufio.NewReaderSize(bound, readBuffer), bound: bound, late: late}
+func newConn(conn net.Conn) *Conn {
+	deadlineReader := &target.DeadlineReader{Conn: conn}
+	limiter := &limitedReader{source: deadlineReader, remaining: math.MaxInt64}
+	return &Conn{Conn: conn, reader: bufio.NewReaderSize(limiter, readBufferSize), limiter: limiter, deadlineReader: deadlineReader}
 }
 
-// A boundReader bounds what is read until its bound is set anew. The library reads the
-// head of an answer however long it is: one without end would take all memory.
-type boundReader struct {
-	source io.Reader
-	left   int64
+// A limitedReader limits how many bytes are read until the limit is set again. The HTTP library
+// reads a response header of any length, so an endless one would take all memory.
+type limitedReader struct {
+	source    io.Reader
+	remaining int64
 }
 
 // Read implements io.Reader.
-func (b *boundReader) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, errLongHead
+func (r *limitedReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
+		return 0, errHeaderTooLong
 	}
-	n, err := b.source.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := r.source.Read(p[:min(int64(len(p)), r.remaining)])
+	r.remaining -= int64(n)
 	return n, err
 }
 
-func setUserTimeout(_, _ string, c syscall.RawConn) error {
+func setTCPUserTimeout(_, _ string, rawConn syscall.RawConn) error {
 	var optErr error
-	err := c.Control(func(fd uintptr) {
-		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+	err := rawConn.Control(func(fd uintptr) {
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -151,17 +150,17 @@
 	return optErr
 }
 
-// idleUntil returns until when a connection may be used again after an answer.
-func idleUntil(now time.Time, h http.Header) time.Time {
-	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
-		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
+// idleExpiry returns until when a connection may be reused after a response with this header.
+func idleExpiry(now time.Time, header http.Header) time.Time {
+	for _, directive := range strings.Split(header.Get("Keep-Alive"), ",") {
+		value, ok := strings.CutPrefix(strings.TrimSpace(directive), "timeout=")
 		if !ok {
 			continue
 		}
 		seconds, err := strconv.Atoi(value)
 		if err == nil && seconds >= 0 {
-			return now.Add(time.Duration(min(seconds, int(longestIdle.Seconds())))*time.Second - idleMargin)
+			return now.Add(time.Duration(min(seconds, int(maxIdleTimeout.Seconds())))*time.Second - idleTimeoutMargin)
 		}
 	}
-	return now.Add(idleLimit)
+	return now.Add(defaultIdleTimeout)
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -15,180 +15,180 @@
 	"laburnumfall/internal/fleet"
 )
 
-// A Request is one attempt at a target to answer a caller's request.
+// A Request is one attempt to send a caller's request to a target.
 type Request struct {
 	Method string
-	// Path is the path and query as the caller wrote them.
+	// Path holds the path and query as the caller sent them.
 	Path   string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is the request's ID, which the answer must bear under IDHeader. Where
-	// that is "", answers bear none, and the connection is not used again.
+	// ID is the ID that the response must have in the header IDHeader. If IDHeader is "",
+	// responses have no ID and the connection is not reused.
 	ID       string
 	IDHeader string
 }
 
-// A Response is a target's answer whose head has been read.
+// A Response is a target's response whose header has been read.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, or -1 if only its end will tell.
+	// Length is the length of the body in bytes, or -1 if it is not stated.
 	Length int64
 
-	pool    *Pool
-	target  fleet.Incarnation
-	conn    *Conn
-	resp    *http.Response
-	written chan error
-	whole   bool
-	stop    func() bool
-	once    sync.Once
+	pool          *Pool
+	target        fleet.Incarnation
+	conn          *Conn
+	httpResponse  *http.Response
+	writeResult   chan error
+	complete      bool
+	stopAfterFunc func() bool
+	closeOnce     sync.Once
 }
 
-// Send writes a request and reads the head of its answer. Until bounds the whole
-// exchange, and the end of ctx breaks it off. Unless the error is a DialError,
-// the target may have run the request.
-func (p *Pool) Send(ctx context.Context, target fleet.Incarnation, c *Conn, r Request, until time.Time) (*Response, error) {
-	a := &Response{pool: p, target: target, conn: c, written: make(chan error, 1)}
-	a.stop = context.AfterFunc(ctx, func() { _ = c.Close() }) // the reader sees it
-	if err := a.exchange(r, until); err != nil {
-		a.Close()
+// Send writes a request and reads the header of its response. The deadline applies to the whole
+// exchange, including the body, and the end of ctx aborts it. Unless the error is a DialError,
+// the target may have executed the request.
+func (p *Pool) Send(ctx context.Context, target fleet.Incarnation, conn *Conn, request Request, deadline time.Time) (*Response, error) {
+	response := &Response{pool: p, target: target, conn: conn, writeResult: make(chan error, 1)}
+	response.stopAfterFunc = context.AfterFunc(ctx, func() { _ = conn.Close() }) // fails the pending read
+	if err := response.exchange(request, deadline); err != nil {
+		response.Close()
 		if ctx.Err() != nil {
 			return nil, fmt.Errorf("the caller left: %w", ctx.Err())
 		}
 		return nil, err
 	}
-	return a, nil
+	return response, nil
 }
 
-func (a *Response) exchange(r Request, until time.Time) error {
-	// The socket's deadline runs on the runtime's clock, not on the fleet's.
-	left := until.Sub(a.pool.Clock.Now())
-	if err := a.conn.SetDeadline(time.Now().Add(left)); err != nil {
-		return fmt.Errorf("set the deadline: %w", err)
+func (r *Response) exchange(request Request, deadline time.Time) error {
+	// The socket's deadline uses the runtime's clock, not the fleet's.
+	timeout := deadline.Sub(r.pool.Clock.Now())
+	if err := r.conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return fmt.Errorf("set the deadline of the connection: %w", err)
 	}
-	if err := a.write(r); err != nil {
+	if err := r.writeRequest(request); err != nil {
 		return fmt.Errorf("send the request: %w", err)
 	}
-	return a.readHead(r)
+	return r.readHeader(request)
 }
 
-func (a *Response) write(r Request) error {
-	var b bytes.Buffer
-	b.Grow(1024 + min(len(r.Body), inlineBody))
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Path, r.Host)
-	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
+func (r *Response) writeRequest(request Request) error {
+	var buffer bytes.Buffer
+	buffer.Grow(1024 + min(len(request.Body), maxInlineBody))
+	fmt.Fprintf(&buffer, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.Path, request.Host)
+	if len(request.Body) > 0 || request.Method != http.MethodGet && request.Method != http.MethodHead {
+		buffer.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
-	if err := r.Header.Write(&b); err != nil {
+	if err := request.Header.Write(&buffer); err != nil {
 		return err
 	}
-	b.WriteString("\r\n")
-	if len(r.Body) <= inlineBody {
-		b.Write(r.Body)
-		_, err := a.conn.Write(b.Bytes())
-		a.written <- nil
+	buffer.WriteString("\r\n")
+	if len(request.Body) <= maxInlineBody {
+		buffer.Write(request.Body)
+		_, err := r.conn.Write(buffer.Bytes())
+		r.writeResult <- nil
 		return err
 	}
 	go func() {
-		_, err := a.conn.Write(append(b.Bytes(), r.Body...))
-		a.written <- err
+		_, err := r.conn.Write(append(buffer.Bytes(), request.Body...))
+		r.writeResult <- err
 	}()
 	return nil
 }
 
-// readHead reads heads until one answers this request. A whole foreign answer
-// before it is skipped: it was late, and the one that is waited for comes next
-// on the same connection.
-func (a *Response) readHead(r Request) error {
-	const firstFinal = 200
-	foreign := false
-	a.conn.bound.left = maxHead
+// readHeader reads response headers until one belongs to this request. It skips one complete
+// response to another request: that response was late, and the expected one follows on the same
+// connection.
+func (r *Response) readHeader(request Request) error {
+	const firstFinalStatus = 200
+	skippedForeign := false
+	r.conn.limiter.remaining = maxHeaderBytes
 	for {
-		resp, err := http.ReadResponse(a.conn.reader, &http.Request{Method: r.Method})
-		if err != nil && a.conn.bound.left <= 0 {
-			err = errLongHead // and not what the cut made of it
+		response, err := http.ReadResponse(r.conn.reader, &http.Request{Method: request.Method})
+		if err != nil && r.conn.limiter.remaining <= 0 {
+			err = errHeaderTooLong // replaces the parse error that the limit caused
 		}
 		if err != nil {
-			return fmt.Errorf("read the answer: %w", err)
+			return fmt.Errorf("read the response: %w", err)
 		}
-		if resp.StatusCode < firstFinal {
+		if response.StatusCode < firstFinalStatus {
 			continue
 		}
-		got := r.ID
-		if r.IDHeader != "" {
-			got = resp.Header.Get(r.IDHeader)
+		id := request.ID
+		if request.IDHeader != "" {
+			id = response.Header.Get(request.IDHeader)
 		}
-		if got != r.ID && got != "" && a.conn.reused && !foreign && framed(resp) {
-			foreign = true
-			a.conn.bound.left = math.MaxInt64
-			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-				return fmt.Errorf("skip the answer of another request: %w", err)
+		if id != request.ID && id != "" && r.conn.reused && !skippedForeign && hasDelimitedBody(response) {
+			skippedForeign = true
+			r.conn.limiter.remaining = math.MaxInt64
+			if _, err := io.Copy(io.Discard, response.Body); err != nil {
+				return fmt.Errorf("skip the response to another request: %w", err)
 			}
-			a.conn.bound.left = maxHead
+			r.conn.limiter.remaining = maxHeaderBytes
 			continue
 		}
-		if got != r.ID {
-			return &ResponseIDError{Want: r.ID, Got: got}
+		if id != request.ID {
+			return &ResponseIDError{Want: request.ID, Got: id}
 		}
-		a.conn.bound.left = math.MaxInt64
-		a.resp = resp
-		a.Status, a.Header, a.Length = resp.StatusCode, resp.Header, resp.ContentLength
-		a.resp.Close = a.resp.Close || foreign || r.IDHeader == ""
+		r.conn.limiter.remaining = math.MaxInt64
+		r.httpResponse = response
+		r.Status, r.Header, r.Length = response.StatusCode, response.Header, response.ContentLength
+		r.httpResponse.Close = r.httpResponse.Close || skippedForeign || request.IDHeader == ""
 		return nil
 	}
 }
 
-// framed reports whether the end of an answer's body is told by the answer.
-func framed(resp *http.Response) bool {
-	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+// hasDelimitedBody reports whether the response states where its body ends.
+func hasDelimitedBody(response *http.Response) bool {
+	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// Read reads the body. It returns io.EOF only if the body is whole.
-func (a *Response) Read(b []byte) (int, error) {
-	n, err := a.resp.Body.Read(b)
+// Read reads the body. It returns io.EOF only if the body is complete.
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.httpResponse.Body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
 // Complete reports whether the body was read to its end.
-func (a *Response) Complete() bool {
-	return a.whole
+func (r *Response) Complete() bool {
+	return r.complete
 }
 
-// Close keeps the connection if it stands at a clean boundary, and otherwise
-// ends it, and with it the request if it still runs.
-func (a *Response) Close() {
-	a.once.Do(a.close)
+// Close returns the connection to the pool if it is at a clean message boundary. Otherwise it
+// closes the connection, which aborts a request that still runs.
+func (r *Response) Close() {
+	r.closeOnce.Do(r.release)
 }
 
-func (a *Response) close() {
-	live := a.stop()
-	if live && a.whole && a.clean() {
-		a.pool.put(a.target, a.conn, idleUntil(a.pool.Clock.Now(), a.Header))
+func (r *Response) release() {
+	active := r.stopAfterFunc()
+	if active && r.complete && r.reusable() {
+		r.pool.putIdle(r.target, r.conn, idleExpiry(r.pool.Clock.Now(), r.Header))
 		return
 	}
-	_ = a.conn.Close() // nothing more is read or written
+	_ = r.conn.Close() // nothing more is read or written
 }
 
-func (a *Response) clean() bool {
-	if a.resp.Close || !framed(a.resp) || a.conn.reader.Buffered() > 0 || a.conn.late.DeadlineExceeded() {
+func (r *Response) reusable() bool {
+	if r.httpResponse.Close || !hasDelimitedBody(r.httpResponse) || r.conn.reader.Buffered() > 0 || r.conn.deadlineReader.DeadlineExceeded() {
 		return false
 	}
 	select {
-	case err := <-a.written:
+	case err := <-r.writeResult:
 		return err == nil
 	default:
 	}
-	// Until the rest of the body is out, the target would read it as the next
-	// request.
-	timer := time.NewTimer(bodyGrace)
+	// Until the rest of the body is written, the target would read the next request as part of
+	// it.
+	timer := time.NewTimer(bodyWriteGrace)
 	defer timer.Stop()
 	select {
-	case err := <-a.written:
+	case err := <-r.writeResult:
 		return err == nil
 	case <-timer.C:
 		return false
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,11 +9,11 @@
 	"laburnumfall/internal/fleet"
 )
 
-// maxIdle bounds the unused connections to one target. A target takes some
-// hundred from all routers; what a router needs at once is open anyway.
-const maxIdle = 32
+// maxIdlePerTarget limits the idle connections to one target. A target accepts some hundred
+// connections from all routers, and connections in use do not count.
+const maxIdlePerTarget = 32
 
-// A Pool keeps the unused connections to targets. Set Clock before use.
+// A Pool holds the idle connections to targets. Set Clock before use.
 type Pool struct {
 	Clock clock.Clock
 
@@ -22,68 +22,67 @@
 	closed bool
 }
 
-// Get returns a connection to a target, a kept one if there is any. One to a former
-// start of it is never used: it leads to a process that has ended, or to nothing.
+// Get returns a connection to a target, an idle one if there is any. A connection to an earlier
+// incarnation of the target is never used, because that process has ended.
 func (p *Pool) Get(ctx context.Context, target fleet.Incarnation, address string) (*Conn, error) {
-	for c := p.take(target); c != nil; c = p.take(target) {
-		if p.Clock.Now().Before(c.expires) && c.quiet() {
-			return c, nil
+	for conn := p.takeIdle(target); conn != nil; conn = p.takeIdle(target) {
+		if p.Clock.Now().Before(conn.expiresAt) && conn.isIdle() {
+			return conn, nil
 		}
-		_ = c.Close() // unused, so nothing is lost
+		_ = conn.Close() // unused, so no request is lost
 	}
 	return dial(ctx, address)
 }
 
-func (p *Pool) take(target fleet.Incarnation) *Conn {
+func (p *Pool) takeIdle(target fleet.Incarnation) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[target]
-	if len(list) == 0 {
+	conns := p.idle[target]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := list[len(list)-1]
-	p.idle[target] = list[:len(list)-1]
-	return c
+	conn := conns[len(conns)-1]
+	p.idle[target] = conns[:len(conns)-1]
+	return conn
 }
 
-// Return keeps a connection from Get that was not used.
-func (p *Pool) Return(target fleet.Incarnation, c *Conn) {
+// Return puts back a connection from Get that was not used.
+func (p *Pool) Return(target fleet.Incarnation, conn *Conn) {
 	now := p.Clock.Now()
-	p.put(target, c, now.Add(unusedFor))
+	p.putIdle(target, conn, now.Add(unusedTimeout))
 }
 
-// unusedFor is how long a connection is kept over which nothing was sent.
-const unusedFor = time.Second
+// unusedTimeout is how long a connection over which nothing was sent stays in the pool.
+const unusedTimeout = time.Second
 
-// put keeps a connection that stands at a clean boundary.
-func (p *Pool) put(target fleet.Incarnation, c *Conn, until time.Time) {
-	c.reused = true
-	c.expires = until
+// putIdle adds a connection at a clean message boundary to the pool.
+func (p *Pool) putIdle(target fleet.Incarnation, conn *Conn, expiresAt time.Time) {
+	conn.reused = true
+	conn.expiresAt = expiresAt
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle[target]) >= maxIdle {
-		_ = c.Close() // unused, so nothing is lost
+	if p.closed || len(p.idle[target]) >= maxIdlePerTarget {
+		_ = conn.Close() // unused, so no request is lost
 		return
 	}
 	if p.idle == nil {
 		p.idle = make(map[fleet.Incarnation][]*Conn)
 	}
-	p.idle[target] = append(p.idle[target], c)
+	p.idle[target] = append(p.idle[target], conn)
 }
 
-// Prune closes the connections that may not be used again, and those to targets
-// that are gone.
-func (p *Pool) Prune(now time.Time, known func(fleet.Incarnation) bool) {
+// Prune closes the idle connections that have expired and those to unknown targets.
+func (p *Pool) Prune(now time.Time, isKnown func(fleet.Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for target, list := range p.idle {
-		kept := list[:0]
-		for _, c := range list {
-			if known(target) && now.Before(c.expires) {
-				kept = append(kept, c)
+	for target, conns := range p.idle {
+		kept := conns[:0]
+		for _, conn := range conns {
+			if isKnown(target) && now.Before(conn.expiresAt) {
+				kept = append(kept, conn)
 				continue
 			}
-			_ = c.Close() // unused, so nothing is lost
+			_ = conn.Close() // unused, so no request is lost
 		}
 		p.idle[target] = kept
 		if len(kept) == 0 {
@@ -92,7 +91,7 @@
 	}
 }
 
-// Close closes the unused connections and keeps no more.
+// Close closes the idle connections. Connections put back later are closed at once.
 func (p *Pool) Close() {
 	p.Prune(time.Time{}, func(fleet.Incarnation) bool { return false })
 	p.mu.Lock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -12,35 +12,34 @@
 	"laburnumfall/internal/fleet"
 )
 
-// Symptom: a request is lost on a connection whose target has ended.
-// Sequence: a target crashes without a word, as in a loss of power, and starts again
-// under its ID on its address; the former's kept connections still look open.
-// Cause: kept connections were looked up by ID.
-func TestAConnectionToAFormerStartIsNeverUsed(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// Guards against a request lost on a connection to a process that has ended. A target crashes
+// without closing its connections, as in a power failure, and restarts under the same ID and
+// address, while the pooled connections still look open.
+func TestNeverReusesConnOfFormerIncarnation(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { require.NoError(t, l.Close()) }()
-	p := &Pool{Clock: clock.NewRealClock()}
-	defer p.Close()
-	former, next := fleet.Incarnation{ID: "a", StartMillis: 1000}, fleet.Incarnation{ID: "a", StartMillis: 2000}
-	first, err := p.Get(context.Background(), former, l.Addr().String())
+	defer func() { require.NoError(t, listener.Close()) }()
+	pool := &Pool{Clock: clock.NewRealClock()}
+	defer pool.Close()
+	former, restarted := fleet.Incarnation{ID: "a", StartMillis: 1000}, fleet.Incarnation{ID: "a", StartMillis: 2000}
+	formerConn, err := pool.Get(context.Background(), former, listener.Addr().String())
 	require.NoError(t, err)
-	until := p.Clock.Now().Add(time.Minute)
-	p.put(former, first, until)
-	again, err := p.Get(context.Background(), former, l.Addr().String())
+	expiresAt := pool.Clock.Now().Add(time.Minute)
+	pool.putIdle(former, formerConn, expiresAt)
+	reusedConn, err := pool.Get(context.Background(), former, listener.Addr().String())
 	require.NoError(t, err)
-	require.Same(t, first, again)
+	require.Same(t, formerConn, reusedConn)
 
-	p.put(former, first, until) // also one that is given back after the next start is known
-	other, err := p.Get(context.Background(), next, l.Addr().String())
+	pool.putIdle(former, formerConn, expiresAt) // also if it is put back after the restart is known
+	restartedConn, err := pool.Get(context.Background(), restarted, listener.Addr().String())
 	require.NoError(t, err)
-	require.NotSame(t, first, other)
-	p.put(next, other, until)
-	p.Prune(p.Clock.Now(), func(target fleet.Incarnation) bool { return target == next })
-	_, err = first.Write([]byte("x"))
-	require.ErrorIs(t, err, net.ErrClosed, "the former's connections are closed")
-	kept, err := p.Get(context.Background(), next, l.Addr().String())
+	require.NotSame(t, formerConn, restartedConn)
+	pool.putIdle(restarted, restartedConn, expiresAt)
+	pool.Prune(pool.Clock.Now(), func(target fleet.Incarnation) bool { return target == restarted })
+	_, err = formerConn.Write([]byte("x"))
+	require.ErrorIs(t, err, net.ErrClosed, "connections of the former incarnation must be closed")
+	keptConn, err := pool.Get(context.Background(), restarted, listener.Addr().String())
 	require.NoError(t, err)
-	require.Same(t, other, kept)
-	require.NoError(t, kept.Close())
+	require.Same(t, restartedConn, keptConn)
+	require.NoError(t, keptConn.Close())
 }
