--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -9,16 +9,16 @@
 	"laburnumfall/internal/dispatch"
 )
 
-// serveAdmin answers the balancer and operators.
+// serveAdmin serves the health checks of the load balancer and the requests of operators.
 func (r *Router) serveAdmin(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/healthz", "/readyz":
 		r.serveHealth(ctx)
 	case "/metrics":
-		r.meters.handler(ctx)
+		r.metrics.handler(ctx)
 	case "/state":
 		var state dispatch.View
-		r.desk.ask(func(now time.Time, s *dispatch.Scheduler) { state = s.View(now) })
+		r.loop.runAndWait(func(now time.Time, s *dispatch.Scheduler) { state = s.View(now) })
 		writeJSON(ctx, fasthttp.StatusOK, state)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -27,7 +27,7 @@
 
 func (r *Router) serveHealth(ctx *fasthttp.RequestCtx) {
 	healthy := false
-	r.desk.ask(func(now time.Time, s *dispatch.Scheduler) { healthy = s.Ready(now) })
+	r.loop.runAndWait(func(now time.Time, s *dispatch.Scheduler) { healthy = s.Ready(now) })
 	if !healthy {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		ctx.SetBodyString("no lease, or stopping\n")
@@ -36,8 +36,8 @@
 	ctx.SetBodyString("ok\n")
 }
 
-func writeJSON(ctx *fasthttp.RequestCtx, status int, v any) {
-	data, err := json.Marshal(v)
+func writeJSON(ctx *fasthttp.RequestCtx, status int, value any) {
+	data, err := json.Marshal(value)
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
--- a/internal/router/apply_test.go
+++ b/internal/router/apply_test.go
@@ -14,32 +14,32 @@
 	"laburnumfall/internal/rpc"
 )
 
-// mute answers what a keeper would call of an operator: nothing.
-type mute struct{}
+// noCallsHandler handles the connection of an operator, over which keepers make no calls.
+type noCallsHandler struct{}
 
 // Call implements rpc.Handler.
-func (mute) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
+func (noCallsHandler) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, nil
 }
 
 // Notice implements rpc.Handler.
-func (mute) Notice(*rpc.Conn, string, json.RawMessage) {}
+func (noCallsHandler) Notice(*rpc.Conn, string, json.RawMessage) {}
 
-// applyConfig puts a configuration in force on one router.
-func applyConfig(t testing.TB, address, secretFile string, c fleet.Config) {
+// applyConfig applies a configuration and waits until one router has it in force.
+func applyConfig(t testing.TB, address, secretFile string, config fleet.Config) {
 	secret, err := os.ReadFile(secretFile)
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		var count rpc.Counter
+		var counter rpc.Counter
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		conn, err := rpc.Dial(ctx, address, "test", secret, mute{}, &count)
+		conn, err := rpc.Dial(ctx, address, "test", secret, noCallsHandler{}, &counter)
 		if err != nil {
 			return false
 		}
 		defer conn.Close()
 		var applied message.ApplyResult
-		err = conn.Call(ctx, message.MethodApply, message.ApplyRequest{Config: c.JSON(), Wait: true}, &applied)
+		err = conn.Call(ctx, message.MethodApply, message.ApplyRequest{Config: config.JSON(), Wait: true}, &applied)
 		return err == nil && applied.Routers == 1
 	}, 20*time.Second, 50*time.Millisecond)
 }
--- a/internal/router/callerconn.go
+++ b/internal/router/callerconn.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// lingerTime and lingerBytes bound what is read of a refused request.
+	// lingerTime and lingerBytes limit the reading of a refused request.
 	lingerTime  = 2 * time.Second
 	lingerBytes = 64 << 20
 )
 
-// A callerConn is a connection of a caller. Closing one with unread bytes
-// resets it, and the caller may never see the answer that says why: a refused
-// request is read on for a while after the answer.
+// A callerConn is a connection of a caller. Closing a connection with unread bytes resets it, and
+// the caller may lose the response that gives the reason. So after a refused request, the
+// connection is still read for a while before it is closed.
 type callerConn struct {
 	*net.TCPConn
 	linger atomic.Bool
@@ -36,34 +36,34 @@
 
 func (c *callerConn) drain() {
 	if err := c.SetReadDeadline(time.Now().Add(lingerTime)); err == nil {
-		// Whatever ends the reading, the connection is closed next.
+		// Whatever ends the copy, the connection is closed next.
 		_, _ = io.CopyN(io.Discard, c.TCPConn, lingerBytes)
 	}
-	_ = c.TCPConn.Close() // its answer is sent
+	_ = c.TCPConn.Close() // its response is sent
 }
 
-// A callerListener accepts callers.
+// A callerListener accepts connections of callers.
 type callerListener struct {
 	*net.TCPListener
 }
 
 // Accept implements net.Listener.
 func (l callerListener) Accept() (net.Conn, error) {
-	c, err := l.AcceptTCP()
+	conn, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
-	return &callerConn{TCPConn: c}, nil
+	return &callerConn{TCPConn: conn}, nil
 }
 
 func listenCallers(address string) (net.Listener, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for callers (free the address or change listen): %w", err)
 	}
-	tcp, ok := l.(*net.TCPListener)
+	tcpListener, ok := listener.(*net.TCPListener)
 	if !ok {
-		return l, nil
+		return listener, nil
 	}
-	return callerListener{tcp}, nil
+	return callerListener{tcpListener}, nil
 }
--- a/internal/router/claimer.go
+++ b/internal/router/claimer.go
@@ -12,76 +12,76 @@
 )
 
 const (
-	maxClaimBatch = 256
-	claimWorkers  = 8
-	callTimeout   = time.Second
-	callPause     = 50 * time.Millisecond
-	// claimPatience is how long a claim is tried before its request is given up.
-	claimPatience = 3 * time.Second
-	settleRing    = 1 << 16
+	maxBatch       = 256
+	claimWorkers   = 8
+	callTimeout    = time.Second
+	callRetryDelay = 50 * time.Millisecond
+	// claimTimeout is how long a claim is retried before its request is given up.
+	claimTimeout    = 3 * time.Second
+	settleQueueSize = 1 << 16
 )
 
-// A claimer is the duty that claims requests at the keepers and settles them,
-// many in one call.
+// A claimer claims requests at the keepers and settles the claims, in batches.
 type claimer struct {
-	keepers     *keepers
-	desk        *desk
+	keepers     *keeperConns
+	loop        *schedulerLoop
 	log         hclog.Logger
-	asks        chan dispatch.AcquireClaim
+	claims      chan dispatch.AcquireClaim
 	settlements chan message.Settlement
-	open        chan struct{} // one token per settlement not yet handed over
+	unsettled   chan struct{} // one token per settlement not yet delivered
 }
 
-func newClaimer(k *keepers, d *desk, log hclog.Logger) *claimer {
+func newClaimer(conns *keeperConns, loop *schedulerLoop, log hclog.Logger) *claimer {
 	return &claimer{
-		keepers: k, desk: d, log: log,
-		asks:        make(chan dispatch.AcquireClaim, ringSize),
-		settlements: make(chan message.Settlement, settleRing),
-		open:        make(chan struct{}, 2*settleRing),
+		keepers: conns, loop: loop, log: log,
+		claims:      make(chan dispatch.AcquireClaim, queueSize),
+		settlements: make(chan message.Settlement, settleQueueSize),
+		unsettled:   make(chan struct{}, 2*settleQueueSize),
 	}
 }
 
-// ask queues a claim. A full ring loses it, which is safe: it was not sent.
-func (c *claimer) ask(a dispatch.AcquireClaim) {
+// claim queues a claim. If the queue is full the claim is dropped, which is safe because it was
+// not sent.
+func (c *claimer) claim(request dispatch.AcquireClaim) {
 	select {
-	case c.asks <- a:
+	case c.claims <- request:
 	default:
-		go c.desk.claimed(a.ID, message.ClaimResult{}, true)
+		go c.loop.claimDone(request.ID, message.ClaimResult{}, true)
 	}
 }
 
-// settle queues a settlement. A full ring loses it: the key then stays claimed,
-// which is safe.
-func (c *claimer) settle(s message.Settlement) {
+// settle queues a settlement. If the queue is full the settlement is dropped: the key then stays
+// claimed, which is safe.
+func (c *claimer) settle(settlement message.Settlement) {
 	select {
-	case c.settlements <- s:
-		c.open <- struct{}{}
+	case c.settlements <- settlement:
+		c.unsettled <- struct{}{}
 	default:
-		c.log.Warn("settlement lost: too many wait for the keepers", "key", s.Key, "fate", s.State)
+		c.log.Warn("settlement lost: too many wait for the keepers", "key", settlement.Key, "fate", settlement.State)
 	}
 }
 
 func (c *claimer) run(ctx context.Context) error {
-	g, ctx := errgroup.WithContext(ctx)
+	group, ctx := errgroup.WithContext(ctx)
 	for range claimWorkers {
-		g.Go(func() error { return c.claimLoop(ctx) })
+		group.Go(func() error { return c.claimLoop(ctx) })
 	}
-	g.Go(func() error { return c.settleLoop(ctx) })
-	return g.Wait()
+	group.Go(func() error { return c.settleLoop(ctx) })
+	return group.Wait()
 }
 
-// collect waits for one item and takes all that is there with it.
-func collect[T any](ctx context.Context, ring <-chan T) []T {
+// collectBatch waits for one item and returns it with all others that are queued, up to maxBatch.
+func collectBatch[T any](ctx context.Context, queue <-chan T) []T {
 	var batch []T
 	select {
 	case <-ctx.Done():
 		return nil
-	case first := <-ring:
+	case first := <-queue:
 		batch = append(batch, first)
 	}
-	for len(batch) < maxClaimBatch {
+	for len(batch) < maxBatch {
 		select {
-		case next := <-ring:
+		case next := <-queue:
 			batch = append(batch, next)
 		default:
 			return batch
@@ -92,32 +92,32 @@
 
 func (c *claimer) claimLoop(ctx context.Context) error {
 	for {
-		batch := collect(ctx, c.asks)
+		batch := collectBatch(ctx, c.claims)
 		if len(batch) == 0 {
 			return nil
 		}
-		claims := message.ClaimRequest{Claims: make([]message.Claim, len(batch))}
-		for i, a := range batch {
-			claims.Claims[i] = a.Claim
+		request := message.ClaimRequest{Claims: make([]message.Claim, len(batch))}
+		for i, claim := range batch {
+			request.Claims[i] = claim.Claim
 		}
-		var verdicts message.ClaimResponse
-		limited, cancel := context.WithTimeout(ctx, claimPatience)
-		ok := c.callLeader(limited, message.MethodClaim, claims, &verdicts)
+		var response message.ClaimResponse
+		callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
+		ok := c.callLeader(callCtx, message.MethodClaim, request, &response)
 		cancel()
-		lost := !ok || len(verdicts.Results) != len(batch)
-		for i, a := range batch {
-			if lost {
-				c.desk.claimed(a.ID, message.ClaimResult{}, true)
+		failed := !ok || len(response.Results) != len(batch)
+		for i, claim := range batch {
+			if failed {
+				c.loop.claimDone(claim.ID, message.ClaimResult{}, true)
 				continue
 			}
-			c.desk.claimed(a.ID, verdicts.Results[i], false)
+			c.loop.claimDone(claim.ID, response.Results[i], false)
 		}
 	}
 }
 
 func (c *claimer) settleLoop(ctx context.Context) error {
 	for {
-		batch := collect(ctx, c.settlements)
+		batch := collectBatch(ctx, c.settlements)
 		if len(batch) == 0 {
 			return nil
 		}
@@ -125,38 +125,38 @@
 			return nil
 		}
 		for range batch {
-			<-c.open
+			<-c.unsettled
 		}
 	}
 }
 
-// callLeader calls the leading keeper, whichever it is, until it answers or
-// ctx ends. Claims and settlements may be sent again: the answer is the same.
+// callLeader calls the keepers, the leader first, until one answers or ctx ends. Claims and
+// settlements may be sent again, because keepers answer repeated ones alike.
 func (c *claimer) callLeader(ctx context.Context, method string, params, result any) bool {
 	for ctx.Err() == nil {
-		for _, conn := range c.keepers.conns() {
-			limited, cancel := context.WithTimeout(ctx, callTimeout)
-			err := conn.Call(limited, method, params, result)
+		for _, conn := range c.keepers.leaderFirst() {
+			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+			err := conn.Call(callCtx, method, params, result)
 			cancel()
 			if err == nil {
 				return true
 			}
-			c.log.Debug("keeper refuses", "method", method, "keeper", conn.Name(), "error", err)
+			c.log.Debug("keeper refused the call; trying the next one", "method", method, "keeper", conn.Name(), "error", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(callPause):
+		case <-time.After(callRetryDelay):
 		}
 	}
 	return false
 }
 
-// flush waits until all settlements are handed over, or ctx ends.
+// flush waits until all settlements are delivered or ctx ends.
 func (c *claimer) flush(ctx context.Context) {
-	for len(c.open) > 0 && ctx.Err() == nil {
-		time.Sleep(stopPoll)
+	for len(c.unsettled) > 0 && ctx.Err() == nil {
+		time.Sleep(stopPollInterval)
 	}
-	if n := len(c.open); n > 0 {
-		c.log.Warn("stopping with unsettled claims: their fate stays unknown", "count", n)
+	if count := len(c.unsettled); count > 0 {
+		c.log.Warn("stopping with unsettled claims: their fate stays unknown", "count", count)
 	}
 }
--- a/internal/router/desk.go
+++ b/internal/router/desk.go
@@ -12,22 +12,22 @@
 	"laburnumfall/internal/message"
 )
 
-// ringSize bounds what waits between two duties.
-const ringSize = 4096
+// queueSize is the capacity of the queues between the router's goroutines.
+const queueSize = 4096
 
-// A desk is the duty that owns the scheduler: it hands it one input after the
-// other and carries its actions to the other duties.
-type desk struct {
+// A schedulerLoop owns the scheduler. It runs one input after the other and performs the
+// resulting actions.
+type schedulerLoop struct {
 	clock     clock.Clock
 	scheduler *dispatch.Scheduler
 	inputs    chan input
-	over      chan struct{} // closed when run has ended
-	calls     map[uint64]*call
-	meters    *meters
+	done      chan struct{} // closed when run returns
+	requests  map[uint64]*pendingRequest
+	metrics   *metrics
 
-	keysMu sync.RWMutex
-	keys   map[string]string // key digest to account
-	keysOf uint64            // number of the configuration that they are of
+	keysMu           sync.RWMutex
+	accountsByKey    map[string]string // by digest of the API key
+	keysConfigNumber uint64            // number of the configuration of accountsByKey
 
 	probe  func(fleet.Target)
 	report func(message.Report)
@@ -35,197 +35,196 @@
 	settle func(message.Settlement)
 }
 
-// An input is one message to the scheduler.
+// An input is an operation on the scheduler.
 type input func(now time.Time, s *dispatch.Scheduler)
 
-// A call is a caller's request in progress.
-type call struct {
+// A pendingRequest is a caller's request in progress.
+type pendingRequest struct {
 	id uint64
-	// verdicts brings Send and Refuse actions to the serving goroutine. Its
-	// size exceeds the most that one request can get, so that the desk never
-	// waits for a caller.
-	verdicts chan dispatch.Action
-	caller   net.Conn
+	// decisions carries Send and Refuse actions to the goroutine that serves the request. Its
+	// capacity exceeds the largest number of actions for one request, so the loop never waits for
+	// a caller.
+	decisions  chan dispatch.Action
+	callerConn net.Conn
 
-	mu       sync.Mutex
-	upstream net.Conn
-	gone     bool
+	mu         sync.Mutex
+	targetConn net.Conn
+	cancelled  bool
 }
 
-const maxVerdicts = 8
+const maxDecisions = 8
 
-func newDesk(c clock.Clock, s *dispatch.Scheduler) *desk {
-	return &desk{
-		clock: c, scheduler: s, inputs: make(chan input, ringSize), over: make(chan struct{}), calls: make(map[uint64]*call),
+func newSchedulerLoop(clk clock.Clock, scheduler *dispatch.Scheduler) *schedulerLoop {
+	return &schedulerLoop{
+		clock: clk, scheduler: scheduler, inputs: make(chan input, queueSize), done: make(chan struct{}), requests: make(map[uint64]*pendingRequest),
 	}
 }
 
-func (d *desk) run(ctx context.Context) error {
-	defer close(d.over)
+func (l *schedulerLoop) run(ctx context.Context) error {
+	defer close(l.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case in := <-d.inputs:
-			in(d.clock.Now(), d.scheduler)
+		case handle := <-l.inputs:
+			handle(l.clock.Now(), l.scheduler)
 		case <-timer.C:
-			d.scheduler.Tick(d.clock.Now())
+			l.scheduler.Tick(l.clock.Now())
 		}
-		d.refreshKeys()
-		d.carryOut()
-		timer.Reset(max(d.scheduler.NextTick().Sub(d.clock.Now()), minTick))
+		l.refreshKeys()
+		l.performActions()
+		timer.Reset(max(l.scheduler.NextTick().Sub(l.clock.Now()), minTickDelay))
 	}
 }
 
-// minTick keeps a deadline that cannot be met from spinning the desk.
-const minTick = time.Millisecond
+// minTickDelay keeps the loop from spinning on a deadline that has passed.
+const minTickDelay = time.Millisecond
 
-func (d *desk) carryOut() {
-	for _, a := range d.scheduler.TakeActions() {
-		switch a := a.(type) {
+func (l *schedulerLoop) performActions() {
+	for _, action := range l.scheduler.TakeActions() {
+		switch action := action.(type) {
 		case dispatch.Send:
-			d.verdict(a.ID, a, false)
+			l.deliver(action.ID, action, false)
 		case dispatch.Refuse:
-			d.verdict(a.ID, a, true)
+			l.deliver(action.ID, action, true)
 		case dispatch.Cancel:
-			if c := d.calls[a.ID]; c != nil {
-				c.cancel()
+			if pending := l.requests[action.ID]; pending != nil {
+				pending.cancel()
 			}
 		case dispatch.AcquireClaim:
-			d.claim(a)
+			l.claim(action)
 		case dispatch.SettleClaim:
-			d.settle(a.Settlement)
+			l.settle(action.Settlement)
 		case dispatch.Probe:
-			d.probe(a.Target)
+			l.probe(action.Target)
 		case dispatch.SendReport:
-			d.meters.observe(a.Report)
-			d.report(a.Report)
+			l.metrics.observeReport(action.Report)
+			l.report(action.Report)
 		}
 	}
 }
 
-func (d *desk) verdict(id uint64, a dispatch.Action, last bool) {
-	c := d.calls[id]
-	if c == nil {
+func (l *schedulerLoop) deliver(id uint64, action dispatch.Action, last bool) {
+	pending := l.requests[id]
+	if pending == nil {
 		return
 	}
 	if last {
-		delete(d.calls, id)
+		delete(l.requests, id)
 	}
-	c.verdicts <- a
+	pending.decisions <- action
 }
 
-func (d *desk) arrive(c *call, r dispatch.Request) {
-	d.inputs <- func(now time.Time, s *dispatch.Scheduler) {
-		d.calls[c.id] = c
-		s.Submit(now, r)
+func (l *schedulerLoop) submit(pending *pendingRequest, request dispatch.Request) {
+	l.inputs <- func(now time.Time, s *dispatch.Scheduler) {
+		l.requests[pending.id] = pending
+		s.Submit(now, request)
 	}
 }
 
-func (d *desk) abandon(id uint64) {
-	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.HandleDisconnect(now, id) }
+func (l *schedulerLoop) disconnect(id uint64) {
+	l.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.HandleDisconnect(now, id) }
 }
 
-// ended tells the end of a try. A whole or answered request gets no verdict
-// more.
-func (d *desk) ended(id uint64, e dispatch.AttemptResult) {
-	d.inputs <- func(now time.Time, s *dispatch.Scheduler) {
-		if e.ResponseComplete || e.ResponseStarted {
-			delete(d.calls, id)
+// attemptEnded reports the end of an attempt to the scheduler. A request with a started or
+// complete response gets no further decision.
+func (l *schedulerLoop) attemptEnded(id uint64, result dispatch.AttemptResult) {
+	l.inputs <- func(now time.Time, s *dispatch.Scheduler) {
+		if result.ResponseComplete || result.ResponseStarted {
+			delete(l.requests, id)
 		}
-		s.HandleAttemptEnd(now, id, e)
+		s.HandleAttemptEnd(now, id, result)
 	}
 }
 
-func (d *desk) claimed(id uint64, v message.ClaimResult, lost bool) {
-	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.HandleClaimResult(now, id, v, lost) }
+func (l *schedulerLoop) claimDone(id uint64, result message.ClaimResult, lost bool) {
+	l.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.HandleClaimResult(now, id, result, lost) }
 }
 
-func (d *desk) granted(g message.Grant, done func(inForce bool)) {
-	d.inputs <- func(now time.Time, s *dispatch.Scheduler) { done(s.HandleGrant(now, g)) }
+func (l *schedulerLoop) applyGrant(grant message.Grant, done func(inForce bool)) {
+	l.inputs <- func(now time.Time, s *dispatch.Scheduler) { done(s.HandleGrant(now, grant)) }
 }
 
-func (d *desk) stop() {
-	d.ask(func(now time.Time, s *dispatch.Scheduler) { s.Stop(now) })
+func (l *schedulerLoop) stop() {
+	l.runAndWait(func(now time.Time, s *dispatch.Scheduler) { s.Stop(now) })
 }
 
-// idle reports whether nothing is in progress, as where the scheduler has ended.
-func (d *desk) idle() bool {
+// idle reports whether no request is in progress. It returns true after the loop has ended.
+func (l *schedulerLoop) idle() bool {
 	idle := true
-	d.ask(func(_ time.Time, s *dispatch.Scheduler) { idle = s.Idle() })
+	l.runAndWait(func(_ time.Time, s *dispatch.Scheduler) { idle = s.Idle() })
 	return idle
 }
 
-// ask has the desk do f and waits until it is done, or the desk has ended: duties that
-// outlive it must not wait for it.
-func (d *desk) ask(f input) {
-	done := make(chan struct{})
+// runAndWait runs an input in the loop and waits until it has run or the loop has ended.
+// Goroutines that outlive the loop must not block on it.
+func (l *schedulerLoop) runAndWait(handle input) {
+	handled := make(chan struct{})
 	wrapped := func(now time.Time, s *dispatch.Scheduler) {
-		defer close(done)
-		f(now, s)
+		defer close(handled)
+		handle(now, s)
 	}
 	select {
-	case d.inputs <- wrapped:
-	case <-d.over:
+	case l.inputs <- wrapped:
+	case <-l.done:
 		return
 	}
 	select {
-	case <-done:
-	case <-d.over:
+	case <-handled:
+	case <-l.done:
 	}
 }
 
-// attach notes the connection of a try, so that the caller's leaving can end
-// it. It reports whether the caller is still there.
-func (c *call) attach(upstream net.Conn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.upstream = upstream
-	return !c.gone
+// attach records the connection of an attempt, so that cancel can close it. It returns false if
+// the request was cancelled already.
+func (p *pendingRequest) attach(targetConn net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.targetConn = targetConn
+	return !p.cancelled
 }
 
-// cancel ends the try in progress.
-func (c *call) cancel() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.gone = true
-	if c.upstream != nil {
-		_ = c.upstream.Close() // the reader of the answer sees it
+// cancel aborts the attempt in progress.
+func (p *pendingRequest) cancel() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cancelled = true
+	if p.targetConn != nil {
+		_ = p.targetConn.Close() // fails the pending read of the response
 	}
 }
 
-func (c *call) left() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.gone
+func (p *pendingRequest) isCancelled() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cancelled
 }
 
-// accountOf returns the account that a key names.
-func (d *desk) accountOf(key string) (string, bool) {
+// accountForKey returns the account that an API key belongs to.
+func (l *schedulerLoop) accountForKey(key string) (string, bool) {
 	digest := fleet.KeyDigest(key)
-	d.keysMu.RLock()
-	defer d.keysMu.RUnlock()
-	name, ok := d.keys[digest]
-	return name, ok
+	l.keysMu.RLock()
+	defer l.keysMu.RUnlock()
+	account, ok := l.accountsByKey[digest]
+	return account, ok
 }
 
-// blank reports whether the router has no configuration yet.
-func (d *desk) blank() bool {
-	d.keysMu.RLock()
-	defer d.keysMu.RUnlock()
-	return d.keys == nil
+// hasNoConfig reports whether the router has no configuration yet.
+func (l *schedulerLoop) hasNoConfig() bool {
+	l.keysMu.RLock()
+	defer l.keysMu.RUnlock()
+	return l.accountsByKey == nil
 }
 
-// refreshKeys copies the keys for the serving goroutines when the
-// configuration has changed.
-func (d *desk) refreshKeys() {
-	if d.keysOf == d.scheduler.ConfigNumber() {
+// refreshKeys copies the API keys for the serving goroutines when the configuration has changed.
+func (l *schedulerLoop) refreshKeys() {
+	if l.keysConfigNumber == l.scheduler.ConfigNumber() {
 		return
 	}
-	d.keysOf = d.scheduler.ConfigNumber()
-	d.keysMu.Lock()
-	defer d.keysMu.Unlock()
-	d.keys = d.scheduler.AccountsByKeyDigest()
+	l.keysConfigNumber = l.scheduler.ConfigNumber()
+	l.keysMu.Lock()
+	defer l.keysMu.Unlock()
+	l.accountsByKey = l.scheduler.AccountsByKeyDigest()
 }
--- a/internal/router/keepers.go
+++ b/internal/router/keepers.go
@@ -16,80 +16,80 @@
 )
 
 const (
-	redialFirst = 50 * time.Millisecond
-	redialLast  = time.Second
-	// leaderSilence is how long after its last grant a keeper still counts as
-	// the leader; then reports go to all keepers again.
-	leaderSilence = 700 * time.Millisecond
-	// reportRing bounds the reports that wait for a slow keeper.
-	reportRing = 2
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = time.Second
+	// leaderTimeout is how long after its last grant a keeper counts as the leader. After that,
+	// reports go to all keepers again.
+	leaderTimeout = 700 * time.Millisecond
+	// reportQueueSize limits the reports that wait for a slow keeper.
+	reportQueueSize = 2
 )
 
-// keepers are the router's links to all keepers.
-type keepers struct {
+// keeperConns holds the router's connections to all keepers.
+type keeperConns struct {
 	addresses []string
 	name      string
 	secret    rpc.Secret
-	count     *rpc.Counter
+	counter   *rpc.Counter
 	log       hclog.Logger
-	desk      *desk
+	loop      *schedulerLoop
 
-	mu      sync.Mutex
-	links   map[string]*keeperLink
-	leader  *keeperLink
-	granted time.Time
+	mu        sync.Mutex
+	byAddress map[string]*keeperConn
+	leader    *keeperConn
+	lastGrant time.Time
 }
 
-// keeperLink is one open link and the reports that wait for it.
-type keeperLink struct {
+// keeperConn is an open connection and the reports queued for it.
+type keeperConn struct {
 	conn    *rpc.Conn
 	reports chan message.Report
 }
 
-func (k *keepers) run(ctx context.Context) error {
+func (k *keeperConns) run(ctx context.Context) error {
 	k.mu.Lock()
-	k.links = make(map[string]*keeperLink)
+	k.byAddress = make(map[string]*keeperConn)
 	k.mu.Unlock()
-	g, ctx := errgroup.WithContext(ctx)
+	group, ctx := errgroup.WithContext(ctx)
 	for _, address := range k.addresses {
-		g.Go(func() error { return k.keepLink(ctx, address) })
+		group.Go(func() error { return k.maintainConn(ctx, address) })
 	}
-	return g.Wait()
+	return group.Wait()
 }
 
-// keepLink holds a link to one keeper and opens it again when it breaks.
-func (k *keepers) keepLink(ctx context.Context, address string) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = redialFirst
-	pause.MaxInterval = redialLast
+// maintainConn keeps a connection to one keeper open and redials when it breaks.
+func (k *keeperConns) maintainConn(ctx context.Context, address string) error {
+	redialDelay := backoff.NewExponentialBackOff()
+	redialDelay.InitialInterval = minRedialDelay
+	redialDelay.MaxInterval = maxRedialDelay
 	for ctx.Err() == nil {
-		conn, err := rpc.Dial(ctx, address, k.name, k.secret, k, k.count)
+		conn, err := rpc.Dial(ctx, address, k.name, k.secret, k, k.counter)
 		if err == nil {
-			pause.Reset()
+			redialDelay.Reset()
 			k.log.Debug("linked", "keeper", conn.Name(), "address", address)
-			k.useLink(ctx, address, conn)
+			k.useConn(ctx, address, conn)
 		} else {
-			k.log.Debug("no link", "address", address, "error", err)
+			k.log.Debug("connection failed; redialing", "address", address, "error", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause.NextBackOff()):
+		case <-time.After(redialDelay.NextBackOff()):
 		}
 	}
 	return nil
 }
 
-func (k *keepers) useLink(ctx context.Context, address string, conn *rpc.Conn) {
-	l := &keeperLink{conn: conn, reports: make(chan message.Report, reportRing)}
+func (k *keeperConns) useConn(ctx context.Context, address string, conn *rpc.Conn) {
+	keeper := &keeperConn{conn: conn, reports: make(chan message.Report, reportQueueSize)}
 	k.mu.Lock()
-	k.links[address] = l
+	k.byAddress[address] = keeper
 	k.mu.Unlock()
 	defer func() {
 		conn.Close()
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		delete(k.links, address)
-		if k.leader == l {
+		delete(k.byAddress, address)
+		if k.leader == keeper {
 			k.leader = nil
 		}
 	}()
@@ -99,82 +99,81 @@
 			return
 		case <-conn.Done():
 			return
-		case r := <-l.reports:
-			if err := conn.Notify(message.MethodReport, r); err != nil {
+		case report := <-keeper.reports:
+			if err := conn.Notify(message.MethodReport, report); err != nil {
 				return
 			}
 		}
 	}
 }
 
-// report sends a report to the leader, or to all keepers while none is known.
-// One that finds a full ring is dropped: the next holds all that it did.
-func (k *keepers) report(r message.Report) {
+// report sends a report to the leader, or to all keepers while none is known. If a queue is full
+// the report is dropped, because the next one contains the same figures.
+func (k *keeperConns) report(report message.Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.leader != nil && time.Since(k.granted) < leaderSilence {
-		k.leader.offer(r)
+	if k.leader != nil && time.Since(k.lastGrant) < leaderTimeout {
+		k.leader.queueReport(report)
 		return
 	}
-	for _, l := range k.links {
-		l.offer(r)
+	for _, keeper := range k.byAddress {
+		keeper.queueReport(report)
 	}
 }
 
-func (l *keeperLink) offer(r message.Report) {
+func (c *keeperConn) queueReport(report message.Report) {
 	select {
-	case l.reports <- r:
+	case c.reports <- report:
 	default:
 	}
 }
 
-// Call implements rpc.Handler. Keepers call nothing of a router.
-func (k *keepers) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
+// Call implements rpc.Handler. Keepers make no calls to a router.
+func (k *keeperConns) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, fleet.NewError(fleet.KindMalformed, "call a keeper", "a router serves no calls")
 }
 
-// Notice implements rpc.Handler: it takes grants.
-func (k *keepers) Notice(peer *rpc.Conn, method string, params json.RawMessage) {
+// Notice implements rpc.Handler. It applies grants.
+func (k *keeperConns) Notice(peer *rpc.Conn, method string, params json.RawMessage) {
 	if method != message.MethodGrant {
 		return
 	}
-	var g message.Grant
-	if err := json.Unmarshal(params, &g); err != nil {
+	var grant message.Grant
+	if err := json.Unmarshal(params, &grant); err != nil {
 		k.log.Warn("grant cannot be read", "keeper", peer.Name(), "error", err)
 		return
 	}
-	k.desk.granted(g, func(inForce bool) {
+	k.loop.applyGrant(grant, func(inForce bool) {
 		if inForce {
-			k.follow(peer)
+			k.setLeader(peer)
 		}
 	})
 }
 
-// follow notes which keeper leads.
-func (k *keepers) follow(peer *rpc.Conn) {
+// setLeader records the keeper that leads and the time of its grant.
+func (k *keeperConns) setLeader(peer *rpc.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, l := range k.links {
-		if l.conn == peer {
-			k.leader = l
-			k.granted = time.Now()
+	for _, keeper := range k.byAddress {
+		if keeper.conn == peer {
+			k.leader = keeper
+			k.lastGrant = time.Now()
 		}
 	}
 }
 
-// conns returns the links in the order in which to try them: the leader's
-// first.
-func (k *keepers) conns() []*rpc.Conn {
+// leaderFirst returns the connections in the order in which to try them.
+func (k *keeperConns) leaderFirst() []*rpc.Conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var list []*rpc.Conn
+	var conns []*rpc.Conn
 	if k.leader != nil {
-		list = append(list, k.leader.conn)
+		conns = append(conns, k.leader.conn)
 	}
-	for _, l := range k.links {
-		if l != k.leader {
-			list = append(list, l.conn)
+	for _, keeper := range k.byAddress {
+		if keeper != k.leader {
+			conns = append(conns, keeper.conn)
 		}
 	}
-	return list
+	return conns
 }
--- a/internal/router/meters.go
+++ b/internal/router/meters.go
@@ -13,72 +13,72 @@
 	"laburnumfall/internal/rpc"
 )
 
-// meters are the router's metrics.
-type meters struct {
-	ids      atomic.Uint64
-	handler  fasthttp.RequestHandler
-	refusals *prometheus.CounterVec
-	ends     *prometheus.CounterVec
-	cuts     prometheus.Counter
-	first    prometheus.Histogram
-	waiting  *prometheus.GaugeVec
-	service  *prometheus.GaugeVec
-	busy     prometheus.Gauge
-	slots    prometheus.Gauge
+// metrics holds the router's metrics.
+type metrics struct {
+	lastID         atomic.Uint64
+	handler        fasthttp.RequestHandler
+	refusals       *prometheus.CounterVec
+	responses      *prometheus.CounterVec
+	closedByTarget prometheus.Counter
+	firstByte      prometheus.Histogram
+	waiting        *prometheus.GaugeVec
+	service        *prometheus.GaugeVec
+	busySlots      prometheus.Gauge
+	leasedSlots    prometheus.Gauge
 }
 
-func newMeters(count *rpc.Counter) *meters {
-	reg := prometheus.NewRegistry()
-	m := &meters{
-		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_refusals_total", Help: "Requests answered by the router itself."}, []string{"kind", "outcome"}),
-		ends:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_answers_total", Help: "Answers of targets passed on."}, []string{"whole"}),
-		cuts:     prometheus.NewCounter(prometheus.CounterOpts{Name: "lf_cut_total", Help: "Exchanges that targets cut, as those that end do."}),
-		first:    prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lf_first_byte_seconds", Help: "Time from sending a request to the first byte of its answer.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 16)}),
-		waiting:  prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lf_waiting", Help: "Requests that wait here."}, []string{"account"}),
-		service:  prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lf_service_units", Help: "Settled cost through this router since its start."}, []string{"account"}),
-		busy:     prometheus.NewGauge(prometheus.GaugeOpts{Name: "lf_slots_busy", Help: "Slots in use."}),
-		slots:    prometheus.NewGauge(prometheus.GaugeOpts{Name: "lf_slots", Help: "Slots leased."}),
+func newMetrics(counter *rpc.Counter) *metrics {
+	registry := prometheus.NewRegistry()
+	m := &metrics{
+		refusals:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_refusals_total", Help: "Requests answered by the router itself."}, []string{"kind", "outcome"}),
+		responses:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_answers_total", Help: "Answers of targets passed on."}, []string{"whole"}),
+		closedByTarget: prometheus.NewCounter(prometheus.CounterOpts{Name: "lf_cut_total", Help: "Exchanges that targets cut, as those that end do."}),
+		firstByte:      prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lf_first_byte_seconds", Help: "Time from sending a request to the first byte of its answer.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 16)}),
+		waiting:        prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lf_waiting", Help: "Requests that wait here."}, []string{"account"}),
+		service:        prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lf_service_units", Help: "Settled cost through this router since its start."}, []string{"account"}),
+		busySlots:      prometheus.NewGauge(prometheus.GaugeOpts{Name: "lf_slots_busy", Help: "Slots in use."}),
+		leasedSlots:    prometheus.NewGauge(prometheus.GaugeOpts{Name: "lf_slots", Help: "Slots leased."}),
 	}
 	sent := prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "lf_control_sent_bytes_total", Help: "Control bytes sent."},
-		func() float64 { return float64(count.Sent.Load()) })
+		func() float64 { return float64(counter.Sent.Load()) })
 	received := prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "lf_control_received_bytes_total", Help: "Control bytes received."},
-		func() float64 { return float64(count.Received.Load()) })
-	reg.MustRegister(m.refusals, m.ends, m.cuts, m.first, m.waiting, m.service, m.busy, m.slots, sent, received)
-	m.handler = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
+		func() float64 { return float64(counter.Received.Load()) })
+	registry.MustRegister(m.refusals, m.responses, m.closedByTarget, m.firstByte, m.waiting, m.service, m.busySlots, m.leasedSlots, sent, received)
+	m.handler = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	return m
 }
 
-func (m *meters) nextID() uint64 {
-	return m.ids.Add(1)
+func (m *metrics) nextID() uint64 {
+	return m.lastID.Add(1)
 }
 
-func (m *meters) refused(a dispatch.Refuse) {
-	m.refusals.WithLabelValues(string(a.Err.Kind), string(a.Outcome)).Inc()
+func (m *metrics) countRefusal(refusal dispatch.Refuse) {
+	m.refusals.WithLabelValues(string(refusal.Err.Kind), string(refusal.Outcome)).Inc()
 }
 
-func (m *meters) finished(e dispatch.AttemptResult) {
-	whole := "no"
-	if e.ResponseComplete {
-		whole = "yes"
+func (m *metrics) countResponse(result dispatch.AttemptResult) {
+	complete := "no"
+	if result.ResponseComplete {
+		complete = "yes"
 	}
-	m.ends.WithLabelValues(whole).Inc()
-	m.first.Observe(e.TimeToFirstByte.Seconds())
+	m.responses.WithLabelValues(complete).Inc()
+	m.firstByte.Observe(result.TimeToFirstByte.Seconds())
 }
 
-// observe takes the figures of a report.
-func (m *meters) observe(r message.Report) {
+// observeReport sets the gauges from a report.
+func (m *metrics) observeReport(report message.Report) {
 	m.waiting.Reset()
-	for _, q := range r.Queues {
-		m.waiting.WithLabelValues(q.Account).Add(float64(q.Waiting))
+	for _, queue := range report.Queues {
+		m.waiting.WithLabelValues(queue.Account).Add(float64(queue.Waiting))
 	}
-	for _, u := range r.Usage {
-		m.service.WithLabelValues(u.Account).Set(u.Served)
+	for _, usage := range report.Usage {
+		m.service.WithLabelValues(usage.Account).Set(usage.Served)
 	}
 	busy, total := 0, 0
-	for _, h := range r.Slots {
-		busy += h.InUse
-		total += max(h.Limit, h.InUse)
+	for _, slots := range report.Slots {
+		busy += slots.InUse
+		total += max(slots.Limit, slots.InUse)
 	}
-	m.busy.Set(float64(busy))
-	m.slots.Set(float64(total))
+	m.busySlots.Set(float64(busy))
+	m.leasedSlots.Set(float64(total))
 }
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -8,23 +8,24 @@
 	"laburnumfall/internal/target"
 )
 
-// probe finds out whether a target that cut an exchange has ended, and tells the desk.
-func (r *Router) probe(t fleet.Target) {
+// probe determines whether a target that closed a connection has terminated, and passes the
+// result to the scheduler.
+func (r *Router) probe(dest fleet.Target) {
 	go func() {
-		began := r.Clock.Now()
-		p := target.Probe(t.Address)
-		r.Log.Info("target looked for after a cut", "target", t.Name, "born", 0, "address", t.Address, "presence", p,
-			"took", r.Clock.Now().Sub(began).Milliseconds())
-		if p == target.Unknown {
-			return // the doubt lapses: nobody lists the targets of events
+		startedAt := r.Clock.Now()
+		result := target.Probe(dest.Address)
+		r.Log.Info("target looked for after a cut", "target", dest.Name, "born", 0, "address", dest.Address, "presence", result,
+			"took", r.Clock.Now().Sub(startedAt).Milliseconds())
+		if result == target.Unknown {
+			return // the suspicion expires; no list reports the state of the targets of events
 		}
-		here := r.Clock.Now().Add(-target.ProbeSlack)
-		in := func(now time.Time, s *dispatch.Scheduler) {
-			s.HandleProbeResult(now, here, t.Name, p == target.Terminated)
+		aliveAt := r.Clock.Now().Add(-target.ProbeSlack)
+		handle := func(now time.Time, s *dispatch.Scheduler) {
+			s.HandleProbeResult(now, aliveAt, dest.Name, result == target.Terminated)
 		}
 		select {
-		case r.desk.inputs <- in:
-		case <-r.desk.over:
+		case r.loop.inputs <- handle:
+		case <-r.loop.done:
 		}
 	}()
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router is the program around a router's decisions: it takes callers'
-// requests, carries them to targets, and keeps the links to the keepers.
+// Package router runs a router's scheduler and the I/O around it: it reads callers' requests,
+// sends them to targets, and keeps the connections to the keepers.
 package router
 
 import (
@@ -26,18 +26,17 @@
 )
 
 const (
-	maxBody    = 8 << 20
-	maxHeader  = 16 << 10
-	readLimit  = 30 * time.Second // for a caller to send a whole request
-	writeLimit = 30 * time.Second // for a caller to take a piece of an answer
-	idleLimit  = 75 * time.Second
-	maxCallers = 16384
-	// stopGrace is how long a stopping router goes on answering callers that
-	// the balancer still sends.
+	maxBodyBytes   = 8 << 20
+	maxHeaderBytes = 16 << 10
+	readTimeout    = 30 * time.Second // for a caller to send a whole request
+	writeTimeout   = 30 * time.Second // for a caller to accept a part of a response
+	idleTimeout    = 75 * time.Second
+	maxCallers     = 16384
+	// stopGrace is how long a stopping router still answers callers that the load balancer sends.
 	stopGrace = time.Second
-	// settleGrace bounds how long a stopping router tries to hand over what
-	// became of claimed requests.
-	settleGrace = 5 * time.Second
+	// settleTimeout limits how long a stopping router tries to deliver the outcomes of claimed
+	// requests.
+	settleTimeout = 5 * time.Second
 )
 
 // A Router is one lf-router. Set the exported fields, then call Run.
@@ -46,22 +45,22 @@
 	Log      hclog.Logger
 	Clock    clock.Clock
 
-	count   rpc.Counter
-	desk    *desk
-	keepers *keepers
-	claimer *claimer
-	dialer  target.Dialer
-	meters  *meters
-	watch   watcher
-	routes  *routing.Service // nil where no address for callers of routes is set
-	prefix  string           // of request IDs
+	rpcCounter      rpc.Counter
+	loop            *schedulerLoop
+	keepers         *keeperConns
+	claimer         *claimer
+	dialer          target.Dialer
+	metrics         *metrics
+	disconnects     disconnectWatcher
+	routes          *routing.Service // nil if no address for callers of routes is set
+	requestIDPrefix string
 }
 
-// Run serves until ctx ends, and then until no request is in progress.
+// Run serves until ctx ends and no request is in progress.
 func (r *Router) Run(ctx context.Context) error {
 	secret, err := os.ReadFile(r.Settings.Secret)
 	if err != nil {
-		return fmt.Errorf("read the secret: %w", err)
+		return fmt.Errorf("read the secret (check the path in the settings): %w", err)
 	}
 	listener, err := listenCallers(r.Settings.Listen)
 	if err != nil {
@@ -76,23 +75,23 @@
 }
 
 func (r *Router) assemble(secret []byte) {
-	inc := uint64(r.Clock.Now().UnixNano())
-	r.prefix = fmt.Sprintf("%s-%x-", r.Settings.Name, inc)
-	r.meters = newMeters(&r.count)
-	r.desk = newDesk(r.Clock, &dispatch.Scheduler{
-		Name: r.Settings.Name, Zone: r.Settings.Zone, Incarnation: inc,
-		Guard: quarantine.Guard{Owner: message.ClaimOwner(r.Settings.Name, inc), IDsReused: true},
+	incarnation := uint64(r.Clock.Now().UnixNano())
+	r.requestIDPrefix = fmt.Sprintf("%s-%x-", r.Settings.Name, incarnation)
+	r.metrics = newMetrics(&r.rpcCounter)
+	r.loop = newSchedulerLoop(r.Clock, &dispatch.Scheduler{
+		Name: r.Settings.Name, Zone: r.Settings.Zone, Incarnation: incarnation,
+		Guard: quarantine.Guard{Owner: message.ClaimOwner(r.Settings.Name, incarnation), IDsReused: true},
 	})
-	r.keepers = &keepers{
+	r.keepers = &keeperConns{
 		addresses: r.Settings.Keepers, name: r.Settings.Name, secret: secret,
-		count: &r.count, log: r.Log, desk: r.desk,
+		counter: &r.rpcCounter, log: r.Log, loop: r.loop,
 	}
-	r.claimer = newClaimer(r.keepers, r.desk, r.Log)
-	r.desk.probe = r.probe
-	r.desk.report = r.keepers.report
-	r.desk.claim = r.claimer.ask
-	r.desk.settle = r.claimer.settle
-	r.desk.meters = r.meters
+	r.claimer = newClaimer(r.keepers, r.loop, r.Log)
+	r.loop.probe = r.probe
+	r.loop.report = r.keepers.report
+	r.loop.claim = r.claimer.claim
+	r.loop.settle = r.claimer.settle
+	r.loop.metrics = r.metrics
 	if r.Settings.Hosts != "" {
 		r.routes = &routing.Service{
 			Settings: r.Settings, Listen: r.Settings.Hosts, Clock: r.Clock, Log: r.Log, Secret: secret,
@@ -102,42 +101,42 @@
 	}
 }
 
-// serveAll runs one goroutine per duty. The duties outlive ctx until the
-// requests in progress are done.
+// serveAll runs the router's goroutines. They outlive ctx until the requests in progress are
+// done.
 func (r *Router) serveAll(ctx context.Context, listener, adminListener net.Listener) error {
-	duties, stopDuties := context.WithCancel(context.Background())
-	defer stopDuties()
-	g, duties := errgroup.WithContext(duties)
+	tasksCtx, stopTasks := context.WithCancel(context.Background())
+	defer stopTasks()
+	group, tasksCtx := errgroup.WithContext(tasksCtx)
 	server := r.newServer()
 	admin := &fasthttp.Server{Handler: r.serveAdmin, CloseOnShutdown: true}
-	g.Go(func() error { return r.desk.run(duties) })
-	g.Go(func() error { return r.keepers.run(duties) })
-	g.Go(func() error { return r.claimer.run(duties) })
-	g.Go(func() error { return r.watch.run(duties, r.desk) })
-	g.Go(func() error { return r.sweep(duties) })
-	g.Go(func() error { return server.Serve(listener) })
-	g.Go(func() error { return admin.Serve(adminListener) })
-	routed := make(chan struct{})
-	g.Go(func() error {
-		defer close(routed)
+	group.Go(func() error { return r.loop.run(tasksCtx) })
+	group.Go(func() error { return r.keepers.run(tasksCtx) })
+	group.Go(func() error { return r.claimer.run(tasksCtx) })
+	group.Go(func() error { return r.disconnects.run(tasksCtx, r.loop) })
+	group.Go(func() error { return r.pruneConns(tasksCtx) })
+	group.Go(func() error { return server.Serve(listener) })
+	group.Go(func() error { return admin.Serve(adminListener) })
+	routesDone := make(chan struct{})
+	group.Go(func() error {
+		defer close(routesDone)
 		if r.routes == nil {
 			return nil
 		}
 		return r.routes.Run(ctx)
 	})
-	g.Go(func() error {
+	group.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-duties.Done():
+		case <-tasksCtx.Done():
 		}
-		end := r.Clock.Now().Add(r.grace())
-		<-routed
-		err := r.stop(server, admin, end)
-		stopDuties()
+		deadline := r.Clock.Now().Add(r.gracePeriod())
+		<-routesDone
+		err := r.stop(server, admin, deadline)
+		stopTasks()
 		return err
 	})
 	r.Log.Info("serving", "listen", r.Settings.Listen, "admin", r.Settings.Admin, "zone", r.Settings.Zone)
-	err := g.Wait()
+	err := group.Wait()
 	r.dialer.Close()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -145,54 +144,54 @@
 	return err
 }
 
-// grace is how long requests in progress may go on after a stop has begun.
-func (r *Router) grace() time.Duration {
+// gracePeriod returns how long requests in progress may continue after a stop has begun.
+func (r *Router) gracePeriod() time.Duration {
 	if r.Settings.Routes != nil {
 		return r.Settings.Routes.Grace
 	}
 	return settings.DefaultRoutes().Grace
 }
 
-// stop answers what waits, lets what runs end, until the end of the grace at most, and
-// only then closes. The admin address tells the balancer at once.
-func (r *Router) stop(server, admin *fasthttp.Server, end time.Time) error {
+// stop refuses queued requests, waits for requests in progress until the deadline, and only then
+// closes the listeners. The health check on the admin address fails at once.
+func (r *Router) stop(server, admin *fasthttp.Server, deadline time.Time) error {
 	r.Log.Info("stopping: no new requests; those in progress go on")
-	until := r.Clock.Now().Add(stopGrace)
-	r.desk.stop()
-	idle := r.desk.idle()
-	for now := r.Clock.Now(); now.Before(until) || !idle && now.Before(end); now = r.Clock.Now() {
-		time.Sleep(stopPoll)
-		idle = r.desk.idle()
+	minEnd := r.Clock.Now().Add(stopGrace)
+	r.loop.stop()
+	idle := r.loop.idle()
+	for now := r.Clock.Now(); now.Before(minEnd) || !idle && now.Before(deadline); now = r.Clock.Now() {
+		time.Sleep(stopPollInterval)
+		idle = r.loop.idle()
 	}
 	if !idle {
 		r.Log.Warn("the grace is over: requests in progress are cut")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), settleGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 	r.claimer.flush(ctx)
 	if err := server.ShutdownWithContext(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		return fmt.Errorf("close the callers' address: %w", err)
+		return fmt.Errorf("shut down the server for callers: %w", err)
 	}
 	if err := admin.ShutdownWithContext(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		return fmt.Errorf("close the operators' address: %w", err)
+		return fmt.Errorf("shut down the server for operators: %w", err)
 	}
 	r.Log.Info("stopped")
 	return nil
 }
 
 const (
-	stopPoll    = 20 * time.Millisecond
-	sweepPeriod = time.Second
+	stopPollInterval = 20 * time.Millisecond
+	prunePeriod      = time.Second
 )
 
-func (r *Router) sweep(ctx context.Context) error {
-	t := time.NewTicker(sweepPeriod)
-	defer t.Stop()
+func (r *Router) pruneConns(ctx context.Context) error {
+	ticker := time.NewTicker(prunePeriod)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case now := <-t.C:
+		case now := <-ticker.C:
 			r.dialer.Prune(now)
 		}
 	}
@@ -202,22 +201,22 @@
 	return &fasthttp.Server{
 		Handler:               r.serve,
 		ErrorHandler:          r.serveError,
-		MaxRequestBodySize:    maxBody,
-		ReadBufferSize:        maxHeader,
-		ReadTimeout:           readLimit,
-		IdleTimeout:           idleLimit,
+		MaxRequestBodySize:    maxBodyBytes,
+		ReadBufferSize:        maxHeaderBytes,
+		ReadTimeout:           readTimeout,
+		IdleTimeout:           idleTimeout,
 		Concurrency:           maxCallers,
 		NoDefaultServerHeader: true,
 		NoDefaultContentType:  true,
 		CloseOnShutdown:       true,
-		Logger:                quietLogger{r.Log},
+		Logger:                debugLogger{r.Log},
 	}
 }
 
-// quietLogger takes the HTTP library's lines on callers' broken connections.
-type quietLogger struct{ log hclog.Logger }
+// debugLogger logs the HTTP library's messages about callers' broken connections at debug level.
+type debugLogger struct{ log hclog.Logger }
 
 // Printf implements fasthttp.Logger.
-func (l quietLogger) Printf(format string, args ...any) {
+func (l debugLogger) Printf(format string, args ...any) {
 	l.log.Debug(fmt.Sprintf(format, args...))
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -18,7 +18,7 @@
 	"laburnumfall/internal/statestore"
 )
 
-// The headers of the outside interface.
+// The headers of the public interface.
 const (
 	headerKey      = "Idempotency-Key"
 	headerRepeat   = "Lf-Repeat"
@@ -27,14 +27,15 @@
 	headerRequest  = "Lf-Request"
 	headerOutcome  = "Lf-Outcome"
 
-	maxKey      = 128
-	pathPrefix  = "/e/"
-	neverRepeat = "never"
-	// prefixBytes is how much of a prompt decides where its cache may be warm.
-	prefixBytes = 1024
+	maxIdempotencyKeyLength = 128
+	pathPrefix              = "/e/"
+	repeatNever             = "never"
+	// promptPrefixBytes is the length of the prompt prefix whose hash determines where its prefix
+	// cache may be warm.
+	promptPrefixBytes = 1024
 )
 
-// refusalBody is the body of every answer by the router itself.
+// refusalBody is the body of each response that the router generates itself.
 type refusalBody struct {
 	Kind    fleet.ErrorKind  `json:"kind"`
 	Message string           `json:"message"`
@@ -42,7 +43,7 @@
 	Fate    message.RunState `json:"fate,omitempty"`
 }
 
-var statuses = map[fleet.ErrorKind]int{
+var statusByKind = map[fleet.ErrorKind]int{
 	fleet.KindMalformed:          fasthttp.StatusBadRequest,
 	fleet.KindUnknownKey:         fasthttp.StatusUnauthorized,
 	fleet.KindAccountNotAdmitted: fasthttp.StatusForbidden,
@@ -59,182 +60,182 @@
 	fleet.KindTargetFailed:       fasthttp.StatusBadGateway,
 }
 
-// serve takes one caller's request through the router.
+// serve handles one request of a caller.
 func (r *Router) serve(ctx *fasthttp.RequestCtx) {
-	id := r.meters.nextID()
-	name := r.prefix + strconv.FormatUint(id, 36)
-	ctx.Response.Header.Set(headerRequest, name)
-	req, path, err := r.parse(ctx, id)
+	id := r.metrics.nextID()
+	requestID := r.requestIDPrefix + strconv.FormatUint(id, 36)
+	ctx.Response.Header.Set(headerRequest, requestID)
+	request, path, err := r.parseRequest(ctx, id)
 	if err != nil {
 		refusal := dispatch.Refuse{Err: err, Outcome: fleet.OutcomeNotRun}
 		if err.Kind == fleet.KindNoLease {
 			refusal.RetryAt = r.Clock.Now().Add(time.Second)
 		}
-		r.refuse(ctx, name, refusal)
+		r.refuse(ctx, requestID, refusal)
 		return
 	}
-	c := &call{id: id, verdicts: make(chan dispatch.Action, maxVerdicts), caller: ctx.Conn()}
-	r.watch.add(c)
-	r.desk.arrive(c, req)
-	if !r.follow(ctx, c, req, name, path) {
-		r.watch.remove(c)
+	pending := &pendingRequest{id: id, decisions: make(chan dispatch.Action, maxDecisions), callerConn: ctx.Conn()}
+	r.disconnects.add(pending)
+	r.loop.submit(pending, request)
+	if !r.handleDecisions(ctx, pending, request, requestID, path) {
+		r.disconnects.remove(pending)
 	}
 }
 
-// follow does what the scheduler decides on a request until it is answered. It
-// reports whether a body is still to be streamed.
-func (r *Router) follow(ctx *fasthttp.RequestCtx, c *call, req dispatch.Request, name, path string) bool {
+// handleDecisions carries out the scheduler's decisions on a request until the request is
+// answered. It reports whether a body is still to be streamed.
+func (r *Router) handleDecisions(ctx *fasthttp.RequestCtx, pending *pendingRequest, request dispatch.Request, requestID, path string) bool {
 	for {
-		switch a := (<-c.verdicts).(type) {
+		switch decision := (<-pending.decisions).(type) {
 		case dispatch.Send:
-			r.Log.Info("route", "request", name, "account", req.Account, "event", req.Event,
-				"target", a.Target.Name, "why", a.Reason, "waited", a.QueueTime, "attempt", a.Attempt)
-			if done, streams := r.try(ctx, c, a, req, name, path); done {
-				return streams
+			r.Log.Info("route", "request", requestID, "account", request.Account, "event", request.Event,
+				"target", decision.Target.Name, "why", decision.Reason, "waited", decision.QueueTime, "attempt", decision.Attempt)
+			if answered, streaming := r.sendAttempt(ctx, pending, decision, request, requestID, path); answered {
+				return streaming
 			}
 		case dispatch.Refuse:
-			r.refuse(ctx, name, a)
+			r.refuse(ctx, requestID, decision)
 			return false
 		default:
 		}
 	}
 }
 
-// parse checks a request and finds its account.
-func (r *Router) parse(ctx *fasthttp.RequestCtx, id uint64) (dispatch.Request, string, *fleet.Error) {
+// parseRequest validates a request and determines its account.
+func (r *Router) parseRequest(ctx *fasthttp.RequestCtx, id uint64) (dispatch.Request, string, *fleet.Error) {
 	rest, ok := strings.CutPrefix(string(ctx.Path()), pathPrefix)
-	event, path, slash := strings.Cut(rest, "/")
-	if !ok || event == "" || !slash {
+	event, path, hasPath := strings.Cut(rest, "/")
+	if !ok || event == "" || !hasPath {
 		return dispatch.Request{}, "", fleet.NewError(fleet.KindEventUnavailable, "send to /e/EVENT/PATH", "the path names no event")
 	}
-	if r.desk.blank() {
+	if r.loop.hasNoConfig() {
 		return dispatch.Request{}, "", fleet.NewError(fleet.KindNoLease, "ask another router, or come back after Retry-After", "this router has no configuration yet")
 	}
-	account, ok := r.account(ctx)
+	account, ok := r.accountOfCaller(ctx)
 	if !ok {
 		return dispatch.Request{}, "", fleet.NewError(fleet.KindUnknownKey, "send Authorization: Bearer KEY with a key of the configuration", "the key names no account")
 	}
-	req := dispatch.Request{ID: id, Account: account, Event: event, BodyBytes: len(ctx.PostBody()), PrefixHash: prefixOf(ctx.PostBody())}
-	if err := parseHeaders(&ctx.Request.Header, &req); err != nil {
+	request := dispatch.Request{ID: id, Account: account, Event: event, BodyBytes: len(ctx.PostBody()), PrefixHash: promptPrefixHash(ctx.PostBody())}
+	if err := parseHeaders(&ctx.Request.Header, &request); err != nil {
 		return dispatch.Request{}, "", err
 	}
 	if query := ctx.URI().QueryString(); len(query) > 0 {
 		path += "?" + string(query)
 	}
-	req.Fingerprint = quarantine.FingerprintInput{
+	request.Fingerprint = quarantine.FingerprintInput{
 		Account: account, Method: string(ctx.Method()), Destination: event + "/" + path, Body: ctx.PostBody(),
 	}.Fingerprint()
-	return req, "/" + path, nil
+	return request, "/" + path, nil
 }
 
-func (r *Router) account(ctx *fasthttp.RequestCtx) (string, bool) {
+func (r *Router) accountOfCaller(ctx *fasthttp.RequestCtx) (string, bool) {
 	key, ok := bytes.CutPrefix(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization), []byte("Bearer "))
 	if !ok || len(key) == 0 {
 		return "", false
 	}
-	return r.desk.accountOf(string(key))
+	return r.loop.accountForKey(string(key))
 }
 
-func parseHeaders(h *fasthttp.RequestHeader, req *dispatch.Request) *fleet.Error {
-	key := string(h.Peek(headerKey))
-	if !visible(key) {
-		return malformed(headerKey, "at most 128 visible characters")
+func parseHeaders(header *fasthttp.RequestHeader, request *dispatch.Request) *fleet.Error {
+	key := string(header.Peek(headerKey))
+	if !validIdempotencyKey(key) {
+		return malformedHeader(headerKey, "at most 128 visible characters")
 	}
-	switch repeat := string(h.Peek(headerRepeat)); {
+	switch repeat := string(header.Peek(headerRepeat)); {
 	case repeat == "":
-	case repeat != neverRepeat:
-		return malformed(headerRepeat, "never, or leave it out")
+	case repeat != repeatNever:
+		return malformedHeader(headerRepeat, "never, or leave it out")
 	case key == "":
-		return malformed(headerKey, "a key, since Lf-Repeat is never")
+		return malformedHeader(headerKey, "a key, since Lf-Repeat is never")
 	default:
-		req.ClaimKey = statestore.KeyOf(req.Account, key)
+		request.ClaimKey = statestore.KeyOf(request.Account, key)
 	}
-	if text := string(h.Peek(headerDeadline)); text != "" {
-		t, err := time.Parse(time.RFC3339, text)
+	if text := string(header.Peek(headerDeadline)); text != "" {
+		deadline, err := time.Parse(time.RFC3339, text)
 		if err != nil {
-			return malformed(headerDeadline, "an RFC 3339 time")
+			return malformedHeader(headerDeadline, "an RFC 3339 time")
 		}
-		req.Deadline = t
+		request.Deadline = deadline
 	}
-	if text := string(h.Peek(headerCost)); text != "" {
-		n, err := strconv.ParseUint(text, 10, 32)
-		if err != nil || n == 0 {
-			return malformed(headerCost, "a positive whole number")
+	if text := string(header.Peek(headerCost)); text != "" {
+		cost, err := strconv.ParseUint(text, 10, 32)
+		if err != nil || cost == 0 {
+			return malformedHeader(headerCost, "a positive whole number")
 		}
-		req.CostHint = float64(n)
+		request.CostHint = float64(cost)
 	}
 	return nil
 }
 
-func malformed(header, want string) *fleet.Error {
+func malformedHeader(header, want string) *fleet.Error {
 	return fleet.NewError(fleet.KindMalformed, "send "+want, "the header %s is malformed", header)
 }
 
-func visible(key string) bool {
-	if len(key) > maxKey {
+func validIdempotencyKey(key string) bool {
+	if len(key) > maxIdempotencyKeyLength {
 		return false
 	}
-	for _, b := range []byte(key) {
-		if b <= ' ' || b > '~' {
+	for _, char := range []byte(key) {
+		if char <= ' ' || char > '~' {
 			return false
 		}
 	}
 	return true
 }
 
-func prefixOf(body []byte) uint64 {
-	if len(body) < prefixBytes {
+func promptPrefixHash(body []byte) uint64 {
+	if len(body) < promptPrefixBytes {
 		return 0
 	}
-	h := fnv.New64a()
-	// A hash never fails to take bytes.
-	_, _ = h.Write(body[:prefixBytes])
-	return h.Sum64()
+	hash := fnv.New64a()
+	// Write of a hash never returns an error.
+	_, _ = hash.Write(body[:promptPrefixBytes])
+	return hash.Sum64()
 }
 
-// refuse writes the router's own final answer.
-func (r *Router) refuse(ctx *fasthttp.RequestCtx, name string, a dispatch.Refuse) {
-	r.Log.Info("refuse", "request", name, "kind", a.Err.Kind, "outcome", a.Outcome, "why", a.Err.Message)
-	r.meters.refused(a)
-	r.writeRefusal(ctx, a)
+// refuse sends the router's own final response.
+func (r *Router) refuse(ctx *fasthttp.RequestCtx, requestID string, refusal dispatch.Refuse) {
+	r.Log.Info("refuse", "request", requestID, "kind", refusal.Err.Kind, "outcome", refusal.Outcome, "why", refusal.Err.Message)
+	r.metrics.countRefusal(refusal)
+	r.writeRefusal(ctx, refusal)
 }
 
-func (r *Router) writeRefusal(ctx *fasthttp.RequestCtx, a dispatch.Refuse) {
-	status, ok := statuses[a.Err.Kind]
+func (r *Router) writeRefusal(ctx *fasthttp.RequestCtx, refusal dispatch.Refuse) {
+	status, ok := statusByKind[refusal.Err.Kind]
 	if !ok {
 		status = fasthttp.StatusInternalServerError
 	}
-	writeJSON(ctx, status, refusalBody{Kind: a.Err.Kind, Message: a.Err.Message, Remedy: a.Err.Remedy, Fate: a.Fate})
-	ctx.Response.Header.Set(headerOutcome, string(a.Outcome))
-	if !a.RetryAt.IsZero() {
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(r.Clock.Now(), a.RetryAt))
+	writeJSON(ctx, status, refusalBody{Kind: refusal.Err.Kind, Message: refusal.Err.Message, Remedy: refusal.Err.Remedy, Fate: refusal.Fate})
+	ctx.Response.Header.Set(headerOutcome, string(refusal.Outcome))
+	if !refusal.RetryAt.IsZero() {
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(r.Clock.Now(), refusal.RetryAt))
 	}
-	if a.Err.Kind == fleet.KindStopping {
+	if refusal.Err.Kind == fleet.KindStopping {
 		ctx.SetConnectionClose()
 	}
 }
 
-// retryAfter returns the whole seconds until at, at least one.
+// retryAfter returns the time until at in whole seconds, at least one.
 func retryAfter(now, at time.Time) string {
 	seconds := int64((at.Sub(now) + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(seconds, 1), 10)
 }
 
-// serveError answers a request that could not be read.
+// serveError answers a request that the HTTP library could not read.
 func (r *Router) serveError(ctx *fasthttp.RequestCtx, err error) {
 	kind, remedy := fleet.KindMalformed, "send a well-formed HTTP request"
-	var small *fasthttp.ErrSmallBuffer
-	if errors.Is(err, fasthttp.ErrBodyTooLarge) || errors.As(err, &small) {
+	var smallBuffer *fasthttp.ErrSmallBuffer
+	if errors.Is(err, fasthttp.ErrBodyTooLarge) || errors.As(err, &smallBuffer) {
 		kind = fleet.KindTooLarge
-		remedy = fmt.Sprintf("send at most %d bytes of body and %d of headers", maxBody, maxHeader)
+		remedy = fmt.Sprintf("send at most %d bytes of body and %d of headers", maxBodyBytes, maxHeaderBytes)
 	}
 	ctx.SetConnectionClose()
-	if c, ok := ctx.Conn().(*callerConn); ok {
-		c.linger.Store(true)
+	if conn, ok := ctx.Conn().(*callerConn); ok {
+		conn.linger.Store(true)
 	}
-	name := r.prefix + strconv.FormatUint(r.meters.nextID(), 36)
-	ctx.Response.Header.Set(headerRequest, name)
-	r.refuse(ctx, name, dispatch.Refuse{
+	requestID := r.requestIDPrefix + strconv.FormatUint(r.metrics.nextID(), 36)
+	ctx.Response.Header.Set(headerRequest, requestID)
+	r.refuse(ctx, requestID, dispatch.Refuse{
 		Err:     fleet.NewError(kind, remedy, "the request could not be read"),
 		Outcome: fleet.OutcomeNotRun,
 	})
--- a/internal/router/stop_test.go
+++ b/internal/router/stop_test.go
@@ -13,25 +13,24 @@
 	"laburnumfall/internal/rpc"
 )
 
-// Symptom: a router of which a duty failed hangs instead of ending.
-// Sequence: all duties end; then the stop asks the scheduler whether anything is in
-// progress.
-// Cause: a question to a scheduler that has ended waited for its answer.
-func TestAskingADeskThatHasEnded(t *testing.T) {
-	d := newDesk(clock.NewRealClock(), &dispatch.Scheduler{Name: "r1"})
-	d.meters, d.report = newMeters(&rpc.Counter{}), func(message.Report) {}
+// Guards against a router that hangs instead of ending when one of its goroutines fails. All
+// goroutines end, including the scheduler loop, and then the stop asks the loop whether a request
+// is in progress.
+func TestStoppedSchedulerLoopDoesNotBlock(t *testing.T) {
+	loop := newSchedulerLoop(clock.NewRealClock(), &dispatch.Scheduler{Name: "r1"})
+	loop.metrics, loop.report = newMetrics(&rpc.Counter{}), func(message.Report) {}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.NoError(t, d.run(ctx))
+	require.NoError(t, loop.run(ctx))
 	idle := make(chan bool, 1)
 	go func() {
-		d.stop()
-		idle <- d.idle()
+		loop.stop()
+		idle <- loop.idle()
 	}()
 	select {
-	case is := <-idle:
-		require.True(t, is, "nothing is in progress where nothing runs")
+	case wasIdle := <-idle:
+		require.True(t, wasIdle, "after the loop has ended, no request is in progress")
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "it hangs")
+		require.Fail(t, "a call to a loop that has ended blocks")
 	}
 }
--- a/internal/router/tokens_test.go
+++ b/internal/router/tokens_test.go
@@ -6,18 +6,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever an answer ends with: a count that is taken from it can be charged.
+// Guards against a token count, taken from the end of an arbitrary response, that cannot be
+// charged.
 func FuzzTotalTokens(f *testing.F) {
 	f.Add([]byte(`data: {"usage":{"total_tokens": 12}}`))
 	f.Add([]byte(`"total_tokens":99999999999999999999`))
 	f.Add([]byte(`"total_tokens":-1,"total_tokens":`))
 	f.Fuzz(func(t *testing.T, tail []byte) {
-		n, ok := totalTokens(tail)
+		tokens, ok := totalTokens(tail)
 		if !ok {
-			require.Zero(t, n)
+			require.Zero(t, tokens)
 			return
 		}
-		require.GreaterOrEqual(t, n, 0.0)
-		require.LessOrEqual(t, n, float64(1<<32))
+		require.GreaterOrEqual(t, tokens, 0.0)
+		require.LessOrEqual(t, tokens, float64(1<<32))
 	})
 }
--- a/internal/router/try.go
+++ b/internal/router/try.go
@@ -16,220 +16,219 @@
 	"laburnumfall/internal/target"
 )
 
-// unitsPerSecond is what a second of a slot counts where the target tells no
-// tokens: about one stream at 20 ms between tokens.
-const unitsPerSecond = 50
+// costPerSecond is the cost in units of one second in a slot, if the response states no token
+// count. It corresponds to one stream with 20 ms between tokens.
+const costPerSecond = 50
 
-// hopHeaders concern one connection only and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to one connection only and are not forwarded.
+var hopByHopHeaders = []string{
 	fasthttp.HeaderConnection, "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", fasthttp.HeaderTE, fasthttp.HeaderTrailer, fasthttp.HeaderTransferEncoding, fasthttp.HeaderUpgrade,
 }
 
-// ownHeaders are for the router and not passed on to targets.
-var ownHeaders = []string{fasthttp.HeaderAuthorization, headerRepeat, headerDeadline, headerCost, headerOutcome}
+// routerHeaders are meant for the router and are not passed on to targets.
+var routerHeaders = []string{fasthttp.HeaderAuthorization, headerRepeat, headerDeadline, headerCost, headerOutcome}
 
-// try sends a request to the target that was chosen. It reports whether the
-// request is answered, and whether a body is still to be streamed; if not
-// answered, the scheduler decides what comes next.
-func (r *Router) try(ctx *fasthttp.RequestCtx, c *call, a dispatch.Send, of dispatch.Request, name, path string) (done, streams bool) {
-	start := r.Clock.Now()
-	dialCtx, cancel := context.WithTimeout(context.Background(), r.patience(start, a))
-	conn, err := r.dialer.Conn(dialCtx, a.Target.Address)
+// sendAttempt sends a request to the chosen target. It reports whether the request is answered
+// and whether a body is still to be streamed. If the request is not answered, the scheduler
+// decides how to continue.
+func (r *Router) sendAttempt(ctx *fasthttp.RequestCtx, pending *pendingRequest, decision dispatch.Send, request dispatch.Request, requestID, path string) (answered, streaming bool) {
+	startedAt := r.Clock.Now()
+	dialCtx, cancel := context.WithTimeout(context.Background(), r.attemptTimeout(startedAt, decision))
+	conn, err := r.dialer.Conn(dialCtx, decision.Target.Address)
 	cancel()
 	if err != nil {
-		r.failed(c, a, of, name, false, err)
+		r.attemptFailed(pending, decision, request, requestID, false, err)
 		return false, false
 	}
-	if !c.attach(conn) {
+	if !pending.attach(conn) {
 		_ = conn.Close() // nothing was sent
-		r.desk.ended(c.id, dispatch.AttemptResult{})
+		r.loop.attemptEnded(pending.id, dispatch.AttemptResult{})
 		return false, false
 	}
-	req := fasthttp.AcquireRequest()
-	defer fasthttp.ReleaseRequest(req)
-	prepare(req, ctx, a.Target, name, path)
-	answer, sent, err := target.Send(conn, req, time.Now().Add(r.patience(start, a)))
+	targetRequest := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(targetRequest)
+	prepareRequest(targetRequest, ctx, decision.Target, requestID, path)
+	response, sent, err := target.Send(conn, targetRequest, time.Now().Add(r.attemptTimeout(startedAt, decision)))
 	if err != nil {
-		r.failed(c, a, of, name, sent, err)
+		r.attemptFailed(pending, decision, request, requestID, sent, err)
 		return false, false
 	}
-	body := &answerBody{
-		router: r, call: c, answer: answer, name: name, of: of, target: a.Target,
-		start: start, first: r.Clock.Now(),
+	body := &responseBody{
+		router: r, pending: pending, response: response, requestID: requestID, request: request, target: decision.Target,
+		startedAt: startedAt, firstByteAt: r.Clock.Now(),
 	}
-	copyHead(ctx, answer)
-	body.pass(ctx)
+	copyResponseHeader(ctx, response)
+	body.forward(ctx)
 	return true, true
 }
 
-// patience returns how long a try may take.
-func (r *Router) patience(now time.Time, a dispatch.Send) time.Duration {
-	if a.Deadline.IsZero() {
+// attemptTimeout returns how long an attempt may take.
+func (r *Router) attemptTimeout(now time.Time, decision dispatch.Send) time.Duration {
+	if decision.Deadline.IsZero() {
 		return target.MaxResponseWait
 	}
-	return min(max(a.Deadline.Sub(now), time.Millisecond), target.MaxResponseWait)
+	return min(max(decision.Deadline.Sub(now), time.Millisecond), target.MaxResponseWait)
 }
 
-func (r *Router) failed(c *call, a dispatch.Send, of dispatch.Request, name string, sent bool, err error) {
-	left := c.left()
-	if sent && !left {
-		r.noteCut(name, of, a.Target, err)
+func (r *Router) attemptFailed(pending *pendingRequest, decision dispatch.Send, request dispatch.Request, requestID string, sent bool, err error) {
+	cancelled := pending.isCancelled()
+	if sent && !cancelled {
+		r.recordConnClosed(requestID, request, decision.Target, err)
 	}
-	r.Log.Warn("try failed", "request", name, "target", a.Target.Name, "sent", sent, "gone", left, "error", err)
-	r.desk.ended(c.id, dispatch.AttemptResult{Sent: sent, Failed: !left, TargetClosed: sent && !left && target.IsConnClosed(err)})
+	r.Log.Warn("try failed", "request", requestID, "target", decision.Target.Name, "sent", sent, "gone", cancelled, "error", err)
+	r.loop.attemptEnded(pending.id, dispatch.AttemptResult{Sent: sent, Failed: !cancelled, TargetClosed: sent && !cancelled && target.IsConnClosed(err)})
 }
 
-// noteCut takes note of an exchange that a target cut.
-func (r *Router) noteCut(name string, of dispatch.Request, t fleet.Target, err error) {
+// recordConnClosed logs and counts an exchange in which the target closed the connection.
+func (r *Router) recordConnClosed(requestID string, request dispatch.Request, dest fleet.Target, err error) {
 	if !target.IsConnClosed(err) {
 		return
 	}
-	r.Log.Warn("cut by the target", "request", name, "account", of.Account, "route", of.Event, "print", of.Fingerprint,
-		"target", t.Name, "born", 0, "error", err)
-	r.meters.cuts.Inc()
+	r.Log.Warn("cut by the target", "request", requestID, "account", request.Account, "route", request.Event, "print", request.Fingerprint,
+		"target", dest.Name, "born", 0, "error", err)
+	r.metrics.closedByTarget.Inc()
 }
 
-// prepare copies the caller's request for the target.
-func prepare(req *fasthttp.Request, ctx *fasthttp.RequestCtx, t fleet.Target, name, path string) {
-	ctx.Request.Header.CopyTo(&req.Header)
-	for _, h := range hopHeaders {
-		req.Header.Del(h)
-	}
-	for _, h := range ownHeaders {
-		req.Header.Del(h)
-	}
-	req.Header.SetRequestURI(path)
-	req.Header.SetHost(t.Address)
-	req.Header.Set(headerRequest, name)
-	req.Header.SetConnectionClose()
-	// The body is only read, and not past the handler's end.
-	req.SetBodyRaw(ctx.PostBody())
+// prepareRequest copies the caller's request and adapts it for the target.
+func prepareRequest(targetRequest *fasthttp.Request, ctx *fasthttp.RequestCtx, dest fleet.Target, requestID, path string) {
+	ctx.Request.Header.CopyTo(&targetRequest.Header)
+	for _, name := range hopByHopHeaders {
+		targetRequest.Header.Del(name)
+	}
+	for _, name := range routerHeaders {
+		targetRequest.Header.Del(name)
+	}
+	targetRequest.Header.SetRequestURI(path)
+	targetRequest.Header.SetHost(dest.Address)
+	targetRequest.Header.Set(headerRequest, requestID)
+	targetRequest.Header.SetConnectionClose()
+	// The body is only read, and only until the handler returns.
+	targetRequest.SetBodyRaw(ctx.PostBody())
 }
 
-func copyHead(ctx *fasthttp.RequestCtx, a *target.Response) {
-	h := &ctx.Response.Header
-	name := string(h.Peek(headerRequest))
-	a.Header.CopyTo(h)
-	for _, hop := range hopHeaders {
-		h.Del(hop)
-	}
-	h.Del(fasthttp.HeaderContentLength)
-	h.SetNoDefaultContentType(true)
-	ctx.SetStatusCode(a.Status)
-	h.Set(headerRequest, name)
-	h.Set(headerOutcome, string(fleet.OutcomeRan))
+func copyResponseHeader(ctx *fasthttp.RequestCtx, response *target.Response) {
+	header := &ctx.Response.Header
+	requestID := string(header.Peek(headerRequest))
+	response.Header.CopyTo(header)
+	for _, name := range hopByHopHeaders {
+		header.Del(name)
+	}
+	header.Del(fasthttp.HeaderContentLength)
+	header.SetNoDefaultContentType(true)
+	ctx.SetStatusCode(response.Status)
+	header.Set(headerRequest, requestID)
+	header.Set(headerOutcome, string(fleet.OutcomeRan))
 }
 
-// tailSize is how much of an answer's end is searched for its token counts.
-const tailSize = 2048
-
-// answerBody streams a target's answer to the caller as it comes, and tells
-// the scheduler when it is over.
-type answerBody struct {
-	router *Router
-	call   *call
-	answer *target.Response
-	name   string
-	of     dispatch.Request
-	target fleet.Target
-	start  time.Time
-	first  time.Time
-	tail   []byte
-	failed bool
-	cut    bool // by the target
-	once   sync.Once
+// tailBytes is the length of the end of a response that is searched for the token count.
+const tailBytes = 2048
+
+// responseBody streams a target's response to the caller as it arrives, and reports its end to
+// the scheduler.
+type responseBody struct {
+	router         *Router
+	pending        *pendingRequest
+	response       *target.Response
+	requestID      string
+	request        dispatch.Request
+	target         fleet.Target
+	startedAt      time.Time
+	firstByteAt    time.Time
+	tail           []byte
+	failed         bool
+	closedByTarget bool
+	endOnce        sync.Once
 }
 
-// pass hands the body to the HTTP library, which reads it to the end and then
-// closes it.
-func (b *answerBody) pass(ctx *fasthttp.RequestCtx) {
-	if b.answer.Complete() {
-		if n := b.answer.Length; ctx.IsHead() && n > 0 {
-			ctx.Response.Header.SetContentLength(n)
+// forward passes the body to the HTTP library, which reads it to the end and then closes it.
+func (b *responseBody) forward(ctx *fasthttp.RequestCtx) {
+	if b.response.Complete() {
+		if length := b.response.Length; ctx.IsHead() && length > 0 {
+			ctx.Response.Header.SetContentLength(length)
 			ctx.Response.SkipBody = true
 		}
 		b.end()
 		return
 	}
-	ctx.Response.ImmediateHeaderFlush = b.answer.Length < 0
-	ctx.SetBodyStream(b, b.answer.Length)
+	ctx.Response.ImmediateHeaderFlush = b.response.Length < 0
+	ctx.SetBodyStream(b, b.response.Length)
 }
 
-// Read implements io.Reader. An error other than io.EOF makes the library end
-// the caller's connection uncleanly, so that a broken answer never looks whole.
-func (b *answerBody) Read(p []byte) (int, error) {
-	n, err := b.answer.Read(p)
+// Read implements io.Reader. On an error other than io.EOF, the HTTP library aborts the caller's
+// connection, so an incomplete response never looks complete.
+func (b *responseBody) Read(p []byte) (int, error) {
+	n, err := b.response.Read(p)
 	b.keepTail(p[:n])
 	switch {
 	case errors.Is(err, io.EOF):
-	case err != nil && !b.call.left():
-		b.failed, b.cut = true, target.IsConnClosed(err)
-		b.router.noteCut(b.name, b.of, b.target, err)
+	case err != nil && !b.pending.isCancelled():
+		b.failed, b.closedByTarget = true, target.IsConnClosed(err)
+		b.router.recordConnClosed(b.requestID, b.request, b.target, err)
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	b.end()
 	return nil
 }
 
-func (b *answerBody) end() {
-	b.once.Do(func() {
-		b.answer.Close()
-		b.router.watch.remove(b.call)
-		e := dispatch.AttemptResult{
-			Sent: true, ResponseStarted: true, ResponseComplete: b.answer.Complete(),
-			Failed: b.failed || b.answer.Status >= fasthttp.StatusInternalServerError,
-			Cost:   b.cost(), TimeToFirstByte: b.first.Sub(b.start),
-			TargetClosed: b.cut, Succeeded: b.answer.Complete() && b.answer.Status < fasthttp.StatusMultipleChoices,
+func (b *responseBody) end() {
+	b.endOnce.Do(func() {
+		b.response.Close()
+		b.router.disconnects.remove(b.pending)
+		result := dispatch.AttemptResult{
+			Sent: true, ResponseStarted: true, ResponseComplete: b.response.Complete(),
+			Failed: b.failed || b.response.Status >= fasthttp.StatusInternalServerError,
+			Cost:   b.cost(), TimeToFirstByte: b.firstByteAt.Sub(b.startedAt),
+			TargetClosed: b.closedByTarget, Succeeded: b.response.Complete() && b.response.Status < fasthttp.StatusMultipleChoices,
 		}
-		b.router.meters.finished(e)
-		b.router.Log.Info("end", "request", b.name, "target", b.target.Name, "status", b.answer.Status,
-			"whole", e.ResponseComplete, "cost", e.Cost, "first", e.TimeToFirstByte, "took", b.router.Clock.Now().Sub(b.start))
-		b.router.desk.ended(b.call.id, e)
+		b.router.metrics.countResponse(result)
+		b.router.Log.Info("end", "request", b.requestID, "target", b.target.Name, "status", b.response.Status,
+			"whole", result.ResponseComplete, "cost", result.Cost, "first", result.TimeToFirstByte, "took", b.router.Clock.Now().Sub(b.startedAt))
+		b.router.loop.attemptEnded(b.pending.id, result)
 	})
 }
 
-func (b *answerBody) keepTail(p []byte) {
-	if len(p) >= tailSize {
-		b.tail = append(b.tail[:0], p[len(p)-tailSize:]...)
+func (b *responseBody) keepTail(p []byte) {
+	if len(p) >= tailBytes {
+		b.tail = append(b.tail[:0], p[len(p)-tailBytes:]...)
 		return
 	}
 	b.tail = append(b.tail, p...)
-	if over := len(b.tail) - tailSize; over > 0 {
-		b.tail = append(b.tail[:0], b.tail[over:]...)
+	if excess := len(b.tail) - tailBytes; excess > 0 {
+		b.tail = append(b.tail[:0], b.tail[excess:]...)
 	}
 }
 
-// cost returns the tokens that the answer tells, or else the time that it held
-// the slot.
-func (b *answerBody) cost() float64 {
-	if n, ok := totalTokens(b.tail); ok && b.target.Kind == fleet.TargetEngine {
-		return n
+// cost returns the token count that the response of an engine states, or else a cost for the time
+// in the slot.
+func (b *responseBody) cost() float64 {
+	if tokens, ok := totalTokens(b.tail); ok && b.target.Kind == fleet.TargetEngine {
+		return tokens
 	}
-	return b.router.Clock.Now().Sub(b.start).Seconds() * unitsPerSecond
+	return b.router.Clock.Now().Sub(b.startedAt).Seconds() * costPerSecond
 }
 
-var tokensField = []byte(`"total_tokens":`)
+var totalTokensField = []byte(`"total_tokens":`)
 
-// totalTokens finds the token count that OpenAI-style answers end with, in the
-// body or in the last event of a stream.
+// totalTokens finds the token count at the end of an OpenAI-style response, in the body or in the
+// last event of a stream.
 func totalTokens(tail []byte) (float64, bool) {
-	i := bytes.LastIndex(tail, tokensField)
-	if i < 0 {
+	start := bytes.LastIndex(tail, totalTokensField)
+	if start < 0 {
 		return 0, false
 	}
-	rest := bytes.TrimLeft(tail[i+len(tokensField):], " ")
+	rest := bytes.TrimLeft(tail[start+len(totalTokensField):], " ")
 	end := 0
 	for end < len(rest) && rest[end] >= '0' && rest[end] <= '9' {
 		end++
 	}
-	n, err := strconv.ParseUint(string(rest[:end]), 10, 32)
+	tokens, err := strconv.ParseUint(string(rest[:end]), 10, 32)
 	if err != nil {
 		return 0, false
 	}
-	return float64(n), true
+	return float64(tokens), true
 }
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -8,56 +8,56 @@
 	"laburnumfall/internal/target"
 )
 
-// watchPeriod is how often callers are looked up.
-const watchPeriod = 50 * time.Millisecond
-
-// A watcher is the duty that finds callers which went away, so that their
-// requests stop holding slots. The HTTP library does not tell.
-type watcher struct {
-	mu    sync.Mutex
-	calls map[*call]struct{}
+// disconnectPollInterval is the interval between checks of the callers' connections.
+const disconnectPollInterval = 50 * time.Millisecond
+
+// A disconnectWatcher finds callers that have disconnected, so that their requests release their
+// slots. The HTTP library does not report disconnects.
+type disconnectWatcher struct {
+	mu       sync.Mutex
+	requests map[*pendingRequest]struct{}
 }
 
-func (w *watcher) add(c *call) {
+func (w *disconnectWatcher) add(pending *pendingRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.calls == nil {
-		w.calls = make(map[*call]struct{})
+	if w.requests == nil {
+		w.requests = make(map[*pendingRequest]struct{})
 	}
-	w.calls[c] = struct{}{}
+	w.requests[pending] = struct{}{}
 }
 
-func (w *watcher) remove(c *call) {
+func (w *disconnectWatcher) remove(pending *pendingRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.calls, c)
+	delete(w.requests, pending)
 }
 
-func (w *watcher) run(ctx context.Context, d *desk) error {
-	t := time.NewTicker(watchPeriod)
-	defer t.Stop()
+func (w *disconnectWatcher) run(ctx context.Context, loop *schedulerLoop) error {
+	ticker := time.NewTicker(disconnectPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-t.C:
-			for _, c := range w.left() {
-				d.abandon(c.id)
+		case <-ticker.C:
+			for _, pending := range w.takeDisconnected() {
+				loop.disconnect(pending.id)
 			}
 		}
 	}
 }
 
-// left takes out the calls whose callers have closed their connection.
-func (w *watcher) left() []*call {
+// takeDisconnected removes and returns the requests whose callers have closed their connection.
+func (w *disconnectWatcher) takeDisconnected() []*pendingRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var gone []*call
-	for c := range w.calls {
-		if target.PeerClosed(c.caller) {
-			gone = append(gone, c)
-			delete(w.calls, c)
+	var disconnected []*pendingRequest
+	for pending := range w.requests {
+		if target.PeerClosed(pending.callerConn) {
+			disconnected = append(disconnected, pending)
+			delete(w.requests, pending)
 		}
 	}
-	return gone
+	return disconnected
 }
