--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -102,14 +102,14 @@
 	OnRestrictions   func(now, sentAt time.Time, term uint64, restrictions quarantine.RestrictionUpdate)
 	PollNow          <-chan struct{}
 
-	rpcCounter   rpc.Counter
-	seeds        atomic.Pointer[[]string]
-	state        atomic.Pointer[State]
-	damaged      atomic.Uint64
-	knownTargets targetlist.List
-	conns        map[string]*rpc.Conn
-	rotation     int // counts the candidates tried in nextCandidate
-	keepers      []string
+	rpcCounter     rpc.Counter
+	seeds          atomic.Pointer[[]string]
+	state          atomic.Pointer[State]
+	damagedEntries atomic.Uint64
+	knownTargets   targetlist.List
+	conns          map[string]*rpc.Conn
+	rotation       int // counts the candidates tried in nextCandidate
+	keepers        []string
 	// loadAccounts are the accounts of the fleet's load, as a leader last named them.
 	loadAccounts   []string
 	keepersDigest  uint32    // digest of keepers as a leader sent them; 0 if others were added
@@ -148,7 +148,7 @@
 // DamagedEntries returns how many damaged entries this router has found in its own reads of the
 // platform's list.
 func (c *Client) DamagedEntries() uint64 {
-	return c.damaged.Load()
+	return c.damagedEntries.Load()
 }
 
 // SetSeeds sets the addresses of the keepers that the settings name. It may be called at any
@@ -170,7 +170,7 @@
 	if c.List != nil {
 		c.damageNotes.List = c.List.Address()
 	}
-	c.damageNotes.Log, c.damageNotes.Count = c.Log, &c.damaged
+	c.damageNotes.Log, c.damageNotes.Count = c.Log, &c.damagedEntries
 	c.knownTargets.Routed = c.hasPool
 	defer func() {
 		for _, conn := range c.conns {
--- a/internal/keeperclient/renew.go
+++ b/internal/keeperclient/renew.go
@@ -66,8 +66,8 @@
 	c.markLeaderLost()
 }
 
-// sendRenewal sends one request to one keeper. It runs concurrently with the round, so it must
-// not touch fields of the client that change.
+// sendRenewal sends one request to one keeper and returns the reply with the outcome. It runs
+// concurrently with the round, so it must not access fields of the client that change.
 func (c *Client) sendRenewal(ctx context.Context, reply renewalReply, request message.RenewRequest) renewalReply {
 	if reply.conn == nil {
 		reply.conn, reply.err = rpc.Dial(ctx, reply.address, c.Name, c.Secret, noCallsHandler{}, &c.rpcCounter)
--- a/internal/router/claimer.go
+++ b/internal/router/claimer.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// claim queues a claim. If the queue is full the claim is dropped, which is safe because it was
-// not sent.
+// claim queues a claim. If the queue is full, the claim fails, which is safe because nothing was
+// sent.
 func (c *claimer) claim(request dispatch.AcquireClaim) {
 	select {
 	case c.claims <- request:
@@ -50,7 +50,7 @@
 	}
 }
 
-// settle queues a settlement. If the queue is full the settlement is dropped: the key then stays
+// settle queues a settlement. If the queue is full, the settlement is dropped: the key then stays
 // claimed, which is safe.
 func (c *claimer) settle(settlement message.Settlement) {
 	select {
--- a/internal/router/keeperconns.go
+++ b/internal/router/keeperconns.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// leaderFirst returns the connections in the order in which to try them.
+// leaderFirst returns all open connections, the leader's first.
 func (k *keeperConns) leaderFirst() []*rpc.Conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -15,35 +15,35 @@
 
 // metrics holds the router's metrics.
 type metrics struct {
-	lastID         atomic.Uint64
-	handler        fasthttp.RequestHandler
-	refusals       *prometheus.CounterVec
-	responses      *prometheus.CounterVec
-	closedByTarget prometheus.Counter
-	firstByte      prometheus.Histogram
-	waiting        *prometheus.GaugeVec
-	service        *prometheus.GaugeVec
-	busySlots      prometheus.Gauge
-	leasedSlots    prometheus.Gauge
+	lastID          atomic.Uint64
+	handler         fasthttp.RequestHandler
+	refusals        *prometheus.CounterVec
+	responses       *prometheus.CounterVec
+	closedByTarget  prometheus.Counter
+	firstByte       prometheus.Histogram
+	waitingRequests *prometheus.GaugeVec
+	servedCost      *prometheus.GaugeVec
+	busySlots       prometheus.Gauge
+	leasedSlots     prometheus.Gauge
 }
 
 func newMetrics(counter *rpc.Counter) *metrics {
 	registry := prometheus.NewRegistry()
 	m := &metrics{
-		refusals:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_refusals_total", Help: "Requests answered by the router itself."}, []string{"kind", "outcome"}),
-		responses:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_answers_total", Help: "Answers of targets passed on."}, []string{"whole"}),
-		closedByTarget: prometheus.NewCounter(prometheus.CounterOpts{Name: "lf_cut_total", Help: "Exchanges that targets cut, as those that end do."}),
-		firstByte:      prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lf_first_byte_seconds", Help: "Time from sending a request to the first byte of its answer.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 16)}),
-		waiting:        prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lf_waiting", Help: "Requests that wait here."}, []string{"account"}),
-		service:        prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lf_service_units", Help: "Settled cost through this router since its start."}, []string{"account"}),
-		busySlots:      prometheus.NewGauge(prometheus.GaugeOpts{Name: "lf_slots_busy", Help: "Slots in use."}),
-		leasedSlots:    prometheus.NewGauge(prometheus.GaugeOpts{Name: "lf_slots", Help: "Slots leased."}),
+		refusals:        prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_refusals_total", Help: "Requests answered by the router itself."}, []string{"kind", "outcome"}),
+		responses:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_answers_total", Help: "Answers of targets passed on."}, []string{"whole"}),
+		closedByTarget:  prometheus.NewCounter(prometheus.CounterOpts{Name: "lf_cut_total", Help: "Exchanges that targets cut, as those that end do."}),
+		firstByte:       prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lf_first_byte_seconds", Help: "Time from sending a request to the first byte of its answer.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 16)}),
+		waitingRequests: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lf_waiting", Help: "Requests that wait here."}, []string{"account"}),
+		servedCost:      prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lf_service_units", Help: "Settled cost through this router since its start."}, []string{"account"}),
+		busySlots:       prometheus.NewGauge(prometheus.GaugeOpts{Name: "lf_slots_busy", Help: "Slots in use."}),
+		leasedSlots:     prometheus.NewGauge(prometheus.GaugeOpts{Name: "lf_slots", Help: "Slots leased."}),
 	}
 	sent := prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "lf_control_sent_bytes_total", Help: "Control bytes sent."},
 		func() float64 { return float64(counter.Sent.Load()) })
 	received := prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "lf_control_received_bytes_total", Help: "Control bytes received."},
 		func() float64 { return float64(counter.Received.Load()) })
-	registry.MustRegister(m.refusals, m.responses, m.closedByTarget, m.firstByte, m.waiting, m.service, m.busySlots, m.leasedSlots, sent, received)
+	registry.MustRegister(m.refusals, m.responses, m.closedByTarget, m.firstByte, m.waitingRequests, m.servedCost, m.busySlots, m.leasedSlots, sent, received)
 	m.handler = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	return m
 }
@@ -67,12 +67,12 @@
 
 // observeReport sets the gauges from a report.
 func (m *metrics) observeReport(report message.Report) {
-	m.waiting.Reset()
+	m.waitingRequests.Reset()
 	for _, queue := range report.Queues {
-		m.waiting.WithLabelValues(queue.Account).Add(float64(queue.Waiting))
+		m.waitingRequests.WithLabelValues(queue.Account).Add(float64(queue.Waiting))
 	}
 	for _, usage := range report.Usage {
-		m.service.WithLabelValues(usage.Account).Set(usage.Served)
+		m.servedCost.WithLabelValues(usage.Account).Set(usage.Served)
 	}
 	busy, total := 0, 0
 	for _, slots := range report.Slots {
--- a/internal/target/socket.go
+++ b/internal/target/socket.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// peek returns how many bytes, up to one, are readable on a connection, without consuming them.
+// peek returns how many bytes, up to one, are readable on a connection, without consuming them. The
+// error is unix.EAGAIN if the connection is open and has no unread bytes.
 func peek(conn net.Conn) (n int, err error) {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -174,6 +174,7 @@
 	_ = r.conn.Close() // nothing more is read or written
 }
 
+// reusable reports whether the connection is at a clean message boundary.
 func (r *Response) reusable() bool {
 	if r.httpResponse.Close || !hasDelimitedBody(r.httpResponse) || r.conn.reader.Buffered() > 0 || r.conn.deadlineReader.DeadlineExceeded() {
 		return false
@@ -183,8 +184,8 @@
 		return err == nil
 	default:
 	}
-	// Until the rest of the body is written, the target would read the next request as part of
-	// it.
+	// While the request body is still being written, the connection cannot be reused: the target
+	// would read the rest of the body as the next request.
 	timer := time.NewTimer(bodyWriteGrace)
 	defer timer.Stop()
 	select {
