--- a/internal/keeper/targetlist.go
+++ b/internal/keeper/targetlist.go
@@ -50,7 +50,7 @@
 		return nil
 	}
 	failing := false
-	notes := targetlist.DamageNotes{Log: c.log, List: list.Address(), Count: &c.damagedEntries}
+	notes := targetlist.DamageLog{Log: c.log, Source: list.Address(), Count: &c.damagedEntries}
 	for delay := leaderPollInterval; sleep(ctx, delay); {
 		delay = leaderPollInterval
 		if !c.isLeader(ctx) {
@@ -66,7 +66,7 @@
 			c.log.Warn("the list of targets: reading it changed", "failing", failing, "error", err)
 		}
 		if err == nil {
-			notes.Take(readAt, listing)
+			notes.Record(readAt, listing)
 			c.enqueue(func(time.Time) { c.setTargets(readAt, listing) })
 		}
 	}
--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -118,7 +118,7 @@
 	term     uint64
 	list     uint64
 	sent     sentList
-	notes    targetlist.DamageNotes
+	notes    targetlist.DamageLog
 	readOwn  time.Time // when this router last read the list itself
 	pulse    pulse
 }
@@ -164,10 +164,10 @@
 func (u *Client) Run(ctx context.Context) error {
 	u.links = make(map[string]*rpc.Conn)
 	if u.List != nil {
-		u.notes.List = u.List.Address()
+		u.notes.Source = u.List.Address()
 	}
 	u.notes.Log, u.notes.Count = u.Log, &u.damaged
-	u.roster.Routed = u.routed
+	u.roster.IsRouted = u.routed
 	defer func() {
 		for _, c := range u.links {
 			c.Close()
--- a/internal/keeperclient/take.go
+++ b/internal/keeperclient/take.go
@@ -173,7 +173,7 @@
 
 func (u *Client) takeTargets(source string, readAt time.Time, listing fleet.TargetListing) bool {
 	before := u.roster.Targets()
-	if !u.roster.Take(readAt, listing) {
+	if !u.roster.Update(readAt, listing) {
 		return false
 	}
 	born := make(map[string]int64, len(before))
@@ -210,7 +210,7 @@
 			"age", now.Sub(u.roster.ReadAt()).Milliseconds())
 		return
 	}
-	u.notes.Take(now, listing)
+	u.notes.Record(now, listing)
 	if u.Warming != nil && len(listing.Warming) > 0 {
 		u.Warming(listing.WarmingUntil(now))
 	}
--- a/internal/targetlist/notes.go
+++ b/internal/targetlist/notes.go
@@ -19,29 +19,29 @@
 // DamageNotes tell of damaged entries: a line when what is damaged changes, and a count.
 // A list is read more than once a second, so that a line for each reading, or entry,
 // would drown all else. Set the exported fields, then call Take.
-type DamageNotes struct {
+type DamageLog struct {
 	Log hclog.Logger
 	// List is where the list is read.
-	List  string
-	Count *atomic.Uint64
+	Source string
+	Count  *atomic.Uint64
 
-	last   string
-	lastAt time.Time
+	lastSummary  string
+	lastLoggedAt time.Time
 }
 
 // Take notes what a reading holds.
-func (n *DamageNotes) Take(now time.Time, listing fleet.TargetListing) {
+func (n *DamageLog) Record(now time.Time, listing fleet.TargetListing) {
 	n.Count.Add(uint64(len(listing.Damaged)))
 	faults := listing.DamageSummary()
-	since := now.Sub(n.lastAt)
-	if since < notePause || faults == n.last && (faults == "" || since < noteAgain) {
+	since := now.Sub(n.lastLoggedAt)
+	if since < notePause || faults == n.lastSummary && (faults == "" || since < noteAgain) {
 		return
 	}
-	n.last, n.lastAt = faults, now
+	n.lastSummary, n.lastLoggedAt = faults, now
 	if faults == "" {
-		n.Log.Info("the list of targets holds no damaged entries any more", "source", n.List)
+		n.Log.Info("the list of targets holds no damaged entries any more", "source", n.Source)
 		return
 	}
-	n.Log.Warn("the list of targets holds damaged entries: they are left out", "source", n.List,
+	n.Log.Warn("the list of targets holds damaged entries: they are left out", "source", n.Source,
 		"count", len(listing.Damaged), "faults", faults, "named", len(listing.DamagedIDs()), "targets", len(listing.Targets))
 }
--- a/internal/targetlist/targetlist.go
+++ b/internal/targetlist/targetlist.go
@@ -36,7 +36,7 @@
 // A List holds the newest list. Its zero value is empty.
 type List struct {
 	// Routed reports whether any route names a pool; nil means that all are named.
-	Routed func(pool string) bool
+	IsRouted func(pool string) bool
 
 	targets []fleet.Instance
 	readAt  time.Time         // of the newest list
@@ -65,7 +65,7 @@
 // A list without any sound entry is believed only after emptyFor: more often than all
 // targets at once, whoever writes the list is gone. A damaged entry does not say that its
 // target is gone either.
-func (r *List) Take(readAt time.Time, list fleet.TargetListing) bool {
+func (r *List) Update(readAt time.Time, list fleet.TargetListing) bool {
 	if readAt.Before(r.readAt) {
 		return false
 	}
@@ -139,7 +139,7 @@
 // routed reports whether a route names the target's pool. What another writer writes of a
 // service that nobody knows must not take a target's place.
 func (r *List) routed(in fleet.Instance) bool {
-	return r.Routed == nil || r.Routed(in.Pool)
+	return r.IsRouted == nil || r.IsRouted(in.Pool)
 }
 
 // used reports whether the target was last listed as this entry has it.
--- a/internal/targetlist/targetlist_test.go
+++ b/internal/targetlist/targetlist_test.go
@@ -15,12 +15,12 @@
 func TestRosterKeepsTheNewestList(t *testing.T) {
 	var r List
 	a, b := fleet.Instance{Incarnation: fleet.Incarnation{ID: "a"}}, fleet.Instance{Incarnation: fleet.Incarnation{ID: "b"}}
-	require.True(t, r.Take(start, list(b, a)))
+	require.True(t, r.Update(start, list(b, a)))
 	require.Equal(t, []fleet.Instance{a, b}, r.Targets())
-	require.False(t, r.Take(start.Add(time.Second), list(a, b)), "nothing changed")
-	require.False(t, r.Take(start, list(b)), "an older list is ignored")
+	require.False(t, r.Update(start.Add(time.Second), list(a, b)), "nothing changed")
+	require.False(t, r.Update(start, list(b)), "an older list is ignored")
 	require.Equal(t, start.Add(time.Second), r.ReadAt())
-	require.True(t, r.Take(start.Add(2*time.Second), list(b)))
+	require.True(t, r.Update(start.Add(2*time.Second), list(b)))
 	require.Equal(t, []fleet.Instance{b}, r.Targets())
 }
 
@@ -31,14 +31,14 @@
 func TestALeavingTargetStaysOut(t *testing.T) {
 	var r List
 	live, leaving := fleet.Instance{Incarnation: fleet.Incarnation{ID: "a"}}, fleet.Instance{Incarnation: fleet.Incarnation{ID: "a"}, Leaving: true}
-	r.Take(start, list(leaving))
-	require.False(t, r.Take(start.Add(time.Second), list(live)))
+	r.Update(start, list(leaving))
+	require.False(t, r.Update(start.Add(time.Second), list(live)))
 	require.True(t, r.Targets()[0].Leaving)
-	r.Take(start.Add(2*time.Second), list(sound))
-	r.Take(start.Add(3*time.Second), list(live))
+	r.Update(start.Add(2*time.Second), list(sound))
+	r.Update(start.Add(3*time.Second), list(live))
 	require.True(t, r.Targets()[0].Leaving, "also after it was missing from a list")
 	next := fleet.Instance{Incarnation: fleet.Incarnation{ID: "a2"}}
-	require.True(t, r.Take(start.Add(4*time.Second), list(next)))
+	require.True(t, r.Update(start.Add(4*time.Second), list(next)))
 	require.False(t, r.Targets()[0].Leaving, "another incarnation is another target")
 }
 
@@ -69,10 +69,10 @@
 // Cause: leaving was remembered by ID, which outlives the process.
 func TestATargetThatStartedAgainIsNotLeaving(t *testing.T) {
 	var r List
-	r.Take(at(0), list(leaving(run("a", 1000))))
-	require.True(t, r.Take(at(1), list(run("a", 2000))), "at once, even if no list lacked it")
+	r.Update(at(0), list(leaving(run("a", 1000))))
+	require.True(t, r.Update(at(1), list(run("a", 2000))), "at once, even if no list lacked it")
 	require.Equal(t, []fleet.Instance{run("a", 2000)}, r.Targets())
-	r.Take(at(2), list(leaving(run("a", 2000))))
+	r.Update(at(2), list(leaving(run("a", 2000))))
 	require.True(t, r.Targets()[0].Leaving)
 }
 
@@ -82,13 +82,13 @@
 // Cause: the list that comes last counts.
 func TestAnOlderStartReplacesNoNewerOne(t *testing.T) {
 	var r List
-	r.Take(at(0), list(run("a", 2000)))
-	require.False(t, r.Take(at(1), list(run("a", 1000))))
-	require.False(t, r.Take(at(2), list(leaving(run("a", 1000)))), "that the former one leaves concerns nobody")
-	require.True(t, r.Take(at(3), list(sound)))
-	require.False(t, r.Take(at(4), list(sound, run("a", 1000))), "the newer one is gone, and the former one was before it")
+	r.Update(at(0), list(run("a", 2000)))
+	require.False(t, r.Update(at(1), list(run("a", 1000))))
+	require.False(t, r.Update(at(2), list(leaving(run("a", 1000)))), "that the former one leaves concerns nobody")
+	require.True(t, r.Update(at(3), list(sound)))
+	require.False(t, r.Update(at(4), list(sound, run("a", 1000))), "the newer one is gone, and the former one was before it")
 	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	require.True(t, r.Take(at(3).Add(memory+time.Second), list(sound, run("a", 1000))), "nothing else was seen for so long: a clock was set back")
+	require.True(t, r.Update(at(3).Add(memory+time.Second), list(sound, run("a", 1000))), "nothing else was seen for so long: a clock was set back")
 }
 
 // Symptom: a leaving target gets new work again.
@@ -96,14 +96,14 @@
 // Cause: as there.
 func TestALeavingTargetOfAKnownStartStaysOut(t *testing.T) {
 	var r List
-	r.Take(at(0), list(leaving(run("a", 1000))))
+	r.Update(at(0), list(leaving(run("a", 1000))))
 	for s := 1.0; s < 40; s++ {
-		r.Take(at(s), list(run("a", 1000)))
+		r.Update(at(s), list(run("a", 1000)))
 		require.True(t, r.Targets()[0].Leaving, "after %v s", s)
 	}
-	r.Take(at(40), list(sound))
+	r.Update(at(40), list(sound))
 	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	r.Take(at(41), list(run("a", 1000)))
+	r.Update(at(41), list(run("a", 1000)))
 	require.True(t, r.Targets()[0].Leaving, "also after it was missing from a list")
 }
 
@@ -121,12 +121,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r List
-			r.Take(at(0), list(leaving(run("a", 0))))
-			r.Take(at(1), list(tt.between...))
+			r.Update(at(0), list(leaving(run("a", 0))))
+			r.Update(at(1), list(tt.between...))
 			lag := tt.last + longestLag.Seconds()
-			r.Take(at(lag-0.1), list(run("a", 0)))
+			r.Update(at(lag-0.1), list(run("a", 0)))
 			require.True(t, r.Targets()[0].Leaving, "that may be a list that lags")
-			require.True(t, r.Take(at(lag+0.1), list(run("a", 0))))
+			require.True(t, r.Update(at(lag+0.1), list(run("a", 0))))
 			require.False(t, r.Targets()[0].Leaving)
 		})
 	}
@@ -136,10 +136,10 @@
 // has left it, or after a gap, as it also has when the list changes between its pages.
 func TestWithoutAStartATargetThatWasGoneComesBackAtOnce(t *testing.T) {
 	var r List
-	r.Take(at(0), list(run("a", 0)))
-	r.Take(at(1), list(sound))
+	r.Update(at(0), list(run("a", 0)))
+	r.Update(at(1), list(sound))
 	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	require.True(t, r.Take(at(2), list(run("a", 0))))
+	require.True(t, r.Update(at(2), list(run("a", 0))))
 	require.False(t, r.Targets()[0].Leaving)
 }
 
@@ -149,10 +149,10 @@
 // Cause: an unknown start is taken for another one.
 func TestAnUnknownStartIsTheOneThatIsKnown(t *testing.T) {
 	var r List
-	r.Take(at(0), list(run("a", 0), leaving(run("b", 0))))
-	require.True(t, r.Take(at(1), list(run("a", 1000), run("b", 1000))))
+	r.Update(at(0), list(run("a", 0), leaving(run("b", 0))))
+	require.True(t, r.Update(at(1), list(run("a", 1000), run("b", 1000))))
 	require.Equal(t, []fleet.Instance{run("a", 1000), leaving(run("b", 1000))}, r.Targets(), "the starts are learned, and b still leaves")
-	require.False(t, r.Take(at(2), list(run("a", 0), run("b", 0))))
+	require.False(t, r.Update(at(2), list(run("a", 0), run("b", 0))))
 	require.Equal(t, []fleet.Instance{run("a", 1000), leaving(run("b", 1000))}, r.Targets())
 }
 
@@ -171,8 +171,8 @@
 		t.Run(name, func(t *testing.T) {
 			for _, entries := range [][]fleet.Instance{tt.list, {tt.list[1], tt.list[0]}} {
 				var r List
-				r.Take(at(0), list(run("a", 1000)))
-				r.Take(at(1), list(entries...))
+				r.Update(at(0), list(run("a", 1000)))
+				r.Update(at(1), list(entries...))
 				require.Equal(t, tt.want, r.Targets())
 			}
 		})
@@ -183,16 +183,16 @@
 // Sequence: another writer lists its ID under a service that nobody knows, as started later.
 // Cause: the later start counts, whatever else the entry says.
 func TestAnUnknownServiceTakesNoTargetsPlace(t *testing.T) {
-	r := List{Routed: func(pool string) bool { return pool == "p" }}
+	r := List{IsRouted: func(pool string) bool { return pool == "p" }}
 	other := run("a", 3000)
 	other.Pool, other.Address = "", "0:80"
-	r.Take(at(0), list(other, run("a", 1000)))
+	r.Update(at(0), list(other, run("a", 1000)))
 	require.Equal(t, []fleet.Instance{run("a", 1000)}, r.Targets())
-	r.Take(at(1), list(run("a", 1000), other))
+	r.Update(at(1), list(run("a", 1000), other))
 	require.Equal(t, []fleet.Instance{run("a", 1000)}, r.Targets())
-	r.Take(at(2), list(other, sound))
+	r.Update(at(2), list(other, sound))
 	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	r.Take(at(3), list(run("a", 1000), sound))
+	r.Update(at(3), list(run("a", 1000), sound))
 	require.Equal(t, []fleet.Instance{run("a", 1000), sound}, r.Targets(), "it is not older than the other writer's")
 }
 
@@ -203,17 +203,17 @@
 	former, next := run("a", 1000), run("b", 2000)
 	former.Address = next.Address
 	var r List
-	r.Take(at(0), list(former, next))
+	r.Update(at(0), list(former, next))
 	require.Equal(t, []fleet.Instance{next}, r.Targets())
-	r.Take(at(1), list(former))
+	r.Update(at(1), list(former))
 	require.Equal(t, []fleet.Instance{former}, r.Targets())
 	elsewhere := next
 	elsewhere.Pool = "of another writer"
-	r.Take(at(2), list(former, elsewhere))
+	r.Update(at(2), list(former, elsewhere))
 	require.Contains(t, r.Targets(), former, "what may be nobody's target hides none")
 	unknown := run("c", 0)
 	unknown.Address = former.Address
-	r.Take(at(3), list(former, unknown))
+	r.Update(at(3), list(former, unknown))
 	require.Contains(t, r.Targets(), former)
 }
 
@@ -233,7 +233,7 @@
 				in.Leaving = rapid.Bool().Draw(t, "leaving")
 				entries = append(entries, in)
 			}
-			r.Take(now, list(entries...))
+			r.Update(now, list(entries...))
 			for _, in := range entries {
 				newest[in.ID] = max(newest[in.ID], in.StartMillis)
 			}
@@ -260,29 +260,29 @@
 func TestADamagedEntryDoesNotEndItsTarget(t *testing.T) {
 	a, b := run("a", 1000), leaving(run("b", 1000))
 	var r List
-	r.Take(at(0), list(a, b, sound))
-	require.False(t, r.Take(at(0.6), damaged(list(sound), "a", "b", "new", "")), "they keep their last good entries, and what leaves goes on leaving")
-	require.False(t, r.Take(at(1.2), damaged(list(sound), "a", "b")))
-	require.True(t, r.Take(at(1.8), damaged(list(sound), "a", "b")), "but for so long only that work still ends in time where the damage hides that a target leaves")
+	r.Update(at(0), list(a, b, sound))
+	require.False(t, r.Update(at(0.6), damaged(list(sound), "a", "b", "new", "")), "they keep their last good entries, and what leaves goes on leaving")
+	require.False(t, r.Update(at(1.2), damaged(list(sound), "a", "b")))
+	require.True(t, r.Update(at(1.8), damaged(list(sound), "a", "b")), "but for so long only that work still ends in time where the damage hides that a target leaves")
 	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	require.False(t, r.Take(at(2.4), damaged(list(sound), "a")), "damage brings nobody back")
-	require.True(t, r.Take(at(3), list(a, sound)))
+	require.False(t, r.Update(at(2.4), damaged(list(sound), "a")), "damage brings nobody back")
+	require.True(t, r.Update(at(3), list(a, sound)))
 	require.Equal(t, []fleet.Instance{a, sound}, r.Targets())
-	r.Take(at(4), list(sound))
-	require.False(t, r.Take(at(4.1), damaged(list(sound), "a")), "nor one that was gone")
-	r.Take(at(5), list(a, sound))
-	require.False(t, r.Take(at(6), damaged(list(a, sound), "a")), "a damaged entry beside a good one says nothing")
+	r.Update(at(4), list(sound))
+	require.False(t, r.Update(at(4.1), damaged(list(sound), "a")), "nor one that was gone")
+	r.Update(at(5), list(a, sound))
+	require.False(t, r.Update(at(6), damaged(list(a, sound), "a")), "a damaged entry beside a good one says nothing")
 }
 
 // A target whose entry was damaged is the same one when that is mended, or the next start.
 func TestAfterDamageATargetIsWhatItsEntrySays(t *testing.T) {
 	var r List
-	r.Take(at(0), list(leaving(run("a", 1000)), sound))
-	r.Take(at(1), damaged(list(sound), "a"))
-	r.Take(at(1.4), list(run("a", 1000), sound))
+	r.Update(at(0), list(leaving(run("a", 1000)), sound))
+	r.Update(at(1), damaged(list(sound), "a"))
+	r.Update(at(1.4), list(run("a", 1000), sound))
 	require.True(t, r.Targets()[0].Leaving)
-	r.Take(at(2), damaged(list(sound), "a"))
-	require.True(t, r.Take(at(2.4), list(run("a", 2000), sound)))
+	r.Update(at(2), damaged(list(sound), "a"))
+	require.True(t, r.Update(at(2.4), list(run("a", 2000), sound)))
 	require.Equal(t, run("a", 2000), r.Targets()[0])
 }
 
@@ -294,20 +294,20 @@
 	for name, empty := range map[string]fleet.TargetListing{"empty": {}, "all damaged": damaged(fleet.TargetListing{}, "a", "b", "")} {
 		t.Run(name, func(t *testing.T) {
 			var r List
-			r.Take(at(0), list(targets...))
+			r.Update(at(0), list(targets...))
 			for s := 30.0; s < 40; s++ { // nobody could read it before
-				require.False(t, r.Take(at(s), empty))
+				require.False(t, r.Update(at(s), empty))
 				require.Equal(t, targets, r.Targets())
 				require.Equal(t, at(0), r.ReadAt(), "the last good list has its age")
 			}
-			require.False(t, r.Take(at(39.5), list(targets...)), "it is back")
-			require.False(t, r.Take(at(45), empty))
-			require.True(t, r.Take(at(45).Add(emptyFor), empty), "they are really gone")
+			require.False(t, r.Update(at(39.5), list(targets...)), "it is back")
+			require.False(t, r.Update(at(45), empty))
+			require.True(t, r.Update(at(45).Add(emptyFor), empty), "they are really gone")
 			require.Empty(t, r.Targets())
 			require.Equal(t, at(45).Add(emptyFor), r.ReadAt())
 		})
 	}
 	var fresh List
-	require.False(t, fresh.Take(at(0), fleet.TargetListing{}), "nobody is known")
+	require.False(t, fresh.Update(at(0), fleet.TargetListing{}), "nobody is known")
 	require.Equal(t, at(0), fresh.ReadAt())
 }
