--- a/internal/targetlist/targetlist.go
+++ b/internal/targetlist/targetlist.go
@@ -1,7 +1,7 @@
-// Package targetlist keeps which targets there are, from a list that lags and may
-// be read at several places.
+// Package targetlist keeps the current targets. Its input is the platform's list of targets,
+// which lags and which several readers read in different states.
 //
-// A List is deterministic: (time, list) in, targets out.
+// A List is deterministic: its result depends only on the times and listings that it gets.
 package targetlist
 
 import (
@@ -13,119 +13,119 @@
 )
 
 const (
-	// memory is how long a target that was seen leaving stays out whatever a list
-	// says, and how long the newest start seen under an ID stands against older ones.
-	// Lists that lag by more than that are not worth heeding.
-	memory = time.Minute
-	// longestLag bounds how much later than another reading one may show what the other
-	// has shown: five times the most by which the platform's list lags. A target whose
-	// start nobody tells, and that is listed as ready so long after it was last seen
-	// leaving, has started again.
-	longestLag = 4 * time.Second
-	// damagedFor is how long a known target whose entry is damaged keeps its last good
-	// one, which covers two readings in a row. What leaves must get no new work three
-	// seconds after the list shows it, and a damaged entry may hide that; the list lags
-	// and is read for up to 1.4 s.
-	damagedFor = 1500 * time.Millisecond
-	// emptyFor is how long the last good list stays where one without any sound entry
-	// follows. Targets that are really all gone take no work meanwhile, and whoever
-	// comes is told so after a failed connection; targets that leave are listed first.
-	emptyFor = 10 * time.Second
+	// stateTTL is how long a target that was seen leaving stays excluded regardless of later
+	// listings, and how long the newest start time seen for an ID overrides older ones. A
+	// listing that lags by more than this is not taken into account.
+	stateTTL = time.Minute
+	// maxListLag bounds how much one reading may lag behind another one. It is five times the
+	// longest lag of the platform's list. If a target without a start time is listed as ready
+	// this long after it was last seen leaving, it has restarted.
+	maxListLag = 4 * time.Second
+	// damagedTTL is how long a target whose entry is damaged keeps its last valid entry. It covers
+	// two consecutive damaged readings. A leaving target must get no new work three seconds after
+	// the list shows that it leaves, which a damaged entry may hide; lag and reading of the list
+	// take up to 1.4 s of that time.
+	damagedTTL = 1500 * time.Millisecond
+	// emptyTTL is how long the last valid listing is kept if later ones have no valid entry. If
+	// all targets have really ended, requests fail during that time when they connect. Targets
+	// that leave are listed as leaving before they end.
+	emptyTTL = 10 * time.Second
 )
 
-// A List holds the newest list. Its zero value is empty.
+// A List holds the current targets. The zero value is empty.
 type List struct {
-	// Routed reports whether any route names a pool; nil means that all are named.
+	// IsRouted reports whether any route uses a pool. If it is nil, all pools count as routed.
 	IsRouted func(pool string) bool
 
-	targets []fleet.Instance
-	readAt  time.Time         // of the newest list
-	goodAt  time.Time         // of the newest list that was believed
-	emptyAt time.Time         // of the first list without a sound entry since then, if any
-	known   map[string]*known // by ID
+	targets    []fleet.Instance
+	readAt     time.Time               // of the newest listing
+	acceptedAt time.Time               // of the newest accepted listing
+	emptySince time.Time               // of the first listing without a valid entry after that; zero if none
+	known      map[string]*knownTarget // by ID
 }
 
-// known is what is remembered of the newest start under one ID.
-type known struct {
-	fleet.Instance           // as it was listed last
-	listed         bool      // in the newest list, or held in its place
-	seenAt         time.Time // when it was last in a list
-	left           bool      // it was seen leaving
-	leftAt         time.Time // when that was seen last
+// knownTarget is the state of the newest run of a target ID.
+type knownTarget struct {
+	fleet.Instance           // the last valid entry
+	listed         bool      // it is in the newest listing, or kept although its entry is damaged
+	listedAt       time.Time // when it was last in a listing
+	seenLeaving    bool
+	seenLeavingAt  time.Time // when it was last listed as leaving
 }
 
-// Take takes a whole list that was read at readAt, and reports whether the
-// targets changed. A list older than the present one is ignored.
+// Update applies a complete listing that was read at readAt, and reports whether the targets
+// changed. A listing older than the newest one is ignored.
 //
-// Two readers may see the list in different states. A target that one has seen
-// leaving must not come back because the other one lags, or it would get new
-// work while it leaves; and one that has started again must not be replaced by its
-// former start. A new start is a new target, whatever was known of the one before.
+// Two readers may see the list in different states. A target that one reader has seen leaving
+// must not become ready because the other reader lags, or it would get new work while it leaves.
+// A target that has restarted must not be replaced by its previous run. A new run is a new
+// target, regardless of the state of the previous one.
 //
-// A list without any sound entry is believed only after emptyFor: more often than all
-// targets at once, whoever writes the list is gone. A damaged entry does not say that its
-// target is gone either.
-func (r *List) Update(readAt time.Time, list fleet.TargetListing) bool {
-	if readAt.Before(r.readAt) {
+// A listing without any valid entry is accepted only after emptyTTL, since a failure of the
+// writer of the list is more likely than the end of all targets at once. A damaged entry does
+// not mean that its target has ended either.
+func (l *List) Update(readAt time.Time, listing fleet.TargetListing) bool {
+	if readAt.Before(l.readAt) {
 		return false
 	}
-	r.readAt = readAt
-	if r.doubtful(list) {
+	l.readAt = readAt
+	if l.implausiblyEmpty(listing) {
 		return false
 	}
-	r.goodAt = readAt
-	if r.known == nil {
-		r.known = make(map[string]*known)
+	l.acceptedAt = readAt
+	if l.known == nil {
+		l.known = make(map[string]*knownTarget)
 	}
-	held := make(map[string]bool) // listed before
-	for id, k := range r.known {
-		held[id], k.listed = k.listed, false
+	wasListed := make(map[string]bool)
+	for id, known := range l.known {
+		wasListed[id], known.listed = known.listed, false
 	}
-	for _, in := range r.choose(list.Targets) {
-		r.see(in, held[in.ID])
+	for _, entry := range l.deduplicate(listing.Targets) {
+		l.observe(entry, wasListed[entry.ID])
 	}
-	for _, id := range list.DamagedIDs() {
-		if k := r.known[id]; k != nil && !k.listed {
-			k.listed = held[id] && readAt.Sub(k.seenAt) <= damagedFor
+	for _, id := range listing.DamagedIDs() {
+		if known := l.known[id]; known != nil && !known.listed {
+			known.listed = wasListed[id] && readAt.Sub(known.listedAt) <= damagedTTL
 		}
 	}
-	r.forget()
-	fresh := r.listed()
-	if slices.Equal(fresh, r.targets) {
+	l.removeStale()
+	targets := l.current()
+	if slices.Equal(targets, l.targets) {
 		return false
 	}
-	r.targets = fresh
+	l.targets = targets
 	return true
 }
 
-// doubtful reports whether a list is empty and that has not lasted for long enough.
-func (r *List) doubtful(list fleet.TargetListing) bool {
-	if len(list.Targets) > 0 || len(r.targets) == 0 {
-		r.emptyAt = time.Time{}
+// implausiblyEmpty reports whether the listing has no valid entry, and this has lasted for less
+// than emptyTTL.
+func (l *List) implausiblyEmpty(listing fleet.TargetListing) bool {
+	if len(listing.Targets) > 0 || len(l.targets) == 0 {
+		l.emptySince = time.Time{}
 		return false
 	}
-	if r.emptyAt.IsZero() {
-		r.emptyAt = r.readAt
+	if l.emptySince.IsZero() {
+		l.emptySince = l.readAt
 	}
-	return r.readAt.Sub(r.emptyAt) < emptyFor
+	return l.readAt.Sub(l.emptySince) < emptyTTL
 }
 
-// choose returns one entry for each ID: one of a pool that routes name, of these the
-// latest start, of one start the entry that is leaving, of others the one that was used
-// before. A list should not hold two; where it does, another writer wrote one, or the list
-// changed between its pages.
-func (r *List) choose(list []fleet.Instance) []fleet.Instance {
-	sorted := slices.Clone(list)
+// deduplicate returns one entry for each ID. It prefers entries of routed pools, then the latest
+// start time, then an entry that is leaving, then the one that was used before. Duplicate IDs
+// should not occur, but another writer may have added an entry, or the list may have changed
+// between the reading of two pages.
+func (l *List) deduplicate(entries []fleet.Instance) []fleet.Instance {
+	sorted := slices.Clone(entries)
 	slices.SortStableFunc(sorted, func(a, b fleet.Instance) int {
 		return cmp.Or(
-			cmp.Compare(a.ID, b.ID), yesFirst(r.routed(a), r.routed(b)), cmp.Compare(b.StartMillis, a.StartMillis), yesFirst(a.Leaving, b.Leaving),
-			yesFirst(r.used(a), r.used(b)), cmp.Compare(a.Address, b.Address), cmp.Compare(a.Pool, b.Pool),
+			cmp.Compare(a.ID, b.ID), trueFirst(l.routed(a), l.routed(b)), cmp.Compare(b.StartMillis, a.StartMillis), trueFirst(a.Leaving, b.Leaving),
+			trueFirst(l.matchesLastEntry(a), l.matchesLastEntry(b)), cmp.Compare(a.Address, b.Address), cmp.Compare(a.Pool, b.Pool),
 		)
 	})
 	return slices.CompactFunc(sorted, func(a, b fleet.Instance) bool { return a.ID == b.ID })
 }
 
-func yesFirst(a, b bool) int {
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -136,98 +136,98 @@
 	}
 }
 
-// routed reports whether a route names the target's pool. What another writer writes of a
-// service that nobody knows must not take a target's place.
-func (r *List) routed(in fleet.Instance) bool {
-	return r.IsRouted == nil || r.IsRouted(in.Pool)
+// routed reports whether a route uses the pool of the entry. An entry that another writer made
+// for an unknown pool must not replace a target.
+func (l *List) routed(entry fleet.Instance) bool {
+	return l.IsRouted == nil || l.IsRouted(entry.Pool)
 }
 
-// used reports whether the target was last listed as this entry has it.
-func (r *List) used(in fleet.Instance) bool {
-	k := r.known[in.ID]
-	return k != nil && k.Address == in.Address && k.Pool == in.Pool
+// matchesLastEntry reports whether the entry has the same address and pool as the last one of its
+// ID.
+func (l *List) matchesLastEntry(entry fleet.Instance) bool {
+	known := l.known[entry.ID]
+	return known != nil && known.Address == entry.Address && known.Pool == entry.Pool
 }
 
-// see takes the entry of one ID.
-func (r *List) see(in fleet.Instance, held bool) {
-	k := r.known[in.ID]
+// observe applies the entry of one ID.
+func (l *List) observe(entry fleet.Instance, wasListed bool) {
+	known := l.known[entry.ID]
 	switch {
-	case k != nil && r.routed(k.Instance) && !r.routed(in):
-		return // whoever wrote it: the target that is known is not listed any more
-	case k == nil || r.isNew(k, in):
-		k = &known{}
-		r.known[in.ID] = k
-	case in.StartMillis != 0 && in.StartMillis < k.StartMillis:
-		// A reader that lags shows the start before. What is known of the newer one
-		// stands: also that it is gone, if the list before did not have it.
-		k.listed = held
+	case known != nil && l.routed(known.Instance) && !l.routed(entry):
+		return // regardless of who wrote the entry, the known target is not listed any more
+	case known == nil || l.isNewRun(known, entry):
+		known = &knownTarget{}
+		l.known[entry.ID] = known
+	case entry.StartMillis != 0 && entry.StartMillis < known.StartMillis:
+		// A reader that lags shows the previous run. The state of the newer run is kept,
+		// including its absence if the previous listing did not have it.
+		known.listed = wasListed
 		return
-	case in.StartMillis == 0:
-		in.StartMillis = k.StartMillis // this reader's source tells no start
+	case entry.StartMillis == 0:
+		entry.StartMillis = known.StartMillis // the source of this listing has no start times
 	}
-	if in.Leaving {
-		k.left, k.leftAt = true, r.readAt
+	if entry.Leaving {
+		known.seenLeaving, known.seenLeavingAt = true, l.readAt
 	}
-	in.Leaving = k.left
-	k.Instance, k.listed, k.seenAt = in, true, r.readAt
+	entry.Leaving = known.seenLeaving
+	known.Instance, known.listed, known.listedAt = entry, true, l.readAt
 }
 
-// isNew reports whether an entry is of a later start than what is known under its ID.
-func (r *List) isNew(k *known, in fleet.Instance) bool {
+// isNewRun reports whether an entry is of a later run than the known target with its ID.
+func (l *List) isNewRun(known *knownTarget, entry fleet.Instance) bool {
 	switch {
-	case r.readAt.Sub(k.seenAt) > memory:
+	case l.readAt.Sub(known.listedAt) > stateTTL:
 		return true
-	case in.StartMillis != 0 && k.StartMillis != 0:
-		return in.StartMillis > k.StartMillis || in.StartMillis == k.StartMillis && r.readAt.Sub(k.leftAt) > memory && k.left && !in.Leaving
+	case entry.StartMillis != 0 && known.StartMillis != 0:
+		return entry.StartMillis > known.StartMillis || entry.StartMillis == known.StartMillis && l.readAt.Sub(known.seenLeavingAt) > stateTTL && known.seenLeaving && !entry.Leaving
 	default:
-		// Nobody can tell the starts. A target never goes back from leaving to ready,
-		// so a list that shows that was either read by a reader that lags, or shows
-		// the next start.
-		return k.left && !in.Leaving && r.readAt.Sub(k.leftAt) > longestLag
+		// A start time is unknown. A target never returns from leaving to ready, so that
+		// a listing that shows this is either of a lagging reader or shows the next run.
+		return known.seenLeaving && !entry.Leaving && l.readAt.Sub(known.seenLeavingAt) > maxListLag
 	}
 }
 
-// forget drops what is not listed any more and cannot matter.
-func (r *List) forget() {
-	for id, k := range r.known {
-		if !k.listed && r.readAt.Sub(k.seenAt) > memory {
-			delete(r.known, id)
+// removeStale removes targets that have not been listed for stateTTL.
+func (l *List) removeStale() {
+	for id, known := range l.known {
+		if !known.listed && l.readAt.Sub(known.listedAt) > stateTTL {
+			delete(l.known, id)
 		}
 	}
 }
 
-// place is where targets of a pool listen.
-type place struct{ pool, address string }
-
-// listed returns the targets in the order of their IDs. Of two of a pool at one address
-// that tell their starts, only the later one is there: a target that crashed stays listed
-// for some seconds, while its address is given to another. Otherwise both stay: an entry
-// of another writer must hide no sound one, and the target that is there refuses, without
-// running it, what names the other.
-func (r *List) listed() []fleet.Instance {
-	latest := make(map[place]int64)
-	for _, k := range r.known {
-		at := place{pool: k.Pool, address: k.Address}
-		if k.listed && k.Address != "" {
-			latest[at] = max(latest[at], k.StartMillis)
+// poolAddress is an address at which a target of a pool listens.
+type poolAddress struct{ pool, address string }
+
+// current returns the listed targets, sorted by ID. If two targets of a pool have the same
+// address and known start times, it returns only the later one: a crashed target stays listed for
+// some seconds, while its address is reused. Otherwise it returns both, since an entry of another
+// writer must not hide a valid one. The target at the address rejects requests for the other one
+// without running them.
+func (l *List) current() []fleet.Instance {
+	latestStart := make(map[poolAddress]int64)
+	for _, known := range l.known {
+		key := poolAddress{pool: known.Pool, address: known.Address}
+		if known.listed && known.Address != "" {
+			latestStart[key] = max(latestStart[key], known.StartMillis)
 		}
 	}
-	list := make([]fleet.Instance, 0, len(r.known))
-	for _, k := range r.known {
-		if k.listed && (k.StartMillis == 0 || k.StartMillis >= latest[place{pool: k.Pool, address: k.Address}]) {
-			list = append(list, k.Instance)
+	targets := make([]fleet.Instance, 0, len(l.known))
+	for _, known := range l.known {
+		if known.listed && (known.StartMillis == 0 || known.StartMillis >= latestStart[poolAddress{pool: known.Pool, address: known.Address}]) {
+			targets = append(targets, known.Instance)
 		}
 	}
-	slices.SortFunc(list, func(a, b fleet.Instance) int { return cmp.Compare(a.ID, b.ID) })
-	return list
+	slices.SortFunc(targets, func(a, b fleet.Instance) int { return cmp.Compare(a.ID, b.ID) })
+	return targets
 }
 
-// Targets returns the targets, in the order of their IDs.
-func (r *List) Targets() []fleet.Instance {
-	return r.targets
+// Targets returns the current targets, sorted by ID.
+func (l *List) Targets() []fleet.Instance {
+	return l.targets
 }
 
-// ReadAt returns when the newest list that was believed was read.
-func (r *List) ReadAt() time.Time {
-	return r.goodAt
+// ReadAt returns when the newest accepted listing was read.
+func (l *List) ReadAt() time.Time {
+	return l.acceptedAt
 }
--- a/internal/targetlist/targetlist_test.go
+++ b/internal/targetlist/targetlist_test.go
@@ -10,304 +10,293 @@
 	"laburnumfall/internal/fleet"
 )
 
-var start = time.Unix(1e9, 0)
+var startTime = time.Unix(1e9, 0)
 
-func TestRosterKeepsTheNewestList(t *testing.T) {
-	var r List
+func TestKeepsNewestList(t *testing.T) {
+	var list List
 	a, b := fleet.Instance{Incarnation: fleet.Incarnation{ID: "a"}}, fleet.Instance{Incarnation: fleet.Incarnation{ID: "b"}}
-	require.True(t, r.Update(start, list(b, a)))
-	require.Equal(t, []fleet.Instance{a, b}, r.Targets())
-	require.False(t, r.Update(start.Add(time.Second), list(a, b)), "nothing changed")
-	require.False(t, r.Update(start, list(b)), "an older list is ignored")
-	require.Equal(t, start.Add(time.Second), r.ReadAt())
-	require.True(t, r.Update(start.Add(2*time.Second), list(b)))
-	require.Equal(t, []fleet.Instance{b}, r.Targets())
+	require.True(t, list.Update(startTime, listingOf(b, a)))
+	require.Equal(t, []fleet.Instance{a, b}, list.Targets())
+	require.False(t, list.Update(startTime.Add(time.Second), listingOf(a, b)), "nothing changed")
+	require.False(t, list.Update(startTime, listingOf(b)), "an older list is ignored")
+	require.Equal(t, startTime.Add(time.Second), list.ReadAt())
+	require.True(t, list.Update(startTime.Add(2*time.Second), listingOf(b)))
+	require.Equal(t, []fleet.Instance{b}, list.Targets())
 }
 
-// Symptom: a target that leaves gets new work again.
-// Sequence: the leader reads that it leaves; a router cut off from the leader
-// reads the list itself, where it still looks live.
-// Cause: the list lags, and not alike for all readers.
-func TestALeavingTargetStaysOut(t *testing.T) {
-	var r List
+// Guards against new work for a target that leaves: the leader has read that it leaves, and a
+// router that cannot reach the leader reads a list that lags and still shows it as live.
+func TestLeavingTargetStaysLeaving(t *testing.T) {
+	var list List
 	live, leaving := fleet.Instance{Incarnation: fleet.Incarnation{ID: "a"}}, fleet.Instance{Incarnation: fleet.Incarnation{ID: "a"}, Leaving: true}
-	r.Update(start, list(leaving))
-	require.False(t, r.Update(start.Add(time.Second), list(live)))
-	require.True(t, r.Targets()[0].Leaving)
-	r.Update(start.Add(2*time.Second), list(sound))
-	r.Update(start.Add(3*time.Second), list(live))
-	require.True(t, r.Targets()[0].Leaving, "also after it was missing from a list")
+	list.Update(startTime, listingOf(leaving))
+	require.False(t, list.Update(startTime.Add(time.Second), listingOf(live)))
+	require.True(t, list.Targets()[0].Leaving)
+	list.Update(startTime.Add(2*time.Second), listingOf(permanent))
+	list.Update(startTime.Add(3*time.Second), listingOf(live))
+	require.True(t, list.Targets()[0].Leaving, "also after it was missing from a list")
 	next := fleet.Instance{Incarnation: fleet.Incarnation{ID: "a2"}}
-	require.True(t, r.Update(start.Add(4*time.Second), list(next)))
-	require.False(t, r.Targets()[0].Leaving, "another incarnation is another target")
+	require.True(t, list.Update(startTime.Add(4*time.Second), listingOf(next)))
+	require.False(t, list.Targets()[0].Leaving, "another incarnation is another target")
 }
 
-// run is a target with a start.
-func run(id string, born int64) fleet.Instance {
-	return fleet.Instance{Incarnation: fleet.Incarnation{ID: id, StartMillis: born}, Pool: "p", Address: id + ":80"}
+// instance returns a target with a start time.
+func instance(id string, startMillis int64) fleet.Instance {
+	return fleet.Instance{Incarnation: fleet.Incarnation{ID: id, StartMillis: startMillis}, Pool: "p", Address: id + ":80"}
 }
 
-// sound is a target that is always there.
-var sound = run("z", 1)
+// permanent is a target that makes a listing non-empty.
+var permanent = instance("z", 1)
 
-func list(targets ...fleet.Instance) fleet.TargetListing {
+func listingOf(targets ...fleet.Instance) fleet.TargetListing {
 	return fleet.TargetListing{Targets: targets}
 }
 
-func leaving(in fleet.Instance) fleet.Instance {
-	in.Leaving = true
-	return in
+func asLeaving(target fleet.Instance) fleet.Instance {
+	target.Leaving = true
+	return target
 }
 
-func at(seconds float64) time.Time {
-	return start.Add(time.Duration(seconds * float64(time.Second)))
+func timeAt(seconds float64) time.Time {
+	return startTime.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// Symptom: a target that was drained and started again gets no work for up to a minute,
-// or never while the list does not change.
-// Sequence: it is listed as draining, ends, and is listed as ready under its ID.
-// Cause: leaving was remembered by ID, which outlives the process.
-func TestATargetThatStartedAgainIsNotLeaving(t *testing.T) {
-	var r List
-	r.Update(at(0), list(leaving(run("a", 1000))))
-	require.True(t, r.Update(at(1), list(run("a", 2000))), "at once, even if no list lacked it")
-	require.Equal(t, []fleet.Instance{run("a", 2000)}, r.Targets())
-	r.Update(at(2), list(leaving(run("a", 2000))))
-	require.True(t, r.Targets()[0].Leaving)
+// Guards against a restarted target that gets no work for up to a minute, or until the list
+// changes: it is listed as draining, ends, and is listed as ready with the same ID, so that the
+// leaving state must not be kept by ID alone.
+func TestRestartedTargetIsNotLeaving(t *testing.T) {
+	var list List
+	list.Update(timeAt(0), listingOf(asLeaving(instance("a", 1000))))
+	require.True(t, list.Update(timeAt(1), listingOf(instance("a", 2000))), "at once, although no listing lacked it")
+	require.Equal(t, []fleet.Instance{instance("a", 2000)}, list.Targets())
+	list.Update(timeAt(2), listingOf(asLeaving(instance("a", 2000))))
+	require.True(t, list.Targets()[0].Leaving)
 }
 
-// Symptom: requests go to a process that has ended.
-// Sequence: a target starts again; a reader that lags, or a second router's, still shows
-// its former start.
-// Cause: the list that comes last counts.
-func TestAnOlderStartReplacesNoNewerOne(t *testing.T) {
-	var r List
-	r.Update(at(0), list(run("a", 2000)))
-	require.False(t, r.Update(at(1), list(run("a", 1000))))
-	require.False(t, r.Update(at(2), list(leaving(run("a", 1000)))), "that the former one leaves concerns nobody")
-	require.True(t, r.Update(at(3), list(sound)))
-	require.False(t, r.Update(at(4), list(sound, run("a", 1000))), "the newer one is gone, and the former one was before it")
-	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	require.True(t, r.Update(at(3).Add(memory+time.Second), list(sound, run("a", 1000))), "nothing else was seen for so long: a clock was set back")
+// Guards against requests to a process that has ended: a target restarts, and a lagging reader
+// still shows its previous run.
+func TestOlderStartDoesNotReplaceNewer(t *testing.T) {
+	var list List
+	list.Update(timeAt(0), listingOf(instance("a", 2000)))
+	require.False(t, list.Update(timeAt(1), listingOf(instance("a", 1000))))
+	require.False(t, list.Update(timeAt(2), listingOf(asLeaving(instance("a", 1000)))), "the leaving state of the previous run is ignored")
+	require.True(t, list.Update(timeAt(3), listingOf(permanent)))
+	require.False(t, list.Update(timeAt(4), listingOf(permanent, instance("a", 1000))), "the newer run has ended, and the previous one ended before it")
+	require.Equal(t, []fleet.Instance{permanent}, list.Targets())
+	require.True(t, list.Update(timeAt(3).Add(stateTTL+time.Second), listingOf(permanent, instance("a", 1000))), "after stateTTL an older start time is accepted, since a clock may have been set back")
 }
 
-// Symptom: a leaving target gets new work again.
-// Sequence: as in TestALeavingTargetStaysOut, with starts that are told.
-// Cause: as there.
-func TestALeavingTargetOfAKnownStartStaysOut(t *testing.T) {
-	var r List
-	r.Update(at(0), list(leaving(run("a", 1000))))
-	for s := 1.0; s < 40; s++ {
-		r.Update(at(s), list(run("a", 1000)))
-		require.True(t, r.Targets()[0].Leaving, "after %v s", s)
+// Guards against new work for a target that leaves, as TestLeavingTargetStaysLeaving does, for
+// targets with a start time.
+func TestLeavingTargetWithStartStaysLeaving(t *testing.T) {
+	var list List
+	list.Update(timeAt(0), listingOf(asLeaving(instance("a", 1000))))
+	for second := 1.0; second < 40; second++ {
+		list.Update(timeAt(second), listingOf(instance("a", 1000)))
+		require.True(t, list.Targets()[0].Leaving, "after %v s", second)
 	}
-	r.Update(at(40), list(sound))
-	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	r.Update(at(41), list(run("a", 1000)))
-	require.True(t, r.Targets()[0].Leaving, "also after it was missing from a list")
+	list.Update(timeAt(40), listingOf(permanent))
+	require.Equal(t, []fleet.Instance{permanent}, list.Targets())
+	list.Update(timeAt(41), listingOf(instance("a", 1000)))
+	require.True(t, list.Targets()[0].Leaving, "also after it was missing from a list")
 }
 
-// Symptom: where the platform tells no starts, a target that was drained and started
-// again gets no work for up to a minute.
-// Sequence: it is listed as draining, is gone, and is ready again seconds later.
-// Cause: a lagging reader was guarded against for longer than any list lags.
-func TestWithoutAStartReadyLongAfterLeavingIsTheNextStart(t *testing.T) {
+// Guards against a restarted target without a start time that gets no work for up to a minute: it
+// is listed as draining, ends, and is ready seconds later, when no reading can lag that much.
+func TestReadyAfterLeavingWithoutStartIsRestart(t *testing.T) {
 	for name, tt := range map[string]struct {
-		last    float64 // when it is last seen leaving
-		between []fleet.Instance
+		lastLeaving float64 // when it is last seen leaving
+		between     []fleet.Instance
 	}{
-		"gone":   {0, []fleet.Instance{sound}},
-		"listed": {1, []fleet.Instance{leaving(run("a", 0))}},
+		"gone":   {0, []fleet.Instance{permanent}},
+		"listed": {1, []fleet.Instance{asLeaving(instance("a", 0))}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var r List
-			r.Update(at(0), list(leaving(run("a", 0))))
-			r.Update(at(1), list(tt.between...))
-			lag := tt.last + longestLag.Seconds()
-			r.Update(at(lag-0.1), list(run("a", 0)))
-			require.True(t, r.Targets()[0].Leaving, "that may be a list that lags")
-			require.True(t, r.Update(at(lag+0.1), list(run("a", 0))))
-			require.False(t, r.Targets()[0].Leaving)
+			var list List
+			list.Update(timeAt(0), listingOf(asLeaving(instance("a", 0))))
+			list.Update(timeAt(1), listingOf(tt.between...))
+			lag := tt.lastLeaving + maxListLag.Seconds()
+			list.Update(timeAt(lag-0.1), listingOf(instance("a", 0)))
+			require.True(t, list.Targets()[0].Leaving, "this listing may lag")
+			require.True(t, list.Update(timeAt(lag+0.1), listingOf(instance("a", 0))))
+			require.False(t, list.Targets()[0].Leaving)
 		})
 	}
 }
 
-// A crash shows no leaving. The target may be back on the list before its former start
-// has left it, or after a gap, as it also has when the list changes between its pages.
-func TestWithoutAStartATargetThatWasGoneComesBackAtOnce(t *testing.T) {
-	var r List
-	r.Update(at(0), list(run("a", 0)))
-	r.Update(at(1), list(sound))
-	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	require.True(t, r.Update(at(2), list(run("a", 0))))
-	require.False(t, r.Targets()[0].Leaving)
+// Guards against a target that stays excluded after a gap: a crashed target was never listed as
+// leaving, and may be listed again after a gap, which also occurs if the list changes between the
+// reading of two pages.
+func TestMissingTargetWithoutStartReturns(t *testing.T) {
+	var list List
+	list.Update(timeAt(0), listingOf(instance("a", 0)))
+	list.Update(timeAt(1), listingOf(permanent))
+	require.Equal(t, []fleet.Instance{permanent}, list.Targets())
+	require.True(t, list.Update(timeAt(2), listingOf(instance("a", 0))))
+	require.False(t, list.Targets()[0].Leaving)
 }
 
-// Symptom: targets change with each list, or a leaving one comes back.
-// Sequence: keepers of the version before, whose lists tell no starts, and readings of
-// the router's own take turns.
-// Cause: an unknown start is taken for another one.
-func TestAnUnknownStartIsTheOneThatIsKnown(t *testing.T) {
-	var r List
-	r.Update(at(0), list(run("a", 0), leaving(run("b", 0))))
-	require.True(t, r.Update(at(1), list(run("a", 1000), run("b", 1000))))
-	require.Equal(t, []fleet.Instance{run("a", 1000), leaving(run("b", 1000))}, r.Targets(), "the starts are learned, and b still leaves")
-	require.False(t, r.Update(at(2), list(run("a", 0), run("b", 0))))
-	require.Equal(t, []fleet.Instance{run("a", 1000), leaving(run("b", 1000))}, r.Targets())
+// Guards against targets that change with each listing, or a leaving target that becomes ready:
+// listings of keepers of the previous version, which have no start times, alternate with readings
+// of the router itself.
+func TestUnknownStartKeepsKnownStart(t *testing.T) {
+	var list List
+	list.Update(timeAt(0), listingOf(instance("a", 0), asLeaving(instance("b", 0))))
+	require.True(t, list.Update(timeAt(1), listingOf(instance("a", 1000), instance("b", 1000))))
+	require.Equal(t, []fleet.Instance{instance("a", 1000), asLeaving(instance("b", 1000))}, list.Targets(), "the start times are adopted, and b is still leaving")
+	require.False(t, list.Update(timeAt(2), listingOf(instance("a", 0), instance("b", 0))))
+	require.Equal(t, []fleet.Instance{instance("a", 1000), asLeaving(instance("b", 1000))}, list.Targets())
 }
 
-// A list should not hold two entries with one ID, but another writer may have written
-// one, or the list has changed between two of its pages.
-func TestOneOfTwoEntriesWithOneID(t *testing.T) {
-	moved := run("a", 1000)
-	moved.Address = "0:80"
+// Checks which of two entries with the same ID is used. Another writer may have added one, or the
+// list may have changed between the reading of two pages.
+func TestDuplicateIDs(t *testing.T) {
+	otherAddress := instance("a", 1000)
+	otherAddress.Address = "0:80"
 	for name, tt := range map[string]struct{ list, want []fleet.Instance }{
-		"the later start":                   {[]fleet.Instance{run("a", 1000), run("a", 2000)}, []fleet.Instance{run("a", 2000)}},
-		"the later start, though it leaves": {[]fleet.Instance{run("a", 1000), leaving(run("a", 2000))}, []fleet.Instance{leaving(run("a", 2000))}},
-		"the one that leaves":               {[]fleet.Instance{run("a", 1000), leaving(run("a", 1000))}, []fleet.Instance{leaving(run("a", 1000))}},
-		"the one that was used":             {[]fleet.Instance{moved, run("a", 1000)}, []fleet.Instance{run("a", 1000)}},
-		"a start that is told":              {[]fleet.Instance{run("a", 0), run("a", 1000)}, []fleet.Instance{run("a", 1000)}},
+		"the later start":                   {[]fleet.Instance{instance("a", 1000), instance("a", 2000)}, []fleet.Instance{instance("a", 2000)}},
+		"the later start, although leaving": {[]fleet.Instance{instance("a", 1000), asLeaving(instance("a", 2000))}, []fleet.Instance{asLeaving(instance("a", 2000))}},
+		"the leaving one":                   {[]fleet.Instance{instance("a", 1000), asLeaving(instance("a", 1000))}, []fleet.Instance{asLeaving(instance("a", 1000))}},
+		"the one that was used before":      {[]fleet.Instance{otherAddress, instance("a", 1000)}, []fleet.Instance{instance("a", 1000)}},
+		"the known start":                   {[]fleet.Instance{instance("a", 0), instance("a", 1000)}, []fleet.Instance{instance("a", 1000)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, entries := range [][]fleet.Instance{tt.list, {tt.list[1], tt.list[0]}} {
-				var r List
-				r.Update(at(0), list(run("a", 1000)))
-				r.Update(at(1), list(entries...))
-				require.Equal(t, tt.want, r.Targets())
+				var list List
+				list.Update(timeAt(0), listingOf(instance("a", 1000)))
+				list.Update(timeAt(1), listingOf(entries...))
+				require.Equal(t, tt.want, list.Targets())
 			}
 		})
 	}
 }
 
-// Symptom: a target is gone for its pool.
-// Sequence: another writer lists its ID under a service that nobody knows, as started later.
-// Cause: the later start counts, whatever else the entry says.
-func TestAnUnknownServiceTakesNoTargetsPlace(t *testing.T) {
-	r := List{IsRouted: func(pool string) bool { return pool == "p" }}
-	other := run("a", 3000)
-	other.Pool, other.Address = "", "0:80"
-	r.Update(at(0), list(other, run("a", 1000)))
-	require.Equal(t, []fleet.Instance{run("a", 1000)}, r.Targets())
-	r.Update(at(1), list(run("a", 1000), other))
-	require.Equal(t, []fleet.Instance{run("a", 1000)}, r.Targets())
-	r.Update(at(2), list(other, sound))
-	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	r.Update(at(3), list(run("a", 1000), sound))
-	require.Equal(t, []fleet.Instance{run("a", 1000), sound}, r.Targets(), "it is not older than the other writer's")
+// Guards against a target that its pool loses because another writer lists the same ID for an
+// unknown service with a later start time.
+func TestUnknownPoolDoesNotReplaceTarget(t *testing.T) {
+	list := List{IsRouted: func(pool string) bool { return pool == "p" }}
+	foreign := instance("a", 3000)
+	foreign.Pool, foreign.Address = "", "0:80"
+	list.Update(timeAt(0), listingOf(foreign, instance("a", 1000)))
+	require.Equal(t, []fleet.Instance{instance("a", 1000)}, list.Targets())
+	list.Update(timeAt(1), listingOf(instance("a", 1000), foreign))
+	require.Equal(t, []fleet.Instance{instance("a", 1000)}, list.Targets())
+	list.Update(timeAt(2), listingOf(foreign, permanent))
+	require.Equal(t, []fleet.Instance{permanent}, list.Targets())
+	list.Update(timeAt(3), listingOf(instance("a", 1000), permanent))
+	require.Equal(t, []fleet.Instance{instance("a", 1000), permanent}, list.Targets(), "the start time of the other entry does not count")
 }
 
-// Symptom: requests go to a target that has crashed and are refused by the next one.
-// Sequence: it stays listed for seconds, while its address is given to another one.
-// Cause: both are thought to be there.
-func TestOfTwoAtOneAddressTheLaterStartIsThere(t *testing.T) {
-	former, next := run("a", 1000), run("b", 2000)
-	former.Address = next.Address
-	var r List
-	r.Update(at(0), list(former, next))
-	require.Equal(t, []fleet.Instance{next}, r.Targets())
-	r.Update(at(1), list(former))
-	require.Equal(t, []fleet.Instance{former}, r.Targets())
-	elsewhere := next
-	elsewhere.Pool = "of another writer"
-	r.Update(at(2), list(former, elsewhere))
-	require.Contains(t, r.Targets(), former, "what may be nobody's target hides none")
-	unknown := run("c", 0)
-	unknown.Address = former.Address
-	r.Update(at(3), list(former, unknown))
-	require.Contains(t, r.Targets(), former)
+// Guards against requests for a crashed target that are rejected by the next one at its address:
+// the crashed target stays listed for seconds, while its address is reused.
+func TestLaterStartWinsAddress(t *testing.T) {
+	older, newer := instance("a", 1000), instance("b", 2000)
+	older.Address = newer.Address
+	var list List
+	list.Update(timeAt(0), listingOf(older, newer))
+	require.Equal(t, []fleet.Instance{newer}, list.Targets())
+	list.Update(timeAt(1), listingOf(older))
+	require.Equal(t, []fleet.Instance{older}, list.Targets())
+	otherPool := newer
+	otherPool.Pool = "of another writer"
+	list.Update(timeAt(2), listingOf(older, otherPool))
+	require.Contains(t, list.Targets(), older, "an entry of another pool hides no target")
+	unknownStart := instance("c", 0)
+	unknownStart.Address = older.Address
+	list.Update(timeAt(3), listingOf(older, unknownStart))
+	require.Contains(t, list.Targets(), older)
 }
 
-// Whatever lists come: a target is never replaced by an older start, and one that was
-// seen leaving is not ready again as the same start.
-func TestRosterUnderAnyLists(t *testing.T) {
+// Guards against any sequence of listings in which an older run replaces a target, or a target
+// becomes ready in the same run after it was seen leaving.
+func TestInvariantsForRandomLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r List
+		var list List
 		newest := map[string]int64{}
-		left := map[fleet.Incarnation]bool{}
-		now := start
+		leaving := map[fleet.Incarnation]bool{}
+		now := startTime
 		for range rapid.IntRange(1, 40).Draw(t, "lists") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "pause")) * time.Millisecond)
 			var entries []fleet.Instance
 			for range rapid.IntRange(0, 4).Draw(t, "entries") {
-				in := run(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id"), int64(rapid.IntRange(1, 4).Draw(t, "born")))
-				in.Leaving = rapid.Bool().Draw(t, "leaving")
-				entries = append(entries, in)
+				target := instance(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id"), int64(rapid.IntRange(1, 4).Draw(t, "born")))
+				target.Leaving = rapid.Bool().Draw(t, "leaving")
+				entries = append(entries, target)
 			}
-			r.Update(now, list(entries...))
-			for _, in := range entries {
-				newest[in.ID] = max(newest[in.ID], in.StartMillis)
+			list.Update(now, listingOf(entries...))
+			for _, target := range entries {
+				newest[target.ID] = max(newest[target.ID], target.StartMillis)
 			}
-			for _, in := range r.Targets() {
-				require.Equal(t, newest[in.ID], in.StartMillis)
-				require.False(t, left[in.Incarnation] && !in.Leaving)
-				left[in.Incarnation] = in.Leaving
+			for _, target := range list.Targets() {
+				require.Equal(t, newest[target.ID], target.StartMillis)
+				require.False(t, leaving[target.Incarnation] && !target.Leaving)
+				leaving[target.Incarnation] = target.Leaving
 			}
 		}
 	})
 }
 
-// damaged returns a list with damaged entries that name IDs.
-func damaged(l fleet.TargetListing, ids ...string) fleet.TargetListing {
+// withDamaged returns a listing to which damaged entries with these IDs are added.
+func withDamaged(listing fleet.TargetListing, ids ...string) fleet.TargetListing {
 	for _, id := range ids {
-		l.Damaged = append(l.Damaged, fleet.DamagedEntry{ID: id, Field: "slots"})
+		listing.Damaged = append(listing.Damaged, fleet.DamagedEntry{ID: id, Field: "slots"})
 	}
-	return l
+	return listing
 }
 
-// Symptom: requests are refused, or crowd the other targets, though all are well.
-// Sequence: a writer of the list writes one entry wrongly, once.
-// Cause: a target whose entry cannot be understood is taken for gone.
-func TestADamagedEntryDoesNotEndItsTarget(t *testing.T) {
-	a, b := run("a", 1000), leaving(run("b", 1000))
-	var r List
-	r.Update(at(0), list(a, b, sound))
-	require.False(t, r.Update(at(0.6), damaged(list(sound), "a", "b", "new", "")), "they keep their last good entries, and what leaves goes on leaving")
-	require.False(t, r.Update(at(1.2), damaged(list(sound), "a", "b")))
-	require.True(t, r.Update(at(1.8), damaged(list(sound), "a", "b")), "but for so long only that work still ends in time where the damage hides that a target leaves")
-	require.Equal(t, []fleet.Instance{sound}, r.Targets())
-	require.False(t, r.Update(at(2.4), damaged(list(sound), "a")), "damage brings nobody back")
-	require.True(t, r.Update(at(3), list(a, sound)))
-	require.Equal(t, []fleet.Instance{a, sound}, r.Targets())
-	r.Update(at(4), list(sound))
-	require.False(t, r.Update(at(4.1), damaged(list(sound), "a")), "nor one that was gone")
-	r.Update(at(5), list(a, sound))
-	require.False(t, r.Update(at(6), damaged(list(a, sound), "a")), "a damaged entry beside a good one says nothing")
+// Guards against refused requests, or overload of other targets, when a writer of the list writes
+// one invalid entry: the target of a damaged entry must not count as ended at once.
+func TestDamagedEntryKeepsTarget(t *testing.T) {
+	live, leaving := instance("a", 1000), asLeaving(instance("b", 1000))
+	var list List
+	list.Update(timeAt(0), listingOf(live, leaving, permanent))
+	require.False(t, list.Update(timeAt(0.6), withDamaged(listingOf(permanent), "a", "b", "new", "")), "targets keep their last valid entries and their leaving state")
+	require.False(t, list.Update(timeAt(1.2), withDamaged(listingOf(permanent), "a", "b")))
+	require.True(t, list.Update(timeAt(1.8), withDamaged(listingOf(permanent), "a", "b")), "limited, since the damage may hide that a target leaves, and its work must end in time")
+	require.Equal(t, []fleet.Instance{permanent}, list.Targets())
+	require.False(t, list.Update(timeAt(2.4), withDamaged(listingOf(permanent), "a")), "a damaged entry does not restore a removed target")
+	require.True(t, list.Update(timeAt(3), listingOf(live, permanent)))
+	require.Equal(t, []fleet.Instance{live, permanent}, list.Targets())
+	list.Update(timeAt(4), listingOf(permanent))
+	require.False(t, list.Update(timeAt(4.1), withDamaged(listingOf(permanent), "a")), "nor one that was not listed before")
+	list.Update(timeAt(5), listingOf(live, permanent))
+	require.False(t, list.Update(timeAt(6), withDamaged(listingOf(live, permanent), "a")), "a damaged entry is ignored if there is a valid one")
 }
 
-// A target whose entry was damaged is the same one when that is mended, or the next start.
-func TestAfterDamageATargetIsWhatItsEntrySays(t *testing.T) {
-	var r List
-	r.Update(at(0), list(leaving(run("a", 1000)), sound))
-	r.Update(at(1), damaged(list(sound), "a"))
-	r.Update(at(1.4), list(run("a", 1000), sound))
-	require.True(t, r.Targets()[0].Leaving)
-	r.Update(at(2), damaged(list(sound), "a"))
-	require.True(t, r.Update(at(2.4), list(run("a", 2000), sound)))
-	require.Equal(t, run("a", 2000), r.Targets()[0])
+// Guards against a lost leaving state, or a missed restart, when a damaged entry becomes valid
+// again.
+func TestTargetAfterDamagedEntry(t *testing.T) {
+	var list List
+	list.Update(timeAt(0), listingOf(asLeaving(instance("a", 1000)), permanent))
+	list.Update(timeAt(1), withDamaged(listingOf(permanent), "a"))
+	list.Update(timeAt(1.4), listingOf(instance("a", 1000), permanent))
+	require.True(t, list.Targets()[0].Leaving)
+	list.Update(timeAt(2), withDamaged(listingOf(permanent), "a"))
+	require.True(t, list.Update(timeAt(2.4), listingOf(instance("a", 2000), permanent)))
+	require.Equal(t, instance("a", 2000), list.Targets()[0])
 }
 
-// Symptom: all requests are refused for lack of targets, though all are well.
-// Sequence: the platform's store is empty, or full of damage, for some seconds.
-// Cause: whatever list comes is believed at once.
-func TestASuddenlyEmptyListIsNotBelievedAtOnce(t *testing.T) {
-	targets := []fleet.Instance{run("a", 1000), leaving(run("b", 1000))}
-	for name, empty := range map[string]fleet.TargetListing{"empty": {}, "all damaged": damaged(fleet.TargetListing{}, "a", "b", "")} {
+// Guards against the refusal of all requests when the platform's list is empty, or fully damaged,
+// for some seconds.
+func TestEmptyListIsAcceptedAfterDelay(t *testing.T) {
+	targets := []fleet.Instance{instance("a", 1000), asLeaving(instance("b", 1000))}
+	for name, empty := range map[string]fleet.TargetListing{"empty": {}, "all damaged": withDamaged(fleet.TargetListing{}, "a", "b", "")} {
 		t.Run(name, func(t *testing.T) {
-			var r List
-			r.Update(at(0), list(targets...))
-			for s := 30.0; s < 40; s++ { // nobody could read it before
-				require.False(t, r.Update(at(s), empty))
-				require.Equal(t, targets, r.Targets())
-				require.Equal(t, at(0), r.ReadAt(), "the last good list has its age")
+			var list List
+			list.Update(timeAt(0), listingOf(targets...))
+			for second := 30.0; second < 40; second++ { // no reading before for 30 s
+				require.False(t, list.Update(timeAt(second), empty))
+				require.Equal(t, targets, list.Targets())
+				require.Equal(t, timeAt(0), list.ReadAt(), "the time of the last valid listing is kept")
 			}
-			require.False(t, r.Update(at(39.5), list(targets...)), "it is back")
-			require.False(t, r.Update(at(45), empty))
-			require.True(t, r.Update(at(45).Add(emptyFor), empty), "they are really gone")
-			require.Empty(t, r.Targets())
-			require.Equal(t, at(45).Add(emptyFor), r.ReadAt())
+			require.False(t, list.Update(timeAt(39.5), listingOf(targets...)), "the list has entries again")
+			require.False(t, list.Update(timeAt(45), empty))
+			require.True(t, list.Update(timeAt(45).Add(emptyTTL), empty), "an empty list is accepted after emptyTTL")
+			require.Empty(t, list.Targets())
+			require.Equal(t, timeAt(45).Add(emptyTTL), list.ReadAt())
 		})
 	}
 	var fresh List
-	require.False(t, fresh.Update(at(0), fleet.TargetListing{}), "nobody is known")
-	require.Equal(t, at(0), fresh.ReadAt())
+	require.False(t, fresh.Update(timeAt(0), fleet.TargetListing{}), "no targets are known")
+	require.Equal(t, timeAt(0), fresh.ReadAt())
 }
