--- a/internal/fleet/evacuation.go
+++ b/internal/fleet/evacuation.go
@@ -17,7 +17,7 @@
 }
 
 // With returns a copy to which a zone is added. If it is already evacuated, the revision
-// stays the same, so an operator's order is idempotent.
+// stays the same, so that an operator's order is idempotent.
 func (z EvacuatedZones) With(zone Zone) EvacuatedZones {
 	index, found := slices.BinarySearch(z.Zones, zone)
 	if found {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -51,7 +51,7 @@
 type Report struct {
 	Router string     `json:"router"`
 	Zone   fleet.Zone `json:"zone"`
-	// Incarnation is a random number that the router draws at each start. Cumulative values
+	// Incarnation identifies one run of the router, from its start to its end. Cumulative values
 	// start at 0 with each incarnation.
 	Incarnation uint64    `json:"inc"`
 	Seq         uint64    `json:"seq"`
@@ -209,8 +209,8 @@
 	Settlements []Settlement `json:"settlements"`
 }
 
-// An ApplyRequest puts a configuration in force. With Wait, the call returns after the routers
-// use it.
+// An ApplyRequest is the parameter of MethodApply: it puts a configuration in force. With Wait,
+// the call returns when the routers use the configuration.
 type ApplyRequest struct {
 	Config   json.RawMessage `json:"config"`
 	Operator string          `json:"operator"`
@@ -269,7 +269,7 @@
 	Slots      int     `json:"slots"`
 }
 
-// A KeeperStatus is the state of one keeper as the leader sees it.
+// A KeeperStatus is the state of one keeper in a Status.
 type KeeperStatus struct {
 	Name       string `json:"name"`
 	ID         string `json:"id"`
@@ -278,7 +278,7 @@
 	MatchIndex uint64 `json:"match"`
 }
 
-// A RouterStatus is the state of one router as the leader sees it.
+// A RouterStatus is the state of one router in a Status.
 type RouterStatus struct {
 	Name      string     `json:"name"`
 	Zone      fleet.Zone `json:"zone"`
@@ -297,7 +297,7 @@
 	Now time.Time `json:"now"`
 }
 
-// A LiftRequest ends the quarantine of one request.
+// A LiftRequest is the parameter of MethodLiftQuarantine: it ends the quarantine of one request.
 type LiftRequest struct {
 	Fingerprint quarantine.Fingerprint `json:"print"`
 	Operator    string                 `json:"operator"`
--- a/internal/message/renew.go
+++ b/internal/message/renew.go
@@ -81,8 +81,8 @@
 // A RenewResponse is the response to a RenewRequest. It renews the lease only if it comes from
 // the leader.
 type RenewResponse struct {
-	// Leads says that the responding keeper is the leader and had valid leases from a quorum
-	// when it responded.
+	// Leads says that the responding keeper is the leader and had a valid leader lease from a
+	// quorum when it responded.
 	Leads bool `json:"leads,omitempty"`
 	// Leader is the address of the leader, if another keeper leads.
 	Leader string `json:"leader,omitempty"`
@@ -152,7 +152,7 @@
 	Running []int `json:"running"`
 }
 
-// A PutRequest puts a configuration of routes in force.
+// A PutRequest is the parameter of MethodPutRoutes: it puts a configuration of routes in force.
 type PutRequest struct {
 	Number       uint64 `json:"number"`
 	PackedConfig []byte `json:"text"`
--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -11,7 +11,7 @@
 const (
 	// sameTerminationWindow is how far apart in time two reports may be of the same termination
 	// of a target whose ID is reused. Routers see its connections close within milliseconds of
-	// each other, and a restart takes longer than the window.
+	// each other, and a target takes longer to restart.
 	sameTerminationWindow = 1500 * time.Millisecond
 	// suspectTTL and quarantineTTL are how long an entry is kept after the last termination. A
 	// caller usually repeats such a request for as long as it fails. A day gives operators time
@@ -26,7 +26,8 @@
 	// happened to run during three terminations.
 	firstTrialDelay = 10 * time.Second
 	nextTrialDelay  = time.Minute
-	// maxListLag is how long a terminated target may stay in the list of targets.
+	// maxListLag is how long a terminated target may stay in the list of targets, which lags by
+	// some seconds.
 	maxListLag = 10 * time.Second
 	// maxTerminatedTargets bounds the incarnations that are stored for one request.
 	maxTerminatedTargets = 8
@@ -141,6 +142,7 @@
 	return 0
 }
 
+// track returns the state of a request, which it creates if needed, and updates its report time.
 func (c *Coordinator) track(now time.Time, fp Fingerprint) *trackedRequest {
 	req := c.tracked[fp]
 	if req == nil {
@@ -308,14 +310,15 @@
 	})
 }
 
+// save queues the entry for the log.
 func (c *Coordinator) save(req *trackedRequest, transition Transition) {
 	req.logged = true
 	c.pendingEntries = append(c.pendingEntries, req.Entry)
 	c.pendingTransitions = append(c.pendingTransitions, TransitionRecord{Transition: transition, Entry: req.Entry})
 }
 
-// remove removes an entry from the log. The time of completion is kept for a while, since
-// earlier terminations may still be reported.
+// remove queues the removal of the entry from the log. The time of completion is kept for a
+// while, since earlier terminations may still be reported.
 func (c *Coordinator) remove(req *trackedRequest, transition Transition) {
 	c.pendingTransitions = append(c.pendingTransitions, TransitionRecord{Transition: transition, Entry: req.Entry})
 	req.Entry = Entry{Fingerprint: req.Fingerprint, Account: req.Account, Destination: req.Destination, Pool: req.Pool, PermitID: req.PermitID}
@@ -341,8 +344,8 @@
 }
 
 // UpdateFor returns the response to a router's report: the restrictions that have changed since
-// the router's revision, and those of the requested permits for which the store has no entry or
-// whose pool is down.
+// the router's revision, and a restriction for each permit request that needs no permit, because
+// too few terminations count against it, or whose pool is down.
 func (c *Coordinator) UpdateFor(now time.Time, report Report, store *EntryStore) RestrictionUpdate {
 	changed, complete := store.ChangedSince(report.KnownRevision)
 	update := RestrictionUpdate{Revision: store.Revision(), Complete: complete && store.Revision() > 0}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -15,9 +15,9 @@
 	// request runs. That run may take several seconds, but usually ends sooner.
 	minRetryAfter = time.Second
 	maxRetryAfter = 5 * time.Second
-	// poolDownTTL is how long a request is refused without asking the leader again after all
-	// targets of its pool have terminated. The leader rereads its list of targets within that
-	// time.
+	// poolDownTTL is how long a request is refused without another permit request after the
+	// leader has reported that all targets of its pool terminated. The list of targets is reread
+	// within that time.
 	poolDownTTL = 500 * time.Millisecond
 	// maxReported bounds the terminations and completions in one report.
 	maxReported = 256
--- a/internal/quarantine/observation.go
+++ b/internal/quarantine/observation.go
@@ -39,7 +39,7 @@
 // reportable is an item that is reported to each leader until it is acknowledged.
 type reportable[T any] struct {
 	value   T
-	at      time.Time
+	at      time.Time // when it was observed
 	ackTerm uint64    // term of the leader that last acknowledged it; 0 if none has
 	sentAt  time.Time // when the last report with it was made
 }
@@ -103,6 +103,7 @@
 	}
 }
 
+// observe returns the observation of a request, which it creates if needed.
 func (g *Guard) observe(now time.Time, fp Fingerprint) *observation {
 	observed := g.observed[fp]
 	if observed != nil {
