--- a/internal/keeperclient/keeperclient.go
+++ b/internal/keeperclient/keeperclient.go
@@ -121,7 +121,7 @@
 	listTerm       uint64
 	listRevision   uint64
 	sentTargets    sentTargetList
-	damageNotes    targetlist.DamageNotes
+	damageNotes    targetlist.DamageLog
 	lastOwnRead    time.Time // when this router last read the platform's list itself
 	stalls         stallDetector
 }
@@ -168,10 +168,10 @@
 func (c *Client) Run(ctx context.Context) error {
 	c.conns = make(map[string]*rpc.Conn)
 	if c.List != nil {
-		c.damageNotes.List = c.List.Address()
+		c.damageNotes.Source = c.List.Address()
 	}
 	c.damageNotes.Log, c.damageNotes.Count = c.Log, &c.damagedEntries
-	c.knownTargets.Routed = c.hasPool
+	c.knownTargets.IsRouted = c.hasPool
 	defer func() {
 		for _, conn := range c.conns {
 			conn.Close()
