--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -71,7 +71,7 @@
 
 // Guards against late answers after a refusal. The Retry-After time depended only on the
 // account's share and was up to 2 s, although engines had capacity again long before, so callers
-// retried after the latency target had passed.
+// retried after the latency objective had passed.
 func TestRetryAfterLeavesTimeForAnswer(t *testing.T) {
 	c := newController(64)
 	_, refusal := c.Decide(start, func() Request { r := request(30000); r.WithinShare = true; return r }())
@@ -95,7 +95,7 @@
 
 // Guards against giving one of two accounts over their shares less than half of what the other
 // gets, for seconds, while slots are free. The prompts of one are cached or short. Those of the
-// other need more than half of the latency target for prefill, and headroom never grew for it.
+// other need more than half of the latency objective for prefill, and headroom never grew for it.
 func TestUnderservedAccountGetsMoreHeadroom(t *testing.T) {
 	shares := &quota.Shares{Capacity: 1000}
 	admits := headroomAdmits(shares, &fleet.Route{LatencyObjective: time.Second})
@@ -104,10 +104,10 @@
 	}
 	shares.SetFleetDemand(demand(880))
 	require.True(t, admits("underserved", 450*time.Millisecond, 0.5))
-	require.False(t, admits("underserved", 700*time.Millisecond, 0.5), "equal service: half of the latency target")
+	require.False(t, admits("underserved", 700*time.Millisecond, 0.5), "equal service: half of the latency objective")
 	shares.SetFleetDemand(demand(400))
 	require.True(t, admits("underserved", 900*time.Millisecond, 0.5), "the other account gets twice as much")
-	require.False(t, admits("underserved", 1100*time.Millisecond, 0.5), "never more than the latency target")
+	require.False(t, admits("underserved", 1100*time.Millisecond, 0.5), "never more than the latency objective")
 	require.False(t, admits("overserved", 450*time.Millisecond, 0.5))
 }
 
--- a/internal/admission/headroom.go
+++ b/internal/admission/headroom.go
@@ -9,8 +9,8 @@
 
 const (
 	// headroomDivisor sets the headroom: a request over its account's share is admitted if its
-	// predicted time to first byte, including prefill, is at most the route's latency target
-	// divided by it. Such a request does not push others past their targets. One that needs a
+	// predicted time to first byte, including prefill, is at most the route's latency objective
+	// divided by it. Such a request does not push others past their objectives. One that needs a
 	// long prefill waits until it is within the share.
 	headroomDivisor = 2
 	// excessTolerance is the ratio between the service of an account and that of an underserved
@@ -32,7 +32,7 @@
 }
 
 // Headroom admits requests that make no other request late: the first byte is predicted well
-// within the latency target, and slots are free. Without it, accounts would get no more than
+// within the latency objective, and slots are free. Without it, accounts would get no more than
 // their share of the configured capacity, even with idle engines.
 //
 // For a request with size credit that can start almost at once, prefill of its own part does not
@@ -72,8 +72,8 @@
 	return fraction
 }
 
-// GrowByDeficit increases the headroom of an account, up to the whole latency target, by how much
-// more service another account gets. It is applied after ShrinkByExcess, so that an account
+// GrowByDeficit increases the headroom of an account, up to the whole latency objective, by how
+// much more service another account gets. It is applied after ShrinkByExcess, so that an account
 // between two others is compared with both.
 type GrowByDeficit struct{}
 
--- a/internal/admission/retryafter.go
+++ b/internal/admission/retryafter.go
@@ -7,12 +7,12 @@
 )
 
 // retryDivisor sets the longest Retry-After for accounts over their share: the route's latency
-// target divided by it.
+// objective divided by it.
 const retryDivisor = 4
 
 // LatencyAwareRetry lets a caller retry once its account has credit again, but early enough that
-// the answer can still meet its latency target, since engines may have capacity long before. A
-// caller that waits as long as its latency target is always late.
+// the answer can still meet its latency objective, since engines may have capacity long before. A
+// caller that waits as long as its latency objective is always late.
 type LatencyAwareRetry struct{}
 
 var _ RetryPolicy = LatencyAwareRetry{}
--- a/internal/admission/shortwait_test.go
+++ b/internal/admission/shortwait_test.go
@@ -28,7 +28,7 @@
 	require.Equal(t, fleet.ReasonOverShare, refusal.Reason)
 }
 
-func TestShortWaitScalesWithLatencyTarget(t *testing.T) {
+func TestShortWaitScalesWithLatencyObjective(t *testing.T) {
 	for wait, want := range map[time.Duration]bool{0: true, 100 * time.Millisecond: true, 101 * time.Millisecond: false} {
 		require.Equal(t, want, ShortWait{}.Admits(start, nil, Request{Route: route}, &placement.Choice{PredictedTTFB: wait, Load: maxLoad}), wait)
 	}
--- a/internal/keeperclient/take.go
+++ b/internal/keeperclient/take.go
@@ -126,7 +126,7 @@
 }
 
 // nameAccounts keeps the accounts that the leader names, and puts them in where it leaves them
-// out. Demands whose accounts are not known are left out by quota.Rows.
+// out. Demands whose accounts are not known are left out by quota.DecodeColumns.
 func (u *Client) nameAccounts(l *message.Loads) {
 	switch {
 	case len(l.Accounts) > 0:
--- a/internal/placement/copy.go
+++ b/internal/placement/copy.go
@@ -7,9 +7,9 @@
 )
 
 // copyWeight multiplies the prefill time of copied tokens, which is added to the cost of a choice
-// on top of the transfer time. The copy is billed, and it takes memory from other cached parts,
-// which are then prefilled again. So a request leaves the owner only if the queue there is much
-// longer than the copy takes, however fast the link is.
+// on top of the transfer time. The copy is billed, and it takes KV capacity from other cached
+// parts, which are then prefilled again. So a request leaves the owner only if the queue there is
+// much longer than the copy takes, however fast the link is.
 const copyWeight = 4
 
 // stickyFor is how long requests with the same shared parts stay at the target that this router
--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -2,25 +2,25 @@
 
 const (
 	// A prompt's shared parts are cached in each availability zone if they are smaller than the
-	// memory of one engine divided by engineMemoryDivisor, and smaller than the memory of all the
-	// zone's engines divided by zoneMemoryDivisor. With fewer engines in a zone, such parts evict
-	// each other sooner.
-	engineMemoryDivisor = 64
-	zoneMemoryDivisor   = 1024
+	// KV capacity of one engine divided by engineCapacityDivisor, and smaller than the KV capacity
+	// of all the zone's engines divided by zoneCapacityDivisor. With fewer engines in a zone, such
+	// parts evict each other sooner.
+	engineCapacityDivisor = 64
+	zoneCapacityDivisor   = 1024
 )
 
 // cachePerZone reports whether a prompt's shared parts have an owner in each availability zone.
 //
 // A request that goes to another zone takes its body there, and that traffic is billed. Parts
-// cached in every zone take memory in each and are used less often there, so they are evicted and
-// prefilled again sooner. That pays off for small parts only. A zone's owner copies what it has
-// not cached from the owner of the fleet.
+// cached in every zone take KV capacity in each and are used less often there, so they are
+// evicted and prefilled again sooner. That pays off for small parts only. A zone's owner copies
+// what it has not cached from the owner of the fleet.
 func (p *Placer) cachePerZone(r Request) bool {
-	shared, memory := 0, p.engines[r.Pool].KVCapacity
+	shared, capacity := 0, p.engines[r.Pool].KVCapacity
 	for _, part := range r.shared() {
 		shared += part.Tokens
 	}
-	return shared*engineMemoryDivisor < memory && shared*zoneMemoryDivisor < memory*p.acceptingInZone[r.Pool]
+	return shared*engineCapacityDivisor < capacity && shared*zoneCapacityDivisor < capacity*p.acceptingInZone[r.Pool]
 }
 
 // A bestScore finds the target with the highest score.
--- a/internal/placement/locality_test.go
+++ b/internal/placement/locality_test.go
@@ -9,7 +9,7 @@
 )
 
 // newPlacerPerZone returns the placers of one router in each of three zones, in front of engines
-// with a memory of 500,000 tokens each.
+// with a KV capacity of 500,000 tokens each.
 func newPlacerPerZone(engines int) []*Placer {
 	var list []*Placer
 	for _, zone := range []fleet.Zone{"z0", "z1", "z2"} {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -33,7 +33,7 @@
 	// remoteLoadLifetime is how long the number of requests reported for other routers is used.
 	remoteLoadLifetime = 2 * time.Second
 	// cacheLifetime is how long a part counts as cached at the target that this router sent it
-	// to. Running requests replace the contents of an engine's memory; parts last for about that
+	// to. Running requests evict cached parts from an engine's KV cache; parts last for about that
 	// long after their last use.
 	cacheLifetime = 15 * time.Second
 	// reportedQueueLifetime is how long the queue length that a target reported is used, with
@@ -179,9 +179,9 @@
 	learnedPrefillRate float64                     // prompt tokens per millisecond and engine; 0 until measured
 	coldLimits         map[string]warmup.RateLimit // by pool
 
-	evacuations  fleet.EvacuatedZones
-	coldUntil    map[fleet.Incarnation]time.Time // reported end of the cold period
-	serviceTimes map[string]serviceTime          // by pool
+	evacuatedZones fleet.EvacuatedZones
+	coldUntil      map[fleet.Incarnation]time.Time // reported end of the cold period
+	serviceTimes   map[string]serviceTime          // by pool
 }
 
 // SetTargets replaces the list of targets and keeps the state of those that stay. A restarted
@@ -193,7 +193,7 @@
 	accepting, acceptingInZone := make(map[string]int), make(map[string]int)
 	for _, instance := range list {
 		s := p.states[instance.Incarnation]
-		evacuated := p.evacuations.Contains(instance.Zone)
+		evacuated := p.evacuatedZones.Contains(instance.Zone)
 		if s == nil || s.Leaving && !instance.Leaving || s.evacuated && !evacuated { // it may have restarted
 			s = newState(now, instance)
 			p.markAdded(now, s)
--- a/internal/placement/warming.go
+++ b/internal/placement/warming.go
@@ -12,8 +12,8 @@
 const restartMargin = 3 * time.Second
 
 // SetEvacuated replaces the set of evacuated zones. It takes effect with the next SetTargets.
-func (p *Placer) SetEvacuated(e fleet.EvacuatedZones) {
-	p.evacuations = e
+func (p *Placer) SetEvacuated(zones fleet.EvacuatedZones) {
+	p.evacuatedZones = zones
 }
 
 // SetColdUntil sets the end of the cold period of targets, including targets that a later
--- a/internal/quota/aggregator.go
+++ b/internal/quota/aggregator.go
@@ -89,8 +89,8 @@
 	index := indexBacklogs(mine)
 	others := make([]message.Backlog, 0, len(all))
 	for _, total := range all {
-		mineHere := index.lookup(total.Incarnation())
-		remaining := message.NewBacklog(total.Incarnation(), max(total.Tokens-mineHere.Tokens, 0), max(total.Running-mineHere.Running, 0))
+		own := index.lookup(total.Incarnation())
+		remaining := message.NewBacklog(total.Incarnation(), max(total.Tokens-own.Tokens, 0), max(total.Running-own.Running, 0))
 		if remaining.Tokens > 0 || remaining.Running > 0 {
 			others = append(others, remaining)
 		}
