--- a/internal/gateway/connmanager.go
+++ b/internal/gateway/connmanager.go
@@ -245,7 +245,8 @@
 	return c.overload.isOverloaded(time.Now())
 }
 
-// releaseReadSlot records that the current request of a connection has been read and checked.
+// releaseReadSlot releases the read slot of a connection, if it has one. It is called when the
+// current request has been read and checked, or when its unread timeout has expired.
 func (c *connManager) releaseReadSlot(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/shed.go
+++ b/internal/gateway/shed.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// clearFresh records that the first request of a connection has been read and checked, or that the
-// connection is idle or closed.
+// clearFresh stops counting a connection as fresh. It is called when the first request has been read
+// and checked, when its unread timeout has expired, and when the connection is idle or closed.
 func (c *connManager) clearFresh(info *connInfo) {
 	if info.fresh {
 		info.fresh = false
