--- a/internal/gateway/connmanager.go
+++ b/internal/gateway/connmanager.go
@@ -23,10 +23,10 @@
 	defaultHeaderTimeout  = 5 * time.Second
 	defaultIdleTimeout    = 15 * time.Second
 	defaultMaxHeaderBytes = 32 << 10
-	// maxUnreadRequests bounds the requests that are read and checked at the same time; the others
-	// wait unread in order of arrival. Without the bound, an overloaded router would divide its
-	// processor among all requests, and its communication with the keepers would stall: new
-	// configurations would not be applied, and its lease on API keys would lapse.
+	// maxUnreadRequests is the number of read slots. A request occupies one while it is read and
+	// checked; other requests wait unread in order of arrival. Without this bound, an overloaded
+	// router would divide its processor among all requests, and its communication with the keepers
+	// would stall: new configurations would not be applied, and its lease on API keys would lapse.
 	maxUnreadRequests = 16
 	// defaultUnreadTimeout is how long a request may occupy a read slot, so that a caller that
 	// sends slowly does not delay others.
@@ -59,7 +59,7 @@
 	servers        []*http.Server
 	serverListener *connListener
 	conns          map[net.Conn]*connInfo
-	readSlots      chan struct{} // one element per request that is being read and checked
+	readSlots      chan struct{} // one element per occupied read slot
 
 	freshCount      int       // connections whose first request has not been read and checked
 	freshCountedAt  time.Time // last time that freshCount was recounted
