--- a/internal/keeper/bootstrap.go
+++ b/internal/keeper/bootstrap.go
@@ -143,6 +143,7 @@
 	return foundResult{ID: identity.ID, Bound: b.journal.Identity().FoundingPeerIDs[params.Name], Founded: identity.Founded}, nil
 }
 
+// bindPeer durably binds a peer's name to its ID.
 func (b *bootstrapper) bindPeer(identity journal.Identity, name, peerID string) error {
 	bound := make(map[string]string, len(identity.FoundingPeerIDs)+1)
 	for boundName, boundID := range identity.FoundingPeerIDs {
@@ -188,6 +189,7 @@
 	return b.completeFounding()
 }
 
+// isIncomplete reports whether peers are still missing or this keeper's proposal is undecided.
 func (b *bootstrapper) isIncomplete(missing map[string]string) bool {
 	return len(missing) > 0 || len(b.currentIdentity().ProposedMembers) > 0
 }
@@ -280,6 +282,7 @@
 	}
 }
 
+// sleep waits for d. It returns false if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/keeper/conncache.go
+++ b/internal/keeper/conncache.go
@@ -15,6 +15,7 @@
 
 type dialFunc func(ctx context.Context, address string) (*rpc.Conn, error)
 
+// get returns the connection to an address. It dials if there is none or the connection is closed.
 func (c *connCache) get(ctx context.Context, address string, dial dialFunc) (*rpc.Conn, error) {
 	c.mu.Lock()
 	conn := c.conns[address]
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -69,6 +69,7 @@
 	setMembers(selfID string, members []quorum.Member)
 }
 
+// A routerKey identifies one incarnation of a router.
 type routerKey struct {
 	name        string
 	incarnation uint64
@@ -83,11 +84,13 @@
 	done func(statestore.Result, error)
 }
 
+// A claimCall is a call that waits until its claims are committed.
 type claimCall struct {
 	claims []message.Claim
 	done   func([]message.ClaimResult, error)
 }
 
+// A settleCall is a call that waits until its settlements are committed.
 type settleCall struct {
 	settlements []message.Settlement
 	done        func(error)
@@ -139,6 +142,7 @@
 	return c.processOutput()
 }
 
+// start loads the state from the data folder and starts the quorum node.
 func (c *core) start(identity journal.Identity) error {
 	state, snapshot, entries := c.journal.Recovered()
 	if snapshot.Index == 0 && len(snapshot.Members) == 0 {
@@ -302,6 +306,7 @@
 	return c.processOutput()
 }
 
+// deadline returns when runOnce must run again at the latest.
 func (c *core) deadline() time.Time {
 	next := c.node.NextTick()
 	if c.divider != nil && c.divider.Deadline().Before(next) {
--- a/internal/keeper/handlers.go
+++ b/internal/keeper/handlers.go
@@ -144,6 +144,7 @@
 	return updated
 }
 
+// ownerAlive reports whether a router has a lease, given the hash of its name as a claim's owner.
 func (c *core) ownerAlive(owner uint64) bool {
 	return c.divider.AnyAlive(func(name string, incarnation uint64) bool {
 		return statestore.HashOwner(message.ClaimOwner(name, incarnation)) == owner
--- a/internal/keeper/leader.go
+++ b/internal/keeper/leader.go
@@ -12,6 +12,7 @@
 var errNoQuorum = fleet.NewError(fleet.KindNoQuorum, "send it again: the same request is carried out once",
 	"the leader changed before a quorum held the request")
 
+// updateDividerConfig passes the configuration in force to the divider.
 func (c *core) updateDividerConfig() {
 	if c.divider == nil {
 		return
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -193,6 +193,7 @@
 	return await(ctx, c, func(now time.Time, done func(message.RenewResponse, error)) { done(c.renew(now, request), nil) })
 }
 
+// recordRenewal records a router's renewal, and removes expired routers once per sweepInterval.
 func (s *renewalState) recordRenewal(now time.Time, router string) {
 	if s.lastRenewals == nil {
 		s.lastRenewals = make(map[string]time.Time)
