--- a/internal/cmd/host.go
+++ b/internal/cmd/host.go
@@ -5,11 +5,12 @@
 	"laburnumfall/internal/routing"
 )
 
-// A Host is what programs on the users' platform take from the machine that they run
-// on. The zero value is the machine as it is. Tests that run the programs as processes
-// of their own put clocks, disks and links in its place that misbehave to order.
-type Host struct {
-	// Keeper and Router, if set, may change a part's exported fields before it runs.
-	Keeper func(k *keeper.Keeper)
-	Router func(r *routing.Service)
+// Hooks change a keeper or a router before it runs. The zero value changes nothing. Tests that
+// run the programs as separate processes use hooks to inject faulty clocks, disks and
+// connections.
+type Hooks struct {
+	// ConfigureKeeper and ConfigureRouter, if set, may change the exported fields of the keeper
+	// or router before it runs. They apply only to programs on the users' platform.
+	ConfigureKeeper func(k *keeper.Keeper)
+	ConfigureRouter func(r *routing.Service)
 }
--- a/internal/cmd/keepercmd.go
+++ b/internal/cmd/keepercmd.go
@@ -19,11 +19,11 @@
 
 // Keeper runs lf-keeper and returns its exit code.
 func Keeper(args []string, stdout, stderr io.Writer) int {
-	return Host{}.RunKeeper(args, stdout, stderr)
+	return Hooks{}.RunKeeper(args, stdout, stderr)
 }
 
-// RunKeeper runs lf-keeper on the host and returns its exit code.
-func (h Host) RunKeeper(args []string, stdout, stderr io.Writer) int {
+// RunKeeper runs lf-keeper with the hooks applied and returns its exit code.
+func (h Hooks) RunKeeper(args []string, stdout, stderr io.Writer) int {
 	var o keeperOptions
 	p := program[settings.Keeper]{name: "lf-keeper", read: settings.ReadKeeper}
 	p.run = func(ctx context.Context, s settings.Keeper) error {
--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -121,7 +121,7 @@
 }
 
 // platformRouter runs a router of routes.
-func (h Host) platformRouter(ctx context.Context, p *platformProgram) error {
+func (h Hooks) platformRouter(ctx context.Context, p *platformProgram) error {
 	s, err := p.settings.Router()
 	if err != nil {
 		return err
@@ -135,8 +135,8 @@
 		return time.Duration(p.stalled.Load()).Seconds()
 	})
 	r.SetSeeds(s.Keepers)
-	if h.Router != nil {
-		h.Router(r)
+	if h.ConfigureRouter != nil {
+		h.ConfigureRouter(r)
 	}
 	// The other duties go on while requests in progress finish.
 	duties, end := context.WithCancel(context.WithoutCancel(ctx))
@@ -176,7 +176,7 @@
 }
 
 // platformKeeper runs a keeper.
-func (h Host) platformKeeper(ctx context.Context, p *platformProgram) error {
+func (h Hooks) platformKeeper(ctx context.Context, p *platformProgram) error {
 	s, founds, err := p.settings.Keeper()
 	if err != nil {
 		return err
@@ -189,8 +189,8 @@
 		control := &platform.Control{Keeper: c, Log: p.log}
 		return control.Run(ctx, p.settings.Operators)
 	}
-	if h.Keeper != nil {
-		h.Keeper(k)
+	if h.ConfigureKeeper != nil {
+		h.ConfigureKeeper(k)
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return k.Run(ctx) })
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -30,11 +30,11 @@
 
 // Router runs lf-router and returns its exit code.
 func Router(args []string, stdout, stderr io.Writer) int {
-	return Host{}.RunRouter(args, stdout, stderr)
+	return Hooks{}.RunRouter(args, stdout, stderr)
 }
 
-// RunRouter runs lf-router on the host and returns its exit code.
-func (h Host) RunRouter(args []string, stdout, stderr io.Writer) int {
+// RunRouter runs lf-router with the hooks applied and returns its exit code.
+func (h Hooks) RunRouter(args []string, stdout, stderr io.Writer) int {
 	var o platformOptions
 	p := program[settings.Router]{name: "lf-router", read: settings.ReadRouter}
 	p.run = func(ctx context.Context, s settings.Router) error {
--- a/internal/soak/main_test.go
+++ b/internal/soak/main_test.go
@@ -24,7 +24,7 @@
 
 // TestMain is the programs, when started as one of them.
 func TestMain(m *testing.M) {
-	host := cmd.Host{Keeper: faultyKeeper, Router: faultyRouter}
+	host := cmd.Hooks{ConfigureKeeper: faultyKeeper, ConfigureRouter: faultyRouter}
 	switch os.Getenv(programEnv) {
 	case "lf-keeper":
 		os.Exit(host.RunKeeper(os.Args[1:], os.Stdout, os.Stderr))
