--- a/cmd/lf-keeper/main.go
+++ b/cmd/lf-keeper/main.go
@@ -1,4 +1,4 @@
-// Command lf-keeper holds the fleet's replicated state and divides the targets' slots.
+// Command lf-keeper replicates the state of the fleet and divides the slots of targets among routers.
 package main
 
 import (
--- a/cmd/lf-load/main.go
+++ b/cmd/lf-load/main.go
@@ -1,4 +1,4 @@
-// Command lf-load plays loads against models of engines, with the decisions of routers.
+// Command lf-load simulates load on models of engines, with the routing decisions of the product and of other policies.
 package main
 
 import (
--- a/cmd/lf-local/main.go
+++ b/cmd/lf-local/main.go
@@ -1,4 +1,4 @@
-// Command lf-local runs a whole small fleet in one process on loopback.
+// Command lf-local runs a small fleet in one process on loopback.
 package main
 
 import (
--- a/cmd/lf-router/main.go
+++ b/cmd/lf-router/main.go
@@ -1,4 +1,4 @@
-// Command lf-router takes callers' requests, queues them per client account and carries them to targets.
+// Command lf-router accepts requests from callers, queues them per client account and forwards them to targets.
 package main
 
 import (
--- a/cmd/lf-slopes/main.go
+++ b/cmd/lf-slopes/main.go
@@ -1,4 +1,4 @@
-// Command lf-slopes fits slopes to benchmark results, for docs/CAPACITY.md.
+// Command lf-slopes fits lines to benchmark results, for docs/CAPACITY.md.
 package main
 
 import (
--- a/cmd/lf-standin/main.go
+++ b/cmd/lf-standin/main.go
@@ -1,4 +1,4 @@
-// Command lf-standin is a stand-in for a model engine or a plain service.
+// Command lf-standin runs a stand-in for a model engine or a plain service.
 package main
 
 import (
--- a/cmd/lfctl/main.go
+++ b/cmd/lfctl/main.go
@@ -1,4 +1,4 @@
-// Command lfctl is the operators' command line.
+// Command lfctl is the command line tool for operators.
 package main
 
 import (
--- a/internal/cmd/applycmd.go
+++ b/internal/cmd/applycmd.go
@@ -11,7 +11,7 @@
 
 // applyCmd is "lfctl apply FILE".
 type applyCmd struct {
-	Wait bool `long:"wait" description:"return once every router with a lease has it in force"`
+	Wait bool `long:"wait" description:"wait until the configuration is in force at every router with a lease"`
 	Args struct {
 		File string `positional-arg-name:"FILE"`
 	} `positional-args:"yes" required:"yes"`
@@ -19,8 +19,8 @@
 	ctl *ctl
 }
 
-func (c *ctl) addApply(p *flags.Parser) error {
-	_, err := p.AddCommand("apply", "put a configuration in force", "Puts a whole configuration in force. Its number must be above the one in force; the same number with the same content may be sent again.", &applyCmd{ctl: c})
+func (c *ctl) addApply(parser *flags.Parser) error {
+	_, err := parser.AddCommand("apply", "put a configuration in force", "Puts a complete configuration in force. Its number must be above the one in force. Repeating the command with the same number and the same content is safe.", &applyCmd{ctl: c})
 	return err
 }
 
@@ -32,31 +32,31 @@
 	}
 	timeout := ctlTimeout
 	if a.Wait {
-		timeout = ctlWaitTimeout
+		timeout = ctlApplyWaitTimeout
 	}
-	params := message.ApplyRequest{Config: json.RawMessage(config.JSON()), Operator: operator(), Wait: a.Wait}
+	params := message.ApplyRequest{Config: json.RawMessage(config.JSON()), Operator: operatorName(), Wait: a.Wait}
 	var applied message.ApplyResult
 	if err := a.ctl.call(timeout, message.MethodApply, params, &applied); err != nil {
 		return err
 	}
 	if applied.Conflict {
-		return a.conflict(config, applied)
+		return a.conflictError(config, applied)
 	}
 	if a.ctl.JSON {
 		return a.ctl.printJSON(applied)
 	}
 	if applied.NewerNumber > 0 {
-		say(a.ctl.stdout, "accepted before: number %d, digest %s; nothing changed, number %d is in force\n", applied.Number, applied.Digest, applied.NewerNumber)
+		printf(a.ctl.stdout, "accepted before: number %d, digest %s; nothing changed, number %d is in force\n", applied.Number, applied.Digest, applied.NewerNumber)
 		return nil
 	}
-	say(a.ctl.stdout, "accepted: number %d, digest %s\n", applied.Number, applied.Digest)
+	printf(a.ctl.stdout, "accepted: number %d, digest %s\n", applied.Number, applied.Digest)
 	if a.Wait {
-		say(a.ctl.stdout, "in force on %d routers\n", applied.Routers)
+		printf(a.ctl.stdout, "in force on %d routers\n", applied.Routers)
 	}
 	return nil
 }
 
-func (a *applyCmd) conflict(config fleet.Config, applied message.ApplyResult) error {
+func (a *applyCmd) conflictError(config fleet.Config, applied message.ApplyResult) error {
 	if a.ctl.JSON {
 		if err := a.ctl.printJSON(applied); err != nil {
 			return err
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,5 +1,5 @@
-// Package cmd holds the command line of each program. A main function only
-// hands its arguments over and exits with what comes back.
+// Package cmd implements the command line of each program. A main function passes its arguments
+// to this package and exits with the code that it returns.
 package cmd
 
 import (
@@ -18,49 +18,50 @@
 
 // The exit codes that all programs share. lfctl has more.
 const (
-	exitDone  = 0
-	exitFail  = 1
-	exitUsage = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// Version is the version of the programs.
+// Version is the version of all programs.
 const Version = "0.1.0"
 
-// common are the options of every serving program.
-type common struct {
+// commonOptions are the options that all servers share.
+type commonOptions struct {
 	Config  string `long:"config" value-name:"FILE" description:"settings file (TOML)"`
 	Check   bool   `long:"check" description:"verify the settings and exit"`
 	Version bool   `long:"version" description:"print the version and exit"`
 }
 
-// parse reads the arguments into options. It reports the exit code if the
-// program is to end at once.
-func parse(name string, options any, args []string, stdout, stderr io.Writer) (rest []string, code int, ended bool) {
-	p := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
-	if _, err := p.AddGroup("Options", "", options); err != nil {
-		return nil, fail(stderr, exitFail, err), true
+// parse parses the arguments into options. It reports whether the program should exit at once,
+// and with which code.
+func parse(name string, options any, args []string, stdout, stderr io.Writer) (rest []string, code int, exit bool) {
+	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
+	if _, err := parser.AddGroup("Options", "", options); err != nil {
+		return nil, fail(stderr, exitFailure, err), true
 	}
-	rest, err := p.ParseArgs(args)
+	rest, err := parser.ParseArgs(args)
 	var flagErr *flags.Error
 	if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
-		say(stdout, "%s", flagErr.Message)
-		return nil, exitDone, true
+		printf(stdout, "%s", flagErr.Message)
+		return nil, exitOK, true
 	}
 	if err != nil {
 		return nil, fail(stderr, exitUsage, fmt.Errorf("%w (see %s --help)", err, name)), true
 	}
-	return rest, exitDone, false
+	return rest, exitOK, false
 }
 
-// early answers --version, and refuses a missing --config.
-func (c common) early(name string, stdout, stderr io.Writer) (code int, ended bool) {
-	if c.Version {
+// earlyExit handles --version and a missing --config. It reports whether the program should exit,
+// and with which code.
+func (o commonOptions) earlyExit(name string, stdout, stderr io.Writer) (code int, exit bool) {
+	if o.Version {
 		return printVersion(name, stdout), true
 	}
-	if c.Config == "" {
-		return fail(stderr, exitUsage, fmt.Errorf("no settings (name a file with --config)")), true
+	if o.Config == "" {
+		return fail(stderr, exitUsage, fmt.Errorf("--config is missing (name the settings file)")), true
 	}
-	return exitDone, false
+	return exitOK, false
 }
 
 func printVersion(name string, stdout io.Writer) int {
@@ -68,63 +69,65 @@
 	if info, ok := debug.ReadBuildInfo(); ok {
 		goVersion = info.GoVersion
 	}
-	say(stdout, "%s %s %s\n", name, Version, goVersion)
-	return exitDone
+	printf(stdout, "%s %s %s\n", name, Version, goVersion)
+	return exitOK
 }
 
-// untilSignal returns a context that ends at SIGTERM or SIGINT.
-func untilSignal() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is cancelled at SIGTERM or SIGINT.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
+// fail prints an error and returns the exit code.
 func fail(stderr io.Writer, code int, err error) int {
-	say(stderr, "error: %v\n", err)
+	printf(stderr, "error: %v\n", err)
 	return code
 }
 
-// say prints to a terminal or pipe: a reader that is gone is no reason to fail.
-func say(w io.Writer, format string, args ...any) {
+// printf prints to a terminal or pipe. It ignores write errors: a reader that has closed its end
+// is no reason for a program to fail.
+func printf(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
 
-// A program is a serving program: how its settings are read, and how it runs.
+// A program describes a server: how its settings are read and how it runs.
 type program[S any] struct {
-	name string
-	read func(file string) (S, error)
-	run  func(ctx context.Context, s S) error
-	// onPlatform, if set, runs the program on the users' platform.
-	onPlatform func(ctx context.Context, p *platformProgram) error
+	name         string
+	readSettings func(file string) (S, error)
+	run          func(ctx context.Context, settings S) error
+	// runOnPlatform, if set, runs the program with the settings of the users' platform.
+	runOnPlatform func(ctx context.Context, p *platformProgram) error
 }
 
-// main runs the program and returns its exit code. Options holds the common
-// ones and may hold more.
-func (p program[S]) main(options any, o *common, args []string, stdout, stderr io.Writer) int {
-	if _, code, ended := parse(p.name, options, args, stdout, stderr); ended {
+// main runs the program and returns its exit code. The parameter options is a struct that embeds
+// the common options and may have more.
+func (p program[S]) main(options any, common *commonOptions, args []string, stdout, stderr io.Writer) int {
+	if _, code, exit := parse(p.name, options, args, stdout, stderr); exit {
 		return code
 	}
-	if o, ok := options.(platformOption); ok && o.onPlatform() {
-		return runPlatform(p.name, o.checks(), stdout, stderr, p.onPlatform)
+	if platformOpts, ok := options.(platformSelector); ok && platformOpts.usesPlatform() {
+		return runPlatform(p.name, platformOpts.checkOnly(), stdout, stderr, p.runOnPlatform)
 	}
-	if code, ended := o.early(p.name, stdout, stderr); ended {
+	if code, exit := common.earlyExit(p.name, stdout, stderr); exit {
 		return code
 	}
-	s, err := p.read(o.Config)
+	settings, err := p.readSettings(common.Config)
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
-	if o.Check {
-		say(stdout, "%s: settings are good\n", o.Config)
-		return exitDone
+	if common.Check {
+		printf(stdout, "%s: settings are good\n", common.Config)
+		return exitOK
 	}
-	ctx, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
-	err = p.run(ctx, s)
-	var folder *keeper.DataDirInUseError
+	err = p.run(ctx, settings)
+	var dirInUse *keeper.DataDirInUseError
 	switch {
-	case errors.As(err, &folder):
+	case errors.As(err, &dirInUse):
 		return fail(stderr, exitUsage, err)
 	case err != nil:
-		return fail(stderr, exitFail, err)
+		return fail(stderr, exitFailure, err)
 	}
-	return exitDone
+	return exitOK
 }
--- a/internal/cmd/ctlcmd.go
+++ b/internal/cmd/ctlcmd.go
@@ -20,18 +20,18 @@
 
 // The exit codes of lfctl.
 const (
-	exitPolicy   = 1
+	exitRejected = 1
 	exitConflict = 3
 	exitNoQuorum = 4
 )
 
 const (
-	ctlTimeout     = 10 * time.Second
-	ctlWaitTimeout = 30 * time.Second
-	ctlPause       = 100 * time.Millisecond
+	ctlTimeout          = 10 * time.Second
+	ctlApplyWaitTimeout = 30 * time.Second
+	ctlRetryInterval    = 100 * time.Millisecond
 )
 
-// ctl is what every command of lfctl shares.
+// ctl holds the options and state that all commands of lfctl share.
 type ctl struct {
 	Keepers string `long:"keepers" value-name:"HOST:PORT,…" description:"addresses of the keepers" env:"LF_KEEPERS"`
 	Secret  string `long:"secret" value-name:"FILE" description:"the fleet's secret" env:"LF_SECRET"`
@@ -39,48 +39,48 @@
 	Version bool   `long:"version" description:"print the version and exit"`
 
 	stdout, stderr io.Writer
-	code           int
+	exitCode       int
 }
 
 // Ctl runs lfctl and returns its exit code.
 func Ctl(args []string, stdout, stderr io.Writer) int {
-	c := &ctl{stdout: stdout, stderr: stderr}
-	p := flags.NewNamedParser("lfctl", flags.HelpFlag|flags.PassDoubleDash)
-	p.SubcommandsOptional = true
-	_, err := p.AddGroup("Options", "", c)
-	for _, add := range []func(*flags.Parser) error{c.addApply, c.addShow, c.addCheck, c.addStatus, c.addDiff, c.addHistory, c.addDigest, c.addExplain, c.addSizes, c.addLosses, c.addHeld, c.addLift, c.addEvacuate} {
+	shared := &ctl{stdout: stdout, stderr: stderr}
+	parser := flags.NewNamedParser("lfctl", flags.HelpFlag|flags.PassDoubleDash)
+	parser.SubcommandsOptional = true
+	_, err := parser.AddGroup("Options", "", shared)
+	for _, addCommand := range []func(*flags.Parser) error{shared.addApply, shared.addShow, shared.addCheck, shared.addStatus, shared.addDiff, shared.addHistory, shared.addDigest, shared.addExplain, shared.addSizes, shared.addLosses, shared.addHeld, shared.addLift, shared.addEvacuate} {
 		if err == nil {
-			err = add(p)
+			err = addCommand(parser)
 		}
 	}
 	if err != nil {
-		return fail(stderr, exitPolicy, err)
+		return fail(stderr, exitRejected, err)
 	}
-	_, err = p.ParseArgs(args)
+	_, err = parser.ParseArgs(args)
 	var flagErr *flags.Error
 	switch {
 	case errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp:
-		say(stdout, "%s", flagErr.Message)
-		return exitDone
+		printf(stdout, "%s", flagErr.Message)
+		return exitOK
 	case errors.As(err, &flagErr):
 		return fail(stderr, exitUsage, fmt.Errorf("%w (see lfctl --help)", err))
 	case err != nil:
-		return fail(stderr, codeOf(err), err)
-	case c.Version:
+		return fail(stderr, exitCodeOf(err), err)
+	case shared.Version:
 		return printVersion("lfctl", stdout)
-	case p.Active == nil:
+	case parser.Active == nil:
 		return fail(stderr, exitUsage, errors.New("no command (see lfctl --help)"))
 	}
-	return c.code
+	return shared.exitCode
 }
 
-// codeOf maps an error to the exit code of the outside interface.
-func codeOf(err error) int {
-	var kind *fleet.Error
-	if !errors.As(err, &kind) {
+// exitCodeOf maps an error to an exit code of lfctl.
+func exitCodeOf(err error) int {
+	var fleetErr *fleet.Error
+	if !errors.As(err, &fleetErr) {
 		return exitUsage
 	}
-	switch kind.Kind {
+	switch fleetErr.Kind {
 	case fleet.KindNoQuorum, fleet.KindNotLeader:
 		return exitNoQuorum
 	case fleet.KindConflict:
@@ -88,47 +88,48 @@
 	case fleet.KindInvalidConfig, fleet.KindMalformed:
 		return exitUsage
 	default:
-		return exitPolicy
+		return exitRejected
 	}
 }
 
-// noPeer answers what a keeper would call of lfctl: nothing.
-type noPeer struct{}
+// clientHandler rejects all calls from keepers: lfctl only sends calls.
+type clientHandler struct{}
 
 // Call implements rpc.Handler.
-func (noPeer) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
+func (clientHandler) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, fleet.NewError(fleet.KindMalformed, "call a keeper", "lfctl serves no calls")
 }
 
 // Notice implements rpc.Handler.
-func (noPeer) Notice(*rpc.Conn, string, json.RawMessage) {}
+func (clientHandler) Notice(*rpc.Conn, string, json.RawMessage) {}
 
-// call asks the leading keeper, whichever it is, until timeout. Every call of
-// lfctl may be sent again: the same request is carried out once.
+// call sends a request to the leader and tries the keepers in turn until it is found or the
+// timeout expires. All requests of lfctl are idempotent, so each may be sent again.
 func (c *ctl) call(timeout time.Duration, method string, params, result any) error {
-	secret, addresses, err := c.target()
+	secret, addresses, err := c.connectOptions()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for ctx.Err() == nil {
 		for _, address := range addresses {
-			last = callOne(ctx, address, secret, method, params, result)
-			if last == nil || final(last) {
-				return last
+			lastErr = callKeeper(ctx, address, secret, method, params, result)
+			if lastErr == nil || isFinal(lastErr) {
+				return lastErr
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(ctlPause):
+		case <-time.After(ctlRetryInterval):
 		}
 	}
-	return fleet.NewError(fleet.KindNoQuorum, "look at the keepers, then send it again: that is safe", "no keeper answered as leader: %v", last)
+	return fleet.NewError(fleet.KindNoQuorum, "look at the keepers, then send it again: that is safe", "no keeper answered as leader: %v", lastErr)
 }
 
-func (c *ctl) target() (rpc.Secret, []string, error) {
+// connectOptions returns the secret of the fleet and the addresses of the keepers.
+func (c *ctl) connectOptions() (rpc.Secret, []string, error) {
 	if c.Keepers == "" || c.Secret == "" {
 		return nil, nil, errors.New("name the keepers with --keepers and the fleet's secret with --secret")
 	}
@@ -139,9 +140,10 @@
 	return secret, strings.Split(c.Keepers, ","), nil
 }
 
-func callOne(ctx context.Context, address string, secret rpc.Secret, method string, params, result any) error {
-	var count rpc.Counter
-	conn, err := rpc.Dial(ctx, address, "lfctl", secret, noPeer{}, &count)
+// callKeeper sends one request to one keeper on a new connection.
+func callKeeper(ctx context.Context, address string, secret rpc.Secret, method string, params, result any) error {
+	var counter rpc.Counter
+	conn, err := rpc.Dial(ctx, address, "lfctl", secret, clientHandler{}, &counter)
 	if err != nil {
 		return err
 	}
@@ -149,19 +151,19 @@
 	return conn.Call(ctx, method, params, result)
 }
 
-// final reports whether asking another keeper can not help.
-func final(err error) bool {
-	var kind *fleet.Error
-	if !errors.As(err, &kind) {
+// isFinal reports whether another keeper would return the same error.
+func isFinal(err error) bool {
+	var fleetErr *fleet.Error
+	if !errors.As(err, &fleetErr) {
 		return false
 	}
-	return kind.Kind != fleet.KindNotLeader && kind.Kind != fleet.KindNoQuorum
+	return fleetErr.Kind != fleet.KindNotLeader && fleetErr.Kind != fleet.KindNoQuorum
 }
 
-func (c *ctl) printJSON(v any) error {
-	enc := json.NewEncoder(c.stdout)
-	enc.SetIndent("", "  ")
-	return enc.Encode(v)
+func (c *ctl) printJSON(value any) error {
+	encoder := json.NewEncoder(c.stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
 }
 
 func readConfig(file string) (fleet.Config, error) {
@@ -172,26 +174,27 @@
 	return fleet.ParseConfig(file, data)
 }
 
-func operator() string {
-	u, err := user.Current()
+func operatorName() string {
+	currentUser, err := user.Current()
 	if err != nil {
 		return "unknown"
 	}
-	return u.Username
+	return currentUser.Username
 }
 
-// inForce returns the configuration in force and the history.
-func (c *ctl) inForce() (fleet.Config, message.ShowResult, error) {
-	var s message.ShowResult
-	if err := c.call(ctlTimeout, message.MethodShow, struct{}{}, &s); err != nil {
-		return fleet.Config{}, s, err
+// activeConfig returns the configuration in force and the reply that holds it, with the history
+// of configurations.
+func (c *ctl) activeConfig() (fleet.Config, message.ShowResult, error) {
+	var result message.ShowResult
+	if err := c.call(ctlTimeout, message.MethodShow, struct{}{}, &result); err != nil {
+		return fleet.Config{}, result, err
 	}
 	var config fleet.Config
-	if len(s.Config) == 0 {
-		return config, s, nil
+	if len(result.Config) == 0 {
+		return config, result, nil
 	}
-	if err := json.Unmarshal(s.Config, &config); err != nil {
-		return config, s, fmt.Errorf("read the keeper's answer: %w", err)
+	if err := json.Unmarshal(result.Config, &config); err != nil {
+		return config, result, fmt.Errorf("read the keeper's answer: %w", err)
 	}
-	return config, s, nil
+	return config, result, nil
 }
--- a/internal/cmd/evacuatecmd.go
+++ b/internal/cmd/evacuatecmd.go
@@ -9,7 +9,7 @@
 
 // evacuateCmd is "lfctl evacuate ZONE".
 type evacuateCmd struct {
-	End  bool `long:"end" description:"take the zone back"`
+	End  bool `long:"end" description:"end the evacuation"`
 	Args struct {
 		Zone string `positional-arg-name:"ZONE" required:"1"`
 	} `positional-args:"yes"`
@@ -17,21 +17,21 @@
 	ctl *ctl
 }
 
-func (c *ctl) addEvacuate(p *flags.Parser) error {
-	_, err := p.AddCommand("evacuate", "send nothing more to the targets of a zone", "Keeps new work from all targets of an availability zone, until --end takes it back. Requests in progress end there. The same order may be sent again.", &evacuateCmd{ctl: c})
+func (c *ctl) addEvacuate(parser *flags.Parser) error {
+	_, err := parser.AddCommand("evacuate", "stop new work to the targets of a zone", "Sends no new work to the targets of an availability zone until the evacuation is ended with --end. Requests in progress finish there. Repeating the command is safe.", &evacuateCmd{ctl: c})
 	return err
 }
 
 // Execute implements flags.Commander.
 func (e *evacuateCmd) Execute([]string) error {
-	order := message.EvacuateRequest{Zone: fleet.Zone(e.Args.Zone), End: e.End, Operator: operator()}
+	request := message.EvacuateRequest{Zone: fleet.Zone(e.Args.Zone), End: e.End, Operator: operatorName()}
 	var result message.EvacuateResult
-	if err := e.ctl.call(ctlTimeout, message.MethodEvacuate, order, &result); err != nil {
+	if err := e.ctl.call(ctlTimeout, message.MethodEvacuate, request, &result); err != nil {
 		return err
 	}
 	if e.ctl.JSON {
 		return e.ctl.printJSON(result)
 	}
-	say(e.ctl.stdout, "evacuated: %v\n", result.Zones)
+	printf(e.ctl.stdout, "evacuated: %v\n", result.Zones)
 	return nil
 }
--- a/internal/cmd/examples_test.go
+++ b/internal/cmd/examples_test.go
@@ -34,6 +34,6 @@
 		default:
 			code = Ctl([]string{"check", copied}, &out, &out)
 		}
-		require.Equal(t, exitDone, code, "%s: %s", file, out.String())
+		require.Equal(t, exitOK, code, "%s: %s", file, out.String())
 	}
 }
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -21,8 +21,8 @@
 	ctl *ctl
 }
 
-func (c *ctl) addExplain(p *flags.Parser) error {
-	_, err := p.AddCommand("explain", "tell a request's life from log files", "Tells from log files, or from standard input, what became of a request, what its processes knew, and why it ended as it did.", &explainCmd{ctl: c})
+func (c *ctl) addExplain(parser *flags.Parser) error {
+	_, err := parser.AddCommand("explain", "explain the outcome of a request from log files", "Shows from log files, or from standard input, the log lines of a request, the state of the processes that handled it, and why it ended as it did.", &explainCmd{ctl: c})
 	return err
 }
 
@@ -30,7 +30,7 @@
 func (e *explainCmd) Execute([]string) (err error) {
 	sources := logFiles(e.Args.Files)
 	if len(sources) == 0 {
-		spooled, err := spool(os.Stdin)
+		spooled, err := spoolToFile(os.Stdin)
 		if err != nil {
 			return err
 		}
@@ -58,12 +58,12 @@
 	return sources
 }
 
-// spool keeps a log that can be read only once in a file, since it is read twice.
-func spool(r io.Reader) (explain.File, error) {
-	f, err := os.CreateTemp("", "lfctl-explain-*.log")
+// spoolToFile copies a log into a temporary file, because the log is read twice.
+func spoolToFile(r io.Reader) (explain.File, error) {
+	file, err := os.CreateTemp("", "lfctl-explain-*.log")
 	if err != nil {
-		return "", fmt.Errorf("keep standard input (name log files instead): %w", err)
+		return "", fmt.Errorf("copy standard input to a temporary file (name log files instead): %w", err)
 	}
-	_, err = io.Copy(f, r)
-	return explain.File(f.Name()), errors.Join(err, f.Close())
+	_, err = io.Copy(file, r)
+	return explain.File(file.Name()), errors.Join(err, file.Close())
 }
--- a/internal/cmd/fleet_test.go
+++ b/internal/cmd/fleet_test.go
@@ -69,7 +69,7 @@
 	p.eventually("a leader", func() bool { return p.status().Leader != "" })
 	p.eventually("both routers", func() bool { return len(p.status().Routers) == 2 })
 	code, out := p.ctl("apply", "--wait", p.config(1, "", "s1", "s2"))
-	require.Equal(t, exitDone, code, out)
+	require.Equal(t, exitOK, code, out)
 	p.eventually("healthy routers", func() bool { return p.healthy("r1") && p.healthy("r2") })
 	return p
 }
@@ -92,7 +92,7 @@
 	require.Contains(t, body, "[DONE]")
 
 	code, out := p.ctl("apply", p.config(1, "", "s1", "s2"))
-	require.Equal(t, exitDone, code, "the same again: %s", out)
+	require.Equal(t, exitOK, code, "the same again: %s", out)
 	code, out = p.ctl("apply", p.config(1, "s2", "s1", "s2"))
 	require.Equal(t, exitConflict, code, out)
 	require.Contains(t, out, "number in force: 1")
@@ -101,9 +101,9 @@
 	p.signal(stopped, syscall.SIGSTOP)
 	p.eventually("another leader", func() bool { l := p.leader(); return l != "" && l != stopped })
 	code, out = p.ctl("apply", "--wait", p.config(2, "", "s1", "s2"))
-	require.Equal(t, exitDone, code, out)
+	require.Equal(t, exitOK, code, out)
 	code, out = p.ctl("apply", p.config(1, "", "s1", "s2"))
-	require.Equal(t, exitDone, code, "accepted once, accepted again: %s", out)
+	require.Equal(t, exitOK, code, "accepted once, accepted again: %s", out)
 	require.Contains(t, out, "nothing changed, number 2 is in force")
 	p.signal(stopped, syscall.SIGCONT)
 	now := p.leader()
@@ -147,7 +147,7 @@
 func TestDrainStopAndResend(t *testing.T) {
 	p := startFleet(t, "pace = \"20ms\"\ntokens = 40")
 	code, out := p.ctl("apply", "--wait", p.config(2, "s2", "s1", "s2"))
-	require.Equal(t, exitDone, code, out)
+	require.Equal(t, exitOK, code, out)
 	before := p.counts("s2").Started
 	for i := range 5 {
 		key := fmt.Sprintf("key-%d", i)
@@ -190,7 +190,7 @@
 	for a := range answers {
 		require.Empty(t, a)
 	}
-	require.Equal(t, exitDone, p.exitCode("r1"))
+	require.Equal(t, exitOK, p.exitCode("r1"))
 	c := p.counts("s1")
 	require.Zero(t, c.Cancelled)
 	require.LessOrEqual(t, c.Most, 8, "no more than its slots at a time")
--- a/internal/cmd/idle_bench_test.go
+++ b/internal/cmd/idle_bench_test.go
@@ -29,7 +29,7 @@
 			}
 			p.eventually("all routers", func() bool { return len(p.status().Routers) == routers })
 			code, out := p.ctl("apply", "--wait", p.config(1, "", "s1"))
-			require.Equal(b, exitDone, code, out)
+			require.Equal(b, exitOK, code, out)
 			time.Sleep(2 * time.Second)
 			leads := p.leader()
 			follows := map[string]string{"k1": "k2", "k2": "k3", "k3": "k1"}[leads]
--- a/internal/cmd/keepercmd.go
+++ b/internal/cmd/keepercmd.go
@@ -14,7 +14,7 @@
 // keeperOptions are the options of lf-keeper.
 type keeperOptions struct {
 	platformOptions
-	Init bool `long:"init" description:"found a group on an empty data folder"`
+	Init bool `long:"init" description:"found a new group of keepers; the data folder must be empty"`
 }
 
 // Keeper runs lf-keeper and returns its exit code.
@@ -24,16 +24,16 @@
 
 // RunKeeper runs lf-keeper with the hooks applied and returns its exit code.
 func (h Hooks) RunKeeper(args []string, stdout, stderr io.Writer) int {
-	var o keeperOptions
-	p := program[settings.Keeper]{name: "lf-keeper", read: settings.ReadKeeper}
-	p.run = func(ctx context.Context, s settings.Keeper) error {
-		k := &keeper.Keeper{
-			Settings: s, Log: settings.Logger(s.Name, s.Level, s.Format), Clock: clock.NewRealClock(),
-			Disk: &journal.RealDisk{Folder: s.Data}, Init: o.Init,
+	var options keeperOptions
+	keeperProgram := program[settings.Keeper]{name: "lf-keeper", readSettings: settings.ReadKeeper}
+	keeperProgram.run = func(ctx context.Context, keeperSettings settings.Keeper) error {
+		node := &keeper.Keeper{
+			Settings: keeperSettings, Log: settings.Logger(keeperSettings.Name, keeperSettings.Level, keeperSettings.Format), Clock: clock.NewRealClock(),
+			Disk: &journal.RealDisk{Folder: keeperSettings.Data}, Init: options.Init,
 		}
-		go func() { _ = (&stall.Monitor{Log: k.Log}).Run(ctx) }() // it ends with ctx only
-		return k.Run(ctx)
+		go func() { _ = (&stall.Monitor{Log: node.Log}).Run(ctx) }() // It returns only when ctx ends.
+		return node.Run(ctx)
 	}
-	p.onPlatform = h.platformKeeper
-	return p.main(&o, &o.common, args, stdout, stderr)
+	keeperProgram.runOnPlatform = h.runPlatformKeeper
+	return keeperProgram.main(&options, &options.commonOptions, args, stdout, stderr)
 }
--- a/internal/cmd/load_bench_test.go
+++ b/internal/cmd/load_bench_test.go
@@ -36,7 +36,7 @@
 		}
 		p.eventually("all routers", func() bool { return len(p.status().Routers) == len(routers) })
 		code, out := p.ctl("apply", "--wait", p.config(1, "", targets...))
-		require.Equal(b, exitDone, code, out)
+		require.Equal(b, exitOK, code, out)
 		l := &loadCount{told: map[string]int{}, times: hdrhistogram.New(1, int64(time.Minute), 3)}
 		end := time.Now().Add(span)
 		var g sync.WaitGroup
--- a/internal/cmd/loadcmd.go
+++ b/internal/cmd/loadcmd.go
@@ -17,71 +17,71 @@
 // loadOptions are the options of lf-load.
 type loadOptions struct {
 	Scenario string   `long:"scenario" value-name:"FILE" required:"yes" description:"scenario file (TOML)"`
-	Policy   []string `long:"policy" value-name:"NAME" description:"policy to play; may be given several times (default: all)"`
-	Ablate   bool     `long:"ablate" description:"play what routers do, and the same without one mechanism after the other"`
+	Policy   []string `long:"policy" value-name:"NAME" description:"policy to simulate; may be given several times (default: all)"`
+	Ablate   bool     `long:"ablate" description:"simulate the policy of routers, and again with one of its mechanisms disabled at a time"`
 	Seed     uint64   `long:"seed" default:"1" description:"first seed"`
 	Seeds    uint64   `long:"seeds" default:"1" description:"how many seeds"`
-	Loads    string   `long:"loads" value-name:"X,…" default:"1" description:"how many times as often as the scenario says requests come"`
+	Loads    string   `long:"loads" value-name:"X,…" default:"1" description:"factors by which the request rates of the scenario are multiplied"`
 	JSON     string   `long:"json" value-name:"FILE" description:"also write all results as JSON lines"`
-	Plot     string   `long:"plot" value-name:"FILE" description:"also draw the worth over the load into a PNG file"`
+	Plot     string   `long:"plot" value-name:"FILE" description:"also plot the worth over the load as a PNG file"`
 	Check    bool     `long:"check" description:"only verify the scenario"`
 	Version  bool     `long:"version" description:"print the version and exit"`
 }
 
-// Load runs lf-load and returns its exit code: 1 if the results fail a check of the
+// Load runs lf-load and returns its exit code, which is 1 if the results fail a check of the
 // scenario.
 func Load(args []string, stdout, stderr io.Writer) int {
-	var o loadOptions
+	var options loadOptions
 	if len(args) == 1 && args[0] == "--version" {
 		return printVersion("lf-load", stdout)
 	}
-	if _, code, ended := parse("lf-load", &o, args, stdout, stderr); ended {
+	if _, code, exit := parse("lf-load", &options, args, stdout, stderr); exit {
 		return code
 	}
-	s, err := workload.ReadScenario(o.Scenario)
+	scenario, err := workload.ReadScenario(options.Scenario)
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
-	loads, err := o.loads()
+	loads, err := options.parseLoads()
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
-	if o.Check {
-		say(stdout, "%s: the scenario is good\n", o.Scenario)
-		return exitDone
+	if options.Check {
+		printf(stdout, "%s: the scenario is good\n", options.Scenario)
+		return exitOK
 	}
-	list, err := o.play(s, loads)
+	results, err := options.runSimulations(scenario, loads)
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
-	say(stdout, "%s", workload.Table(list))
-	if err := o.write(list); err != nil {
-		return fail(stderr, exitFail, err)
+	printf(stdout, "%s", workload.Table(results))
+	if err := options.writeResults(results); err != nil {
+		return fail(stderr, exitFailure, err)
 	}
-	broken := s.Check(list)
-	for _, b := range broken {
-		say(stdout, "check failed: %s\n", b)
+	failures := scenario.Check(results)
+	for _, failure := range failures {
+		printf(stdout, "check failed: %s\n", failure)
 	}
-	if len(broken) > 0 {
-		return exitFail
+	if len(failures) > 0 {
+		return exitFailure
 	}
-	return exitDone
+	return exitOK
 }
 
-func (o loadOptions) loads() ([]float64, error) {
-	var list []float64
+func (o loadOptions) parseLoads() ([]float64, error) {
+	var loads []float64
 	for _, field := range strings.Split(o.Loads, ",") {
-		x, err := strconv.ParseFloat(strings.TrimSpace(field), 64)
-		if err != nil || x <= 0 {
-			return nil, fmt.Errorf("%q is no load (give numbers above 0, separated by commas)", field)
+		load, err := strconv.ParseFloat(strings.TrimSpace(field), 64)
+		if err != nil || load <= 0 {
+			return nil, fmt.Errorf("%q is not a load factor (give numbers above 0, separated by commas)", field)
 		}
-		list = append(list, x)
+		loads = append(loads, load)
 	}
-	return list, nil
+	return loads, nil
 }
 
-// policies returns the names of the policies to play.
-func (o loadOptions) policies() []string {
+// selectedPolicies returns the names of the policies to simulate.
+func (o loadOptions) selectedPolicies() []string {
 	switch {
 	case o.Ablate:
 		return workload.Ablations()
@@ -92,46 +92,46 @@
 	}
 }
 
-// play runs each policy at each load with each seed, as many at a time as there are
-// processors.
-func (o loadOptions) play(s workload.Scenario, loads []float64) ([]workload.Result, error) {
-	policies := o.policies()
-	list := make([]workload.Result, len(policies)*len(loads)*int(o.Seeds))
+// runSimulations simulates each policy at each load with each seed. It runs as many simulations in
+// parallel as there are processors.
+func (o loadOptions) runSimulations(scenario workload.Scenario, loads []float64) ([]workload.Result, error) {
+	policies := o.selectedPolicies()
+	results := make([]workload.Result, len(policies)*len(loads)*int(o.Seeds))
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
-	at := 0
+	index := 0
 	for _, load := range loads {
 		for _, policy := range policies {
 			for seed := o.Seed; seed < o.Seed+o.Seeds; seed++ {
-				place := &list[at]
-				at++
+				dest := &results[index]
+				index++
 				group.Go(func() error {
-					r, err := workload.Run(s.WithLoad(load), policy, seed)
-					r.Load = load
-					*place = r
+					result, err := workload.Run(scenario.WithLoad(load), policy, seed)
+					result.Load = load
+					*dest = result
 					return err
 				})
 			}
 		}
 	}
-	return list, group.Wait()
+	return results, group.Wait()
 }
 
-func (o loadOptions) write(list []workload.Result) error {
+func (o loadOptions) writeResults(results []workload.Result) error {
 	if o.JSON != "" {
-		var b strings.Builder
-		encoder := json.NewEncoder(&b)
-		for _, r := range list {
-			if err := encoder.Encode(r); err != nil {
+		var text strings.Builder
+		encoder := json.NewEncoder(&text)
+		for _, result := range results {
+			if err := encoder.Encode(result); err != nil {
 				return fmt.Errorf("encode a result: %w", err)
 			}
 		}
-		if err := os.WriteFile(o.JSON, []byte(b.String()), 0o644); err != nil {
+		if err := os.WriteFile(o.JSON, []byte(text.String()), 0o644); err != nil {
 			return fmt.Errorf("write the results (name a writable file): %w", err)
 		}
 	}
 	if o.Plot == "" {
 		return nil
 	}
-	return workload.Draw(list, o.Plot)
+	return workload.Draw(results, o.Plot)
 }
--- a/internal/cmd/localcmd.go
+++ b/internal/cmd/localcmd.go
@@ -25,7 +25,7 @@
 
 // localOptions are the options of lf-local.
 type localOptions struct {
-	Data    string `long:"data" value-name:"DIR" description:"keep the data folder here instead of a temporary one"`
+	Data    string `long:"data" value-name:"DIR" description:"data folder (default: a temporary folder)"`
 	Level   string `long:"level" default:"warn" description:"log level"`
 	Version bool   `long:"version" description:"print the version and exit"`
 }
@@ -42,83 +42,83 @@
 
 // Local runs lf-local and returns its exit code.
 func Local(args []string, stdout, stderr io.Writer) int {
-	var o localOptions
-	if _, code, ended := parse("lf-local", &o, args, stdout, stderr); ended {
+	var options localOptions
+	if _, code, exit := parse("lf-local", &options, args, stdout, stderr); exit {
 		return code
 	}
-	if o.Version {
+	if options.Version {
 		return printVersion("lf-local", stdout)
 	}
-	ctx, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
-	l := &local{options: o, stdout: stdout}
-	if err := l.run(ctx); err != nil {
-		return fail(stderr, exitFail, err)
+	demo := &localFleet{options: options, stdout: stdout}
+	if err := demo.run(ctx); err != nil {
+		return fail(stderr, exitFailure, err)
 	}
-	return exitDone
+	return exitOK
 }
 
-// local is a whole small fleet in one process, on loopback.
-type local struct {
-	options  localOptions
-	stdout   io.Writer
-	folder   string
-	secret   string
-	keeper   string // address
-	routers  []string
-	hosts    []string // the routers' addresses for callers of routes
-	targets  []fleet.Target
-	standins []*standin.Standin
+// localFleet is a small fleet on loopback that runs in one process.
+type localFleet struct {
+	options         localOptions
+	stdout          io.Writer
+	dataDir         string
+	secretFile      string
+	keeperAddress   string
+	routerAddresses []string
+	routeAddresses  []string // where the routers serve routes
+	targets         []fleet.Target
+	standins        []*standin.Standin
 }
 
-func (l *local) run(ctx context.Context) error {
+func (l *localFleet) run(ctx context.Context) error {
 	if err := l.prepare(); err != nil {
 		return err
 	}
 	if l.options.Data == "" {
-		defer func() { _ = os.RemoveAll(l.folder) }() // a temporary folder
+		defer func() { _ = os.RemoveAll(l.dataDir) }() // It is a temporary folder.
 	}
-	// The stand-ins and the keeper outlive the routers, which finish what is
+	// The stand-ins and the keeper run longer than the routers, which first finish their requests
 	// in progress.
-	back, stopBack := context.WithCancel(context.Background())
-	defer stopBack()
-	g, back := errgroup.WithContext(back)
-	for _, s := range l.standins {
-		g.Go(func() error { return s.Run(back) })
-	}
-	g.Go(func() error { return l.runKeeper(back) })
-	front, front2 := errgroup.WithContext(ctx)
-	for i, address := range l.routers {
-		front.Go(func() error { return l.runRouter(front2, i, address) })
-	}
-	front.Go(func() error { return l.open(front2) })
-	err := front.Wait()
-	stopBack()
-	if backErr := g.Wait(); err == nil {
-		err = backErr
+	backendCtx, stopBackends := context.WithCancel(context.Background())
+	defer stopBackends()
+	backends, backendCtx := errgroup.WithContext(backendCtx)
+	for _, server := range l.standins {
+		backends.Go(func() error { return server.Run(backendCtx) })
+	}
+	backends.Go(func() error { return l.runKeeper(backendCtx) })
+	frontends, frontendCtx := errgroup.WithContext(ctx)
+	for index, address := range l.routerAddresses {
+		frontends.Go(func() error { return l.runRouter(frontendCtx, index, address) })
+	}
+	frontends.Go(func() error { return l.applyConfig(frontendCtx) })
+	err := frontends.Wait()
+	stopBackends()
+	if backendErr := backends.Wait(); err == nil {
+		err = backendErr
 	}
 	return err
 }
 
-// prepare lays out the folder, the secret and free addresses.
-func (l *local) prepare() error {
+// prepare creates the data folder and the secret, and chooses free addresses.
+func (l *localFleet) prepare() error {
 	var err error
-	l.folder = l.options.Data
-	if l.folder == "" {
-		if l.folder, err = os.MkdirTemp("", "lf-local-"); err != nil {
-			return fmt.Errorf("make a folder: %w", err)
+	l.dataDir = l.options.Data
+	if l.dataDir == "" {
+		if l.dataDir, err = os.MkdirTemp("", "lf-local-"); err != nil {
+			return fmt.Errorf("create a temporary folder: %w", err)
 		}
 	}
-	l.secret = filepath.Join(l.folder, "secret")
-	if _, err := os.Stat(l.secret); err != nil {
-		if err := os.MkdirAll(l.folder, 0o700); err != nil {
-			return fmt.Errorf("make the data folder: %w", err)
+	l.secretFile = filepath.Join(l.dataDir, "secret")
+	if _, err := os.Stat(l.secretFile); err != nil {
+		if err := os.MkdirAll(l.dataDir, 0o700); err != nil {
+			return fmt.Errorf("create the data folder: %w", err)
 		}
-		if err := os.WriteFile(l.secret, []byte(rand.Text()), 0o600); err != nil {
+		if err := os.WriteFile(l.secretFile, []byte(rand.Text()), 0o600); err != nil {
 			return fmt.Errorf("write the secret: %w", err)
 		}
 	}
-	if l.keeper, err = standin.FreeAddress(); err != nil {
+	if l.keeperAddress, err = standin.FreeAddress(); err != nil {
 		return err
 	}
 	const routerCount = 2
@@ -127,80 +127,80 @@
 		if err != nil {
 			return err
 		}
-		l.routers = append(l.routers, address)
+		l.routerAddresses = append(l.routerAddresses, address)
 		if address, err = standin.FreeAddress(); err != nil {
 			return err
 		}
-		l.hosts = append(l.hosts, address)
+		l.routeAddresses = append(l.routeAddresses, address)
 	}
 	return l.prepareStandins()
 }
 
-func (l *local) prepareStandins() error {
+func (l *localFleet) prepareStandins() error {
 	for _, kind := range []fleet.TargetKind{fleet.TargetEngine, fleet.TargetService} {
-		s := &standin.Standin{Settings: standin.Settings{
+		server := &standin.Standin{Settings: standin.Settings{
 			Name: string(kind) + "-1", Listen: "127.0.0.1:0", Kind: kind,
 			Tokens: localTokens, Pace: fleet.Duration(localPace), Delay: fleet.Duration(localPace),
 		}}
-		address, err := s.Listen()
+		address, err := server.Listen()
 		if err != nil {
 			return err
 		}
-		l.standins = append(l.standins, s)
+		l.standins = append(l.standins, server)
 		l.targets = append(l.targets, fleet.Target{
-			Name: s.Settings.Name, Address: address, Zone: "regina", Kind: kind, Slots: localSlots, State: fleet.TargetLive,
+			Name: server.Settings.Name, Address: address, Zone: "regina", Kind: kind, Slots: localSlots, State: fleet.TargetLive,
 		})
 	}
 	return nil
 }
 
-func (l *local) runKeeper(ctx context.Context) error {
+func (l *localFleet) runKeeper(ctx context.Context) error {
 	admin, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
-	s := settings.Keeper{
-		Name: "k1", Zone: "regina", Listen: l.keeper, Admin: admin,
-		Data: filepath.Join(l.folder, "k1"), Peers: []string{"k1=" + l.keeper}, Secret: l.secret,
+	keeperSettings := settings.Keeper{
+		Name: "k1", Zone: "regina", Listen: l.keeperAddress, Admin: admin,
+		Data: filepath.Join(l.dataDir, "k1"), Peers: []string{"k1=" + l.keeperAddress}, Secret: l.secretFile,
 	}
-	disk := &journal.RealDisk{Folder: s.Data}
-	names, err := disk.List()
+	disk := &journal.RealDisk{Folder: keeperSettings.Data}
+	files, err := disk.List()
 	if err != nil {
 		return err
 	}
-	k := &keeper.Keeper{
-		Settings: s, Log: settings.Logger("k1", l.options.Level, ""), Clock: clock.NewRealClock(),
-		Disk: disk, Init: len(names) == 0,
+	node := &keeper.Keeper{
+		Settings: keeperSettings, Log: settings.Logger("k1", l.options.Level, ""), Clock: clock.NewRealClock(),
+		Disk: disk, Init: len(files) == 0,
 	}
-	return k.Run(ctx)
+	return node.Run(ctx)
 }
 
-func (l *local) runRouter(ctx context.Context, i int, address string) error {
+func (l *localFleet) runRouter(ctx context.Context, index int, address string) error {
 	admin, err := standin.FreeAddress()
 	if err != nil {
 		return err
 	}
-	name := fmt.Sprintf("r%d", i+1)
-	r := &router.Router{
+	name := fmt.Sprintf("r%d", index+1)
+	node := &router.Router{
 		Settings: settings.Router{
-			Name: name, Zone: "regina", Listen: address, Admin: admin, Keepers: []string{l.keeper}, Secret: l.secret,
-			Hosts: l.hosts[i], Routes: settings.DefaultRoutes(),
+			Name: name, Zone: "regina", Listen: address, Admin: admin, Keepers: []string{l.keeperAddress}, Secret: l.secretFile,
+			Hosts: l.routeAddresses[index], Routes: settings.DefaultRoutes(),
 		},
 		Log:   settings.Logger(name, l.options.Level, ""),
 		Clock: clock.NewRealClock(),
 	}
-	return r.Run(ctx)
+	return node.Run(ctx)
 }
 
-// open applies the configuration and prints what to paste.
-func (l *local) open(ctx context.Context) error {
-	c := ctl{Keepers: l.keeper, Secret: l.secret}
-	now, _, err := c.inForce()
+// applyConfig applies the configuration and prints example commands.
+func (l *localFleet) applyConfig(ctx context.Context) error {
+	client := ctl{Keepers: l.keeperAddress, Secret: l.secretFile}
+	current, _, err := client.activeConfig()
 	if err != nil {
 		return err
 	}
 	config := fleet.Config{
-		Number:   now.Number + 1,
+		Number:   current.Number + 1,
 		Accounts: []fleet.Account{{Name: "demo", Share: 1, Keys: []string{fleet.KeyDigest(localKey)}}},
 		Targets:  l.targets,
 		Events: []fleet.Event{
@@ -213,7 +213,7 @@
 			MaxAttempts: 2, Pools: []fleet.PoolWeightSpec{{Pool: "viewers", Weight: 1}},
 		}},
 	}
-	secret, err := os.ReadFile(l.secret)
+	secret, err := os.ReadFile(l.secretFile)
 	if err != nil {
 		return fmt.Errorf("read the secret: %w", err)
 	}
@@ -221,24 +221,24 @@
 	defer cancel()
 	var applied message.ApplyResult
 	params := message.ApplyRequest{Config: json.RawMessage(config.JSON()), Operator: "lf-local", Wait: true}
-	for applied.Routers < len(l.routers) {
-		err := callOne(ctx, l.keeper, rpc.Secret(secret), message.MethodApply, params, &applied)
+	for applied.Routers < len(l.routerAddresses) {
+		err := callKeeper(ctx, l.keeperAddress, rpc.Secret(secret), message.MethodApply, params, &applied)
 		if ctx.Err() != nil {
-			return nil // stopped before the fleet was up
+			return nil // The fleet was stopped before it was ready.
 		}
-		if err != nil && final(err) {
+		if err != nil && isFinal(err) {
 			return err
 		}
-		time.Sleep(ctlPause)
+		time.Sleep(ctlRetryInterval)
 	}
-	l.printHelp()
+	l.printExamples()
 	return nil
 }
 
-func (l *local) printHelp() {
-	say(l.stdout, "laburnumfall runs: 1 keeper, %d routers, %d stand-ins. Stop it with Ctrl-C. Paste to try it:\n\n", len(l.routers), len(l.standins))
-	say(l.stdout, "curl -sN http://%s/e/%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"m\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\n\n", l.routers[0], localEvent, localKey)
-	say(l.stdout, "curl -s http://%s/e/sheets/sheets/1 -H 'Authorization: Bearer %s'\n\n", l.routers[1], localKey)
-	say(l.stdout, "curl -s http://%s/sheets/1 -H 'Host: %s' -H 'Authorization: Bearer %s'\n\n", l.hosts[0], localHost, localKey)
-	say(l.stdout, "go run ./cmd/lfctl --keepers %s --secret %s status\n", l.keeper, l.secret)
+func (l *localFleet) printExamples() {
+	printf(l.stdout, "laburnumfall is running: 1 keeper, %d routers, %d stand-ins. Stop it with Ctrl-C. Commands to try:\n\n", len(l.routerAddresses), len(l.standins))
+	printf(l.stdout, "curl -sN http://%s/e/%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"m\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\n\n", l.routerAddresses[0], localEvent, localKey)
+	printf(l.stdout, "curl -s http://%s/e/sheets/sheets/1 -H 'Authorization: Bearer %s'\n\n", l.routerAddresses[1], localKey)
+	printf(l.stdout, "curl -s http://%s/sheets/1 -H 'Host: %s' -H 'Authorization: Bearer %s'\n\n", l.routeAddresses[0], localHost, localKey)
+	printf(l.stdout, "go run ./cmd/lfctl --keepers %s --secret %s status\n", l.keeperAddress, l.secretFile)
 }
--- a/internal/cmd/lossescmd.go
+++ b/internal/cmd/lossescmd.go
@@ -8,7 +8,7 @@
 
 // lossesCmd is "lfctl losses FILE…".
 type lossesCmd struct {
-	By   explain.By `long:"by" choice:"route" choice:"account" choice:"size" default:"route" description:"what to tell them by"`
+	By   explain.By `long:"by" choice:"route" choice:"account" choice:"size" default:"route" description:"how to group the requests"`
 	Args struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
 	} `positional-args:"yes"`
@@ -16,8 +16,8 @@
 	ctl *ctl
 }
 
-func (c *ctl) addLosses(p *flags.Parser) error {
-	_, err := p.AddCommand("losses", "tell from log files why callers were late or refused", "Tells from routers' log files, by route, account or size, which part of the requests was within its account's share, answered in time, late and why, refused and why, and how often an idle target stood by.", &lossesCmd{ctl: c})
+func (c *ctl) addLosses(parser *flags.Parser) error {
+	_, err := parser.AddCommand("losses", "show from log files why requests were late or refused", "Shows from routers' log files, by route, account or size, which part of the requests was within its account's share, answered in time, late and why, refused and why, and how often an idle target was available.", &lossesCmd{ctl: c})
 	return err
 }
 
--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -27,147 +27,151 @@
 )
 
 const (
-	// rereadPeriod is how often the settings file is looked at: the platform may
-	// change it without a signal.
-	rereadPeriod = 2 * time.Second
-	// metricsClose bounds how long the metrics server may take to stop.
-	metricsClose = 100 * time.Millisecond
-	metricsRead  = 5 * time.Second
-	// garbageGrowth is how much the heap may grow between two collections, in
-	// percent. Requests leave much garbage and little memory behind; a router that is
-	// short of processor time needs tens of megabytes more while it collects, beyond the
-	// memory limit.
-	garbageGrowth = 200
+	// settingsPollInterval is how often the settings file is read. The platform may change it
+	// without a signal.
+	settingsPollInterval = 2 * time.Second
+	// metricsShutdownTimeout limits how long the metrics server may take to stop.
+	metricsShutdownTimeout = 100 * time.Millisecond
+	metricsReadTimeout     = 5 * time.Second
+	// gcPercent is how much the heap may grow between two garbage collections, in percent.
+	// Requests allocate many short-lived objects and retain little memory. A router that is short
+	// of processor time needs tens of megabytes above the memory limit while it collects garbage.
+	gcPercent = 200
 )
 
-// A platformProgram is a program whose settings come from the users' platform.
+// A platformProgram is a program whose settings are provided by the users' platform.
 type platformProgram struct {
-	name     string
-	settings platform.Settings
-	log      hclog.Logger
-	ring     *asynclog.Writer
-	hups     chan os.Signal // the settings file has changed
-	stalled  atomic.Int64   // for how long the process has stood still, in nanoseconds
+	name               string
+	settings           platform.Settings
+	log                hclog.Logger
+	logWriter          *asynclog.Writer
+	reloadSignals      chan os.Signal // receives SIGHUP: the settings file has changed
+	stalledNanoseconds atomic.Int64   // total duration of the stalls of this process
 }
 
-// watchStalls logs and counts the stalls of this process until ctx ends.
+// watchStalls logs the stalls of this process and adds up their durations until ctx ends.
 func (p *platformProgram) watchStalls(ctx context.Context) {
-	w := &stall.Monitor{Log: p.log, OnStall: func(s stall.Stall) { p.stalled.Add(int64(s.Duration())) }}
-	go func() { _ = w.Run(ctx) }() // it ends with ctx only
+	monitor := &stall.Monitor{Log: p.log, OnStall: func(stalled stall.Stall) { p.stalledNanoseconds.Add(int64(stalled.Duration())) }}
+	go func() { _ = monitor.Run(ctx) }() // It returns only when ctx ends.
 }
 
-// runPlatform reads the platform's settings and runs a program under them.
+// runPlatform reads the platform's settings and runs a program with them.
 func runPlatform(name string, check bool, stdout, stderr io.Writer, run func(ctx context.Context, p *platformProgram) error) int {
-	// This signal ends a process that does not wait for it. It is taken from the start
-	// to the end: the platform may change the settings of one that starts or stops.
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	s, err := platform.ReadSettings()
+	// SIGHUP terminates a process that does not handle it. It is handled from the start to the
+	// end, because the platform may change the settings of a process that is starting or
+	// stopping.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	platformSettings, err := platform.ReadSettings()
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
 	if check {
-		say(stdout, "settings are good\n")
-		return exitDone
+		printf(stdout, "settings are good\n")
+		return exitOK
 	}
-	debug.SetMemoryLimit(s.Memory)
-	debug.SetGCPercent(garbageGrowth)
-	p := &platformProgram{name: name, settings: s, ring: asynclog.New(stdout), hups: hups}
-	p.log = asynclog.NewLogger(hclog.LoggerOptions{Name: name, Level: hclog.Info, JSONFormat: true, Output: p.ring})
-	endLog := p.startLog()
-	ctx, cancel := untilSignal()
+	debug.SetMemoryLimit(platformSettings.Memory)
+	debug.SetGCPercent(gcPercent)
+	p := &platformProgram{name: name, settings: platformSettings, logWriter: asynclog.New(stdout), reloadSignals: reloadSignals}
+	p.log = asynclog.NewLogger(hclog.LoggerOptions{Name: name, Level: hclog.Info, JSONFormat: true, Output: p.logWriter})
+	flushLog := p.startLogWriter()
+	ctx, cancel := signalContext()
 	defer cancel()
-	p.log.Info("start", "version", Version, "memory", s.Memory)
+	p.log.Info("start", "version", Version, "memory", platformSettings.Memory)
 	p.watchStalls(ctx)
-	graceEnd, err := p.runBounded(ctx, run)
+	graceEnd, err := p.runWithinGrace(ctx, run)
 	p.log.Info("stop", "error", err)
-	endLog(graceEnd)
-	var wrong *platform.SettingsError
+	flushLog(graceEnd)
+	var settingsErr *platform.SettingsError
 	switch {
-	case errors.As(err, &wrong):
+	case errors.As(err, &settingsErr):
 		return fail(stderr, exitUsage, err)
 	case err != nil:
-		return fail(stderr, exitFail, err)
+		return fail(stderr, exitFailure, err)
 	}
-	return exitDone
+	return exitOK
 }
 
-// watch is the duty that heeds changes of the settings file.
-func (p *platformProgram) watch(ctx context.Context, changed func(s platform.Settings)) error {
-	ticker := time.NewTicker(rereadPeriod)
+// watchSettings reads the settings file again at each SIGHUP and at regular intervals, and calls
+// onChange if a signal arrived or the keepers changed. It ends with ctx.
+func (p *platformProgram) watchSettings(ctx context.Context, onChange func(updated platform.Settings)) error {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	last := p.settings.Keepers()
+	lastKeepers := p.settings.Keepers()
 	for {
 		source := "file"
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-p.hups:
+		case <-p.reloadSignals:
 			source = "signal"
 		case <-ticker.C:
 		}
-		s, err := p.settings.Reread()
+		reread, err := p.settings.Reread()
 		if err != nil {
 			p.log.Warn("settings cannot be read: going on with those before", "source", source, "error", err)
 			continue
 		}
-		if source == "file" && fmt.Sprint(s.Keepers()) == fmt.Sprint(last) {
+		if source == "file" && fmt.Sprint(reread.Keepers()) == fmt.Sprint(lastKeepers) {
 			continue
 		}
-		last = s.Keepers()
-		p.log.Info("reload", "source", source, "keepers", last)
-		changed(s)
+		lastKeepers = reread.Keepers()
+		p.log.Info("reload", "source", source, "keepers", lastKeepers)
+		onChange(reread)
 	}
 }
 
-// platformRouter runs a router of routes.
-func (h Hooks) platformRouter(ctx context.Context, p *platformProgram) error {
-	s, err := p.settings.Router()
+// runPlatformRouter runs a router that serves routes.
+func (h Hooks) runPlatformRouter(ctx context.Context, p *platformProgram) error {
+	routerSettings, err := p.settings.Router()
 	if err != nil {
 		return err
 	}
-	r := &routing.Service{
-		Settings: s, Listen: s.Listen, Clock: clock.NewRealClock(), Log: p.log, Dialect: platform.Headers{},
+	service := &routing.Service{
+		Settings: routerSettings, Listen: routerSettings.Listen, Clock: clock.NewRealClock(), Log: p.log, Dialect: platform.Headers{},
 		Decode: platform.Decode, List: platform.NewList(p.settings.List), Meters: gateway.NewMetrics(),
 	}
-	r.Meters.AddCounter("lf_log_dropped_total", "Log lines that were left out.", func() float64 { return float64(p.ring.Dropped()) })
-	r.Meters.AddCounter("lf_stalled_seconds_total", "For how long this process did not run.", func() float64 {
-		return time.Duration(p.stalled.Load()).Seconds()
+	service.Meters.AddCounter("lf_log_dropped_total", "Log lines that were left out.", func() float64 { return float64(p.logWriter.Dropped()) })
+	service.Meters.AddCounter("lf_stalled_seconds_total", "For how long this process did not run.", func() float64 {
+		return time.Duration(p.stalledNanoseconds.Load()).Seconds()
 	})
-	r.SetSeeds(s.Keepers)
+	service.SetSeeds(routerSettings.Keepers)
 	if h.ConfigureRouter != nil {
-		h.ConfigureRouter(r)
+		h.ConfigureRouter(service)
 	}
-	// The other duties go on while requests in progress finish.
-	duties, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	group, duties := errgroup.WithContext(duties)
+	// The other tasks continue while requests in progress finish.
+	taskCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopTasks()
+	group, taskCtx := errgroup.WithContext(taskCtx)
 	group.Go(func() error {
-		// A router without metrics still serves: an error here would end the duties
-		// beside this one, and be heard of only when all have ended.
-		if err := serveMetrics(duties, s.Admin, r.Meters.Handler()); err != nil {
+		// A router without metrics can still serve requests. An error returned here would stop
+		// the other tasks of the group, and would be reported only after all of them have
+		// stopped.
+		if err := serveMetrics(taskCtx, routerSettings.Admin, service.Meters.Handler()); err != nil {
 			p.log.Error("no metrics: going on without", "error", err)
 		}
 		return nil
 	})
-	group.Go(func() error { return p.watch(duties, func(s platform.Settings) { r.SetSeeds(s.Keepers()) }) })
 	group.Go(func() error {
-		defer end()
-		return r.Run(ctx)
+		return p.watchSettings(taskCtx, func(updated platform.Settings) { service.SetSeeds(updated.Keepers()) })
+	})
+	group.Go(func() error {
+		defer stopTasks()
+		return service.Run(ctx)
 	})
 	return group.Wait()
 }
 
-// serveMetrics serves a process's metrics until ctx ends.
-func serveMetrics(ctx context.Context, address string, h http.Handler) error {
+// serveMetrics serves the metrics of a process until ctx ends.
+func serveMetrics(ctx context.Context, address string, handler http.Handler) error {
 	mux := http.NewServeMux()
-	mux.Handle("/metrics", h)
-	server := &http.Server{Addr: address, Handler: mux, ReadHeaderTimeout: metricsRead}
+	mux.Handle("/metrics", handler)
+	server := &http.Server{Addr: address, Handler: mux, ReadHeaderTimeout: metricsReadTimeout}
 	go func() {
 		<-ctx.Done()
-		limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), metricsClose)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), metricsShutdownTimeout)
 		defer cancel()
-		_ = server.Shutdown(limited) // the process ends next
+		_ = server.Shutdown(shutdownCtx) // The process exits next.
 	}()
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve metrics (free the address): %w", err)
@@ -175,25 +179,27 @@
 	return nil
 }
 
-// platformKeeper runs a keeper.
-func (h Hooks) platformKeeper(ctx context.Context, p *platformProgram) error {
-	s, founds, err := p.settings.Keeper()
+// runPlatformKeeper runs a keeper.
+func (h Hooks) runPlatformKeeper(ctx context.Context, p *platformProgram) error {
+	keeperSettings, foundsGroup, err := p.settings.Keeper()
 	if err != nil {
 		return err
 	}
-	k := &keeper.Keeper{
-		Settings: s, Log: p.log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: s.Data},
-		Init: founds, TargetList: platform.NewList(p.settings.List),
+	node := &keeper.Keeper{
+		Settings: keeperSettings, Log: p.log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: keeperSettings.Data},
+		Init: foundsGroup, TargetList: platform.NewList(p.settings.List),
 	}
-	k.ServeControlAPI = func(ctx context.Context, c *keeper.LeaderClient) error {
-		control := &platform.Control{Keeper: c, Log: p.log}
+	node.ServeControlAPI = func(ctx context.Context, client *keeper.LeaderClient) error {
+		control := &platform.Control{Keeper: client, Log: p.log}
 		return control.Run(ctx, p.settings.Operators)
 	}
 	if h.ConfigureKeeper != nil {
-		h.ConfigureKeeper(k)
+		h.ConfigureKeeper(node)
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return k.Run(ctx) })
-	group.Go(func() error { return p.watch(ctx, func(s platform.Settings) { k.SetSeeds(s.Keepers()) }) })
+	group.Go(func() error { return node.Run(ctx) })
+	group.Go(func() error {
+		return p.watchSettings(ctx, func(updated platform.Settings) { node.SetSeeds(updated.Keepers()) })
+	})
 	return group.Wait()
 }
--- a/internal/cmd/processes_test.go
+++ b/internal/cmd/processes_test.go
@@ -172,7 +172,7 @@
 func (p *processes) status() message.Status {
 	var s message.Status
 	code, out := p.ctl("--json", "status")
-	if code == exitDone {
+	if code == exitOK {
 		require.NoError(p.t, json.Unmarshal([]byte(out), &s))
 	}
 	return s
--- a/internal/cmd/quarantine_test.go
+++ b/internal/cmd/quarantine_test.go
@@ -201,7 +201,7 @@
 		strings.Join(listed, "\n"), strings.Join(names, ", ")))
 	p.eventually("the configuration", func() bool {
 		code, _ := p.ctl("apply", "--wait", file)
-		return code == exitDone
+		return code == exitOK
 	})
 	p.eventually("healthy routers", func() bool { return p.healthy("r1") && p.healthy("r2") && p.healthy("r3") })
 	ask := func(n int, key, body string) int {
@@ -225,17 +225,17 @@
 func (p *processes) requireListedAndLifted(t *testing.T) {
 	t.Helper()
 	code, out := p.ctl("held")
-	require.Equal(t, exitDone, code)
+	require.Equal(t, exitOK, code)
 	require.Regexp(t, `(?m)^\S+ +regina +tender +[3-9] .*held back`, out)
 	_, out = p.ctl("status")
 	require.Contains(t, out, "lfctl held")
 	code, _ = p.ctl("lift", "nothing")
-	require.Equal(t, exitPolicy, code)
+	require.Equal(t, exitRejected, code)
 	var held message.QuarantineResult
 	_, out = p.ctl("--json", "held")
 	require.NoError(t, json.Unmarshal([]byte(out), &held))
 	code, out = p.ctl("lift", string(held.Entries[0].Fingerprint))
-	require.Equal(t, exitDone, code, out)
+	require.Equal(t, exitOK, code, out)
 	_, out = p.ctl("--json", "held")
 	held = message.QuarantineResult{}
 	require.NoError(t, json.Unmarshal([]byte(out), &held))
@@ -336,6 +336,6 @@
 		keepers = append(keepers, g.address(g.keeperIP(i), 0))
 	}
 	var out, errs bytes.Buffer
-	require.Equal(g.t, exitDone, Ctl([]string{"--keepers", strings.Join(keepers, ","), "--secret", secret, "held"}, &out, &errs), errs.String())
+	require.Equal(g.t, exitOK, Ctl([]string{"--keepers", strings.Join(keepers, ","), "--secret", secret, "held"}, &out, &errs), errs.String())
 	require.Regexp(g.t, `(?m)^\S+ +acme +keyed +[3-9] .*held back`, out.String())
 }
--- a/internal/cmd/resign_test.go
+++ b/internal/cmd/resign_test.go
@@ -23,7 +23,7 @@
 		return old != ""
 	})
 	p.signal(old, syscall.SIGTERM)
-	require.Equal(t, exitDone, p.exitCode(old))
+	require.Equal(t, exitOK, p.exitCode(old))
 	log, err := os.ReadFile(filepath.Join(p.folder, old+".log"))
 	require.NoError(t, err)
 	require.Contains(t, string(log), "resigning: this keeper stops")
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -10,23 +10,22 @@
 	"laburnumfall/internal/stall"
 )
 
-// platformOptions are the options of programs that can run on the users'
-// platform.
+// platformOptions are the options of programs that can run on the users' platform.
 type platformOptions struct {
-	common
-	Platform bool `long:"platform" description:"run on the users' platform, under the settings that it names"`
+	commonOptions
+	Platform bool `long:"platform" description:"run on the users' platform, with the settings that it provides"`
 }
 
-// A platformOption tells whether a program is to run on the users' platform,
-// and whether it is only to verify its settings.
-type platformOption interface {
-	onPlatform() bool
-	checks() bool
+// A platformSelector reports whether a program runs on the users' platform, and whether it only
+// checks its settings.
+type platformSelector interface {
+	usesPlatform() bool
+	checkOnly() bool
 }
 
-func (o *platformOptions) onPlatform() bool { return o.Platform && !o.Version }
+func (o *platformOptions) usesPlatform() bool { return o.Platform && !o.Version }
 
-func (o *platformOptions) checks() bool { return o.Check }
+func (o *platformOptions) checkOnly() bool { return o.Check }
 
 // Router runs lf-router and returns its exit code.
 func Router(args []string, stdout, stderr io.Writer) int {
@@ -35,13 +34,13 @@
 
 // RunRouter runs lf-router with the hooks applied and returns its exit code.
 func (h Hooks) RunRouter(args []string, stdout, stderr io.Writer) int {
-	var o platformOptions
-	p := program[settings.Router]{name: "lf-router", read: settings.ReadRouter}
-	p.run = func(ctx context.Context, s settings.Router) error {
-		r := &router.Router{Settings: s, Log: settings.Logger(s.Name, s.Level, s.Format), Clock: clock.NewRealClock()}
-		go func() { _ = (&stall.Monitor{Log: r.Log}).Run(ctx) }() // it ends with ctx only
-		return r.Run(ctx)
+	var options platformOptions
+	routerProgram := program[settings.Router]{name: "lf-router", readSettings: settings.ReadRouter}
+	routerProgram.run = func(ctx context.Context, routerSettings settings.Router) error {
+		node := &router.Router{Settings: routerSettings, Log: settings.Logger(routerSettings.Name, routerSettings.Level, routerSettings.Format), Clock: clock.NewRealClock()}
+		go func() { _ = (&stall.Monitor{Log: node.Log}).Run(ctx) }() // It returns only when ctx ends.
+		return node.Run(ctx)
 	}
-	p.onPlatform = h.platformRouter
-	return p.main(&o, &o.common, args, stdout, stderr)
+	routerProgram.runOnPlatform = h.runPlatformRouter
+	return routerProgram.main(&options, &options.commonOptions, args, stdout, stderr)
 }
--- a/internal/cmd/routes_test.go
+++ b/internal/cmd/routes_test.go
@@ -79,7 +79,7 @@
 	file := p.write("fleet.toml", first)
 	require.Eventually(t, func() bool {
 		code, _ := p.ctl("apply", "--wait", file)
-		return code == exitDone
+		return code == exitOK
 	}, patience, poll)
 	require.Eventually(t, func() bool {
 		resp, _ := p.post(hosts, path, host, testKey)
@@ -111,13 +111,13 @@
 	resp, body = p.post(p.listen["r1"], "/e/tender"+path, "x", testKey)
 	require.Equal(t, http.StatusOK, resp.StatusCode, body)
 	code, shown := p.ctl("show")
-	require.Equal(t, exitDone, code)
+	require.Equal(t, exitOK, code)
 	require.Contains(t, shown, `host = 'notes.example'`)
 
 	second := strings.Replace(first, "number = 1", "number = 2", 1)
 	p.write("fleet.toml", strings.Replace(second, "slots = 8", "slots = 8\nstate = \"leaving\"", 1))
 	code, out := p.ctl("apply", "--wait", file)
-	require.Equal(t, exitDone, code, out)
+	require.Equal(t, exitOK, code, out)
 	require.Eventually(t, func() bool {
 		resp, _ := p.post(hosts, path, host, testKey)
 		return resp.StatusCode == http.StatusServiceUnavailable
--- a/internal/cmd/showcmd.go
+++ b/internal/cmd/showcmd.go
@@ -15,14 +15,14 @@
 	ctl *ctl
 }
 
-func (c *ctl) addShow(p *flags.Parser) error {
-	_, err := p.AddCommand("show", "print the configuration in force", "Prints the configuration in force as TOML.", &showCmd{ctl: c})
+func (c *ctl) addShow(parser *flags.Parser) error {
+	_, err := parser.AddCommand("show", "print the configuration in force", "Prints the configuration in force as TOML.", &showCmd{ctl: c})
 	return err
 }
 
 // Execute implements flags.Commander.
 func (s *showCmd) Execute([]string) error {
-	config, _, err := s.ctl.inForce()
+	config, _, err := s.ctl.activeConfig()
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	say(s.ctl.stdout, "%s", text)
+	printf(s.ctl.stdout, "%s", text)
 	return nil
 }
 
@@ -46,8 +46,8 @@
 	ctl *ctl
 }
 
-func (c *ctl) addCheck(p *flags.Parser) error {
-	_, err := p.AddCommand("check", "check a configuration file", "Checks a configuration file without asking a keeper.", &checkCmd{ctl: c})
+func (c *ctl) addCheck(parser *flags.Parser) error {
+	_, err := parser.AddCommand("check", "check a configuration file", "Checks a configuration file without asking a keeper.", &checkCmd{ctl: c})
 	return err
 }
 
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	say(k.ctl.stdout, "good: number %d, %d accounts, %d targets, %d events, %d routes, digest %s\n",
+	printf(k.ctl.stdout, "good: number %d, %d accounts, %d targets, %d events, %d routes, digest %s\n",
 		config.Number, len(config.Accounts), len(config.Targets), len(config.Events), len(config.Routes), config.Digest())
 	return nil
 }
@@ -71,8 +71,8 @@
 	ctl *ctl
 }
 
-func (c *ctl) addDiff(p *flags.Parser) error {
-	_, err := p.AddCommand("diff", "compare a file with what is in force", "Prints what applying the file would take out (-) and bring in (+).", &diffCmd{ctl: c})
+func (c *ctl) addDiff(parser *flags.Parser) error {
+	_, err := parser.AddCommand("diff", "compare a file with the configuration in force", "Prints what applying the file would remove (-) and add (+).", &diffCmd{ctl: c})
 	return err
 }
 
@@ -82,50 +82,51 @@
 	if err != nil {
 		return err
 	}
-	now, _, err := d.ctl.inForce()
+	current, _, err := d.ctl.activeConfig()
 	if err != nil {
 		return err
 	}
-	say(d.ctl.stdout, "number %d -> %d\n", now.Number, next.Number)
-	for _, line := range diffConfigs(now, next) {
-		say(d.ctl.stdout, "%s\n", line)
+	printf(d.ctl.stdout, "number %d -> %d\n", current.Number, next.Number)
+	for _, line := range diffConfigs(current, next) {
+		printf(d.ctl.stdout, "%s\n", line)
 	}
 	return nil
 }
 
-// diffConfigs lists what two configurations do not have in common, one account,
-// target or event a line.
-func diffConfigs(now, next fleet.Config) []string {
-	before, after := describe(now), describe(next)
-	var lines []string
-	lines = append(lines, missing("-", before, after)...)
-	return append(lines, missing("+", after, before)...)
+// diffConfigs lists the differences between two configurations, with one line for each account,
+// target or event that only one of them has.
+func diffConfigs(current, next fleet.Config) []string {
+	currentLines, nextLines := describeConfig(current), describeConfig(next)
+	var diff []string
+	diff = append(diff, linesOnlyIn("-", currentLines, nextLines)...)
+	return append(diff, linesOnlyIn("+", nextLines, currentLines)...)
 }
 
-func missing(mark string, from, in []string) []string {
-	known := make(map[string]bool, len(in))
-	for _, line := range in {
-		known[line] = true
+// linesOnlyIn returns the lines that are not among the others, each after the prefix and a space.
+func linesOnlyIn(prefix string, lines, others []string) []string {
+	inOthers := make(map[string]bool, len(others))
+	for _, line := range others {
+		inOthers[line] = true
 	}
-	var lines []string
-	for _, line := range from {
-		if !known[line] {
-			lines = append(lines, mark+" "+line)
+	var diff []string
+	for _, line := range lines {
+		if !inOthers[line] {
+			diff = append(diff, prefix+" "+line)
 		}
 	}
-	return lines
+	return diff
 }
 
-func describe(c fleet.Config) []string {
+func describeConfig(config fleet.Config) []string {
 	var lines []string
-	for _, a := range c.Accounts {
-		lines = append(lines, fmt.Sprintf("account %s share=%v keys=%d [%s] queue=%d", a.Name, a.Share, len(a.Keys), strings.Join(a.Keys, " "), a.EffectiveQueueLimit()))
+	for _, account := range config.Accounts {
+		lines = append(lines, fmt.Sprintf("account %s share=%v keys=%d [%s] queue=%d", account.Name, account.Share, len(account.Keys), strings.Join(account.Keys, " "), account.EffectiveQueueLimit()))
 	}
-	for _, t := range c.Targets {
-		lines = append(lines, fmt.Sprintf("target %s address=%s zone=%s kind=%s slots=%d fenced=%t state=%s", t.Name, t.Address, t.Zone, t.Kind, t.Slots, t.Fenced, t.State))
+	for _, target := range config.Targets {
+		lines = append(lines, fmt.Sprintf("target %s address=%s zone=%s kind=%s slots=%d fenced=%t state=%s", target.Name, target.Address, target.Zone, target.Kind, target.Slots, target.Fenced, target.State))
 	}
-	for _, e := range c.Events {
-		lines = append(lines, fmt.Sprintf("event %s start=%s end=%s accounts=[%s] targets=[%s]", e.Name, e.Start, e.End, strings.Join(e.Accounts, " "), strings.Join(e.Targets, " ")))
+	for _, event := range config.Events {
+		lines = append(lines, fmt.Sprintf("event %s start=%s end=%s accounts=[%s] targets=[%s]", event.Name, event.Start, event.End, strings.Join(event.Accounts, " "), strings.Join(event.Targets, " ")))
 	}
 	return lines
 }
@@ -135,25 +136,25 @@
 	ctl *ctl
 }
 
-func (c *ctl) addHistory(p *flags.Parser) error {
-	_, err := p.AddCommand("history", "list accepted configurations", "Lists the last accepted configurations, the oldest first.", &historyCmd{ctl: c})
+func (c *ctl) addHistory(parser *flags.Parser) error {
+	_, err := parser.AddCommand("history", "list accepted configurations", "Lists the last accepted configurations, the oldest first.", &historyCmd{ctl: c})
 	return err
 }
 
 // Execute implements flags.Commander.
 func (h *historyCmd) Execute([]string) error {
-	_, show, err := h.ctl.inForce()
+	_, result, err := h.ctl.activeConfig()
 	if err != nil {
 		return err
 	}
 	if h.ctl.JSON {
-		return h.ctl.printJSON(show.History)
+		return h.ctl.printJSON(result.History)
 	}
-	var b bytes.Buffer
-	for _, change := range show.History {
-		say(&b, "%d  %s  %s  %s\n", change.Number, change.Accepted.Format("2006-01-02T15:04:05Z07:00"), change.Digest, change.Operator)
+	var text bytes.Buffer
+	for _, change := range result.History {
+		printf(&text, "%d  %s  %s  %s\n", change.Number, change.Accepted.Format("2006-01-02T15:04:05Z07:00"), change.Digest, change.Operator)
 	}
-	say(h.ctl.stdout, "%s", b.String())
+	printf(h.ctl.stdout, "%s", text.String())
 	return nil
 }
 
@@ -166,13 +167,13 @@
 	ctl *ctl
 }
 
-func (c *ctl) addDigest(p *flags.Parser) error {
-	_, err := p.AddCommand("digest", "print the digest of a caller's key", "Prints the form in which a configuration holds a caller's key.", &digestCmd{ctl: c})
+func (c *ctl) addDigest(parser *flags.Parser) error {
+	_, err := parser.AddCommand("digest", "print the digest of a caller's key", "Prints the form in which a configuration holds a caller's key.", &digestCmd{ctl: c})
 	return err
 }
 
 // Execute implements flags.Commander.
 func (d *digestCmd) Execute([]string) error {
-	say(d.ctl.stdout, "%s\n", fleet.KeyDigest(d.Args.Key))
+	printf(d.ctl.stdout, "%s\n", fleet.KeyDigest(d.Args.Key))
 	return nil
 }
--- a/internal/cmd/shutdown_test.go
+++ b/internal/cmd/shutdown_test.go
@@ -38,7 +38,7 @@
 			}
 			select {}
 		})
-		require.Equal(t, exitFail, code)
+		require.Equal(t, exitFailure, code)
 		require.Contains(t, log.String(), `"overdue"`)
 		require.Contains(t, log.String(), "TestAProcessEndsBeforeItsGraceIsOver", "it tells what hangs")
 	})
@@ -50,7 +50,7 @@
 			<-ctx.Done()
 			return err
 		})
-		require.Equal(t, exitDone, code)
+		require.Equal(t, exitOK, code)
 	})
 }
 
@@ -66,7 +66,7 @@
 		time.Sleep(50 * time.Millisecond) // it would be dead
 		return nil
 	})
-	require.Equal(t, exitDone, code)
+	require.Equal(t, exitOK, code)
 }
 
 // endOf runs a program that is told to stop and returns its exit code.
--- a/internal/cmd/sizescmd.go
+++ b/internal/cmd/sizescmd.go
@@ -15,8 +15,8 @@
 	ctl *ctl
 }
 
-func (c *ctl) addSizes(p *flags.Parser) error {
-	_, err := p.AddCommand("sizes", "tell from log files what callers got by size", "Tells from routers' log files, for each route, which part of the requests was served, of the largest tenth and of the fifth below it, and how long refused ones had waited.", &sizesCmd{ctl: c})
+func (c *ctl) addSizes(parser *flags.Parser) error {
+	_, err := parser.AddCommand("sizes", "show from log files how requests were served by size", "Shows from routers' log files, for each route, which part of the requests was served, of all, of the largest tenth and of the fifth below it, and how long refused requests had waited.", &sizesCmd{ctl: c})
 	return err
 }
 
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -10,11 +10,11 @@
 
 // Standin runs lf-standin and returns its exit code.
 func Standin(args []string, stdout, stderr io.Writer) int {
-	var o common
-	p := program[standin.Settings]{name: "lf-standin", read: standin.Read}
-	p.run = func(ctx context.Context, s standin.Settings) error {
-		server := &standin.Standin{Settings: s, Log: settings.Logger(s.Name, s.Level, s.Format)}
+	var options commonOptions
+	standinProgram := program[standin.Settings]{name: "lf-standin", readSettings: standin.Read}
+	standinProgram.run = func(ctx context.Context, standinSettings standin.Settings) error {
+		server := &standin.Standin{Settings: standinSettings, Log: settings.Logger(standinSettings.Name, standinSettings.Level, standinSettings.Format)}
 		return server.Run(ctx)
 	}
-	return p.main(&o, &o, args, stdout, stderr)
+	return standinProgram.main(&options, &options, args, stdout, stderr)
 }
