--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -7,63 +7,64 @@
 	"laburnumfall/internal/message"
 )
 
-// An Action is something that the program must do.
+// An Action is an operation that the router must carry out for the Scheduler.
 type Action interface{ action() }
 
-// A Send starts a request on a target.
+// A Send starts an attempt of a request on a target.
 type Send struct {
 	ID        uint64
 	Target    fleet.Target
 	Reason    Reason
 	Attempt   int
 	QueueTime time.Duration
-	// Deadline is the request's, or zero.
+	// Deadline is the deadline of the request, or zero.
 	Deadline time.Time
 }
 
-// A Reason says why a target was chosen.
+// A Reason says why a target was chosen. It appears in logs.
 type Reason string
 
-// The reasons of a choice.
+// The reasons for choosing a target.
 const (
-	ReasonPrefix      Reason = "prefix" // it served the same prompt prefix before
-	ReasonLeastLoaded Reason = "free"   // the largest part of its slots is free
-	ReasonProbe       Reason = "probe"  // it is tried again after failures
+	ReasonPrefix      Reason = "prefix" // the target last served the same prompt prefix
+	ReasonLeastLoaded Reason = "free"   // the target has the largest fraction of its slots free
+	ReasonProbe       Reason = "probe"  // the target is on probation after failures
 )
 
-// A Refuse is the final answer to a request that is given up.
+// A Refuse is the final answer to a request that the router gives up.
 type Refuse struct {
 	ID      uint64
 	Err     *fleet.Error
 	Outcome fleet.Outcome
-	// RetryAt is when the request may succeed; zero is never.
+	// RetryAt is when a retry may succeed; zero means never.
 	RetryAt time.Time
-	// Fate is what is known of the key of a request refused for its claim.
+	// Fate is the known fate of the claim key, set if the request was refused because of its claim.
 	Fate message.Fate
 }
 
-// An AcquireClaim asks the keepers for the right to run a request.
+// An AcquireClaim asks the keepers for the exclusive right to run a request.
 type AcquireClaim struct {
 	ID    uint64
 	Claim message.Claim
 }
 
-// A SettleClaim tells the keepers what became of a claimed request.
+// A SettleClaim reports the fate of a claimed request to the keepers.
 type SettleClaim struct {
 	Settlement message.Settlement
 }
 
-// A Cancel stops a running request whose caller has gone.
+// A Cancel stops a running request whose client has disconnected.
 type Cancel struct {
 	ID uint64
 }
 
-// A Probe asks whether a target that cut an exchange has ended. Looked takes the answer.
+// A Probe checks whether a target that closed a connection has ended. The result goes to
+// HandleProbeResult.
 type Probe struct {
 	Target fleet.Target
 }
 
-// A SendReport reports to the keepers.
+// A SendReport sends a report to the keepers.
 type SendReport struct {
 	Report message.Report
 }
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -7,89 +7,89 @@
 	"laburnumfall/internal/share"
 )
 
-// admit lets a request wait, or returns its refusal.
-func (s *Scheduler) admit(now time.Time, p *pending) *Refuse {
+// admit queues a request, or returns its refusal.
+func (s *Scheduler) admit(now time.Time, req *pendingRequest) *Refuse {
 	if s.stopping {
-		return unrun(now.Add(retrySoon), fleet.KindStopping, "ask another router", "this router is stopping")
+		return newUnrunRefusal(now.Add(minRetryAfter), fleet.KindStopping, "ask another router", "this router is stopping")
 	}
 	if !s.HasLease(now) {
-		return s.noLease(now)
+		return s.noLeaseRefusal(now)
 	}
-	e := s.events[p.Event]
-	if refusal := s.checkEvent(now, e, p); refusal != nil {
+	event := s.events[req.Event]
+	if refusal := s.checkEvent(now, event, req); refusal != nil {
 		return refusal
 	}
-	wait := s.queues.Wait(now, p.Account)
-	if !p.Deadline.IsZero() && now.Add(wait).After(p.Deadline) {
-		return unrun(now.Add(wait), fleet.KindDeadline, "allow more time, or come back after Retry-After",
+	wait := s.queues.Wait(now, req.Account)
+	if !req.Deadline.IsZero() && now.Add(wait).After(req.Deadline) {
+		return newUnrunRefusal(now.Add(wait), fleet.KindDeadline, "allow more time, or come back after Retry-After",
 			"the deadline passes before the account's queue has drained")
 	}
-	p.item = &share.Item{
-		ID: p.ID, Account: p.Account, Event: p.Event, Hint: p.CostHint, Size: p.BodyBytes,
-		Order: share.OrderOf(now, p.Deadline),
+	req.item = &share.Item{
+		ID: req.ID, Account: req.Account, Event: req.Event, Hint: req.CostHint, Size: req.BodyBytes,
+		Order: share.OrderOf(now, req.Deadline),
 	}
-	if err := s.queues.Push(p.item); err != nil {
-		return unrun(now.Add(max(wait, retrySoon)), fleet.KindQueueFull, "come back after Retry-After", "%v", err)
+	if err := s.queues.Push(req.item); err != nil {
+		return newUnrunRefusal(now.Add(max(wait, minRetryAfter)), fleet.KindQueueFull, "come back after Retry-After", "%v", err)
 	}
 	return nil
 }
 
-// retrySoon is the shortest time after which a refused caller is asked back.
-const retrySoon = time.Second
+// minRetryAfter is the shortest time after which a refused client is asked to retry.
+const minRetryAfter = time.Second
 
-func (s *Scheduler) checkEvent(now time.Time, e *event, p *pending) *Refuse {
+func (s *Scheduler) checkEvent(now time.Time, event *eventState, req *pendingRequest) *Refuse {
 	switch {
-	case e == nil:
-		return unrun(time.Time{}, fleet.KindEvent, "name an event of the configuration in force", "there is no event %q", p.Event)
-	case !e.Admits(p.Account):
-		return unrun(time.Time{}, fleet.KindAccount, "have the account added to the event", "account %q is not in event %q", p.Account, p.Event)
-	case !e.End.IsZero() && !now.Before(e.End):
-		return unrun(time.Time{}, fleet.KindEvent, "name an event that is open", "event %q has ended", p.Event)
-	case !e.Open(now):
-		return unrun(e.Start, fleet.KindNoTarget, "come back when the event starts", "event %q starts at %s", p.Event, e.Start)
-	case !e.served():
-		return unrun(now.Add(retrySoon), fleet.KindNoTarget, "have a live target added to the event", "event %q has no live target", p.Event)
+	case event == nil:
+		return newUnrunRefusal(time.Time{}, fleet.KindEvent, "name an event of the configuration in force", "there is no event %q", req.Event)
+	case !event.Admits(req.Account):
+		return newUnrunRefusal(time.Time{}, fleet.KindAccount, "have the account added to the event", "account %q is not in event %q", req.Account, req.Event)
+	case !event.End.IsZero() && !now.Before(event.End):
+		return newUnrunRefusal(time.Time{}, fleet.KindEvent, "name an event that is open", "event %q has ended", req.Event)
+	case !event.Open(now):
+		return newUnrunRefusal(event.Start, fleet.KindNoTarget, "come back when the event starts", "event %q starts at %s", req.Event, event.Start)
+	case !event.hasLiveTarget():
+		return newUnrunRefusal(now.Add(minRetryAfter), fleet.KindNoTarget, "have a live target added to the event", "event %q has no live target", req.Event)
 	}
-	if until, broken := e.brokenUntil(now); broken {
-		return allFailing(e.Name, until)
+	if until, failing := event.allFailingUntil(now); failing {
+		return allFailingRefusal(event.Name, until)
 	}
 	return nil
 }
 
-func allFailing(event string, until time.Time) *Refuse {
-	return unrun(until, fleet.KindNoTarget, "come back after Retry-After", "all targets of event %q fail", event)
+func allFailingRefusal(eventName string, until time.Time) *Refuse {
+	return newUnrunRefusal(until, fleet.KindNoTarget, "come back after Retry-After", "all targets of event %q fail", eventName)
 }
 
-// brokenUntil reports whether every target of the event is kept from work
-// after failures, and when the first is tried again.
-func (e *event) brokenUntil(now time.Time) (time.Time, bool) {
-	var first time.Time
-	for _, t := range e.targets {
-		if t.breaker.failures < breakAfter || !now.Before(t.breaker.until) || t.use > 0 {
+// allFailingUntil reports whether the circuit breakers of all targets of the event are open, and
+// when the first of them admits a request again.
+func (e *eventState) allFailingUntil(now time.Time) (time.Time, bool) {
+	var earliest time.Time
+	for _, target := range e.targets {
+		if target.breaker.failures < openAfterFailures || !now.Before(target.breaker.openUntil) || target.busy > 0 {
 			return time.Time{}, false
 		}
-		if first.IsZero() || t.breaker.until.Before(first) {
-			first = t.breaker.until
+		if earliest.IsZero() || target.breaker.openUntil.Before(earliest) {
+			earliest = target.breaker.openUntil
 		}
 	}
-	return first, true
+	return earliest, true
 }
 
-// served reports whether any target of the event may take work.
-func (e *event) served() bool {
-	for _, t := range e.targets {
-		if !t.gone {
+// hasLiveTarget reports whether any target of the event may take work.
+func (e *eventState) hasLiveTarget() bool {
+	for _, target := range e.targets {
+		if !target.leaving {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Scheduler) noLease(now time.Time) *Refuse {
-	return unrun(now.Add(retrySoon), fleet.KindNoLease, "ask another router, or come back after Retry-After",
+func (s *Scheduler) noLeaseRefusal(now time.Time) *Refuse {
+	return newUnrunRefusal(now.Add(minRetryAfter), fleet.KindNoLease, "ask another router, or come back after Retry-After",
 		"this router has no lease from the keepers")
 }
 
-func unrun(retryAt time.Time, kind fleet.Kind, remedy, format string, args ...any) *Refuse {
+func newUnrunRefusal(retryAt time.Time, kind fleet.Kind, remedy, format string, args ...any) *Refuse {
 	return &Refuse{Err: fleet.NewError(kind, remedy, format, args...), Outcome: fleet.OutcomeUnrun, RetryAt: retryAt}
 }
--- a/internal/dispatch/baseline_test.go
+++ b/internal/dispatch/baseline_test.go
@@ -4,133 +4,135 @@
 	"math"
 )
 
-// baseline is a simpler policy under the same arrivals, with no links and no
-// delays. Its routers, one or many, each have a fixed part of the slots.
+// baseline is a simpler scheduling policy that gets the same arrivals, without network delays. Each
+// of its routers has a fixed part of the slots.
 type baseline struct {
-	world   *world
-	queues  []map[int][]*request // by router and account
-	free    []int
-	service [fairAccounts]float64 // charged at the start, with the true cost
-	turn    []int
-	credit  [][fairAccounts]float64
-	choose  func(b *baseline, router int) int
+	sim           *simulation
+	queues        []map[int][]*simRequest // by router and account
+	freeSlots     []int
+	service       [fairAccounts]float64 // charged when a request starts, with its true cost
+	position      []int
+	deficit       [][fairAccounts]float64
+	chooseAccount func(b *baseline, router int) int
 }
 
-// The baselines of the design page.
+// The baseline policies of the design document on fair shares.
 const (
 	singleQueue = "clairvoyant single queue"
 	roundRobin  = "round robin per router"
 	noPolicy    = "no policy"
 )
 
-func driveBaseline(l load, seed uint64, policy string) fairness {
-	w := newWorld(seed, configOf(shares(), slotsOf(l.targets, slotsEach)), 0)
+func runBaseline(s scenario, seed uint64, policy string) fairnessResult {
+	sim := newSimulation(seed, newConfig(accountShares(), equalSlots(s.targets, slotsPerTarget)), 0)
 	routers := fairRouters
-	b := &baseline{world: w}
+	b := &baseline{sim: sim}
 	switch policy {
 	case singleQueue:
-		routers, b.choose = 1, (*baseline).leastServed
+		routers, b.chooseAccount = 1, (*baseline).leastServed
 	case roundRobin:
-		b.choose = (*baseline).nextInTurn
+		b.chooseAccount = (*baseline).deficitRoundRobin
 	default:
-		b.choose = (*baseline).oldest
+		b.chooseAccount = (*baseline).oldestRequest
 	}
 	for i := range routers {
-		b.queues = append(b.queues, map[int][]*request{})
-		part := l.slots() / routers
-		if i < l.slots()%routers {
-			part++
+		b.queues = append(b.queues, map[int][]*simRequest{})
+		slots := s.slots() / routers
+		if i < s.slots()%routers {
+			slots++
 		}
-		b.free = append(b.free, part)
+		b.freeSlots = append(b.freeSlots, slots)
 	}
-	b.turn = make([]int, routers)
-	b.credit = make([][fairAccounts]float64, routers)
-	m := newMeter(w, l, seed, func(router int, r *request) {
+	b.position = make([]int, routers)
+	b.deficit = make([][fairAccounts]float64, routers)
+	meter := newMeter(sim, s, seed, func(router int, request *simRequest) {
 		router %= routers
-		account := accountIndex(r.Account)
+		account := accountIndex(request.Account)
 		if len(b.queues[router][account]) == 0 {
-			b.lift(router, account)
+			b.raiseToLeastServed(router, account)
 		}
-		b.queues[router][account] = append(b.queues[router][account], r)
-		b.pump(router)
+		b.queues[router][account] = append(b.queues[router][account], request)
+		b.startRequests(router)
 	})
-	return m.run()
+	return meter.run()
 }
 
-// lift denies credit for idle time.
-func (b *baseline) lift(router, account int) {
+// raiseToLeastServed raises an account that starts to wait to the least served waiting account, so
+// that idle time earns no credit.
+func (b *baseline) raiseToLeastServed(router, account int) {
 	least := math.Inf(1)
-	for a, q := range b.queues[router] {
-		if len(q) > 0 {
-			least = min(least, b.service[a]/shares()[a])
+	for other, queue := range b.queues[router] {
+		if len(queue) > 0 {
+			least = min(least, b.service[other]/accountShares()[other])
 		}
 	}
 	if !math.IsInf(least, 1) {
-		b.service[account] = max(b.service[account], least*shares()[account])
+		b.service[account] = max(b.service[account], least*accountShares()[account])
 	}
 }
 
-func (b *baseline) pump(router int) {
-	for b.free[router] > 0 {
-		account := b.choose(b, router)
+func (b *baseline) startRequests(router int) {
+	for b.freeSlots[router] > 0 {
+		account := b.chooseAccount(b, router)
 		if account < 0 {
 			return
 		}
-		q := b.queues[router][account]
-		r := q[0]
-		b.queues[router][account] = q[1:]
-		b.free[router]--
-		b.service[account] += r.cost
-		r.started = b.world.now
-		b.world.at(r.took, func() {
-			r.ended = b.world.now
-			b.free[router]++
-			b.pump(router)
+		queue := b.queues[router][account]
+		request := queue[0]
+		b.queues[router][account] = queue[1:]
+		b.freeSlots[router]--
+		b.service[account] += request.cost
+		request.started = b.sim.now
+		b.sim.after(request.duration, func() {
+			request.ended = b.sim.now
+			b.freeSlots[router]++
+			b.startRequests(router)
 		})
 	}
 }
 
 func (b *baseline) leastServed(router int) int {
 	best, least := -1, math.Inf(1)
-	for a := range fairAccounts {
-		if v := b.service[a] / shares()[a]; len(b.queues[router][a]) > 0 && v < least {
-			best, least = a, v
+	for account := range fairAccounts {
+		if level := b.service[account] / accountShares()[account]; len(b.queues[router][account]) > 0 && level < least {
+			best, least = account, level
 		}
 	}
 	return best
 }
 
-// nextInTurn is deficit round robin with quanta by share.
-func (b *baseline) nextInTurn(router int) int {
+// deficitRoundRobin chooses an account by deficit round robin with quanta proportional to the
+// shares.
+func (b *baseline) deficitRoundRobin(router int) int {
 	const quantum = 10
-	waits := false
-	for _, q := range b.queues[router] {
-		waits = waits || len(q) > 0
+	backlogged := false
+	for _, queue := range b.queues[router] {
+		backlogged = backlogged || len(queue) > 0
 	}
-	for waits {
-		a := b.turn[router] % fairAccounts
-		q := b.queues[router][a]
-		if len(q) > 0 && b.credit[router][a] >= q[0].cost {
-			b.credit[router][a] -= q[0].cost
-			return a
+	for backlogged {
+		account := b.position[router] % fairAccounts
+		queue := b.queues[router][account]
+		if len(queue) > 0 && b.deficit[router][account] >= queue[0].cost {
+			b.deficit[router][account] -= queue[0].cost
+			return account
 		}
-		if len(q) == 0 {
-			b.credit[router][a] = 0
+		if len(queue) == 0 {
+			b.deficit[router][account] = 0
 		}
-		b.turn[router]++
-		next := b.turn[router] % fairAccounts
+		b.position[router]++
+		next := b.position[router] % fairAccounts
 		if len(b.queues[router][next]) > 0 {
-			b.credit[router][next] += quantum * shares()[next]
+			b.deficit[router][next] += quantum * accountShares()[next]
 		}
 	}
 	return -1
 }
 
-func (b *baseline) oldest(router int) int {
+func (b *baseline) oldestRequest(router int) int {
 	best := -1
-	for a, q := range b.queues[router] {
-		if len(q) > 0 && (best < 0 || q[0].arrived.Before(b.queues[router][best][0].arrived) || q[0].arrived.Equal(b.queues[router][best][0].arrived) && a < best) {
-			best = a
+	for account, queue := range b.queues[router] {
+		if len(queue) > 0 && (best < 0 || queue[0].arrived.Before(b.queues[router][best][0].arrived) || queue[0].arrived.Equal(b.queues[router][best][0].arrived) && account < best) {
+			best = account
 		}
 	}
 	return best
--- a/internal/dispatch/breaker.go
+++ b/internal/dispatch/breaker.go
@@ -7,74 +7,78 @@
 )
 
 const (
-	// breakAfter failures in a row keep new work from a target.
-	breakAfter = 3
-	// breakFirst is the first pause; each further failure doubles it.
-	breakFirst = time.Second
-	breakLast  = 30 * time.Second
-	paceGain   = 0.1
+	// openAfterFailures is the number of consecutive failures that opens the breaker.
+	openAfterFailures = 3
+	// firstOpenPeriod is how long the breaker stays open at first. Each further failure doubles it,
+	// up to maxOpenPeriod.
+	firstOpenPeriod = time.Second
+	maxOpenPeriod   = 30 * time.Second
+	// latencyWeight is the weight of the newest sample in the moving average of the latency.
+	latencyWeight = 0.1
 )
 
-// breaker keeps work from a target that fails. After a pause it is on probation.
+// breaker is the circuit breaker of a target. After its open period it is half open: the target is
+// on probation and admits a limited number of requests.
 type breaker struct {
-	failures int
-	until    time.Time
-	limit    probation.Limit
-	mean     time.Duration
+	failures    int
+	openUntil   time.Time
+	probation   probation.Limit
+	meanLatency time.Duration
 }
 
-// trusted is the limit at which a target counts as healthy again.
-const trusted = 64
+// recoveredLimit is the concurrency limit at which a target on probation counts as recovered.
+const recoveredLimit = 64
 
-func (b *breaker) allows(now time.Time, use int) bool {
-	if b.failures >= breakAfter && now.Before(b.until) {
+func (b *breaker) allows(now time.Time, busy int) bool {
+	if b.failures >= openAfterFailures && now.Before(b.openUntil) {
 		return false
 	}
-	return b.limit.Allows(use)
+	return b.probation.Allows(busy)
 }
 
 func (b *breaker) probing() bool {
-	return b.failures >= breakAfter || b.limit.On()
+	return b.failures >= openAfterFailures || b.probation.On()
 }
 
-// start is told that a request goes to the target.
-func (b *breaker) start(now time.Time) {
-	if b.failures >= breakAfter && !now.Before(b.until) {
-		b.begin()
+// requestStarted records that a request is about to be sent to the target. The first one after the
+// open period starts the probation.
+func (b *breaker) requestStarted(now time.Time) {
+	if b.failures >= openAfterFailures && !now.Before(b.openUntil) {
+		b.startProbation()
 	}
 }
 
-func (b *breaker) begin() {
-	b.limit.Trusted = trusted
-	b.limit.Begin()
+func (b *breaker) startProbation() {
+	b.probation.Trusted = recoveredLimit
+	b.probation.Begin()
 }
 
-func (b *breaker) end(now time.Time, e AttemptResult) {
+func (b *breaker) requestEnded(now time.Time, result AttemptResult) {
 	switch {
-	case e.Failed:
-		b.fail(now)
-	case e.ResponseComplete:
-		b.succeed(e.TimeToFirstByte)
+	case result.Failed:
+		b.recordFailure(now)
+	case result.ResponseComplete:
+		b.recordSuccess(result.TimeToFirstByte)
 	}
 }
 
-func (b *breaker) fail(now time.Time) {
+func (b *breaker) recordFailure(now time.Time) {
 	b.failures++
-	if b.failures < breakAfter {
+	if b.failures < openAfterFailures {
 		return
 	}
-	pause := breakFirst << min(b.failures-breakAfter, 5)
-	b.until = now.Add(min(pause, breakLast))
-	b.begin()
+	openPeriod := firstOpenPeriod << min(b.failures-openAfterFailures, 5)
+	b.openUntil = now.Add(min(openPeriod, maxOpenPeriod))
+	b.startProbation()
 }
 
-func (b *breaker) succeed(first time.Duration) {
+func (b *breaker) recordSuccess(timeToFirstByte time.Duration) {
 	b.failures = 0
-	b.mean += time.Duration(paceGain * float64(first-b.mean))
-	b.limit.Served()
+	b.meanLatency += time.Duration(latencyWeight * float64(timeToFirstByte-b.meanLatency))
+	b.probation.Served()
 }
 
-// pace is the target's mean time to the first byte.
-func (b *breaker) pace() time.Duration {
-	return b.mean
+// latency returns the exponential moving average of the target's time to first byte.
+func (b *breaker) latency() time.Duration {
+	return b.meanLatency
 }
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -7,113 +7,113 @@
 	"laburnumfall/internal/message"
 )
 
-// pump starts requests while there are free slots and the lease holds.
-func (s *Scheduler) pump(now time.Time) {
+// dispatchWaiting starts waiting requests while there are free slots and the lease holds.
+func (s *Scheduler) dispatchWaiting(now time.Time) {
 	if !s.HasLease(now) {
 		return
 	}
 	for {
-		it, ok := s.queues.Choose(now, func(name string) bool { return s.hasFree(now, name) })
+		item, ok := s.queues.Choose(now, func(name string) bool { return s.eventHasFreeSlot(now, name) })
 		if !ok {
 			return
 		}
-		s.start(now, s.requests[it.ID])
+		s.start(now, s.requests[item.ID])
 	}
 }
 
-func (s *Scheduler) hasFree(now time.Time, name string) bool {
-	e := s.events[name]
-	if e == nil {
+func (s *Scheduler) eventHasFreeSlot(now time.Time, eventName string) bool {
+	event := s.events[eventName]
+	if event == nil {
 		return false
 	}
-	for _, t := range e.targets {
-		if t.free() && t.breaker.allows(now, t.use) {
+	for _, target := range event.targets {
+		if target.hasFreeSlot() && target.breaker.allows(now, target.busy) {
 			return true
 		}
 	}
 	return false
 }
 
-// start takes a slot for a chosen request. One that must run at most once is
-// claimed first: no byte goes to a target before a quorum holds the claim.
-func (s *Scheduler) start(now time.Time, p *pending) {
-	if !s.allow(now, p) {
+// start reserves a slot for a chosen request. A request that must run at most once is claimed
+// first: no byte is sent to a target before a quorum of keepers has recorded the claim.
+func (s *Scheduler) start(now time.Time, req *pendingRequest) {
+	if !s.checkQuarantine(now, req) {
 		return
 	}
-	needsClaim := p.ClaimKey != "" && !p.claimed
-	if needsClaim && s.slow {
-		s.queues.Refund(p.item)
-		s.askClaim(p)
+	needsClaim := req.ClaimKey != "" && !req.claimed
+	if needsClaim && s.claimsSlow {
+		s.queues.Refund(req.item)
+		s.requestClaim(req)
 		return
 	}
-	t, reason := s.pick(now, p)
-	t.use++
-	t.breaker.start(now)
-	p.target = t.Name
+	target, reason := s.chooseTarget(now, req)
+	target.busy++
+	target.breaker.requestStarted(now)
+	req.targetName = target.Name
 	if needsClaim {
-		s.claiming = append(s.claiming, claiming{id: p.ID, until: now.Add(claimHold)})
-		s.askClaim(p)
+		s.slotClaims = append(s.slotClaims, slotClaim{requestID: req.ID, until: now.Add(claimSlotTimeout)})
+		s.requestClaim(req)
 		return
 	}
-	s.send(now, p, t, reason)
+	s.send(now, req, target, reason)
 }
 
-// claimHold is how long a request keeps its slot while its claim is on its way.
-// A claim takes a millisecond; at a change of leader, seconds. Requests that
-// need no claim must not wait for that.
-const claimHold = 100 * time.Millisecond
+// claimSlotTimeout is how long a request keeps its slot while it waits for its claim. A claim takes
+// about a millisecond, but seconds during a leader election. Requests that need no claim must not
+// wait for that.
+const claimSlotTimeout = 100 * time.Millisecond
 
-// claiming is a request that holds a slot for its claim.
-type claiming struct {
-	id    uint64
-	until time.Time
+// slotClaim is a request that holds a slot while it waits for its claim.
+type slotClaim struct {
+	requestID uint64
+	until     time.Time
 }
 
-func (s *Scheduler) askClaim(p *pending) {
-	p.phase = phaseClaiming
-	s.attempts++
-	p.attempt = s.attempts
-	s.act(AcquireClaim{ID: p.ID, Claim: message.Claim{Key: p.ClaimKey, Owner: s.owner(), Attempt: p.attempt}})
+func (s *Scheduler) requestClaim(req *pendingRequest) {
+	req.phase = phaseClaiming
+	s.claimAttempts++
+	req.claimAttempt = s.claimAttempts
+	s.emit(AcquireClaim{ID: req.ID, Claim: message.Claim{Key: req.ClaimKey, Owner: s.claimOwner(), Attempt: req.claimAttempt}})
 }
 
-// releaseSlow takes the slots back that requests held for their claims too
-// long. While answers are slow, others are claimed without a slot.
-func (s *Scheduler) releaseSlow(now time.Time) {
-	for len(s.claiming) > 0 && !now.Before(s.claiming[0].until) {
-		p := s.requests[s.claiming[0].id]
-		s.claiming = s.claiming[1:]
-		if p != nil && p.phase == phaseClaiming && p.target != "" {
-			s.slow = true
-			s.letGo(p)
+// releaseUnclaimedSlots releases the slots of requests whose claims are not answered in time. While
+// answers are slow, further requests are claimed without holding a slot.
+func (s *Scheduler) releaseUnclaimedSlots(now time.Time) {
+	for len(s.slotClaims) > 0 && !now.Before(s.slotClaims[0].until) {
+		req := s.requests[s.slotClaims[0].requestID]
+		s.slotClaims = s.slotClaims[1:]
+		if req != nil && req.phase == phaseClaiming && req.targetName != "" {
+			s.claimsSlow = true
+			s.releaseSlot(req)
 		}
 	}
 }
 
-func (s *Scheduler) send(now time.Time, p *pending, t *slots, reason Reason) {
-	p.phase, p.began = phaseRunning, now
-	p.tries++
-	s.budget(p).earn()
-	s.prefixes.put(p.PrefixHash, t.Name)
-	s.act(Send{
-		ID: p.ID, Target: t.Target, Reason: reason, Attempt: p.tries,
-		QueueTime: now.Sub(p.arrived), Deadline: p.Deadline,
+func (s *Scheduler) send(now time.Time, req *pendingRequest, target *targetState, reason Reason) {
+	req.phase, req.attemptStarted = phaseRunning, now
+	req.attempts++
+	s.retryBudget(req).deposit()
+	s.prefixes.put(req.PrefixHash, target.Name)
+	s.emit(Send{
+		ID: req.ID, Target: target.Target, Reason: reason, Attempt: req.attempts,
+		QueueTime: now.Sub(req.arrived), Deadline: req.Deadline,
 	})
 }
 
-// pick chooses a target with a free slot for a request. The choice is among
-// the slots held, so it never waits.
-func (s *Scheduler) pick(now time.Time, p *pending) (*slots, Reason) {
-	warm := s.prefixes.get(p.PrefixHash)
-	var best *slots
-	for _, t := range s.events[p.Event].targets {
-		if !t.free() || !t.breaker.allows(now, t.use) {
+// chooseTarget chooses a target with a free slot for a request. It considers only slots that the
+// router already leases, so it never waits.
+func (s *Scheduler) chooseTarget(now time.Time, req *pendingRequest) (*targetState, Reason) {
+	cachedTarget := s.prefixes.get(req.PrefixHash)
+	var best *targetState
+	for _, target := range s.events[req.Event].targets {
+		if !target.hasFreeSlot() || !target.breaker.allows(now, target.busy) {
 			continue
 		}
-		if t.Name == warm && t.Name != p.avoid {
-			return t, ReasonPrefix
+		if target.Name == cachedTarget && target.Name != req.failedTarget {
+			return target, ReasonPrefix
 		}
-		if best == nil || better(t, best, p.avoid) {
-			best = t
+		if best == nil || isBetterTarget(target, best, req.failedTarget) {
+			best = target
 		}
 	}
 	if best.breaker.probing() {
@@ -122,70 +122,70 @@
 	return best, ReasonLeastLoaded
 }
 
-// better prefers a target other than the one that failed before, then one that
-// has not failed lately, then the one with the largest part of its lease free,
-// then the one that answers faster.
-func better(t, than *slots, avoid string) bool {
-	if (t.Name == avoid) != (than.Name == avoid) {
-		return than.Name == avoid
+// isBetterTarget orders targets. It prefers a target other than the one that failed last, then one
+// that has not failed lately, then the one with the larger fraction of its slots free, then the one
+// with the lower latency.
+func isBetterTarget(target, other *targetState, failedTarget string) bool {
+	if (target.Name == failedTarget) != (other.Name == failedTarget) {
+		return other.Name == failedTarget
 	}
-	if t.breaker.probing() != than.breaker.probing() {
-		return than.breaker.probing()
+	if target.breaker.probing() != other.breaker.probing() {
+		return other.breaker.probing()
 	}
-	mine, other := t.use*than.cap, than.use*t.cap
-	if mine != other {
-		return mine < other
+	targetLoad, otherLoad := target.busy*other.slots, other.busy*target.slots
+	if targetLoad != otherLoad {
+		return targetLoad < otherLoad
 	}
-	return t.breaker.pace() < than.breaker.pace()
+	return target.breaker.latency() < other.breaker.latency()
 }
 
-// HandleClaimResult takes the keepers' answer to a claim. Lost means that no answer came:
-// the request was not sent and now never will be, so it was not run.
-func (s *Scheduler) HandleClaimResult(now time.Time, id uint64, v message.Verdict, lost bool) {
-	p := s.requests[id]
-	if p == nil || p.phase != phaseClaiming {
+// HandleClaimResult handles the keepers' answer to a claim. lost means that no answer came: the
+// request was not sent and never will be under this claim, so it was not run.
+func (s *Scheduler) HandleClaimResult(now time.Time, id uint64, verdict message.Verdict, lost bool) {
+	req := s.requests[id]
+	if req == nil || req.phase != phaseClaiming {
 		return
 	}
 	if !lost {
-		s.slow = false
+		s.claimsSlow = false
 	}
-	t := s.targets[p.target]
+	target := s.targets[req.targetName]
 	switch {
-	case v.Granted && !p.gone && s.HasLease(now) && t != nil && !t.gone && t.cap > 0:
-		p.claimed = true
-		s.send(now, p, t, ReasonLeastLoaded)
-	case v.Granted && !p.gone && s.HasLease(now) && !s.stopping:
-		p.claimed = true
-		s.letGo(p)
-		s.requeue(now, p)
+	case verdict.Granted && !req.disconnected && s.HasLease(now) && target != nil && !target.leaving && target.slots > 0:
+		req.claimed = true
+		s.send(now, req, target, ReasonLeastLoaded)
+	case verdict.Granted && !req.disconnected && s.HasLease(now) && !s.stopping:
+		req.claimed = true
+		s.releaseSlot(req)
+		s.requeue(now, req)
 	default:
-		s.letGo(p)
-		s.refuseClaim(now, p, v, lost)
+		s.releaseSlot(req)
+		s.refuseClaim(now, req, verdict, lost)
 	}
-	s.pump(now)
+	s.dispatchWaiting(now)
 }
 
-func (s *Scheduler) refuseClaim(now time.Time, p *pending, v message.Verdict, lost bool) {
+func (s *Scheduler) refuseClaim(now time.Time, req *pendingRequest, verdict message.Verdict, lost bool) {
 	switch {
-	case p.gone:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
-	case lost || v.Granted:
-		s.refuse(p, s.noLease(now))
-	case v.Full:
-		p.attempt = 0
-		s.refuse(p, unrun(now.Add(claimsFullPause), fleet.KindFull, "come back later, or send it as repeatable",
+	case req.disconnected:
+		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+	case lost || verdict.Granted:
+		s.refuse(req, s.noLeaseRefusal(now))
+	case verdict.Full:
+		req.claimAttempt = 0
+		s.refuse(req, newUnrunRefusal(now.Add(claimsFullRetryAfter), fleet.KindFull, "come back later, or send it as repeatable",
 			"the keepers hold as many claims as they may"))
 	default:
-		p.attempt = 0
-		s.refuse(p, claimedRefusal(v.Fate))
+		req.claimAttempt = 0
+		s.refuse(req, claimedRefusal(verdict.Fate))
 	}
 }
 
-// claimsFullPause is when claims may have room again.
-const claimsFullPause = time.Minute
+// claimsFullRetryAfter is the time after which the keepers may accept new claims again.
+const claimsFullRetryAfter = time.Minute
 
-// claimedRefusal answers a request whose key is taken. It never says unrun:
-// what the caller asks about is the key, and that may have run.
+// claimedRefusal returns the refusal of a request whose claim key is already taken. Its outcome is
+// never unrun: the client asks about the key, and an earlier request with that key may have run.
 func claimedRefusal(fate message.Fate) *Refuse {
 	outcome := fleet.OutcomeUnknown
 	if fate == message.FateRan {
@@ -199,100 +199,100 @@
 	}
 }
 
-// letGo gives the slot of a request back that no target has taken, if it has
-// one.
-func (s *Scheduler) letGo(p *pending) {
-	if p.target == "" {
+// releaseSlot releases the slot of a request that was not sent, if it holds one.
+func (s *Scheduler) releaseSlot(req *pendingRequest) {
+	if req.targetName == "" {
 		return
 	}
-	if t := s.targets[p.target]; t != nil {
-		t.use--
+	if target := s.targets[req.targetName]; target != nil {
+		target.busy--
 	}
-	s.queues.Refund(p.item)
-	p.target = ""
+	s.queues.Refund(req.item)
+	req.targetName = ""
 }
 
-// requeue lets a request wait again in its old place.
-func (s *Scheduler) requeue(now time.Time, p *pending) {
-	p.phase = phaseWaiting
-	if err := s.queues.Push(p.item); err != nil {
-		s.refuse(p, unrun(now.Add(retrySoon), fleet.KindQueueFull, "come back after Retry-After", "%v", err))
+// requeue puts a request back into the queue at its old position.
+func (s *Scheduler) requeue(now time.Time, req *pendingRequest) {
+	req.phase = phaseWaiting
+	if err := s.queues.Push(req.item); err != nil {
+		s.refuse(req, newUnrunRefusal(now.Add(minRetryAfter), fleet.KindQueueFull, "come back after Retry-After", "%v", err))
 	}
 }
 
-func (s *Scheduler) owner() string {
+func (s *Scheduler) claimOwner() string {
 	return message.Owner(s.Name, s.Incarnation)
 }
 
-// An AttemptResult is what became of a request that was sent to a target.
+// An AttemptResult is the result of sending a request to a target.
 type AttemptResult struct {
-	// Sent says that a byte may have reached the target.
+	// Sent says that the target may have received a byte of the request.
 	Sent bool
-	// ResponseStarted says that the caller has been given the start of an answer.
+	// ResponseStarted says that the start of the response was sent to the client.
 	ResponseStarted bool
-	// ResponseComplete says that the target's answer was read to its end.
+	// ResponseComplete says that the target's response was read to its end.
 	ResponseComplete bool
-	// Failed says that the target failed, as opposed to the caller leaving.
+	// Failed says that the target failed, as opposed to the client disconnecting.
 	Failed bool
-	// Cost is what the answer cost, in units.
+	// Cost is the measured cost of the request, in units of service.
 	Cost float64
-	// TimeToFirstByte is the time to the first byte of the answer.
+	// TimeToFirstByte is the time from the start of the attempt to the first byte of the response.
 	TimeToFirstByte time.Duration
-	// TargetClosed says that the target cut the exchange, and Succeeded that it answered in whole and
-	// told of no failure.
+	// TargetClosed says that the target closed or reset the connection before the response was
+	// complete. Succeeded says that the response was complete and had a success status.
 	TargetClosed, Succeeded bool
 }
 
-// HandleAttemptEnd takes the end of a request.
-func (s *Scheduler) HandleAttemptEnd(now time.Time, id uint64, e AttemptResult) {
-	p := s.requests[id]
-	if p == nil || p.phase != phaseRunning {
+// HandleAttemptEnd handles the end of an attempt: it releases the slot, charges the cost, and
+// completes, retries or refuses the request.
+func (s *Scheduler) HandleAttemptEnd(now time.Time, id uint64, result AttemptResult) {
+	req := s.requests[id]
+	if req == nil || req.phase != phaseRunning {
 		return
 	}
-	t := s.targets[p.target]
-	s.learn(now, p, e)
-	if t != nil {
-		t.use--
-		t.breaker.end(now, e)
-		if t.use >= t.cap {
-			// A reduced lease drains: the leader waits for this slot.
-			s.wantReport(now)
+	target := s.targets[req.targetName]
+	s.recordRun(now, req, result)
+	if target != nil {
+		target.busy--
+		target.breaker.requestEnded(now, result)
+		if target.busy >= target.slots {
+			// The leader has reduced the lease and waits for this slot.
+			s.requestReport(now)
 		}
 	}
-	if !e.Sent {
-		s.queues.Refund(p.item)
+	if !result.Sent {
+		s.queues.Refund(req.item)
 	} else {
-		p.sent = true
-		s.queues.Settle(p.item, e.Cost)
+		req.mayHaveRun = true
+		s.queues.Settle(req.item, result.Cost)
 	}
-	s.conclude(now, p, e)
-	s.pump(now)
-	if s.short && s.queues.Waiting() == 0 {
-		// A slot came free that another router needs.
-		s.reportWithin(now, idlePause)
+	s.finishAttempt(now, req, result)
+	s.dispatchWaiting(now)
+	if s.slotsShort && s.queues.Waiting() == 0 {
+		// Another router needs the slot that was released.
+		s.requestReportAfter(now, minFreeSlotReportInterval)
 	}
 }
 
-func (s *Scheduler) conclude(now time.Time, p *pending, e AttemptResult) {
+func (s *Scheduler) finishAttempt(now time.Time, req *pendingRequest, result AttemptResult) {
 	switch {
-	case e.ResponseComplete:
-		s.drop(p, message.FateRan)
-	case e.ResponseStarted:
-		s.drop(p, message.FateUnknown)
-	case p.gone:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
-	case s.mayRetry(now, p, e):
-		p.avoid = p.target
-		p.target = ""
-		s.requeue(now, p)
-	case !e.Sent:
-		s.refuse(p, unrun(now.Add(retrySoon), fleet.KindNoTarget, "come back after Retry-After", "target %s cannot be reached", p.target))
+	case result.ResponseComplete:
+		s.remove(req, message.FateRan)
+	case result.ResponseStarted:
+		s.remove(req, message.FateUnknown)
+	case req.disconnected:
+		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+	case s.mayRetry(now, req, result):
+		req.failedTarget = req.targetName
+		req.targetName = ""
+		s.requeue(now, req)
+	case !result.Sent:
+		s.refuse(req, newUnrunRefusal(now.Add(minRetryAfter), fleet.KindNoTarget, "come back after Retry-After", "target %s cannot be reached", req.targetName))
 	default:
-		s.drop(p, message.FateUnknown)
-		s.act(Refuse{
-			ID: p.ID, Outcome: fleet.OutcomeUnknown,
+		s.remove(req, message.FateUnknown)
+		s.emit(Refuse{
+			ID: req.ID, Outcome: fleet.OutcomeUnknown,
 			Err: fleet.NewError(fleet.KindTarget, "ask the target's operators; send a repeatable request again",
-				"target %s failed after it was sent the request", p.target),
+				"target %s failed after it was sent the request", req.targetName),
 		})
 	}
 }
--- a/internal/dispatch/deadlines.go
+++ b/internal/dispatch/deadlines.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// deadlineHeap holds the deadlines of requests, also of some that have ended
-// since: whoever takes one checks that its request still waits.
+// deadlineHeap orders requests by deadline. It may hold requests that have ended; callers check
+// that a request it returns still waits.
 type deadlineHeap struct {
-	items   deadlineItems
-	sweepAt int
+	items     deadlineItems
+	sweepSize int
 }
 
 type deadlineItem struct {
@@ -18,18 +18,18 @@
 	id uint64
 }
 
-// push adds a deadline. Callers may name deadlines years ahead, so those of
-// requests that are no longer alive are swept out before the heap doubles.
+// push adds a deadline. Clients may set deadlines years ahead, so entries of requests that are no
+// longer alive are removed before the heap doubles.
 func (h *deadlineHeap) push(at time.Time, id uint64, alive func(uint64) bool) {
-	if len(h.items) >= max(h.sweepAt, minSweep) {
-		h.items = slices.DeleteFunc(h.items, func(it deadlineItem) bool { return !alive(it.id) })
+	if len(h.items) >= max(h.sweepSize, minSweepSize) {
+		h.items = slices.DeleteFunc(h.items, func(item deadlineItem) bool { return !alive(item.id) })
 		heap.Init(&h.items)
-		h.sweepAt = 2 * len(h.items)
+		h.sweepSize = 2 * len(h.items)
 	}
 	heap.Push(&h.items, deadlineItem{at: at, id: id})
 }
 
-const minSweep = 1024
+const minSweepSize = 1024
 
 func (h *deadlineHeap) first() (time.Time, bool) {
 	if len(h.items) == 0 {
@@ -38,12 +38,12 @@
 	return h.items[0].at, true
 }
 
-// due takes out the requests whose deadline has come.
+// due removes and returns the requests whose deadline has passed.
 func (h *deadlineHeap) due(now time.Time) []uint64 {
 	var ids []uint64
 	for len(h.items) > 0 && !now.Before(h.items[0].at) {
-		it, _ := heap.Pop(&h.items).(deadlineItem)
-		ids = append(ids, it.id)
+		item, _ := heap.Pop(&h.items).(deadlineItem)
+		ids = append(ids, item.id)
 	}
 	return ids
 }
@@ -61,14 +61,14 @@
 
 // Push implements heap.Interface.
 func (d *deadlineItems) Push(x any) {
-	it, _ := x.(deadlineItem)
-	*d = append(*d, it)
+	item, _ := x.(deadlineItem)
+	*d = append(*d, item)
 }
 
 // Pop implements heap.Interface.
 func (d *deadlineItems) Pop() any {
 	old := *d
-	it := old[len(old)-1]
+	item := old[len(old)-1]
 	*d = old[:len(old)-1]
-	return it
+	return item
 }
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -11,278 +11,280 @@
 )
 
 const (
-	// reportPeriod is the longest time between reports.
-	reportPeriod = 200 * time.Millisecond
-	// reportPause is the shortest time between reports.
-	reportPause = 10 * time.Millisecond
-	// idlePause is the shortest time between reports of slots that came free
-	// and that another router may need.
-	idlePause = 40 * time.Millisecond
+	// reportInterval is the longest time between reports.
+	reportInterval = 200 * time.Millisecond
+	// minReportInterval is the shortest time between reports.
+	minReportInterval = 10 * time.Millisecond
+	// minFreeSlotReportInterval is the shortest time between reports that only announce free slots
+	// that another router may need.
+	minFreeSlotReportInterval = 40 * time.Millisecond
 )
 
-// HandleGrant takes a grant from a leader and reports whether it was put in force.
-// A late or doubled one, or one of a deposed leader, changes nothing.
-func (s *Scheduler) HandleGrant(now time.Time, g message.Grant) bool {
-	if g.Inc != s.Incarnation || g.Term < s.term || g.Term == s.term && g.Seq <= s.granted {
+// HandleGrant handles a grant from a leader and reports whether it was put in force. It ignores
+// late and duplicate grants, those of a deposed leader, and those with an older configuration.
+func (s *Scheduler) HandleGrant(now time.Time, grant message.Grant) bool {
+	if grant.Inc != s.Incarnation || grant.Term < s.term || grant.Term == s.term && grant.Seq <= s.grantSeq {
 		return false
 	}
-	before := s.config.Number
-	if g.Number < before || g.Number > before && !s.adopt(g) {
+	oldNumber := s.config.Number
+	if grant.Number < oldNumber || grant.Number > oldNumber && !s.applyConfig(grant) {
 		return false
 	}
-	s.term, s.granted = g.Term, g.Seq
-	s.lease, s.short = g.Until, g.Short
-	if g.Echo != s.echo {
-		s.echo, s.echoedAt = g.Echo, now
+	s.term, s.grantSeq = grant.Term, grant.Seq
+	s.leaseUntil, s.slotsShort = grant.Until, grant.Short
+	if grant.Echo != s.echoedSeq {
+		s.echoedSeq, s.echoedAt = grant.Echo, now
 	}
-	reduced := s.setSlots(g.Slots)
-	s.setGone(g.Gone)
-	for _, l := range g.Levels {
-		if known, ok := s.history.usage(g.Echo, l.Account); ok {
-			s.queues.Heard(l, known)
+	reduced := s.setSlots(grant.Slots)
+	s.setLeaving(grant.Gone)
+	for _, level := range grant.Levels {
+		if reported, ok := s.history.usageInReport(grant.Echo, level.Account); ok {
+			s.queues.Heard(level, reported)
 		}
 	}
-	s.queues.SetFloor(g.Floor)
-	if g.Rulings != nil {
-		s.Guard.Heard(now, s.history.at(g.Echo), g.Term, *g.Rulings)
-		s.resume(now)
+	s.queues.SetFloor(grant.Floor)
+	if grant.Rulings != nil {
+		s.Guard.Heard(now, s.history.sentAt(grant.Echo), grant.Term, *grant.Rulings)
+		s.resumeParked(now)
 	}
-	if reduced || s.config.Number != before {
-		// The leader waits to hear of it.
-		s.wantReport(now)
+	if reduced || s.config.Number != oldNumber {
+		// The leader waits for the acknowledgment.
+		s.requestReport(now)
 	}
-	s.pump(now)
+	s.dispatchWaiting(now)
 	return true
 }
 
-// adopt puts the configuration of a grant in force. It never goes back to an
-// older one.
-func (s *Scheduler) adopt(g message.Grant) bool {
-	if len(g.Config) == 0 {
+// applyConfig puts the configuration of a grant in force and reports whether it is valid.
+func (s *Scheduler) applyConfig(grant message.Grant) bool {
+	if len(grant.Config) == 0 {
 		return false
 	}
-	var c fleet.Config
-	if err := json.Unmarshal(g.Config, &c); err != nil || c.Number != g.Number {
+	var config fleet.Config
+	if err := json.Unmarshal(grant.Config, &config); err != nil || config.Number != grant.Number {
 		return false
 	}
-	s.config, s.digest = c, c.Digest()
-	s.queues.SetAccounts(c.Accounts)
-	s.keys = make(map[string]string)
-	for _, a := range c.Accounts {
-		for _, k := range a.Keys {
-			s.keys[k] = a.Name
+	s.config, s.configDigest = config, config.Digest()
+	s.queues.SetAccounts(config.Accounts)
+	s.accountsByKey = make(map[string]string)
+	for _, account := range config.Accounts {
+		for _, keyDigest := range account.Keys {
+			s.accountsByKey[keyDigest] = account.Name
 		}
 	}
-	s.setTargets(c)
-	s.refuseOrphans()
+	s.setTargets(config)
+	s.refuseNotAdmitted()
 	return true
 }
 
-// setTargets rebuilds the targets and events. What runs on a target goes on
-// being counted, also when the target leaves.
-func (s *Scheduler) setTargets(c fleet.Config) {
-	next := make(map[string]*slots, len(c.Targets))
-	for _, t := range c.Targets {
-		state := s.targets[t.Name]
+// setTargets rebuilds the targets and events. Requests that run on a target stay counted, even if
+// the target leaves the configuration.
+func (s *Scheduler) setTargets(config fleet.Config) {
+	next := make(map[string]*targetState, len(config.Targets))
+	for _, target := range config.Targets {
+		state := s.targets[target.Name]
 		if state == nil {
-			state = &slots{}
+			state = &targetState{}
 		}
-		if state.Address != t.Address {
+		if state.Address != target.Address {
 			state.breaker = breaker{}
 		}
-		state.Target = t
-		if !t.Live() {
-			state.cap = 0
+		state.Target = target
+		if !target.Live() {
+			state.slots = 0
 		}
-		next[t.Name] = state
+		next[target.Name] = state
 	}
 	for name, state := range s.targets {
-		if next[name] == nil && state.use > 0 {
-			state.cap = 0
+		if next[name] == nil && state.busy > 0 {
+			state.slots = 0
 			next[name] = state
 		}
 	}
 	s.targets = next
-	s.events = make(map[string]*event, len(c.Events))
-	for _, e := range c.Events {
-		state := &event{Event: e}
-		for _, name := range e.Targets {
-			if t := next[name]; t.Live() {
-				state.targets = append(state.targets, t)
+	s.events = make(map[string]*eventState, len(config.Events))
+	for _, event := range config.Events {
+		state := &eventState{Event: event}
+		for _, name := range event.Targets {
+			if target := next[name]; target.Live() {
+				state.targets = append(state.targets, target)
 			}
 		}
-		s.events[e.Name] = state
+		s.events[event.Name] = state
 	}
 }
 
-// refuseOrphans answers what waits for an event that no longer admits it.
-func (s *Scheduler) refuseOrphans() {
+// refuseNotAdmitted refuses the waiting requests whose event no longer exists or no longer admits
+// their account.
+func (s *Scheduler) refuseNotAdmitted() {
 	for _, id := range s.queues.All() {
-		p := s.requests[id]
-		e := s.events[p.Event]
-		if e == nil || !e.Admits(p.Account) {
-			s.refuse(p, unrun(time.Time{}, fleet.KindEvent, "name an event of the configuration in force",
-				"event %q no longer takes account %q", p.Event, p.Account))
+		req := s.requests[id]
+		event := s.events[req.Event]
+		if event == nil || !event.Admits(req.Account) {
+			s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindEvent, "name an event of the configuration in force",
+				"event %q no longer takes account %q", req.Event, req.Account))
 		}
 	}
 }
 
-// setSlots replaces the slots held and reports whether any were taken back.
-func (s *Scheduler) setSlots(list []message.Slot) bool {
+// setSlots replaces the leased slots and reports whether any were taken away.
+func (s *Scheduler) setSlots(granted []message.Slot) bool {
 	reduced := false
-	counts := make(map[string]int, len(list))
-	for _, l := range list {
-		counts[l.Target] = l.Count
+	counts := make(map[string]int, len(granted))
+	for _, slot := range granted {
+		counts[slot.Target] = slot.Count
 	}
-	for name, t := range s.targets {
-		n := counts[name]
-		if !t.Live() {
-			n = 0
+	for name, target := range s.targets {
+		count := counts[name]
+		if !target.Live() {
+			count = 0
 		}
-		reduced = reduced || n < t.cap
-		t.cap = n
+		reduced = reduced || count < target.slots
+		target.slots = count
 	}
 	return reduced
 }
 
-func (s *Scheduler) setGone(names []string) {
-	for _, t := range s.targets {
-		t.gone = slices.Contains(names, t.Name)
+func (s *Scheduler) setLeaving(names []string) {
+	for _, target := range s.targets {
+		target.leaving = slices.Contains(names, target.Name)
 	}
 }
 
-// loseLease answers all that waits, since nothing may be started any more.
+// loseLease gives up all slots and refuses all waiting requests, since none may be started any
+// more.
 func (s *Scheduler) loseLease(now time.Time) {
-	s.lease = time.Time{}
-	for _, t := range s.targets {
-		t.cap = 0
+	s.leaseUntil = time.Time{}
+	for _, target := range s.targets {
+		target.slots = 0
 	}
-	s.refuseWaiting(func() *Refuse { return s.noLease(now) })
+	s.refuseWaiting(func() *Refuse { return s.noLeaseRefusal(now) })
 }
 
-// wantReport brings the next report forward.
-func (s *Scheduler) wantReport(now time.Time) {
-	s.reportWithin(now, reportPause)
+// requestReport schedules the next report as early as allowed.
+func (s *Scheduler) requestReport(now time.Time) {
+	s.requestReportAfter(now, minReportInterval)
 }
 
-// reportWithin brings the next report forward to a pause after the last.
-func (s *Scheduler) reportWithin(now time.Time, pause time.Duration) {
-	due := s.reported.Add(pause)
+// requestReportAfter schedules the next report for minInterval after the last one, unless one is due
+// earlier.
+func (s *Scheduler) requestReportAfter(now time.Time, minInterval time.Duration) {
+	due := s.lastReport.Add(minInterval)
 	if due.Before(now) {
 		due = now
 	}
-	if due.Before(s.reportDue) {
-		s.reportDue = due
+	if due.Before(s.nextReport) {
+		s.nextReport = due
 	}
 }
 
-// report tells the leader what the router has, holds and served.
-func (s *Scheduler) report(now time.Time) {
-	s.reports++
-	s.reported = now
-	s.reportDue = now.Add(reportPeriod)
+// sendReport reports the router's queues, slots and usage to the leader.
+func (s *Scheduler) sendReport(now time.Time) {
+	s.reportSeq++
+	s.lastReport = now
+	s.nextReport = now.Add(reportInterval)
 	if len(s.parked) > 0 {
-		s.reportDue = now.Add(rulingPoll)
+		s.nextReport = now.Add(parkedReportInterval)
 	}
 	usage := s.queues.Usage()
-	s.history.add(now, s.reports, usage)
-	held := s.Guard.Report(now)
-	full := s.reports%fullEvery == 1 || now.Sub(s.echoedAt) > leaderSilence
+	s.history.add(now, s.reportSeq, usage)
+	quarantineReport := s.Guard.Report(now)
+	full := s.reportSeq%fullReportEvery == 1 || now.Sub(s.echoedAt) > leaderSilenceTimeout
 	if !full {
-		usage = s.history.changedSince(s.echo, usage)
+		usage = s.history.changedUsage(s.echoedSeq, usage)
 	}
-	r := message.Report{
-		Router: s.Name, Zone: s.Zone, Inc: s.Incarnation, Seq: s.reports, Sent: now,
-		Term: s.term, Ack: s.granted, Number: s.config.Number,
-		Queues: s.queues.Queues(), Full: full, Usage: usage, Leaving: s.stopping, Quarantine: &held,
+	report := message.Report{
+		Router: s.Name, Zone: s.Zone, Inc: s.Incarnation, Seq: s.reportSeq, Sent: now,
+		Term: s.term, Ack: s.grantSeq, Number: s.config.Number,
+		Queues: s.queues.Queues(), Full: full, Usage: usage, Leaving: s.stopping, Quarantine: &quarantineReport,
 	}
-	for _, t := range s.targets {
-		if t.cap > 0 || t.use > 0 {
-			r.Slots = append(r.Slots, message.Holding{Target: t.Name, Cap: t.cap, Use: t.use})
+	for _, target := range s.targets {
+		if target.slots > 0 || target.busy > 0 {
+			report.Slots = append(report.Slots, message.Holding{Target: target.Name, Cap: target.slots, Use: target.busy})
 		}
 	}
-	slices.SortFunc(r.Slots, func(a, b message.Holding) int {
+	slices.SortFunc(report.Slots, func(a, b message.Holding) int {
 		if a.Target < b.Target {
 			return -1
 		}
 		return 1
 	})
 	if full {
-		// A new leader needs to know what the levels are.
-		r.Levels = s.queues.Levels()
-		r.Usage = slices.Clone(usage)
-		for i := range r.Usage {
-			r.Usage[i].Counted = s.queues.Counted(usage[i].Account)
+		// A new leader needs the current levels.
+		report.Levels = s.queues.Levels()
+		report.Usage = slices.Clone(usage)
+		for i := range report.Usage {
+			report.Usage[i].Counted = s.queues.Counted(usage[i].Account)
 		}
 	}
-	s.act(SendReport{Report: r})
+	s.emit(SendReport{Report: report})
 }
 
 const (
-	// leaderSilence is how long the leader may be silent before reports carry
-	// all that a new one needs.
-	leaderSilence = 2*reportPeriod - reportPeriod/4
-	// fullEvery is how often they do anyway.
-	fullEvery = 32
+	// leaderSilenceTimeout is how long the leader may be silent before reports contain everything
+	// that a new leader needs.
+	leaderSilenceTimeout = 2*reportInterval - reportInterval/4
+	// fullReportEvery makes one report in this many full even if the leader is not silent.
+	fullReportEvery = 32
 )
 
-// usageHistory keeps what the last reports said was served, so that a level
-// can be matched with the report that it includes.
-type usageHistory struct {
-	entries []historyEntry
+// reportHistory keeps the usage in the last reports, so that a level can be matched with the report
+// that it includes.
+type reportHistory struct {
+	entries []sentReport
 }
 
-type historyEntry struct {
+type sentReport struct {
 	seq   uint64
 	sent  time.Time
-	usage []message.Usage // by account
+	usage []message.Usage // sorted by account
 }
 
-// maxHistory bounds the reports remembered. A grant that echoes an older one
-// comes too late to be used.
-const maxHistory = 64
+// maxRememberedReports is the number of reports kept. A grant that answers an older one comes too
+// late to be used.
+const maxRememberedReports = 64
 
-func (h *usageHistory) add(now time.Time, seq uint64, usage []message.Usage) {
-	h.entries = append(h.entries, historyEntry{seq: seq, sent: now, usage: usage})
-	if len(h.entries) > maxHistory {
+func (h *reportHistory) add(now time.Time, seq uint64, usage []message.Usage) {
+	h.entries = append(h.entries, sentReport{seq: seq, sent: now, usage: usage})
+	if len(h.entries) > maxRememberedReports {
 		h.entries = h.entries[1:]
 	}
 }
 
-// at returns when a report was made; the zero time if that is no longer remembered.
-func (h *usageHistory) at(seq uint64) time.Time {
-	for _, e := range h.entries {
-		if e.seq == seq {
-			return e.sent
+// sentAt returns when a report was sent, or the zero time if it is no longer kept.
+func (h *reportHistory) sentAt(seq uint64) time.Time {
+	for _, entry := range h.entries {
+		if entry.seq == seq {
+			return entry.sent
 		}
 	}
 	return time.Time{}
 }
 
-// changedSince returns what differs from the report seq; all, if that is no
-// longer remembered.
-func (h *usageHistory) changedSince(seq uint64, usage []message.Usage) []message.Usage {
+// changedUsage returns the usage that differs from that in report seq, or all of it if that report
+// is no longer kept.
+func (h *reportHistory) changedUsage(seq uint64, usage []message.Usage) []message.Usage {
 	changed := make([]message.Usage, 0, len(usage))
-	for _, u := range usage {
-		if known, ok := h.usage(seq, u.Account); !ok || known != u {
-			changed = append(changed, u)
+	for _, current := range usage {
+		if reported, ok := h.usageInReport(seq, current.Account); !ok || reported != current {
+			changed = append(changed, current)
 		}
 	}
 	return changed
 }
 
-func (h *usageHistory) usage(seq uint64, account string) (message.Usage, bool) {
-	for _, e := range h.entries {
-		if e.seq != seq {
+func (h *reportHistory) usageInReport(seq uint64, account string) (message.Usage, bool) {
+	for _, entry := range h.entries {
+		if entry.seq != seq {
 			continue
 		}
-		i, found := slices.BinarySearchFunc(e.usage, account, func(u message.Usage, name string) int {
-			return strings.Compare(u.Account, name)
+		index, found := slices.BinarySearchFunc(entry.usage, account, func(usage message.Usage, account string) int {
+			return strings.Compare(usage.Account, account)
 		})
 		if !found {
 			return message.Usage{}, true
 		}
-		return e.usage[i], true
+		return entry.usage[index], true
 	}
 	return message.Usage{}, false
 }
--- a/internal/dispatch/prefix.go
+++ b/internal/dispatch/prefix.go
@@ -2,14 +2,14 @@
 
 import "container/list"
 
-// maxPrefixes bounds the prompt prefixes that a router remembers.
+// maxPrefixes is the largest number of prompt prefixes that a router remembers.
 const maxPrefixes = 8192
 
-// prefixIndex remembers which target last served a prompt prefix. It is only a
-// hint: the target may have dropped the prefix since.
-type prefixIndex struct {
-	byHash map[uint64]*list.Element
-	recent list.List
+// prefixTargets records which target last served each prompt prefix, in an LRU cache. It is only a
+// hint: the target may have evicted the prefix from its own cache.
+type prefixTargets struct {
+	byHash    map[uint64]*list.Element
+	byRecency list.List
 }
 
 type prefixEntry struct {
@@ -17,33 +17,33 @@
 	target string
 }
 
-func (x *prefixIndex) get(hash uint64) string {
-	el, ok := x.byHash[hash]
+func (x *prefixTargets) get(hash uint64) string {
+	element, ok := x.byHash[hash]
 	if !ok || hash == 0 {
 		return ""
 	}
-	x.recent.MoveToFront(el)
-	entry, _ := el.Value.(*prefixEntry)
+	x.byRecency.MoveToFront(element)
+	entry, _ := element.Value.(*prefixEntry)
 	return entry.target
 }
 
-func (x *prefixIndex) put(hash uint64, target string) {
+func (x *prefixTargets) put(hash uint64, target string) {
 	if hash == 0 {
 		return
 	}
 	if x.byHash == nil {
 		x.byHash = make(map[uint64]*list.Element)
 	}
-	if el, ok := x.byHash[hash]; ok {
-		entry, _ := el.Value.(*prefixEntry)
+	if element, ok := x.byHash[hash]; ok {
+		entry, _ := element.Value.(*prefixEntry)
 		entry.target = target
-		x.recent.MoveToFront(el)
+		x.byRecency.MoveToFront(element)
 		return
 	}
-	x.byHash[hash] = x.recent.PushFront(&prefixEntry{hash: hash, target: target})
-	if x.recent.Len() > maxPrefixes {
-		oldest := x.recent.Back()
-		entry, _ := x.recent.Remove(oldest).(*prefixEntry)
+	x.byHash[hash] = x.byRecency.PushFront(&prefixEntry{hash: hash, target: target})
+	if x.byRecency.Len() > maxPrefixes {
+		oldest := x.byRecency.Back()
+		entry, _ := x.byRecency.Remove(oldest).(*prefixEntry)
 		delete(x.byHash, entry.hash)
 	}
 }
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -9,106 +9,107 @@
 )
 
 const (
-	// rulingTime is how long a request waits for the leader's word on requests like it: the
-	// time of a report and the grant that answers it, several times over.
-	rulingTime = 600 * time.Millisecond
-	// rulingPoll is how often a router reports meanwhile.
-	rulingPoll = 50 * time.Millisecond
+	// rulingTimeout is how long a request waits for the leader's quarantine ruling. It allows
+	// several round trips of a report and the grant that answers it.
+	rulingTimeout = 600 * time.Millisecond
+	// parkedReportInterval is the interval between reports while a request waits for a ruling.
+	parkedReportInterval = 50 * time.Millisecond
 )
 
-// allow reports whether a request that was chosen for a slot may be sent. One under which
-// targets have ended is parked until the leader has had its word: its next copy may take
-// another target away from everybody, and the copies at other routers are not known here.
-func (s *Scheduler) allow(now time.Time, p *pending) bool {
-	v := s.Guard.Check(now, p.Fingerprint)
-	switch v.Do {
+// checkQuarantine reports whether a request that was chosen for a slot may be sent. A request under
+// which targets have ended is parked until the leader has ruled on it: its next run may end another
+// target, and this router has no information about identical requests at other routers.
+func (s *Scheduler) checkQuarantine(now time.Time, req *pendingRequest) bool {
+	verdict := s.Guard.Check(now, req.Fingerprint)
+	switch verdict.Do {
 	case quarantine.Run:
-		p.verdict = v
-		s.Guard.Begin(v, p.Fingerprint)
+		req.quarantineVerdict = verdict
+		s.Guard.Begin(verdict, req.Fingerprint)
 		return true
 	case quarantine.Wait:
-		s.queues.Refund(p.item)
-		s.park(now, p)
+		s.queues.Refund(req.item)
+		s.park(now, req)
 	case quarantine.Hold:
-		s.queues.Refund(p.item)
-		s.refuse(p, heldBack(now.Add(v.Back), v.Ends))
+		s.queues.Refund(req.item)
+		s.refuse(req, quarantinedRefusal(now.Add(verdict.Back), verdict.Ends))
 	}
 	return false
 }
 
-func heldBack(back time.Time, ends int) *Refuse {
-	return unrun(back, fleet.KindHeld, "send other work; ask the operators about this request (lfctl held)",
+func quarantinedRefusal(retryAt time.Time, ends int) *Refuse {
+	return newUnrunRefusal(retryAt, fleet.KindHeld, "send other work; ask the operators about this request (lfctl held)",
 		"%d targets have ended under this request", ends)
 }
 
-func (s *Scheduler) park(now time.Time, p *pending) {
-	p.phase = phaseParked
-	p.parked = now.Add(rulingTime)
-	s.parked = append(s.parked, p.ID)
-	s.Guard.Ask(p.Fingerprint)
-	s.wantReport(now)
+func (s *Scheduler) park(now time.Time, req *pendingRequest) {
+	req.phase = phaseParked
+	req.parkedUntil = now.Add(rulingTimeout)
+	s.parked = append(s.parked, req.ID)
+	s.Guard.Ask(req.Fingerprint)
+	s.requestReport(now)
 }
 
-func (s *Scheduler) unpark(p *pending) {
-	if p.phase != phaseParked {
+func (s *Scheduler) unpark(req *pendingRequest) {
+	if req.phase != phaseParked {
 		return
 	}
-	p.phase = phaseWaiting
-	s.Guard.Unask(p.Fingerprint)
-	s.parked = slices.DeleteFunc(s.parked, func(id uint64) bool { return id == p.ID })
+	req.phase = phaseWaiting
+	s.Guard.Unask(req.Fingerprint)
+	s.parked = slices.DeleteFunc(s.parked, func(id uint64) bool { return id == req.ID })
 }
 
-// resume lets parked requests go on that the leader has had its word on, or not in time.
-func (s *Scheduler) resume(now time.Time) {
+// resumeParked re-queues or refuses parked requests on which the leader has ruled or whose wait has
+// timed out.
+func (s *Scheduler) resumeParked(now time.Time) {
 	for _, id := range slices.Clone(s.parked) {
-		p := s.requests[id]
-		v := s.Guard.Check(now, p.Fingerprint)
+		req := s.requests[id]
+		verdict := s.Guard.Check(now, req.Fingerprint)
 		switch {
-		case v.Do == quarantine.Wait && now.Before(p.parked):
-		case v.Do == quarantine.Wait:
-			s.refuse(p, heldBack(now.Add(retrySoon), v.Ends))
-		case v.Do == quarantine.Hold:
-			s.refuse(p, heldBack(now.Add(v.Back), v.Ends))
+		case verdict.Do == quarantine.Wait && now.Before(req.parkedUntil):
+		case verdict.Do == quarantine.Wait:
+			s.refuse(req, quarantinedRefusal(now.Add(minRetryAfter), verdict.Ends))
+		case verdict.Do == quarantine.Hold:
+			s.refuse(req, quarantinedRefusal(now.Add(verdict.Back), verdict.Ends))
 		default:
-			s.unpark(p)
-			s.requeue(now, p)
+			s.unpark(req)
+			s.requeue(now, req)
 		}
 	}
 }
 
-// learn takes from the end of a run what it shows of its request.
-func (s *Scheduler) learn(now time.Time, p *pending, e AttemptResult) {
-	v := p.verdict
-	p.verdict = quarantine.Verdict{}
-	t := s.targets[p.target]
+// recordRun passes the result of an attempt to the quarantine guard.
+func (s *Scheduler) recordRun(now time.Time, req *pendingRequest, result AttemptResult) {
+	verdict := req.quarantineVerdict
+	req.quarantineVerdict = quarantine.Verdict{}
+	target := s.targets[req.targetName]
 	switch {
-	case e.Succeeded:
-		s.Guard.Whole(now, p.Fingerprint)
-	case e.TargetClosed && t != nil && !t.gone && t.Live():
-		doubt := s.Guard.Cut(now, quarantine.Sight{
-			Print: p.Fingerprint, Account: p.Account, Place: p.Event, Target: fleet.Incarnation{ID: p.target}, Began: p.began, Grant: v.Grant,
+	case result.Succeeded:
+		s.Guard.Whole(now, req.Fingerprint)
+	case result.TargetClosed && target != nil && !target.leaving && target.Live():
+		needsProbe := s.Guard.Cut(now, quarantine.Sight{
+			Print: req.Fingerprint, Account: req.Account, Place: req.Event, Target: fleet.Incarnation{ID: req.targetName}, Began: req.attemptStarted, Grant: verdict.Grant,
 		})
-		if doubt {
-			s.act(Probe{Target: t.Target})
+		if needsProbe {
+			s.emit(Probe{Target: target.Target})
 			return
 		}
-		s.wantReport(now)
+		s.requestReport(now)
 	default:
-		s.Guard.Over(now, v, p.Fingerprint, !e.Sent)
+		s.Guard.Over(now, verdict, req.Fingerprint, !result.Sent)
 	}
 }
 
-// HandleProbeResult takes what the looking for a target has shown: whether it has ended, or else was
-// there at a moment.
-func (s *Scheduler) HandleProbeResult(now, here time.Time, name string, ended bool) {
-	target := fleet.Incarnation{ID: name}
+// HandleProbeResult handles the result of a Probe: the target either has ended or was alive at
+// aliveAt.
+func (s *Scheduler) HandleProbeResult(now, aliveAt time.Time, targetName string, ended bool) {
+	target := fleet.Incarnation{ID: targetName}
 	if ended {
 		s.Guard.Gone(now, target)
 	} else {
-		s.Guard.Alive(now, here, target)
-		if t := s.targets[name]; t != nil && slices.Contains(s.Guard.Doubts(now), target) {
-			s.act(Probe{Target: t.Target}) // it has cut another one since
+		s.Guard.Alive(now, aliveAt, target)
+		if state := s.targets[targetName]; state != nil && slices.Contains(s.Guard.Doubts(now), target) {
+			s.emit(Probe{Target: state.Target}) // it has closed another connection since
 		}
 	}
-	s.wantReport(now)
+	s.requestReport(now)
 }
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -12,62 +12,62 @@
 	"laburnumfall/internal/quarantine"
 )
 
-const heldPrint quarantine.Print = "alike"
+const suspectFingerprint quarantine.Print = "alike"
 
-// guarded returns a router whose leader rules on a request.
-func guarded(r quarantine.Ruling) *dispatch.Scheduler {
-	c := configOf([]float64{1}, []int{1, 1})
+// newSchedulerWithRuling returns a leased scheduler whose leader has ruled on the suspect request.
+func newSchedulerWithRuling(ruling quarantine.Ruling) *dispatch.Scheduler {
+	config := newConfig([]float64{1}, []int{1, 1})
 	s := &dispatch.Scheduler{Name: "r1", Incarnation: 1, Guard: quarantine.Guard{Owner: message.Owner("r1", 1), Named: true}}
-	s.HandleGrant(epoch, ruledGrant(c, 1, 1, r))
+	s.HandleGrant(epoch, newGrantWithRuling(config, 1, 1, ruling))
 	s.TakeActions()
 	return s
 }
 
-func ruledGrant(c fleet.Config, seq, revision uint64, r quarantine.Ruling) message.Grant {
-	g := grantOf(c, seq, 1)
-	g.Rulings = &quarantine.Rulings{Revision: revision, List: []quarantine.Ruling{r}}
-	return g
+func newGrantWithRuling(config fleet.Config, seq, revision uint64, ruling quarantine.Ruling) message.Grant {
+	grant := newGrant(config, seq, 1)
+	grant.Rulings = &quarantine.Rulings{Revision: revision, List: []quarantine.Ruling{ruling}}
+	return grant
 }
 
-func alike(id uint64) dispatch.Request {
-	r := request1(id)
-	r.Fingerprint = heldPrint
-	return r
+func newSuspectRequest(id uint64) dispatch.Request {
+	request := newRequest(id)
+	request.Fingerprint = suspectFingerprint
+	return request
 }
 
-// Symptom: a request that ends targets runs again, or its caller waits for nothing.
-// Sequence: the leader has ruled on it; it comes to a router of an event.
-// Cause: the ruling is not asked for when a slot is chosen.
-func TestAnEventsRequestGoesByTheLeadersRuling(t *testing.T) {
-	c := configOf([]float64{1}, []int{1, 1})
-	held := quarantine.Ruling{Print: heldPrint, Ends: 3, Next: 5 * time.Second}
+// Guards against running a request that ends targets, and against keeping its client waiting in
+// vain. The leader has ruled on the request, and the scheduler must check the ruling when it
+// chooses the request for a slot.
+func TestQuarantineRulingDecidesDispatch(t *testing.T) {
+	config := newConfig([]float64{1}, []int{1, 1})
+	held := quarantine.Ruling{Print: suspectFingerprint, Ends: 3, Next: 5 * time.Second}
 
-	s := guarded(held)
-	s.Submit(epoch, alike(1))
-	refused := find[dispatch.Refuse](s)
-	require.Len(t, refused, 1, "at once")
+	s := newSchedulerWithRuling(held)
+	s.Submit(epoch, newSuspectRequest(1))
+	refused := takeActionsOf[dispatch.Refuse](s)
+	require.Len(t, refused, 1, "refused immediately")
 	require.Equal(t, fleet.KindHeld, refused[0].Err.Kind)
 	require.Equal(t, fleet.OutcomeUnrun, refused[0].Outcome)
 	require.Equal(t, epoch.Add(5*time.Second), refused[0].RetryAt)
-	s.Submit(epoch, request1(2))
-	require.Len(t, find[dispatch.Send](s), 1, "other work goes on")
+	s.Submit(epoch, newRequest(2))
+	require.Len(t, takeActionsOf[dispatch.Send](s), 1, "other work goes on")
 
-	suspected := quarantine.Ruling{Print: heldPrint, Ends: 2}
-	s = guarded(suspected)
-	s.Submit(epoch, alike(1))
-	require.Empty(t, find[dispatch.Send](s), "it waits for the leader's word")
+	suspected := quarantine.Ruling{Print: suspectFingerprint, Ends: 2}
+	s = newSchedulerWithRuling(suspected)
+	s.Submit(epoch, newSuspectRequest(1))
+	require.Empty(t, takeActionsOf[dispatch.Send](s), "it waits for the leader's ruling")
 	s.Tick(epoch.Add(10 * time.Millisecond))
-	reports := find[dispatch.SendReport](s)
+	reports := takeActionsOf[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
-	require.Equal(t, []quarantine.Print{heldPrint}, reports[0].Report.Quarantine.Asks)
+	require.Equal(t, []quarantine.Print{suspectFingerprint}, reports[0].Report.Quarantine.Asks)
 	suspected.Holder, suspected.Until, suspected.Grant = message.Owner("r1", 1), 20*time.Second, 1
-	s.HandleGrant(epoch.Add(20*time.Millisecond), ruledGrant(c, 2, 2, suspected))
-	sends := find[dispatch.Send](s)
+	s.HandleGrant(epoch.Add(20*time.Millisecond), newGrantWithRuling(config, 2, 2, suspected))
+	sends := takeActionsOf[dispatch.Send](s)
 	require.Len(t, sends, 1)
-	s.Submit(epoch.Add(30*time.Millisecond), alike(2))
-	require.Len(t, find[dispatch.Refuse](s), 1, "one at a time")
+	s.Submit(epoch.Add(30*time.Millisecond), newSuspectRequest(2))
+	require.Len(t, takeActionsOf[dispatch.Refuse](s), 1, "one copy runs at a time")
 
-	// Its target cuts it and has ended: the leader hears of it.
+	// The target closes the connection and has ended: the next report says so.
 	s.HandleAttemptEnd(epoch.Add(40*time.Millisecond), 1, dispatch.AttemptResult{Sent: true, Failed: true, TargetClosed: true})
 	actions := s.TakeActions()
 	probed := false
@@ -83,32 +83,31 @@
 	require.True(t, probed)
 	s.HandleProbeResult(epoch.Add(50*time.Millisecond), epoch.Add(40*time.Millisecond), sends[0].Target.Name, true)
 	s.Tick(epoch.Add(300 * time.Millisecond))
-	reports = find[dispatch.SendReport](s)
+	reports = takeActionsOf[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
 	require.Len(t, reports[len(reports)-1].Report.Quarantine.Ends, 1)
 }
 
-// Symptom: a caller waits for the leader's word for ever, or finds that a stop has cut it.
-// Sequence: nobody rules on a parked request; its router is stopped, loses its lease, or its
-// caller leaves.
-func TestAParkedRequestEnds(t *testing.T) {
-	for name, tt := range map[string]struct {
-		do   func(s *dispatch.Scheduler)
+// Guards against a parked request that waits forever or is dropped unanswered. It gets no ruling,
+// or the router stops, loses its lease, or its client disconnects.
+func TestParkedRequestIsAlwaysRefused(t *testing.T) {
+	for name, test := range map[string]struct {
+		act  func(s *dispatch.Scheduler)
 		kind fleet.Kind
 	}{
-		"no word":     {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(time.Second)) }, fleet.KindHeld},
-		"stop":        {func(s *dispatch.Scheduler) { s.Stop(epoch.Add(time.Millisecond)) }, fleet.KindStopping},
-		"no lease":    {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(3 * time.Second)) }, fleet.KindNoLease},
-		"caller left": {func(s *dispatch.Scheduler) { s.HandleDisconnect(epoch.Add(time.Millisecond), 1) }, fleet.KindGone},
+		"no ruling":          {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(time.Second)) }, fleet.KindHeld},
+		"stop":               {func(s *dispatch.Scheduler) { s.Stop(epoch.Add(time.Millisecond)) }, fleet.KindStopping},
+		"no lease":           {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(3 * time.Second)) }, fleet.KindNoLease},
+		"client disconnects": {func(s *dispatch.Scheduler) { s.HandleDisconnect(epoch.Add(time.Millisecond), 1) }, fleet.KindGone},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := guarded(quarantine.Ruling{Print: heldPrint, Ends: 2})
-			s.Submit(epoch, alike(1))
+			s := newSchedulerWithRuling(quarantine.Ruling{Print: suspectFingerprint, Ends: 2})
+			s.Submit(epoch, newSuspectRequest(1))
 			require.False(t, s.Idle())
-			tt.do(s)
-			refused := find[dispatch.Refuse](s)
+			test.act(s)
+			refused := takeActionsOf[dispatch.Refuse](s)
 			require.Len(t, refused, 1)
-			require.Equal(t, tt.kind, refused[0].Err.Kind)
+			require.Equal(t, test.kind, refused[0].Err.Kind)
 			require.Equal(t, fleet.OutcomeUnrun, refused[0].Outcome)
 			require.True(t, s.Idle())
 		})
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -3,70 +3,70 @@
 import "time"
 
 const (
-	// maxTries bounds the tries of one request.
-	maxTries = 3
-	// retryShare is how many retries each request adds to its budget, so that
-	// retries add at most a tenth to the load whatever fails.
-	retryShare = 0.1
-	// retryBurst bounds what a budget may save up.
-	retryBurst = 10
+	// maxAttempts is the largest number of attempts of one request.
+	maxAttempts = 3
+	// retryRatio is the retry budget that each attempt earns. It limits retries to a tenth of the
+	// load, whatever fails.
+	retryRatio = 0.1
+	// maxRetryTokens is the largest number of retries that a budget can save up.
+	maxRetryTokens = 10
 )
 
-type budgetKey struct{ account, event string }
+type retryBudgetKey struct{ account, event string }
 
-// budget bounds the retries of one account for one event.
-type budget struct {
-	left float64
+// tokenBudget limits the retries of one account for one event.
+type tokenBudget struct {
+	tokens float64
 }
 
-func (s *Scheduler) budget(p *pending) *budget {
-	if s.budgets == nil {
-		s.budgets = make(map[budgetKey]*budget)
+func (s *Scheduler) retryBudget(req *pendingRequest) *tokenBudget {
+	if s.retryBudgets == nil {
+		s.retryBudgets = make(map[retryBudgetKey]*tokenBudget)
 	}
-	key := budgetKey{p.Account, p.Event}
-	b := s.budgets[key]
-	if b == nil {
-		b = &budget{left: retryBurst}
-		s.budgets[key] = b
+	key := retryBudgetKey{req.Account, req.Event}
+	budget := s.retryBudgets[key]
+	if budget == nil {
+		budget = &tokenBudget{tokens: maxRetryTokens}
+		s.retryBudgets[key] = budget
 	}
-	return b
+	return budget
 }
 
-func (b *budget) earn() {
-	b.left = min(b.left+retryShare, retryBurst)
+func (b *tokenBudget) deposit() {
+	b.tokens = min(b.tokens+retryRatio, maxRetryTokens)
 }
 
-func (b *budget) spend() bool {
-	if b.left < 1 {
+func (b *tokenBudget) withdraw() bool {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// mayRetry reports whether a failed request may be tried again: no byte of an
-// answer reached the caller, it may be repeated or was certainly not taken,
-// another target could take it, and the budget allows it.
-func (s *Scheduler) mayRetry(now time.Time, p *pending, e AttemptResult) bool {
-	if s.stopping || !s.HasLease(now) || p.tries >= maxTries {
+// mayRetry reports whether a failed request may be retried: the client has received no byte of a
+// response, the request is repeatable or was not sent, another target can take it, and the retry
+// budget allows it.
+func (s *Scheduler) mayRetry(now time.Time, req *pendingRequest, result AttemptResult) bool {
+	if s.stopping || !s.HasLease(now) || req.attempts >= maxAttempts {
 		return false
 	}
-	if e.Sent && p.ClaimKey != "" {
+	if result.Sent && req.ClaimKey != "" {
 		return false
 	}
-	if !p.Deadline.IsZero() && !now.Before(p.Deadline) {
+	if !req.Deadline.IsZero() && !now.Before(req.Deadline) {
 		return false
 	}
-	return s.hasOther(p) && s.budget(p).spend()
+	return s.hasAlternativeTarget(req) && s.retryBudget(req).withdraw()
 }
 
-func (s *Scheduler) hasOther(p *pending) bool {
-	e := s.events[p.Event]
-	if e == nil {
+func (s *Scheduler) hasAlternativeTarget(req *pendingRequest) bool {
+	event := s.events[req.Event]
+	if event == nil {
 		return false
 	}
-	for _, t := range e.targets {
-		if t.Name != p.target && !t.gone {
+	for _, target := range event.targets {
+		if target.Name != req.targetName && !target.leaving {
 			return true
 		}
 	}
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -1,8 +1,8 @@
-// Package dispatch is a router's decisions: admission, the choice of the next
-// request and its target, claims, retries, and what callers are told.
+// Package dispatch makes a router's scheduling decisions: admission, the choice of the next request
+// and of its target, claims of requests that must run at most once, retries, and refusals.
 //
-// A Scheduler is deterministic. Each call takes the time and one message and
-// leaves Actions; the router's program carries them out.
+// A Scheduler is deterministic. Each call takes the current time and one event and emits Actions,
+// which the router carries out.
 package dispatch
 
 import (
@@ -14,286 +14,290 @@
 	"laburnumfall/internal/share"
 )
 
-// A Request is what the scheduler needs to know of a caller's request.
+// A Request is the part of a client's request that the Scheduler needs.
 type Request struct {
 	ID      uint64
 	Account string
 	Event   string
-	// Deadline is when the caller no longer wants the answer; zero is never.
+	// Deadline is the time after which the client no longer wants the answer; zero means no
+	// deadline.
 	Deadline time.Time
+	// CostHint is the client's estimate of the cost, or 0 if it gave none.
 	CostHint float64
-	// ClaimKey names a request that must run at most once, fleet-wide; "" means
-	// that it may be repeated.
+	// ClaimKey identifies a request that must run at most once in the whole fleet. It is empty if
+	// the request may be repeated.
 	ClaimKey string
-	// BodyBytes is the length of the body, which is kept while the request waits.
+	// BodyBytes is the length of the body, which stays in memory while the request waits.
 	BodyBytes int
-	// PrefixHash is a hash of the start of the prompt, or 0.
+	// PrefixHash is a hash of the start of the prompt, or 0 if there is none.
 	PrefixHash uint64
-	// Fingerprint is the fingerprint of the request.
+	// Fingerprint identifies requests with the same content, for the quarantine.
 	Fingerprint quarantine.Print
 }
 
-// phase is how far a request has come.
+// phase is the processing stage of a pending request.
 type phase uint8
 
 const (
 	phaseWaiting phase = iota
 	phaseClaiming
 	phaseRunning
-	phaseParked // it waits for the leader's word on requests like it
+	phaseParked // waits for the leader's quarantine ruling
 )
 
-// pending is a request that the router has not yet answered in full.
-type pending struct {
+// pendingRequest is a request that has not been answered in full.
+type pendingRequest struct {
 	Request
-	item    *share.Item
-	phase   phase
-	target  string
-	arrived time.Time
-	tries   int
-	avoid   string // target of the failed try before
-	claimed bool
-	attempt uint64
-	sent    bool               // some target may have run it
-	parked  time.Time          // until when it waits for the leader's word
-	verdict quarantine.Verdict // by which it runs
-	began   time.Time          // when that run did
-	gone    bool               // the caller went away
+	item              *share.Item
+	phase             phase
+	targetName        string
+	arrived           time.Time
+	attempts          int
+	failedTarget      string // target of the last failed attempt
+	claimed           bool
+	claimAttempt      uint64
+	mayHaveRun        bool               // a target may have run the request
+	parkedUntil       time.Time          // when waiting for the leader's ruling times out
+	quarantineVerdict quarantine.Verdict // the decision under which the current attempt runs
+	attemptStarted    time.Time          // when the current attempt was sent
+	disconnected      bool               // the client disconnected
 }
 
-// A Scheduler holds a router's state. Set the exported fields before its use.
+// A Scheduler holds a router's scheduling state. Set the exported fields before the first call.
 type Scheduler struct {
 	Name string
 	Zone fleet.Zone
-	// Incarnation is the incarnation: it grows with each start of the router.
+	// Incarnation distinguishes the runs of a router. It grows with each start.
 	Incarnation uint64
-	// Guard decides which requests are held back because targets end under them.
+	// Guard decides which requests are held back because targets end while they run them.
 	Guard quarantine.Guard
 
-	queues    share.Queues
-	requests  map[uint64]*pending
-	deadlines deadlineHeap
-	attempts  uint64
-	claiming  []claiming // in the order of their deadlines
-	parked    []uint64   // requests, in the order of their deadlines
-	slow      bool       // claims get no answer in time
-	budgets   map[budgetKey]*budget
-	prefixes  prefixIndex
-	stopping  bool
-	out       []Action
+	queues        share.Queues
+	requests      map[uint64]*pendingRequest
+	deadlines     deadlineHeap
+	claimAttempts uint64
+	slotClaims    []slotClaim // ordered by timeout
+	parked        []uint64    // request IDs, ordered by timeout
+	claimsSlow    bool        // the keepers do not answer claims in time
+	retryBudgets  map[retryBudgetKey]*tokenBudget
+	prefixes      prefixTargets
+	stopping      bool
+	actions       []Action
 
-	config  fleet.Config
-	digest  string
-	keys    map[string]string // key digest to account
-	events  map[string]*event
-	targets map[string]*slots
+	config        fleet.Config
+	configDigest  string
+	accountsByKey map[string]string // account names by digest of the API key
+	events        map[string]*eventState
+	targets       map[string]*targetState
 
-	term      uint64
-	granted   uint64 // Seq of the newest grant in force
-	lease     time.Time
-	reports   uint64
-	reported  time.Time
-	reportDue time.Time
-	echo      uint64 // newest report that the leader has answered
-	echoedAt  time.Time
-	short     bool // some router lacks slots
-	history   usageHistory
+	term       uint64
+	grantSeq   uint64 // Seq of the newest grant in force
+	leaseUntil time.Time
+	reportSeq  uint64
+	lastReport time.Time
+	nextReport time.Time
+	echoedSeq  uint64 // Seq of the newest report that the leader has answered
+	echoedAt   time.Time
+	slotsShort bool // some router in the fleet lacks slots
+	history    reportHistory
 }
 
-// event is an event with its live targets.
-type event struct {
+// eventState is an event of the configuration with its live targets.
+type eventState struct {
 	fleet.Event
-	targets []*slots
+	targets []*targetState
 }
 
-// slots is a target and the router's lease on it.
-type slots struct {
+// targetState is a target, the slots of it that the router leases, and its circuit breaker.
+type targetState struct {
 	fleet.Target
-	cap     int
-	use     int
-	gone    bool
+	slots   int  // slots that the router leases
+	busy    int  // slots in use; above slots while a reduced lease drains
+	leaving bool // the platform's list of VMs shows the target as leaving
 	breaker breaker
 }
 
-func (s *slots) free() bool {
-	return s.use < s.cap && !s.gone
+func (s *targetState) hasFreeSlot() bool {
+	return s.busy < s.slots && !s.leaving
 }
 
-// TakeActions returns the actions since the last TakeActions.
+// TakeActions returns and clears the actions emitted since the last call.
 func (s *Scheduler) TakeActions() []Action {
-	out := s.out
-	s.out = nil
-	return out
+	actions := s.actions
+	s.actions = nil
+	return actions
 }
 
-func (s *Scheduler) act(a Action) {
-	s.out = append(s.out, a)
+func (s *Scheduler) emit(action Action) {
+	s.actions = append(s.actions, action)
 }
 
-// AccountsByKeyDigest returns the accounts by the digests of their keys. The map is never
-// changed.
+// AccountsByKeyDigest returns the account names by the digest of their API keys. The map is never
+// modified after it is returned.
 func (s *Scheduler) AccountsByKeyDigest() map[string]string {
-	return s.keys
+	return s.accountsByKey
 }
 
-// ConfigNumber returns the number of the configuration in force, or 0.
+// ConfigNumber returns the number of the configuration in force, or 0 if there is none.
 func (s *Scheduler) ConfigNumber() uint64 {
 	return s.config.Number
 }
 
-// HasLease reports whether the router may start requests at now.
+// HasLease reports whether the router holds a lease at now. Without one it must not start requests.
 func (s *Scheduler) HasLease(now time.Time) bool {
-	return now.Before(s.lease)
+	return now.Before(s.leaseUntil)
 }
 
-// Ready reports whether the balancer should send callers here.
+// Ready reports whether a load balancer should send clients to this router.
 func (s *Scheduler) Ready(now time.Time) bool {
 	return s.HasLease(now) && !s.stopping
 }
 
-// Idle reports whether no request is unanswered.
+// Idle reports whether every request has been answered.
 func (s *Scheduler) Idle() bool {
 	return len(s.requests) == 0
 }
 
-// Submit takes a new request.
-func (s *Scheduler) Submit(now time.Time, r Request) {
+// Submit admits a new request, or refuses it at once.
+func (s *Scheduler) Submit(now time.Time, request Request) {
 	if s.requests == nil {
-		s.requests = make(map[uint64]*pending)
+		s.requests = make(map[uint64]*pendingRequest)
 	}
-	p := &pending{Request: r, arrived: now}
-	if refusal := s.admit(now, p); refusal != nil {
-		refusal.ID = r.ID
-		s.act(*refusal)
+	req := &pendingRequest{Request: request, arrived: now}
+	if refusal := s.admit(now, req); refusal != nil {
+		refusal.ID = request.ID
+		s.emit(*refusal)
 		return
 	}
-	s.requests[r.ID] = p
-	if !r.Deadline.IsZero() {
-		s.deadlines.push(r.Deadline, r.ID, func(id uint64) bool { return s.requests[id] != nil })
+	s.requests[request.ID] = req
+	if !request.Deadline.IsZero() {
+		s.deadlines.push(request.Deadline, request.ID, func(id uint64) bool { return s.requests[id] != nil })
 	}
-	s.pump(now)
-	if s.queues.Waits(r.ID) && s.queues.Waiting() == 1 {
-		// Only the first to wait is news: the rest shows in the next report.
-		s.wantReport(now)
+	s.dispatchWaiting(now)
+	if s.queues.Waits(request.ID) && s.queues.Waiting() == 1 {
+		// Only the first waiting request justifies an early report; the others appear in the next
+		// one.
+		s.requestReport(now)
 	}
 }
 
-// HandleDisconnect tells that a caller went away. What waits is dropped; what runs is
-// cancelled.
+// HandleDisconnect handles a client that closed its connection. A waiting request is dropped; a
+// running one is canceled.
 func (s *Scheduler) HandleDisconnect(now time.Time, id uint64) {
-	p := s.requests[id]
-	if p == nil || p.gone {
+	req := s.requests[id]
+	if req == nil || req.disconnected {
 		return
 	}
-	p.gone = true
-	switch p.phase {
+	req.disconnected = true
+	switch req.phase {
 	case phaseWaiting:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
-		s.pump(now)
+		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.dispatchWaiting(now)
 	case phaseParked:
-		s.refuse(p, unrun(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindGone, "none", "the caller went away"))
 	case phaseRunning:
-		s.act(Cancel{ID: id})
+		s.emit(Cancel{ID: id})
 	case phaseClaiming:
-		// The claim's answer decides.
+		// The answer to the claim decides.
 	}
 }
 
-// refuse gives a request up with its final answer, at once. One that an
-// earlier try may have run is never told unrun.
-func (s *Scheduler) refuse(p *pending, r *Refuse) {
-	s.queues.Remove(p.ID)
-	s.unpark(p)
-	if p.sent {
-		r.Outcome = fleet.OutcomeUnknown
-		s.drop(p, message.FateUnknown)
+// refuse ends a request with a refusal. If an earlier attempt may have run it, the outcome is
+// reported as unknown and never as unrun.
+func (s *Scheduler) refuse(req *pendingRequest, refusal *Refuse) {
+	s.queues.Remove(req.ID)
+	s.unpark(req)
+	if req.mayHaveRun {
+		refusal.Outcome = fleet.OutcomeUnknown
+		s.remove(req, message.FateUnknown)
 	} else {
-		s.drop(p, message.FateUnrun)
+		s.remove(req, message.FateUnrun)
 	}
-	r.ID = p.ID
-	s.act(*r)
+	refusal.ID = req.ID
+	s.emit(*refusal)
 }
 
-// drop forgets a request and settles its claim, if it has one.
-func (s *Scheduler) drop(p *pending, fate message.Fate) {
-	delete(s.requests, p.ID)
-	if p.attempt == 0 {
+// remove deletes a request and settles its claim, if it has one.
+func (s *Scheduler) remove(req *pendingRequest, fate message.Fate) {
+	delete(s.requests, req.ID)
+	if req.claimAttempt == 0 {
 		return
 	}
-	s.act(SettleClaim{Settlement: message.Settlement{Key: p.ClaimKey, Owner: s.owner(), Attempt: p.attempt, Fate: fate}})
+	s.emit(SettleClaim{Settlement: message.Settlement{Key: req.ClaimKey, Owner: s.claimOwner(), Attempt: req.claimAttempt, Fate: fate}})
 }
 
-// Stop makes the router unhealthy and answers all that waits. What runs goes on.
+// Stop begins a graceful shutdown: the router is no longer ready and refuses all waiting requests.
+// Running requests go on.
 func (s *Scheduler) Stop(now time.Time) {
 	s.stopping = true
 	s.refuseWaiting(func() *Refuse {
-		return unrun(now.Add(retrySoon), fleet.KindStopping, "ask another router", "this router is stopping")
+		return newUnrunRefusal(now.Add(minRetryAfter), fleet.KindStopping, "ask another router", "this router is stopping")
 	})
-	s.wantReport(now)
+	s.requestReport(now)
 	s.Tick(now)
 }
 
-func (s *Scheduler) refuseWaiting(reason func() *Refuse) {
+func (s *Scheduler) refuseWaiting(newRefusal func() *Refuse) {
 	for _, id := range append(s.queues.All(), s.parked...) {
-		s.refuse(s.requests[id], reason())
+		s.refuse(s.requests[id], newRefusal())
 	}
 }
 
-// Tick tells the time.
+// Tick handles everything that is due at now: an expired lease, deadlines, timeouts and reports.
 func (s *Scheduler) Tick(now time.Time) {
-	if !s.lease.IsZero() && !s.HasLease(now) {
+	if !s.leaseUntil.IsZero() && !s.HasLease(now) {
 		s.loseLease(now)
 	}
 	for _, id := range s.deadlines.due(now) {
-		if p := s.requests[id]; p != nil && (p.phase == phaseWaiting || p.phase == phaseParked) {
-			s.refuse(p, unrun(now.Add(s.queues.Wait(now, p.Account)), fleet.KindDeadline,
+		if req := s.requests[id]; req != nil && (req.phase == phaseWaiting || req.phase == phaseParked) {
+			s.refuse(req, newUnrunRefusal(now.Add(s.queues.Wait(now, req.Account)), fleet.KindDeadline,
 				"allow more time", "the deadline passed while the request waited"))
 		}
 	}
-	s.refuseBroken(now)
-	s.releaseSlow(now)
-	s.resume(now)
-	s.pump(now)
-	if !now.Before(s.reportDue) {
-		s.report(now)
+	s.refuseAllFailing(now)
+	s.releaseUnclaimedSlots(now)
+	s.resumeParked(now)
+	s.dispatchWaiting(now)
+	if !now.Before(s.nextReport) {
+		s.sendReport(now)
 	}
 }
 
-// refuseBroken answers what waits for events whose targets all fail: waiting
-// on would only hide that from the callers.
-func (s *Scheduler) refuseBroken(now time.Time) {
+// refuseAllFailing refuses the requests that wait for an event whose targets all fail. To keep them
+// waiting would hide the failure from the clients.
+func (s *Scheduler) refuseAllFailing(now time.Time) {
 	if s.queues.Waiting() == 0 {
 		return
 	}
-	for _, e := range s.events {
-		until, broken := e.brokenUntil(now)
-		if !broken {
+	for _, event := range s.events {
+		until, failing := event.allFailingUntil(now)
+		if !failing {
 			continue
 		}
 		for _, id := range s.queues.All() {
-			if p := s.requests[id]; p.Event == e.Name {
-				s.refuse(p, allFailing(e.Name, until))
+			if req := s.requests[id]; req.Event == event.Name {
+				s.refuse(req, allFailingRefusal(event.Name, until))
 			}
 		}
 	}
 }
 
-// NextTick returns when the next Tick is due.
+// NextTick returns when Tick must be called next.
 func (s *Scheduler) NextTick() time.Time {
-	next := s.reportDue
-	if !s.lease.IsZero() && s.lease.Before(next) {
-		next = s.lease
+	next := s.nextReport
+	if !s.leaseUntil.IsZero() && s.leaseUntil.Before(next) {
+		next = s.leaseUntil
 	}
-	if len(s.claiming) > 0 && s.claiming[0].until.Before(next) {
-		next = s.claiming[0].until
+	if len(s.slotClaims) > 0 && s.slotClaims[0].until.Before(next) {
+		next = s.slotClaims[0].until
 	}
 	if len(s.parked) > 0 {
-		if until := s.requests[s.parked[0]].parked; until.Before(next) {
+		if until := s.requests[s.parked[0]].parkedUntil; until.Before(next) {
 			next = until
 		}
 	}
-	if first, ok := s.deadlines.first(); ok && first.Before(next) {
-		next = first
+	if deadline, ok := s.deadlines.first(); ok && deadline.Before(next) {
+		next = deadline
 	}
 	return next
 }
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -13,47 +13,45 @@
 
 var epoch = time.Unix(1e9, 0)
 
-// leased returns a router with slots on each target and a lease of two seconds.
-func leased(c fleet.Config, slots int) *dispatch.Scheduler {
+// newLeasedScheduler returns a scheduler with slots on each target and a lease of two seconds.
+func newLeasedScheduler(config fleet.Config, slots int) *dispatch.Scheduler {
 	s := &dispatch.Scheduler{Name: "r1", Incarnation: 1}
-	s.HandleGrant(epoch, grantOf(c, 1, slots))
+	s.HandleGrant(epoch, newGrant(config, 1, slots))
 	s.TakeActions()
 	return s
 }
 
-func grantOf(c fleet.Config, seq uint64, slots int) message.Grant {
-	g := message.Grant{Term: 1, Seq: seq, Inc: 1, Until: epoch.Add(2 * time.Second), Number: c.Number, Config: c.JSON()}
-	for _, t := range c.Targets {
-		g.Slots = append(g.Slots, message.Slot{Target: t.Name, Count: slots})
+func newGrant(config fleet.Config, seq uint64, slots int) message.Grant {
+	grant := message.Grant{Term: 1, Seq: seq, Inc: 1, Until: epoch.Add(2 * time.Second), Number: config.Number, Config: config.JSON()}
+	for _, target := range config.Targets {
+		grant.Slots = append(grant.Slots, message.Slot{Target: target.Name, Count: slots})
 	}
-	return g
+	return grant
 }
 
-func request1(id uint64) dispatch.Request {
+func newRequest(id uint64) dispatch.Request {
 	return dispatch.Request{ID: id, Account: "a00", Event: "e"}
 }
 
-// find returns the actions of a type.
-func find[A dispatch.Action](s *dispatch.Scheduler) []A {
-	var list []A
+// takeActionsOf takes all actions and returns those of one type.
+func takeActionsOf[A dispatch.Action](s *dispatch.Scheduler) []A {
+	var matching []A
 	for _, a := range s.TakeActions() {
 		if a, ok := a.(A); ok {
-			list = append(list, a)
+			matching = append(matching, a)
 		}
 	}
-	return list
+	return matching
 }
 
-// Symptom: a router that was frozen starts a request without a lease.
-// Sequence: it claims; it is frozen past its lease; it wakes, and the claim's
-// answer is the first thing that it sees.
-// Cause: the lease was looked up before the claim only.
-func TestClaimAnsweredAfterLeaseIsNotSent(t *testing.T) {
-	s := leased(configOf([]float64{1}, []int{1}), 1)
-	r := request1(1)
+// Guards against a request started without a lease. The router is frozen past its lease, and the
+// answer to a claim is the first event that it handles afterward.
+func TestClaimGrantedAfterLeaseExpiryIsNotSent(t *testing.T) {
+	s := newLeasedScheduler(newConfig([]float64{1}, []int{1}), 1)
+	r := newRequest(1)
 	r.ClaimKey = "key"
 	s.Submit(epoch, r)
-	require.Len(t, find[dispatch.AcquireClaim](s), 1)
+	require.Len(t, takeActionsOf[dispatch.AcquireClaim](s), 1)
 	s.HandleClaimResult(epoch.Add(3*time.Second), 1, message.Verdict{Granted: true}, false)
 	actions := s.TakeActions()
 	var refused, settled bool
@@ -71,145 +69,141 @@
 		}
 	}
 	require.True(t, refused)
-	require.True(t, settled, "the key is released")
+	require.True(t, settled, "the claim is settled")
 }
 
-// Symptom: a caller told "unrun" finds that its request ran.
-// Sequence: a repeatable request breaks off on one target; while it waits for
-// another, the lease lapses.
-// Cause: the answer speaks of the last try only.
-func TestRetriedRequestIsNeverToldUnrun(t *testing.T) {
-	s := leased(configOf([]float64{1}, []int{1, 1}), 1)
+// Guards against the outcome unrun for a request that ran. A repeatable request breaks off on one
+// target and is retried; the refusal must cover all attempts, not only the last.
+func TestRetriedRequestIsNotReportedUnrun(t *testing.T) {
+	s := newLeasedScheduler(newConfig([]float64{1}, []int{1, 1}), 1)
 	for id := range uint64(2) {
-		s.Submit(epoch, request1(id+1))
+		s.Submit(epoch, newRequest(id+1))
 	}
-	sends := find[dispatch.Send](s)
+	sends := takeActionsOf[dispatch.Send](s)
 	require.Len(t, sends, 2)
 	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Sent: true, Failed: true, Cost: 1})
-	require.Len(t, find[dispatch.Send](s), 1, "it is tried again")
-	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Failed: true}) // no connection this time
-	require.Len(t, find[dispatch.Send](s), 1, "and again")
+	require.Len(t, takeActionsOf[dispatch.Send](s), 1, "it is retried")
+	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Failed: true}) // this attempt cannot connect
+	require.Len(t, takeActionsOf[dispatch.Send](s), 1, "and again")
 	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Failed: true})
-	refusals := find[dispatch.Refuse](s)
+	refusals := takeActionsOf[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.OutcomeUnknown, refusals[0].Outcome)
 }
 
-func TestLateAndDoubledGrantsChangeNothing(t *testing.T) {
-	c := configOf([]float64{1}, []int{4})
-	s := leased(c, 4)
-	newer := grantOf(c.WithNumber(2), 3, 2)
+func TestIgnoresLateAndDuplicateGrants(t *testing.T) {
+	c := newConfig([]float64{1}, []int{4})
+	s := newLeasedScheduler(c, 4)
+	newer := newGrant(c.WithNumber(2), 3, 2)
 	require.True(t, s.HandleGrant(epoch, newer))
-	require.False(t, s.HandleGrant(epoch, newer), "doubled")
-	require.False(t, s.HandleGrant(epoch, grantOf(c, 2, 4)), "late")
+	require.False(t, s.HandleGrant(epoch, newer), "duplicate")
+	require.False(t, s.HandleGrant(epoch, newGrant(c, 2, 4)), "late")
 	require.Equal(t, uint64(2), s.ConfigNumber())
-	stale := grantOf(c, 9, 4)
+	stale := newGrant(c, 9, 4)
 	stale.Term = 2
 	require.False(t, s.HandleGrant(epoch, stale), "an older configuration is never put in force")
-	other := grantOf(c.WithNumber(3), 4, 4)
-	other.Inc = 7
-	require.False(t, s.HandleGrant(epoch, other), "meant for a former self")
+	otherIncarnation := newGrant(c.WithNumber(3), 4, 4)
+	otherIncarnation.Inc = 7
+	require.False(t, s.HandleGrant(epoch, otherIncarnation), "for another incarnation of the router")
 	require.Equal(t, uint64(2), s.ConfigNumber())
 }
 
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
-	c := configOf([]float64{1}, []int{4, 4})
-	s := leased(c, 4)
-	leaving := c.WithNumber(2).WithTargetState("t00", fleet.TargetLeaving)
-	require.True(t, s.HandleGrant(epoch, grantOf(leaving, 2, 4)))
-	gone := grantOf(leaving, 3, 4)
+	c := newConfig([]float64{1}, []int{4, 4})
+	s := newLeasedScheduler(c, 4)
+	leavingConfig := c.WithNumber(2).WithTargetState("t00", fleet.TargetLeaving)
+	require.True(t, s.HandleGrant(epoch, newGrant(leavingConfig, 2, 4)))
+	grant := newGrant(leavingConfig, 3, 4)
 	for id := range uint64(10) {
-		s.Submit(epoch, request1(id+1))
+		s.Submit(epoch, newRequest(id+1))
 	}
-	for _, a := range find[dispatch.Send](s) {
+	for _, a := range takeActionsOf[dispatch.Send](s) {
 		require.Equal(t, "t01", a.Target.Name)
 	}
-	gone.Gone = []string{"t01"}
-	require.True(t, s.HandleGrant(epoch, gone))
-	s.Submit(epoch, request1(99))
-	require.Empty(t, find[dispatch.Send](s), "the platform's list takes it out too")
+	grant.Gone = []string{"t01"}
+	require.True(t, s.HandleGrant(epoch, grant))
+	s.Submit(epoch, newRequest(99))
+	require.Empty(t, takeActionsOf[dispatch.Send](s), "the platform's list of VMs also takes a target out of service")
 }
 
-func TestDeadlineThatCannotBeMetIsAnsweredAtOnce(t *testing.T) {
-	s := leased(configOf([]float64{1}, []int{1}), 1)
+func TestRefusesUnreachableDeadlineImmediately(t *testing.T) {
+	s := newLeasedScheduler(newConfig([]float64{1}, []int{1}), 1)
 	at := epoch
 	for id := range uint64(20) {
-		s.Submit(at, request1(id+1))
+		s.Submit(at, newRequest(id+1))
 	}
-	for i := range uint64(3) { // drains one in 200 ms
+	for i := range uint64(3) { // the queue drains one request per 200 ms
 		at = at.Add(200 * time.Millisecond)
 		s.HandleAttemptEnd(at, i+1, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
 	}
 	s.TakeActions()
-	r := request1(100)
+	r := newRequest(100)
 	r.Deadline = at.Add(100 * time.Millisecond)
 	s.Submit(at, r)
-	refusals := find[dispatch.Refuse](s)
+	refusals := takeActionsOf[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.KindDeadline, refusals[0].Err.Kind)
 	require.Equal(t, fleet.OutcomeUnrun, refusals[0].Outcome)
 	require.True(t, refusals[0].RetryAt.After(r.Deadline))
 }
 
-func TestFullQueueSaysWhenToComeBack(t *testing.T) {
-	c := configOf([]float64{1}, []int{1})
+func TestFullQueueRefusalNamesRetryTime(t *testing.T) {
+	c := newConfig([]float64{1}, []int{1})
 	c.Accounts[0].Queue = 3
-	s := leased(c, 1)
+	s := newLeasedScheduler(c, 1)
 	for id := range uint64(5) {
-		s.Submit(epoch, request1(id+1))
+		s.Submit(epoch, newRequest(id+1))
 	}
-	refusals := find[dispatch.Refuse](s)
+	refusals := takeActionsOf[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.KindQueueFull, refusals[0].Err.Kind)
 	require.False(t, refusals[0].RetryAt.IsZero())
 }
 
-// Symptom: retries multiply a failure.
-// Sequence: every target breaks every request off.
-// Cause: retries without a budget.
-func TestRetriesStayWithinTheirBudget(t *testing.T) {
-	s := leased(configOf([]float64{1}, []int{500, 500}), 500)
+// Guards against retries that multiply the load while every target breaks off every request.
+func TestRetriesStayWithinBudget(t *testing.T) {
+	s := newLeasedScheduler(newConfig([]float64{1}, []int{500, 500}), 500)
 	sends := 0
 	for id := range uint64(400) {
-		s.Submit(epoch, request1(id+1))
+		s.Submit(epoch, newRequest(id+1))
 		for range 4 {
-			for _, a := range find[dispatch.Send](s) {
+			for _, a := range takeActionsOf[dispatch.Send](s) {
 				sends++
 				s.HandleAttemptEnd(epoch, a.ID, dispatch.AttemptResult{Sent: true, Failed: false, Cost: 1})
 			}
 		}
 	}
-	// Each send earns a tenth of a retry, retries included: n + 10 + s/10 = s.
+	// Each send earns a tenth of a retry, retries included: with n requests, s sends and 10 initial
+	// retries, s = n + 10 + s/10.
 	require.LessOrEqual(t, sends, (400+10)*10/9)
 	require.Greater(t, sends, 400)
 }
 
-// Symptom: work goes on to a target that fails, or all of it returns at once.
-// Sequence: a target fails; after the pause it works again.
-// Cause: no memory of failures, or trust that returns in one step.
-func TestBreakerPausesAndReturnsInSteps(t *testing.T) {
-	c := configOf([]float64{1}, []int{100})
-	s := leased(c, 100)
+// Guards against further work for a failing target, and against sending it the full load as soon as
+// the breaker's open period ends.
+func TestBreakerOpensAndRecoversInSteps(t *testing.T) {
+	c := newConfig([]float64{1}, []int{100})
+	s := newLeasedScheduler(c, 100)
 	for id := range uint64(3) {
-		s.Submit(epoch, request1(id+1))
+		s.Submit(epoch, newRequest(id+1))
 		s.HandleAttemptEnd(epoch, id+1, dispatch.AttemptResult{Sent: true, Failed: true, Cost: 1})
 	}
 	s.TakeActions()
-	s.Submit(epoch, request1(10))
-	refusals := find[dispatch.Refuse](s)
-	require.Len(t, refusals, 1, "no target is left: answered at once")
+	s.Submit(epoch, newRequest(10))
+	refusals := takeActionsOf[dispatch.Refuse](s)
+	require.Len(t, refusals, 1, "no target is available: refused immediately")
 	require.Equal(t, epoch.Add(time.Second), refusals[0].RetryAt)
 	at := epoch.Add(1100 * time.Millisecond)
 	id := uint64(20)
 	for step := 1; step <= 16; step *= 2 {
 		for range 100 {
 			id++
-			s.Submit(at, request1(id))
+			s.Submit(at, newRequest(id))
 		}
-		sends := find[dispatch.Send](s)
+		sends := takeActionsOf[dispatch.Send](s)
 		require.Len(t, sends, step)
 		s.HandleAttemptEnd(at, sends[0].ID, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
-		for _, a := range append(sends[1:], find[dispatch.Send](s)...) {
+		for _, a := range append(sends[1:], takeActionsOf[dispatch.Send](s)...) {
 			s.HandleDisconnect(at, a.ID)
 			s.HandleAttemptEnd(at, a.ID, dispatch.AttemptResult{Sent: true})
 		}
@@ -217,13 +211,13 @@
 	}
 }
 
-// drain ends everything that waits or runs without telling the breaker.
+// drain ends everything that waits or runs with results that leave the breaker unchanged.
 func drain(s *dispatch.Scheduler, at time.Time) {
 	for id := range uint64(1000) {
 		s.HandleDisconnect(at, id)
 	}
 	for range 100 {
-		sends := find[dispatch.Send](s)
+		sends := takeActionsOf[dispatch.Send](s)
 		if len(sends) == 0 {
 			return
 		}
@@ -234,16 +228,16 @@
 	}
 }
 
-func TestCallerThatLeavesFreesItsSlot(t *testing.T) {
-	s := leased(configOf([]float64{1}, []int{1}), 1)
-	s.Submit(epoch, request1(1))
-	s.Submit(epoch, request1(2))
-	s.Submit(epoch, request1(3))
+func TestClientDisconnectFreesSlot(t *testing.T) {
+	s := newLeasedScheduler(newConfig([]float64{1}, []int{1}), 1)
+	s.Submit(epoch, newRequest(1))
+	s.Submit(epoch, newRequest(2))
+	s.Submit(epoch, newRequest(3))
 	s.TakeActions()
-	s.HandleDisconnect(epoch, 2) // waits
-	require.Len(t, find[dispatch.Refuse](s), 1)
-	s.HandleDisconnect(epoch, 1) // runs
-	require.Len(t, find[dispatch.Cancel](s), 1)
+	s.HandleDisconnect(epoch, 2) // waiting
+	require.Len(t, takeActionsOf[dispatch.Refuse](s), 1)
+	s.HandleDisconnect(epoch, 1) // running
+	require.Len(t, takeActionsOf[dispatch.Cancel](s), 1)
 	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Sent: true, Cost: 1})
 	for _, a := range s.TakeActions() {
 		if send, ok := a.(dispatch.Send); ok {
@@ -254,67 +248,63 @@
 	require.Fail(t, "the slot stays taken")
 }
 
-func TestDeadlinesFarAheadDoNotPileUp(t *testing.T) {
-	s := leased(configOf([]float64{1}, []int{1}), 1)
+func TestDistantDeadlinesOfEndedRequestsAreRemoved(t *testing.T) {
+	s := newLeasedScheduler(newConfig([]float64{1}, []int{1}), 1)
 	for id := range uint64(20_000) {
-		r := request1(id + 1)
+		r := newRequest(id + 1)
 		r.Deadline = epoch.AddDate(10, 0, 0)
 		s.Submit(epoch, r)
 		s.HandleAttemptEnd(epoch, r.ID, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
 		s.TakeActions()
 	}
 	require.True(t, s.Idle())
-	require.LessOrEqual(t, s.DeadlineCount(), 4096, "deadlines remembered of requests long ended")
+	require.LessOrEqual(t, s.DeadlineCount(), 4096, "deadlines of ended requests are kept")
 }
 
-// Symptom: at a change of leader all slots stand still, though most requests
-// need no claim (a fleet under load lost 3 s of its capacity).
-// Sequence: requests that may not be repeated hold slots while their claims get
-// no answer; the others wait behind them.
-// Cause: a slot is taken before the claim and kept however long it takes.
-func TestClaimWithoutAnswerLetsItsSlotGo(t *testing.T) {
-	s := leased(configOf([]float64{1}, []int{1}), 1)
-	never := request1(1)
-	never.ClaimKey = "key"
-	s.Submit(epoch, never)
-	s.Submit(epoch, request1(2))
-	require.Len(t, find[dispatch.AcquireClaim](s), 1)
+// Guards against idle slots during a leader election: requests whose claims are not answered must
+// not keep their slots while requests that need no claim wait. A fleet under load lost 3 s of
+// capacity to this.
+func TestUnansweredClaimReleasesSlot(t *testing.T) {
+	s := newLeasedScheduler(newConfig([]float64{1}, []int{1}), 1)
+	nonRepeatable := newRequest(1)
+	nonRepeatable.ClaimKey = "key"
+	s.Submit(epoch, nonRepeatable)
+	s.Submit(epoch, newRequest(2))
+	require.Len(t, takeActionsOf[dispatch.AcquireClaim](s), 1)
 	at := epoch.Add(150 * time.Millisecond)
-	require.False(t, s.NextTick().After(at), "it wants to be woken for it")
+	require.False(t, s.NextTick().After(at), "Tick is due when the slot must be released")
 	s.Tick(at)
-	sends := find[dispatch.Send](s)
+	sends := takeActionsOf[dispatch.Send](s)
 	require.Len(t, sends, 1)
 	require.Equal(t, uint64(2), sends[0].ID)
-	another := request1(3)
+	another := newRequest(3)
 	another.ClaimKey = "key-3"
 	s.Submit(at, another)
 	s.HandleAttemptEnd(at, 2, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
-	require.Len(t, find[dispatch.AcquireClaim](s), 1, "it is claimed without a slot while answers are slow")
-	s.Submit(at, request1(4))
-	require.Len(t, find[dispatch.Send](s), 1, "the slot is free for others")
+	require.Len(t, takeActionsOf[dispatch.AcquireClaim](s), 1, "it is claimed without a slot while answers are slow")
+	s.Submit(at, newRequest(4))
+	require.Len(t, takeActionsOf[dispatch.Send](s), 1, "the slot is free for others")
 	s.HandleClaimResult(at, 1, message.Verdict{Granted: true}, false)
 	s.HandleClaimResult(at, 3, message.Verdict{}, true)
-	refusals := find[dispatch.Refuse](s)
+	refusals := takeActionsOf[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.OutcomeUnrun, refusals[0].Outcome)
 	s.HandleAttemptEnd(at, 4, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
-	sends = find[dispatch.Send](s)
+	sends = takeActionsOf[dispatch.Send](s)
 	require.Len(t, sends, 1, "claimed once, sent once")
 	require.Equal(t, uint64(1), sends[0].ID)
 }
 
-// Symptom: a router runs out of memory under large requests.
-// Sequence: an account sends bodies of 8 MiB faster than they are served; then
-// every account does.
-// Cause: a bound on the number of waiting requests only.
+// Guards against a router that runs out of memory because only the number of waiting requests is
+// bounded: one account, then all of them, send bodies of 8 MiB faster than they are served.
 func TestWaitingBodiesAreBoundedInBytes(t *testing.T) {
-	c := configOf(make16(), []int{1})
-	s := leased(c, 1)
+	c := newConfig(sixteenEqualShares(), []int{1})
+	s := newLeasedScheduler(c, 1)
 	id, waiting := uint64(0), 0
 	send := func(account string) bool {
 		id++
 		s.Submit(epoch, dispatch.Request{ID: id, Account: account, Event: "e", BodyBytes: 8 << 20})
-		for _, r := range find[dispatch.Refuse](s) {
+		for _, r := range takeActionsOf[dispatch.Refuse](s) {
 			require.Equal(t, fleet.KindQueueFull, r.Err.Kind)
 			require.False(t, r.RetryAt.IsZero())
 			return false
@@ -326,22 +316,22 @@
 		require.Less(t, waiting, 100)
 	}
 	require.LessOrEqual(t, waiting, 1+8, "one runs, 64 MiB wait")
-	require.True(t, send("a01"), "others are not kept out by it")
+	require.True(t, send("a01"), "other accounts are not affected")
 	for _, a := range c.Accounts {
 		for send(a.Name) {
 			require.Less(t, waiting, 100)
 		}
 	}
-	require.LessOrEqual(t, waiting, 1+32, "256 MiB wait at the most")
+	require.LessOrEqual(t, waiting, 1+32, "256 MiB wait at most")
 	s.HandleDisconnect(epoch, 2)
-	require.NotEmpty(t, find[dispatch.Refuse](s))
-	require.True(t, send("a00"), "room is given back")
+	require.NotEmpty(t, takeActionsOf[dispatch.Refuse](s))
+	require.True(t, send("a00"), "removing a request frees its memory")
 }
 
-func make16() []float64 {
-	list := make([]float64, 16)
-	for i := range list {
-		list[i] = 1
+func sixteenEqualShares() []float64 {
+	shares := make([]float64, 16)
+	for i := range shares {
+		shares[i] = 1
 	}
-	return list
+	return shares
 }
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A View is a router's state as operators see it.
+// A View is a router's state as shown to operators.
 type View struct {
 	Name     string        `json:"name"`
 	Number   uint64        `json:"number"`
@@ -18,8 +18,8 @@
 	Targets  []TargetView  `json:"targets"`
 }
 
-// An AccountView is one account in a View. Service is the settled cost through
-// this router since its start.
+// An AccountView is one account in a View. Service is the settled cost of its requests through this
+// router since the router started.
 type AccountView struct {
 	Name    string  `json:"name"`
 	Waiting int     `json:"waiting"`
@@ -27,39 +27,39 @@
 	Service float64 `json:"service"`
 }
 
-// A TargetView is one target on which the router holds slots.
+// A TargetView is one target on which the router leases slots or runs requests.
 type TargetView struct {
 	Name  string `json:"name"`
 	Slots int    `json:"slots"`
 	Busy  int    `json:"busy"`
 }
 
-// View returns the state for operators.
+// View returns the router's state for operators.
 func (s *Scheduler) View(now time.Time) View {
-	v := View{
-		Name: s.Name, Number: s.config.Number, Digest: s.digest, Leased: s.HasLease(now),
+	view := View{
+		Name: s.Name, Number: s.config.Number, Digest: s.configDigest, Leased: s.HasLease(now),
 		Stopping: s.stopping, Term: s.term, Accounts: []AccountView{}, Targets: []TargetView{},
 	}
 	byName := make(map[string]AccountView)
-	for _, u := range s.queues.Usage() {
-		byName[u.Account] = AccountView{Name: u.Account, Running: u.Running, Service: u.Served}
+	for _, usage := range s.queues.Usage() {
+		byName[usage.Account] = AccountView{Name: usage.Account, Running: usage.Running, Service: usage.Served}
 	}
-	for _, a := range s.config.Accounts {
-		view := byName[a.Name]
-		view.Name = a.Name
-		view.Waiting = s.queues.WaitingOf(a.Name)
-		v.Accounts = append(v.Accounts, view)
+	for _, account := range s.config.Accounts {
+		accountView := byName[account.Name]
+		accountView.Name = account.Name
+		accountView.Waiting = s.queues.WaitingOf(account.Name)
+		view.Accounts = append(view.Accounts, accountView)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.targets)) {
-		if t := s.targets[name]; t.cap > 0 || t.use > 0 {
-			v.Targets = append(v.Targets, TargetView{Name: name, Slots: t.cap, Busy: t.use})
+		if target := s.targets[name]; target.slots > 0 || target.busy > 0 {
+			view.Targets = append(view.Targets, TargetView{Name: name, Slots: target.slots, Busy: target.busy})
 		}
 	}
-	return v
+	return view
 }
 
-// DeadlineCount returns the number of deadlines kept. It is bounded by the
-// requests that are unanswered, not by those that ever came.
+// DeadlineCount returns the number of deadlines kept. It is bounded by the number of unanswered
+// requests, not by the number of requests ever received.
 func (s *Scheduler) DeadlineCount() int {
 	return len(s.deadlines.items)
 }
