--- a/internal/cmd/localcmd.go
+++ b/internal/cmd/localcmd.go
@@ -16,9 +16,9 @@
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
 	"laburnumfall/internal/keeper"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/router"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/standin"
 )
@@ -140,7 +140,7 @@
 	for _, kind := range []fleet.TargetKind{fleet.TargetEngine, fleet.TargetService} {
 		s := &standin.Standin{Settings: standin.Settings{
 			Name: string(kind) + "-1", Listen: "127.0.0.1:0", Kind: kind,
-			Tokens: localTokens, Pace: fleet.Span(localPace), Delay: fleet.Span(localPace),
+			Tokens: localTokens, Pace: fleet.Duration(localPace), Delay: fleet.Duration(localPace),
 		}}
 		address, err := s.Listen()
 		if err != nil {
@@ -209,8 +209,8 @@
 		},
 		Pools: []fleet.PoolSpec{{Name: "viewers", Targets: []string{l.targets[1].Name}}},
 		Routes: []fleet.RouteSpec{{
-			Name: "sheets", Host: localHost, Prefix: "/sheets/", Kind: fleet.RouteIdempotent, Timeout: fleet.Span(localTimeout),
-			Attempts: 2, Pools: []fleet.PoolPart{{Pool: "viewers", Weight: 1}},
+			Name: "sheets", Host: localHost, Prefix: "/sheets/", Kind: fleet.RouteIdempotent, Timeout: fleet.Duration(localTimeout),
+			MaxAttempts: 2, Pools: []fleet.PoolWeightSpec{{Pool: "viewers", Weight: 1}},
 		}},
 	}
 	secret, err := os.ReadFile(l.secret)
@@ -219,10 +219,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, localTimeout)
 	defer cancel()
-	var applied message.Applied
-	params := message.Apply{Config: json.RawMessage(config.JSON()), Operator: "lf-local", Wait: true}
+	var applied message.ApplyResult
+	params := message.ApplyRequest{Config: json.RawMessage(config.JSON()), Operator: "lf-local", Wait: true}
 	for applied.Routers < len(l.routers) {
-		err := callOne(ctx, l.keeper, link.Secret(secret), message.MethodApply, params, &applied)
+		err := callOne(ctx, l.keeper, rpc.Secret(secret), message.MethodApply, params, &applied)
 		if ctx.Err() != nil {
 			return nil // stopped before the fleet was up
 		}
--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -16,11 +16,11 @@
 	"github.com/hashicorp/go-hclog"
 	"golang.org/x/sync/errgroup"
 
+	"laburnumfall/internal/asynclog"
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/gateway"
 	"laburnumfall/internal/journal"
 	"laburnumfall/internal/keeper"
-	"laburnumfall/internal/logring"
 	"laburnumfall/internal/routing"
 	"laburnumfall/internal/stall"
 	"laburnumfall/platform"
@@ -45,7 +45,7 @@
 	name     string
 	settings platform.Settings
 	log      hclog.Logger
-	ring     *logring.Ring
+	ring     *asynclog.Writer
 	hups     chan os.Signal // the settings file has changed
 	stalled  atomic.Int64   // for how long the process has stood still, in nanoseconds
 }
@@ -72,8 +72,8 @@
 	}
 	debug.SetMemoryLimit(s.Memory)
 	debug.SetGCPercent(garbageGrowth)
-	p := &platformProgram{name: name, settings: s, ring: logring.New(stdout), hups: hups}
-	p.log = logring.NewLogger(hclog.LoggerOptions{Name: name, Level: hclog.Info, JSONFormat: true, Output: p.ring})
+	p := &platformProgram{name: name, settings: s, ring: asynclog.New(stdout), hups: hups}
+	p.log = asynclog.NewLogger(hclog.LoggerOptions{Name: name, Level: hclog.Info, JSONFormat: true, Output: p.ring})
 	endLog := p.startLog()
 	ctx, cancel := untilSignal()
 	defer cancel()
@@ -128,7 +128,7 @@
 	}
 	r := &routing.Service{
 		Settings: s, Listen: s.Listen, Clock: clock.NewRealClock(), Log: p.log, Dialect: platform.Headers{},
-		Decode: platform.Decode, List: platform.NewList(p.settings.List), Meters: gateway.NewMeters(),
+		Decode: platform.Decode, List: platform.NewList(p.settings.List), Meters: gateway.NewMetrics(),
 	}
 	r.Meters.AddCounter("lf_log_dropped_total", "Log lines that were left out.", func() float64 { return float64(p.ring.Dropped()) })
 	r.Meters.AddCounter("lf_stalled_seconds_total", "For how long this process did not run.", func() float64 {
@@ -183,9 +183,9 @@
 	}
 	k := &keeper.Keeper{
 		Settings: s, Log: p.log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: s.Data},
-		Init: founds, Instances: platform.NewList(p.settings.List),
+		Init: founds, TargetList: platform.NewList(p.settings.List),
 	}
-	k.Serve = func(ctx context.Context, c *keeper.Control) error {
+	k.ServeControlAPI = func(ctx context.Context, c *keeper.LeaderClient) error {
 		control := &platform.Control{Keeper: c, Log: p.log}
 		return control.Run(ctx, p.settings.Operators)
 	}
--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -39,7 +39,7 @@
 	// RetryAt is when a retry may succeed; zero means never.
 	RetryAt time.Time
 	// Fate is the known fate of the claim key, set if the request was refused because of its claim.
-	Fate message.Fate
+	Fate message.RunState
 }
 
 // An AcquireClaim asks the keepers for the exclusive right to run a request.
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"laburnumfall/internal/fairshare"
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/share"
 )
 
 // admit queues a request, or returns its refusal.
@@ -24,9 +24,9 @@
 		return newUnrunRefusal(now.Add(wait), fleet.KindDeadline, "allow more time, or come back after Retry-After",
 			"the deadline passes before the account's queue has drained")
 	}
-	req.item = &share.Item{
+	req.item = &fairshare.Item{
 		ID: req.ID, Account: req.Account, Event: req.Event, Hint: req.CostHint, Size: req.BodyBytes,
-		Order: share.OrderOf(now, req.Deadline),
+		Order: fairshare.OrderOf(now, req.Deadline),
 	}
 	if err := s.queues.Push(req.item); err != nil {
 		return newUnrunRefusal(now.Add(max(wait, minRetryAfter)), fleet.KindQueueFull, "come back after Retry-After", "%v", err)
@@ -40,11 +40,11 @@
 func (s *Scheduler) checkEvent(now time.Time, event *eventState, req *pendingRequest) *Refuse {
 	switch {
 	case event == nil:
-		return newUnrunRefusal(time.Time{}, fleet.KindEvent, "name an event of the configuration in force", "there is no event %q", req.Event)
+		return newUnrunRefusal(time.Time{}, fleet.KindEventUnavailable, "name an event of the configuration in force", "there is no event %q", req.Event)
 	case !event.Admits(req.Account):
-		return newUnrunRefusal(time.Time{}, fleet.KindAccount, "have the account added to the event", "account %q is not in event %q", req.Account, req.Event)
+		return newUnrunRefusal(time.Time{}, fleet.KindAccountNotAdmitted, "have the account added to the event", "account %q is not in event %q", req.Account, req.Event)
 	case !event.End.IsZero() && !now.Before(event.End):
-		return newUnrunRefusal(time.Time{}, fleet.KindEvent, "name an event that is open", "event %q has ended", req.Event)
+		return newUnrunRefusal(time.Time{}, fleet.KindEventUnavailable, "name an event that is open", "event %q has ended", req.Event)
 	case !event.Open(now):
 		return newUnrunRefusal(event.Start, fleet.KindNoTarget, "come back when the event starts", "event %q starts at %s", req.Event, event.Start)
 	case !event.hasLiveTarget():
@@ -90,6 +90,6 @@
 		"this router has no lease from the keepers")
 }
 
-func newUnrunRefusal(retryAt time.Time, kind fleet.Kind, remedy, format string, args ...any) *Refuse {
-	return &Refuse{Err: fleet.NewError(kind, remedy, format, args...), Outcome: fleet.OutcomeUnrun, RetryAt: retryAt}
+func newUnrunRefusal(retryAt time.Time, kind fleet.ErrorKind, remedy, format string, args ...any) *Refuse {
+	return &Refuse{Err: fleet.NewError(kind, remedy, format, args...), Outcome: fleet.OutcomeNotRun, RetryAt: retryAt}
 }
--- a/internal/dispatch/at_most_once_test.go
+++ b/internal/dispatch/at_most_once_test.go
@@ -10,7 +10,7 @@
 
 	"laburnumfall/internal/dispatch"
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
+	"laburnumfall/internal/statestore"
 )
 
 func jsonSize(v any) int {
@@ -91,7 +91,7 @@
 // scheduleKey sends a key up to three times. One key in four may be repeated.
 func (sim *simulation) scheduleKey(index int) {
 	account := fmt.Sprintf("a%02d", sim.random.IntN(2))
-	claimKey := ledger.KeyOf(account, fmt.Sprint(index))
+	claimKey := statestore.KeyOf(account, fmt.Sprint(index))
 	if index%4 == 3 {
 		claimKey = ""
 	}
@@ -150,7 +150,7 @@
 			counts.ran++
 		case request.refused == nil:
 			counts.unknown++ // the client's connection broke
-		case request.refused.Outcome == fleet.OutcomeUnrun:
+		case request.refused.Outcome == fleet.OutcomeNotRun:
 			counts.unrun++
 			require.Zero(t, request.runs, "seed %d: request %d was reported unrun (%v) and ran", seed, request.ID, request.refused.Err)
 		case request.refused.Outcome == fleet.OutcomeRan:
--- a/internal/dispatch/breaker.go
+++ b/internal/dispatch/breaker.go
@@ -37,7 +37,7 @@
 }
 
 func (b *breaker) probing() bool {
-	return b.failures >= openAfterFailures || b.probation.On()
+	return b.failures >= openAfterFailures || b.probation.Active()
 }
 
 // requestStarted records that a request is about to be sent to the target. The first one after the
@@ -49,7 +49,7 @@
 }
 
 func (b *breaker) startProbation() {
-	b.probation.Trusted = recoveredLimit
+	b.probation.TrustedConcurrency = recoveredLimit
 	b.probation.Begin()
 }
 
@@ -75,7 +75,7 @@
 func (b *breaker) recordSuccess(timeToFirstByte time.Duration) {
 	b.failures = 0
 	b.meanLatency += time.Duration(latencyWeight * float64(timeToFirstByte-b.meanLatency))
-	b.probation.Served()
+	b.probation.RecordSuccess()
 }
 
 // latency returns the exponential moving average of the target's time to first byte.
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -141,7 +141,7 @@
 
 // HandleClaimResult handles the keepers' answer to a claim. lost means that no answer came: the
 // request was not sent and never will be under this claim, so it was not run.
-func (s *Scheduler) HandleClaimResult(now time.Time, id uint64, verdict message.Verdict, lost bool) {
+func (s *Scheduler) HandleClaimResult(now time.Time, id uint64, verdict message.ClaimResult, lost bool) {
 	req := s.requests[id]
 	if req == nil || req.phase != phaseClaiming {
 		return
@@ -165,19 +165,19 @@
 	s.dispatchWaiting(now)
 }
 
-func (s *Scheduler) refuseClaim(now time.Time, req *pendingRequest, verdict message.Verdict, lost bool) {
+func (s *Scheduler) refuseClaim(now time.Time, req *pendingRequest, verdict message.ClaimResult, lost bool) {
 	switch {
 	case req.disconnected:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case lost || verdict.Granted:
 		s.refuse(req, s.noLeaseRefusal(now))
-	case verdict.Full:
+	case verdict.ClaimsFull:
 		req.claimAttempt = 0
-		s.refuse(req, newUnrunRefusal(now.Add(claimsFullRetryAfter), fleet.KindFull, "come back later, or send it as repeatable",
+		s.refuse(req, newUnrunRefusal(now.Add(claimsFullRetryAfter), fleet.KindCapacityExhausted, "come back later, or send it as repeatable",
 			"the keepers hold as many claims as they may"))
 	default:
 		req.claimAttempt = 0
-		s.refuse(req, claimedRefusal(verdict.Fate))
+		s.refuse(req, claimedRefusal(verdict.State))
 	}
 }
 
@@ -186,9 +186,9 @@
 
 // claimedRefusal returns the refusal of a request whose claim key is already taken. Its outcome is
 // never unrun: the client asks about the key, and an earlier request with that key may have run.
-func claimedRefusal(fate message.Fate) *Refuse {
+func claimedRefusal(fate message.RunState) *Refuse {
 	outcome := fleet.OutcomeUnknown
-	if fate == message.FateRan {
+	if fate == message.RunStateRan {
 		outcome = fleet.OutcomeRan
 	}
 	return &Refuse{
@@ -220,7 +220,7 @@
 }
 
 func (s *Scheduler) claimOwner() string {
-	return message.Owner(s.Name, s.Incarnation)
+	return message.ClaimOwner(s.Name, s.Incarnation)
 }
 
 // An AttemptResult is the result of sending a request to a target.
@@ -276,11 +276,11 @@
 func (s *Scheduler) finishAttempt(now time.Time, req *pendingRequest, result AttemptResult) {
 	switch {
 	case result.ResponseComplete:
-		s.remove(req, message.FateRan)
+		s.remove(req, message.RunStateRan)
 	case result.ResponseStarted:
-		s.remove(req, message.FateUnknown)
+		s.remove(req, message.RunStateUnknown)
 	case req.disconnected:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case s.mayRetry(now, req, result):
 		req.failedTarget = req.targetName
 		req.targetName = ""
@@ -288,10 +288,10 @@
 	case !result.Sent:
 		s.refuse(req, newUnrunRefusal(now.Add(minRetryAfter), fleet.KindNoTarget, "come back after Retry-After", "target %s cannot be reached", req.targetName))
 	default:
-		s.remove(req, message.FateUnknown)
+		s.remove(req, message.RunStateUnknown)
 		s.emit(Refuse{
 			ID: req.ID, Outcome: fleet.OutcomeUnknown,
-			Err: fleet.NewError(fleet.KindTarget, "ask the target's operators; send a repeatable request again",
+			Err: fleet.NewError(fleet.KindTargetFailed, "ask the target's operators; send a repeatable request again",
 				"target %s failed after it was sent the request", req.targetName),
 		})
 	}
--- a/internal/dispatch/event_queue_test.go
+++ b/internal/dispatch/event_queue_test.go
@@ -58,7 +58,7 @@
 	event := fleet.Event{Name: "e"}
 	for i, share := range shares {
 		name := fmt.Sprintf("a%02d", i)
-		config.Accounts = append(config.Accounts, fleet.Account{Name: name, Share: share, Queue: 1 << 20})
+		config.Accounts = append(config.Accounts, fleet.Account{Name: name, Share: share, QueueLimit: 1 << 20})
 		event.Accounts = append(event.Accounts, name)
 	}
 	for i, count := range slots {
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -23,7 +23,7 @@
 // HandleGrant handles a grant from a leader and reports whether it was put in force. It ignores
 // late and duplicate grants, those of a deposed leader, and those with an older configuration.
 func (s *Scheduler) HandleGrant(now time.Time, grant message.Grant) bool {
-	if grant.Inc != s.Incarnation || grant.Term < s.term || grant.Term == s.term && grant.Seq <= s.grantSeq {
+	if grant.Incarnation != s.Incarnation || grant.Term < s.term || grant.Term == s.term && grant.Seq <= s.grantSeq {
 		return false
 	}
 	oldNumber := s.config.Number
@@ -31,20 +31,20 @@
 		return false
 	}
 	s.term, s.grantSeq = grant.Term, grant.Seq
-	s.leaseUntil, s.slotsShort = grant.Until, grant.Short
-	if grant.Echo != s.echoedSeq {
-		s.echoedSeq, s.echoedAt = grant.Echo, now
+	s.leaseUntil, s.slotsShort = grant.ExpiresAt, grant.SlotsShort
+	if grant.EchoSeq != s.echoedSeq {
+		s.echoedSeq, s.echoedAt = grant.EchoSeq, now
 	}
 	reduced := s.setSlots(grant.Slots)
-	s.setLeaving(grant.Gone)
-	for _, level := range grant.Levels {
-		if reported, ok := s.history.usageInReport(grant.Echo, level.Account); ok {
+	s.setLeaving(grant.LeavingTargets)
+	for _, level := range grant.VirtualTimes {
+		if reported, ok := s.history.usageInReport(grant.EchoSeq, level.Account); ok {
 			s.queues.Heard(level, reported)
 		}
 	}
-	s.queues.SetFloor(grant.Floor)
-	if grant.Rulings != nil {
-		s.Guard.Heard(now, s.history.sentAt(grant.Echo), grant.Term, *grant.Rulings)
+	s.queues.SetFloor(grant.VirtualTimeFloor)
+	if grant.Restrictions != nil {
+		s.Guard.ApplyUpdate(now, s.history.sentAt(grant.EchoSeq), grant.Term, *grant.Restrictions)
 		s.resumeParked(now)
 	}
 	if reduced || s.config.Number != oldNumber {
@@ -121,14 +121,14 @@
 		req := s.requests[id]
 		event := s.events[req.Event]
 		if event == nil || !event.Admits(req.Account) {
-			s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindEvent, "name an event of the configuration in force",
+			s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindEventUnavailable, "name an event of the configuration in force",
 				"event %q no longer takes account %q", req.Event, req.Account))
 		}
 	}
 }
 
 // setSlots replaces the leased slots and reports whether any were taken away.
-func (s *Scheduler) setSlots(granted []message.Slot) bool {
+func (s *Scheduler) setSlots(granted []message.SlotGrant) bool {
 	reduced := false
 	counts := make(map[string]int, len(granted))
 	for _, slot := range granted {
@@ -194,16 +194,16 @@
 		usage = s.history.changedUsage(s.echoedSeq, usage)
 	}
 	report := message.Report{
-		Router: s.Name, Zone: s.Zone, Inc: s.Incarnation, Seq: s.reportSeq, Sent: now,
-		Term: s.term, Ack: s.grantSeq, Number: s.config.Number,
+		Router: s.Name, Zone: s.Zone, Incarnation: s.Incarnation, Seq: s.reportSeq, SentAt: now,
+		Term: s.term, AckSeq: s.grantSeq, Number: s.config.Number,
 		Queues: s.queues.Queues(), Full: full, Usage: usage, Leaving: s.stopping, Quarantine: &quarantineReport,
 	}
 	for _, target := range s.targets {
 		if target.slots > 0 || target.busy > 0 {
-			report.Slots = append(report.Slots, message.Holding{Target: target.Name, Cap: target.slots, Use: target.busy})
+			report.Slots = append(report.Slots, message.SlotUsage{Target: target.Name, Limit: target.slots, InUse: target.busy})
 		}
 	}
-	slices.SortFunc(report.Slots, func(a, b message.Holding) int {
+	slices.SortFunc(report.Slots, func(a, b message.SlotUsage) int {
 		if a.Target < b.Target {
 			return -1
 		}
@@ -211,10 +211,10 @@
 	})
 	if full {
 		// A new leader needs the current levels.
-		report.Levels = s.queues.Levels()
+		report.VirtualTimes = s.queues.Levels()
 		report.Usage = slices.Clone(usage)
 		for i := range report.Usage {
-			report.Usage[i].Counted = s.queues.Counted(usage[i].Account)
+			report.Usage[i].ServedInVirtualTime = s.queues.Counted(usage[i].Account)
 		}
 	}
 	s.emit(SendReport{Report: report})
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -21,23 +21,23 @@
 // target, and this router has no information about identical requests at other routers.
 func (s *Scheduler) checkQuarantine(now time.Time, req *pendingRequest) bool {
 	verdict := s.Guard.Check(now, req.Fingerprint)
-	switch verdict.Do {
-	case quarantine.Run:
+	switch verdict.Action {
+	case quarantine.Allow:
 		req.quarantineVerdict = verdict
-		s.Guard.Begin(verdict, req.Fingerprint)
+		s.Guard.MarkSent(verdict, req.Fingerprint)
 		return true
-	case quarantine.Wait:
+	case quarantine.AwaitPermit:
 		s.queues.Refund(req.item)
 		s.park(now, req)
-	case quarantine.Hold:
+	case quarantine.Reject:
 		s.queues.Refund(req.item)
-		s.refuse(req, quarantinedRefusal(now.Add(verdict.Back), verdict.Ends))
+		s.refuse(req, quarantinedRefusal(now.Add(verdict.RetryAfter), verdict.TerminationCount))
 	}
 	return false
 }
 
 func quarantinedRefusal(retryAt time.Time, ends int) *Refuse {
-	return newUnrunRefusal(retryAt, fleet.KindHeld, "send other work; ask the operators about this request (lfctl held)",
+	return newUnrunRefusal(retryAt, fleet.KindQuarantined, "send other work; ask the operators about this request (lfctl held)",
 		"%d targets have ended under this request", ends)
 }
 
@@ -45,7 +45,7 @@
 	req.phase = phaseParked
 	req.parkedUntil = now.Add(rulingTimeout)
 	s.parked = append(s.parked, req.ID)
-	s.Guard.Ask(req.Fingerprint)
+	s.Guard.RequestPermit(req.Fingerprint)
 	s.requestReport(now)
 }
 
@@ -54,7 +54,7 @@
 		return
 	}
 	req.phase = phaseWaiting
-	s.Guard.Unask(req.Fingerprint)
+	s.Guard.CancelPermitRequest(req.Fingerprint)
 	s.parked = slices.DeleteFunc(s.parked, func(id uint64) bool { return id == req.ID })
 }
 
@@ -65,11 +65,11 @@
 		req := s.requests[id]
 		verdict := s.Guard.Check(now, req.Fingerprint)
 		switch {
-		case verdict.Do == quarantine.Wait && now.Before(req.parkedUntil):
-		case verdict.Do == quarantine.Wait:
-			s.refuse(req, quarantinedRefusal(now.Add(minRetryAfter), verdict.Ends))
-		case verdict.Do == quarantine.Hold:
-			s.refuse(req, quarantinedRefusal(now.Add(verdict.Back), verdict.Ends))
+		case verdict.Action == quarantine.AwaitPermit && now.Before(req.parkedUntil):
+		case verdict.Action == quarantine.AwaitPermit:
+			s.refuse(req, quarantinedRefusal(now.Add(minRetryAfter), verdict.TerminationCount))
+		case verdict.Action == quarantine.Reject:
+			s.refuse(req, quarantinedRefusal(now.Add(verdict.RetryAfter), verdict.TerminationCount))
 		default:
 			s.unpark(req)
 			s.requeue(now, req)
@@ -80,14 +80,14 @@
 // recordRun passes the result of an attempt to the quarantine guard.
 func (s *Scheduler) recordRun(now time.Time, req *pendingRequest, result AttemptResult) {
 	verdict := req.quarantineVerdict
-	req.quarantineVerdict = quarantine.Verdict{}
+	req.quarantineVerdict = quarantine.Decision{}
 	target := s.targets[req.targetName]
 	switch {
 	case result.Succeeded:
-		s.Guard.Whole(now, req.Fingerprint)
+		s.Guard.RecordCompletion(now, req.Fingerprint)
 	case result.TargetClosed && target != nil && !target.leaving && target.Live():
-		needsProbe := s.Guard.Cut(now, quarantine.Sight{
-			Print: req.Fingerprint, Account: req.Account, Place: req.Event, Target: fleet.Incarnation{ID: req.targetName}, Began: req.attemptStarted, Grant: verdict.Grant,
+		needsProbe := s.Guard.RecordInterruption(now, quarantine.Execution{
+			Fingerprint: req.Fingerprint, Account: req.Account, Destination: req.Event, Target: fleet.Incarnation{ID: req.targetName}, SentAt: req.attemptStarted, PermitID: verdict.PermitID,
 		})
 		if needsProbe {
 			s.emit(Probe{Target: target.Target})
@@ -95,7 +95,7 @@
 		}
 		s.requestReport(now)
 	default:
-		s.Guard.Over(now, verdict, req.Fingerprint, !result.Sent)
+		s.Guard.ReturnPermit(now, verdict, req.Fingerprint, !result.Sent)
 	}
 }
 
@@ -104,10 +104,10 @@
 func (s *Scheduler) HandleProbeResult(now, aliveAt time.Time, targetName string, ended bool) {
 	target := fleet.Incarnation{ID: targetName}
 	if ended {
-		s.Guard.Gone(now, target)
+		s.Guard.RecordTermination(now, target)
 	} else {
-		s.Guard.Alive(now, aliveAt, target)
-		if state := s.targets[targetName]; state != nil && slices.Contains(s.Guard.Doubts(now), target) {
+		s.Guard.RecordAlive(now, aliveAt, target)
+		if state := s.targets[targetName]; state != nil && slices.Contains(s.Guard.UnconfirmedTargets(now), target) {
 			s.emit(Probe{Target: state.Target}) // it has closed another connection since
 		}
 	}
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -12,20 +12,20 @@
 	"laburnumfall/internal/quarantine"
 )
 
-const suspectFingerprint quarantine.Print = "alike"
+const suspectFingerprint quarantine.Fingerprint = "alike"
 
 // newSchedulerWithRuling returns a leased scheduler whose leader has ruled on the suspect request.
-func newSchedulerWithRuling(ruling quarantine.Ruling) *dispatch.Scheduler {
+func newSchedulerWithRuling(ruling quarantine.Restriction) *dispatch.Scheduler {
 	config := newConfig([]float64{1}, []int{1, 1})
-	s := &dispatch.Scheduler{Name: "r1", Incarnation: 1, Guard: quarantine.Guard{Owner: message.Owner("r1", 1), Named: true}}
+	s := &dispatch.Scheduler{Name: "r1", Incarnation: 1, Guard: quarantine.Guard{Owner: message.ClaimOwner("r1", 1), IDsReused: true}}
 	s.HandleGrant(epoch, newGrantWithRuling(config, 1, 1, ruling))
 	s.TakeActions()
 	return s
 }
 
-func newGrantWithRuling(config fleet.Config, seq, revision uint64, ruling quarantine.Ruling) message.Grant {
+func newGrantWithRuling(config fleet.Config, seq, revision uint64, ruling quarantine.Restriction) message.Grant {
 	grant := newGrant(config, seq, 1)
-	grant.Rulings = &quarantine.Rulings{Revision: revision, List: []quarantine.Ruling{ruling}}
+	grant.Restrictions = &quarantine.RestrictionUpdate{Revision: revision, Restrictions: []quarantine.Restriction{ruling}}
 	return grant
 }
 
@@ -40,27 +40,27 @@
 // chooses the request for a slot.
 func TestQuarantineRulingDecidesDispatch(t *testing.T) {
 	config := newConfig([]float64{1}, []int{1, 1})
-	held := quarantine.Ruling{Print: suspectFingerprint, Ends: 3, Next: 5 * time.Second}
+	held := quarantine.Restriction{Fingerprint: suspectFingerprint, TerminationCount: 3, NextRunIn: 5 * time.Second}
 
 	s := newSchedulerWithRuling(held)
 	s.Submit(epoch, newSuspectRequest(1))
 	refused := takeActionsOf[dispatch.Refuse](s)
 	require.Len(t, refused, 1, "refused immediately")
-	require.Equal(t, fleet.KindHeld, refused[0].Err.Kind)
-	require.Equal(t, fleet.OutcomeUnrun, refused[0].Outcome)
+	require.Equal(t, fleet.KindQuarantined, refused[0].Err.Kind)
+	require.Equal(t, fleet.OutcomeNotRun, refused[0].Outcome)
 	require.Equal(t, epoch.Add(5*time.Second), refused[0].RetryAt)
 	s.Submit(epoch, newRequest(2))
 	require.Len(t, takeActionsOf[dispatch.Send](s), 1, "other work goes on")
 
-	suspected := quarantine.Ruling{Print: suspectFingerprint, Ends: 2}
+	suspected := quarantine.Restriction{Fingerprint: suspectFingerprint, TerminationCount: 2}
 	s = newSchedulerWithRuling(suspected)
 	s.Submit(epoch, newSuspectRequest(1))
 	require.Empty(t, takeActionsOf[dispatch.Send](s), "it waits for the leader's ruling")
 	s.Tick(epoch.Add(10 * time.Millisecond))
 	reports := takeActionsOf[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
-	require.Equal(t, []quarantine.Print{suspectFingerprint}, reports[0].Report.Quarantine.Asks)
-	suspected.Holder, suspected.Until, suspected.Grant = message.Owner("r1", 1), 20*time.Second, 1
+	require.Equal(t, []quarantine.Fingerprint{suspectFingerprint}, reports[0].Report.Quarantine.PermitRequests)
+	suspected.PermitHolder, suspected.PermitExpiresIn, suspected.PermitID = message.ClaimOwner("r1", 1), 20*time.Second, 1
 	s.HandleGrant(epoch.Add(20*time.Millisecond), newGrantWithRuling(config, 2, 2, suspected))
 	sends := takeActionsOf[dispatch.Send](s)
 	require.Len(t, sends, 1)
@@ -85,7 +85,7 @@
 	s.Tick(epoch.Add(300 * time.Millisecond))
 	reports = takeActionsOf[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
-	require.Len(t, reports[len(reports)-1].Report.Quarantine.Ends, 1)
+	require.Len(t, reports[len(reports)-1].Report.Quarantine.Terminations, 1)
 }
 
 // Guards against a parked request that waits forever or is dropped unanswered. It gets no ruling,
@@ -93,22 +93,22 @@
 func TestParkedRequestIsAlwaysRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		act  func(s *dispatch.Scheduler)
-		kind fleet.Kind
+		kind fleet.ErrorKind
 	}{
-		"no ruling":          {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(time.Second)) }, fleet.KindHeld},
+		"no ruling":          {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(time.Second)) }, fleet.KindQuarantined},
 		"stop":               {func(s *dispatch.Scheduler) { s.Stop(epoch.Add(time.Millisecond)) }, fleet.KindStopping},
 		"no lease":           {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(3 * time.Second)) }, fleet.KindNoLease},
-		"client disconnects": {func(s *dispatch.Scheduler) { s.HandleDisconnect(epoch.Add(time.Millisecond), 1) }, fleet.KindGone},
+		"client disconnects": {func(s *dispatch.Scheduler) { s.HandleDisconnect(epoch.Add(time.Millisecond), 1) }, fleet.KindCallerLeft},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSchedulerWithRuling(quarantine.Ruling{Print: suspectFingerprint, Ends: 2})
+			s := newSchedulerWithRuling(quarantine.Restriction{Fingerprint: suspectFingerprint, TerminationCount: 2})
 			s.Submit(epoch, newSuspectRequest(1))
 			require.False(t, s.Idle())
 			test.act(s)
 			refused := takeActionsOf[dispatch.Refuse](s)
 			require.Len(t, refused, 1)
 			require.Equal(t, test.kind, refused[0].Err.Kind)
-			require.Equal(t, fleet.OutcomeUnrun, refused[0].Outcome)
+			require.Equal(t, fleet.OutcomeNotRun, refused[0].Outcome)
 			require.True(t, s.Idle())
 		})
 	}
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -8,10 +8,10 @@
 import (
 	"time"
 
+	"laburnumfall/internal/fairshare"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
-	"laburnumfall/internal/share"
 )
 
 // A Request is the part of a client's request that the Scheduler needs.
@@ -32,7 +32,7 @@
 	// PrefixHash is a hash of the start of the prompt, or 0 if there is none.
 	PrefixHash uint64
 	// Fingerprint identifies requests with the same content, for the quarantine.
-	Fingerprint quarantine.Print
+	Fingerprint quarantine.Fingerprint
 }
 
 // phase is the processing stage of a pending request.
@@ -48,7 +48,7 @@
 // pendingRequest is a request that has not been answered in full.
 type pendingRequest struct {
 	Request
-	item              *share.Item
+	item              *fairshare.Item
 	phase             phase
 	targetName        string
 	arrived           time.Time
@@ -56,11 +56,11 @@
 	failedTarget      string // target of the last failed attempt
 	claimed           bool
 	claimAttempt      uint64
-	mayHaveRun        bool               // a target may have run the request
-	parkedUntil       time.Time          // when waiting for the leader's ruling times out
-	quarantineVerdict quarantine.Verdict // the decision under which the current attempt runs
-	attemptStarted    time.Time          // when the current attempt was sent
-	disconnected      bool               // the client disconnected
+	mayHaveRun        bool                // a target may have run the request
+	parkedUntil       time.Time           // when waiting for the leader's ruling times out
+	quarantineVerdict quarantine.Decision // the decision under which the current attempt runs
+	attemptStarted    time.Time           // when the current attempt was sent
+	disconnected      bool                // the client disconnected
 }
 
 // A Scheduler holds a router's scheduling state. Set the exported fields before the first call.
@@ -72,7 +72,7 @@
 	// Guard decides which requests are held back because targets end while they run them.
 	Guard quarantine.Guard
 
-	queues        share.Queues
+	queues        fairshare.Queues
 	requests      map[uint64]*pendingRequest
 	deadlines     deadlineHeap
 	claimAttempts uint64
@@ -191,10 +191,10 @@
 	req.disconnected = true
 	switch req.phase {
 	case phaseWaiting:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 		s.dispatchWaiting(now)
 	case phaseParked:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindGone, "none", "the caller went away"))
+		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case phaseRunning:
 		s.emit(Cancel{ID: id})
 	case phaseClaiming:
@@ -209,21 +209,21 @@
 	s.unpark(req)
 	if req.mayHaveRun {
 		refusal.Outcome = fleet.OutcomeUnknown
-		s.remove(req, message.FateUnknown)
+		s.remove(req, message.RunStateUnknown)
 	} else {
-		s.remove(req, message.FateUnrun)
+		s.remove(req, message.RunStateNotRun)
 	}
 	refusal.ID = req.ID
 	s.emit(*refusal)
 }
 
 // remove deletes a request and settles its claim, if it has one.
-func (s *Scheduler) remove(req *pendingRequest, fate message.Fate) {
+func (s *Scheduler) remove(req *pendingRequest, fate message.RunState) {
 	delete(s.requests, req.ID)
 	if req.claimAttempt == 0 {
 		return
 	}
-	s.emit(SettleClaim{Settlement: message.Settlement{Key: req.ClaimKey, Owner: s.claimOwner(), Attempt: req.claimAttempt, Fate: fate}})
+	s.emit(SettleClaim{Settlement: message.Settlement{Key: req.ClaimKey, Owner: s.claimOwner(), Attempt: req.claimAttempt, State: fate}})
 }
 
 // Stop begins a graceful shutdown: the router is no longer ready and refuses all waiting requests.
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -22,9 +22,9 @@
 }
 
 func newGrant(config fleet.Config, seq uint64, slots int) message.Grant {
-	grant := message.Grant{Term: 1, Seq: seq, Inc: 1, Until: epoch.Add(2 * time.Second), Number: config.Number, Config: config.JSON()}
+	grant := message.Grant{Term: 1, Seq: seq, Incarnation: 1, ExpiresAt: epoch.Add(2 * time.Second), Number: config.Number, Config: config.JSON()}
 	for _, target := range config.Targets {
-		grant.Slots = append(grant.Slots, message.Slot{Target: target.Name, Count: slots})
+		grant.Slots = append(grant.Slots, message.SlotGrant{Target: target.Name, Count: slots})
 	}
 	return grant
 }
@@ -52,7 +52,7 @@
 	r.ClaimKey = "key"
 	s.Submit(epoch, r)
 	require.Len(t, takeActionsOf[dispatch.AcquireClaim](s), 1)
-	s.HandleClaimResult(epoch.Add(3*time.Second), 1, message.Verdict{Granted: true}, false)
+	s.HandleClaimResult(epoch.Add(3*time.Second), 1, message.ClaimResult{Granted: true}, false)
 	actions := s.TakeActions()
 	var refused, settled bool
 	for _, a := range actions {
@@ -61,11 +61,11 @@
 			require.Fail(t, "sent without a lease")
 		case dispatch.Refuse:
 			refused = true
-			require.Equal(t, fleet.OutcomeUnrun, a.Outcome)
+			require.Equal(t, fleet.OutcomeNotRun, a.Outcome)
 			require.False(t, a.RetryAt.IsZero())
 		case dispatch.SettleClaim:
 			settled = true
-			require.Equal(t, message.FateUnrun, a.Settlement.Fate)
+			require.Equal(t, message.RunStateNotRun, a.Settlement.State)
 		}
 	}
 	require.True(t, refused)
@@ -103,7 +103,7 @@
 	stale.Term = 2
 	require.False(t, s.HandleGrant(epoch, stale), "an older configuration is never put in force")
 	otherIncarnation := newGrant(c.WithNumber(3), 4, 4)
-	otherIncarnation.Inc = 7
+	otherIncarnation.Incarnation = 7
 	require.False(t, s.HandleGrant(epoch, otherIncarnation), "for another incarnation of the router")
 	require.Equal(t, uint64(2), s.ConfigNumber())
 }
@@ -120,7 +120,7 @@
 	for _, a := range takeActionsOf[dispatch.Send](s) {
 		require.Equal(t, "t01", a.Target.Name)
 	}
-	grant.Gone = []string{"t01"}
+	grant.LeavingTargets = []string{"t01"}
 	require.True(t, s.HandleGrant(epoch, grant))
 	s.Submit(epoch, newRequest(99))
 	require.Empty(t, takeActionsOf[dispatch.Send](s), "the platform's list of VMs also takes a target out of service")
@@ -143,13 +143,13 @@
 	refusals := takeActionsOf[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.KindDeadline, refusals[0].Err.Kind)
-	require.Equal(t, fleet.OutcomeUnrun, refusals[0].Outcome)
+	require.Equal(t, fleet.OutcomeNotRun, refusals[0].Outcome)
 	require.True(t, refusals[0].RetryAt.After(r.Deadline))
 }
 
 func TestFullQueueRefusalNamesRetryTime(t *testing.T) {
 	c := newConfig([]float64{1}, []int{1})
-	c.Accounts[0].Queue = 3
+	c.Accounts[0].QueueLimit = 3
 	s := newLeasedScheduler(c, 1)
 	for id := range uint64(5) {
 		s.Submit(epoch, newRequest(id+1))
@@ -284,11 +284,11 @@
 	require.Len(t, takeActionsOf[dispatch.AcquireClaim](s), 1, "it is claimed without a slot while answers are slow")
 	s.Submit(at, newRequest(4))
 	require.Len(t, takeActionsOf[dispatch.Send](s), 1, "the slot is free for others")
-	s.HandleClaimResult(at, 1, message.Verdict{Granted: true}, false)
-	s.HandleClaimResult(at, 3, message.Verdict{}, true)
+	s.HandleClaimResult(at, 1, message.ClaimResult{Granted: true}, false)
+	s.HandleClaimResult(at, 3, message.ClaimResult{}, true)
 	refusals := takeActionsOf[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
-	require.Equal(t, fleet.OutcomeUnrun, refusals[0].Outcome)
+	require.Equal(t, fleet.OutcomeNotRun, refusals[0].Outcome)
 	s.HandleAttemptEnd(at, 4, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
 	sends = takeActionsOf[dispatch.Send](s)
 	require.Len(t, sends, 1, "claimed once, sent once")
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"laburnumfall/internal/dispatch"
+	"laburnumfall/internal/fairshare"
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
 	"laburnumfall/internal/message"
-	"laburnumfall/internal/share"
+	"laburnumfall/internal/statestore"
 )
 
 // simulation runs real Schedulers, a real Divider and a real state store on one simulated clock.
@@ -20,9 +20,9 @@
 	events  eventQueue
 	seq     int
 	config  fleet.Config
-	divider *share.Divider
+	divider *fairshare.Divider
 	term    uint64
-	ledger  ledger.Ledger
+	ledger  statestore.Store
 	routers []*simRouter
 	targets map[string]*simTarget
 	lastID  uint64
@@ -100,14 +100,14 @@
 // startTerm starts a term with a new leader that has only the replicated log as its state.
 func (sim *simulation) startTerm() {
 	sim.term++
-	divider := &share.Divider{Term: sim.term, Blank: sim.term == 1}
+	divider := &fairshare.Divider{Term: sim.term, Blank: sim.term == 1}
 	divider.Start(sim.now)
 	divider.SetConfig(sim.now, sim.config, sim.config.JSON())
 	sim.divider = divider
 	sim.tickDivider(divider)
 }
 
-func (sim *simulation) tickDivider(divider *share.Divider) {
+func (sim *simulation) tickDivider(divider *fairshare.Divider) {
 	if divider != sim.divider {
 		return
 	}
@@ -181,7 +181,7 @@
 		sim.answerClaim(router, scheduler, action)
 	case dispatch.SettleClaim:
 		sim.after(sim.delay, func() {
-			sim.applyCommand(ledger.Command{At: sim.now, Settlements: []message.Settlement{action.Settlement}})
+			sim.applyCommand(statestore.Command{At: sim.now, Settlements: []message.Settlement{action.Settlement}})
 		})
 	case dispatch.Refuse:
 		request := router.unanswered[action.ID]
@@ -197,7 +197,7 @@
 	}
 }
 
-func (sim *simulation) applyCommand(command ledger.Command) ledger.Result {
+func (sim *simulation) applyCommand(command statestore.Command) statestore.Result {
 	result, err := sim.ledger.Do(command.Encode())
 	if err != nil {
 		panic(err)
@@ -251,18 +251,18 @@
 	if sim.nextClaimFault != nil {
 		fault = sim.nextClaimFault(sim)
 	}
-	answer := func(verdict message.Verdict, lost bool) {
+	answer := func(verdict message.ClaimResult, lost bool) {
 		sim.deliver(router, scheduler, func(s *dispatch.Scheduler) { s.HandleClaimResult(sim.now, action.ID, verdict, lost) })
 	}
 	const claimTimeout = 500 * time.Millisecond
 	if fault.requestLost || router.partitioned {
-		sim.after(claimTimeout, func() { answer(message.Verdict{}, true) })
+		sim.after(claimTimeout, func() { answer(message.ClaimResult{}, true) })
 		return
 	}
 	sim.after(sim.delay, func() {
-		verdict := sim.applyCommand(ledger.Command{At: sim.now, Claims: []message.Claim{action.Claim}}).Verdicts[0]
+		verdict := sim.applyCommand(statestore.Command{At: sim.now, Claims: []message.Claim{action.Claim}}).Verdicts[0]
 		if fault.answerLost {
-			sim.after(claimTimeout, func() { answer(message.Verdict{}, true) })
+			sim.after(claimTimeout, func() { answer(message.ClaimResult{}, true) })
 			return
 		}
 		sim.after(sim.delay, func() { answer(verdict, false) })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -22,6 +22,7 @@
 	"laburnumfall/internal/admission"
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
+	"laburnumfall/internal/keeperclient"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/placement"
 	"laburnumfall/internal/quarantine"
@@ -29,7 +30,6 @@
 	"laburnumfall/internal/retry"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/throttle"
-	"laburnumfall/internal/uplink"
 	"laburnumfall/internal/upstream"
 	"laburnumfall/internal/warmup"
 )
@@ -37,13 +37,13 @@
 const (
 	// sweepPeriod is how often unused connections are looked through.
 	sweepPeriod = time.Second
-	// connBytes is about what a caller's connection holds: a goroutine's stack
+	// connMemory is about what a caller's connection holds: a goroutine's stack
 	// and buffers. connPart is the part of the memory, and of the descriptors,
 	// as a divisor, that connections of callers may take.
-	connBytes = 32 << 10
-	connPart  = 4
-	// fewestConns is the least bound on callers' connections.
-	fewestConns = 64
+	connMemory        = 32 << 10
+	connBudgetDivisor = 4
+	// minConns is the least bound on callers' connections.
+	minConns = 64
 )
 
 // A Gateway serves one router's callers. Set the exported fields, then call Run.
@@ -56,41 +56,41 @@
 	Log      hclog.Logger
 	Dialect  Dialect
 	// State is what the keepers said last.
-	State  func() uplink.State
-	Meters *Meters
-	// Informed, if set, tells whether this router knows what the fleet does, or has to ask
+	State   func() keeperclient.State
+	Metrics *Metrics
+	// StateIsFresh, if set, tells whether this router knows what the fleet does, or has to ask
 	// first, after a standstill of its process.
-	Informed func(now time.Time) bool
-	// Guard decides which requests are held back, and Wake asks for the leader's word at
+	StateIsFresh func(now time.Time) bool
+	// Guard decides which requests are held back, and PollLeader asks for the leader's word at
 	// once. It may be full.
-	Guard quarantine.Guard
-	Wake  chan<- struct{}
+	Guard      quarantine.Guard
+	PollLeader chan<- struct{}
 
-	pool    upstream.Pool
-	callers *callers
+	pool  upstream.Pool
+	conns *connManager
 
-	mu        sync.Mutex // guards the decisions below
-	placer    placement.Placer
-	budgets   map[string]*retry.Budget
-	shares    quota.Shares
-	desk      admission.Desk                // set with the first choice
-	throttles map[string]*throttle.Throttle // of plain services, by pool
-	ruled     chan struct{}                 // closed when the leader has told of held requests
-	probing   map[fleet.Incarnation]bool    // targets that are looked for after a cut
+	mu                  sync.Mutex // guards the decisions below
+	placer              placement.Placer
+	retryBudgets        map[string]*retry.Budget
+	shares              quota.Shares
+	controller          admission.Controller          // set with the first choice
+	throttles           map[string]*throttle.Throttle // of plain services, by pool
+	restrictionsChanged chan struct{}                 // closed when the leader has told of held requests
+	probing             map[fleet.Incarnation]bool    // targets that are looked for after a cut
 
-	started    time.Time   // set by Run
-	ready      atomic.Bool // has a configuration and targets
-	stopping   atomic.Pointer[time.Time]
-	over       atomic.Bool   // its grace is over
-	uninformed atomic.Int64  // until when requests wait for Informed, by Clock in Unix nanoseconds
-	count      atomic.Uint64 // of requests that the router names
-	active     atomic.Int64
-	held       atomic.Int64 // bytes of bodies
+	startedAt         time.Time   // set by Run
+	ready             atomic.Bool // has a configuration and targets
+	stoppingSince     atomic.Pointer[time.Time]
+	graceExpired      atomic.Bool   // its grace is over
+	freshnessDeadline atomic.Int64  // until when requests wait for Informed, by Clock in Unix nanoseconds
+	requestCount      atomic.Uint64 // of requests that the router names
+	active            atomic.Int64
+	bodyBytes         atomic.Int64 // bytes of bodies
 }
 
 // SetTargets puts a configuration and the targets in force. It may be called at
 // any time.
-func (g *Gateway) SetTargets(s uplink.State, targets []fleet.Instance) {
+func (g *Gateway) SetTargets(s keeperclient.State, targets []fleet.Instance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.placer.Zone = g.Zone
@@ -104,30 +104,30 @@
 	if s.Table != nil {
 		g.shares.Capacity = s.Table.Capacity
 	}
-	g.missing(g.Clock.Now(), targets)
+	g.recordUnlistedTargets(g.Clock.Now(), targets)
 	g.ready.Store(s.Table != nil && len(targets) > 0)
 }
 
-// SetWarming takes until when targets are cold. It may be called at any time.
-func (g *Gateway) SetWarming(until map[fleet.Incarnation]time.Time) {
+// SetColdUntil takes until when targets are cold. It may be called at any time.
+func (g *Gateway) SetColdUntil(until map[fleet.Incarnation]time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.SetWarming(until)
+	g.placer.SetColdUntil(until)
 }
 
-// LeaseSeat takes the part of what cold targets get that is this router's from when it
+// SetWarmupLease takes the part of what cold targets get that is this router's from when it
 // asked. It may be called at any time.
-func (g *Gateway) LeaseSeat(asked time.Time, s warmup.Seat) {
+func (g *Gateway) SetWarmupLease(asked time.Time, s warmup.Lease) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.placer.Warmup.Lease(asked, s)
+	g.placer.Warmup.SetLease(asked, s)
 }
 
-// Seat returns that part while it holds. It may be called at any time.
-func (g *Gateway) Seat(now time.Time) warmup.Seat {
+// WarmupLease returns that part while it holds. It may be called at any time.
+func (g *Gateway) WarmupLease(now time.Time) warmup.Lease {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.placer.Warmup.Seat(now)
+	return g.placer.Warmup.CurrentLease(now)
 }
 
 // Load returns what this router's callers ask for and what waits at targets. It
@@ -138,20 +138,20 @@
 	return g.shares.Demand(now), g.placer.Backlog()
 }
 
-// Heard takes the same of all routers, and of all others. It may be called at
+// SetFleetLoad takes the same of all routers, and of all others. It may be called at
 // any time.
-func (g *Gateway) Heard(now time.Time, demand []message.Demand, others []message.Backlog) {
+func (g *Gateway) SetFleetLoad(now time.Time, demand []message.Demand, others []message.Backlog) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shares.SetFleet(demand)
-	g.placer.SetOthers(now, others)
+	g.shares.SetFleetDemand(demand)
+	g.placer.SetRemoteBacklog(now, others)
 }
 
 // Run serves until ctx ends, and then finishes what is in progress within the
 // grace of the settings.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.pool.Clock = g.Clock
-	g.started = g.Clock.Now()
+	g.startedAt = g.Clock.Now()
 	// Callers' connections are ended by their idle time; probes would only cost
 	// four system calls each.
 	lc := net.ListenConfig{KeepAlive: -1}
@@ -159,29 +159,29 @@
 	if err != nil {
 		return fmt.Errorf("listen for callers (free the address or change listen): %w", err)
 	}
-	g.callers = &callers{
-		handler: g, most: g.mostConns(), server: g.newServer, log: g.Log,
-		closing: func() { g.over.Store(true) },
+	g.conns = &connManager{
+		handler: g, maxConns: g.maxConns(), newServer: g.newServer, log: g.Log,
+		onClose: func() { g.graceExpired.Store(true) },
 	}
-	g.Meters.watch(g)
+	g.Metrics.registerGauges(g)
 	group, sweepCtx := errgroup.WithContext(context.WithoutCancel(ctx))
 	sweepCtx, stop := context.WithCancel(sweepCtx)
 	group.Go(func() error {
-		defer g.awaitLines()
-		return g.callers.run(listener, g.limits)
+		defer g.awaitEndLogs()
+		return g.conns.run(listener, g.callerLimits)
 	})
 	if g.Settings.Ready != "" {
-		group.Go(func() error { return g.tellBalancer(sweepCtx) })
+		group.Go(func() error { return g.serveReadiness(sweepCtx) })
 	}
 	group.Go(func() error { return g.sweep(sweepCtx) })
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
-			g.stop()
+			g.drain()
 		case <-sweepCtx.Done():
 		}
 		stop()
-		g.callers.letIn(listener)
+		g.conns.drainAcceptQueue(listener)
 		_ = listener.Close() // ends its accepting
 		g.pool.Close()
 		return nil
@@ -193,27 +193,27 @@
 	return &http.Server{Handler: h, ErrorLog: g.Log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
 }
 
-// mostConns bounds the connections of callers.
-func (g *Gateway) mostConns() int {
-	most := g.Settings.Files / connPart
-	if byMemory := int(g.Settings.Memory / connBytes / connPart); most == 0 || byMemory < most {
+// maxConns bounds the connections of callers.
+func (g *Gateway) maxConns() int {
+	most := g.Settings.Files / connBudgetDivisor
+	if byMemory := int(g.Settings.Memory / connMemory / connBudgetDivisor); most == 0 || byMemory < most {
 		most = byMemory
 	}
-	return max(most, fewestConns)
+	return max(most, minConns)
 }
 
-// limits returns what the configuration in force lets callers do.
-func (g *Gateway) limits() fleet.CallerLimits {
+// callerLimits returns what the configuration in force lets callers do.
+func (g *Gateway) callerLimits() fleet.CallerLimits {
 	if s := g.State(); s.Table != nil {
 		return s.Table.Limits
 	}
 	return fleet.CallerLimits{}
 }
 
-// tellBalancer answers the balancer until ctx ends.
-func (g *Gateway) tellBalancer(ctx context.Context) error {
-	server := g.newServer(http.HandlerFunc(g.serveReady))
-	server.ReadHeaderTimeout = headerTime
+// serveReadiness answers the balancer until ctx ends.
+func (g *Gateway) serveReadiness(ctx context.Context) error {
+	server := g.newServer(http.HandlerFunc(g.handleReadiness))
+	server.ReadHeaderTimeout = defaultHeaderTimeout
 	server.Addr = g.Settings.Ready
 	defer context.AfterFunc(ctx, func() { _ = server.Close() })() // it holds nothing
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
@@ -230,23 +230,23 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			g.pool.Sweep(g.Clock.Now(), g.takes)
-			g.callers.tellShed()
+			g.pool.Sweep(g.Clock.Now(), g.accepts)
+			g.conns.logShed()
 		}
 	}
 }
 
-func (g *Gateway) takes(target fleet.Incarnation) bool {
+func (g *Gateway) accepts(target fleet.Incarnation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.placer.Takes(target)
+	return g.placer.Accepts(target)
 }
 
-// serveReady tells the balancer whether to send callers here. A router whose
+// handleReadiness tells the balancer whether to send callers here. A router whose
 // lease on keys has lapsed can serve few of them; others can.
-func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	status := http.StatusOK
-	if !g.Ready() || g.callers.behind() {
+	if !g.Ready() || g.conns.isOverloaded() {
 		status = http.StatusServiceUnavailable
 	}
 	w.WriteHeader(status)
@@ -255,7 +255,7 @@
 // Ready reports whether callers are served here.
 func (g *Gateway) Ready() bool {
 	s := g.State()
-	keyed := s.Table != nil && len(s.Table.Holders) > 0
+	keyed := s.Table != nil && len(s.Table.KeyOwners) > 0
 	lapsed := keyed && !g.Clock.Now().Before(s.KeysUntil)
-	return g.ready.Load() && g.stopping.Load() == nil && !lapsed
+	return g.ready.Load() && g.stoppingSince.Load() == nil && !lapsed
 }
--- a/internal/keeper/tendedgroup_test.go
+++ b/internal/keeper/autocluster_test.go
@@ -11,16 +11,16 @@
 
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/ledger"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
+	"laburnumfall/internal/statestore"
 )
 
 // tended is a group of keepers that tend their membership themselves, with
 // routers that renew their lease on keys, on fake disks, fake links and one
 // clock. The keepers' decisions are the real code; a router follows the same
-// rules as the uplink does.
+// rules as keeperclient does.
 type tended struct {
 	t      require.TestingT
 	random *rand.Rand
@@ -72,7 +72,7 @@
 	vm     *keeperVM
 	asked  time.Time
 	at     time.Time // when it arrives
-	answer *message.Renewal
+	answer *message.RenewResponse
 }
 
 const (
@@ -90,7 +90,7 @@
 	c.g.wire = append(c.g.wire, letter{c.g.clock.Time.Add(time.Duration(c.g.random.IntN(3)) * tendedStep), m})
 }
 
-func (c *tendedCarrier) grant(*link.Conn, message.Grant) {}
+func (c *tendedCarrier) sendGrant(*rpc.Conn, message.Grant) {}
 
 func (c *tendedCarrier) setMembers(string, []quorum.Member) {}
 
@@ -102,7 +102,7 @@
 		members = append(members, quorum.Member{ID: vm.name + "-0", Name: vm.name, Address: vm.name, Voter: i < 3})
 	}
 	for i, vm := range g.vms {
-		g.boot(vm, &journal.Identity{Name: vm.name, ID: vm.name + "-0", Founded: true, Members: members})
+		g.boot(vm, &journal.Identity{Name: vm.name, ID: vm.name + "-0", Founded: true, FoundingMembers: members})
 		vm.joined = i < 3
 	}
 	for i := range 3 {
@@ -150,11 +150,11 @@
 	if !vm.awake(now) {
 		return
 	}
-	if vm.core.turn() != nil {
+	if vm.core.runOnce() != nil {
 		vm.core = nil // a keeper whose disk fails stops
 		return
 	}
-	if now.Sub(vm.askedAt) >= rejoinPeriod && (!vm.joined || vm.core.needsRejoin(now)) {
+	if now.Sub(vm.askedAt) >= rejoinInterval && (!vm.joined || vm.core.needsRejoin(now)) {
 		vm.askedAt = now
 		g.rejoin(vm)
 	}
@@ -166,7 +166,7 @@
 		if other == vm || !other.awake(g.clock.Time) || other.cut != vm.cut {
 			continue
 		}
-		if other.core.takeIn(g.clock.Time, joinParams{Name: vm.name, ID: vm.core.node.ID, Address: vm.name}) == nil {
+		if other.core.admitMember(g.clock.Time, joinParams{Name: vm.name, ID: vm.core.node.ID, Address: vm.name}) == nil {
 			vm.joined = true
 			return
 		}
@@ -221,7 +221,7 @@
 		case q.answer != nil:
 			q.router.take(q.asked, *q.answer)
 		case q.vm.awake(now):
-			a := q.vm.core.renew(now, message.Renew{Router: q.router.name, Number: q.router.number})
+			a := q.vm.core.renew(now, message.RenewRequest{Router: q.router.name, Number: q.router.number})
 			q.answer, q.at = &a, now.Add(time.Duration(g.random.IntN(80))*tendedStep)
 			later = append(later, q)
 		case q.vm.core != nil:
@@ -231,12 +231,12 @@
 	g.asks = later
 }
 
-// take follows the rules of the uplink.
-func (r *leaseRouter) take(asked time.Time, a message.Renewal) {
+// take follows the rules of keeperclient.
+func (r *leaseRouter) take(asked time.Time, a message.RenewResponse) {
 	if !a.Leads {
 		return
 	}
-	if a.Number > r.number && a.Text != nil {
+	if a.Number > r.number && a.PackedConfig != nil {
 		r.number = a.Number
 	}
 	if until := asked.Add(tendedLease); r.number == a.Number && until.After(r.until) {
@@ -249,12 +249,12 @@
 	g.sent++
 	number := g.sent
 	for _, vm := range g.vms {
-		if !vm.awake(g.clock.Time) || !vm.core.leads(g.clock.Time) {
+		if !vm.awake(g.clock.Time) || !vm.core.isReadyLeader(g.clock.Time) {
 			continue
 		}
 		c := vm.core
-		cmd := ledger.Command{Document: &ledger.Document{Number: number, Text: fmt.Append(nil, number)}}
-		c.submit(g.clock.Time, cmd, func(_ ledger.Result, err error) {
+		cmd := statestore.Command{Document: &statestore.Document{Number: number, Text: fmt.Append(nil, number)}}
+		c.submit(g.clock.Time, cmd, func(_ statestore.Result, err error) {
 			if err == nil && number > g.acked {
 				g.acked, g.ackAt = number, g.clock.Time
 			}
@@ -268,11 +268,11 @@
 	now := g.clock.Time
 	leaders := 0
 	for _, vm := range g.vms {
-		if !vm.awake(now) || !vm.core.leads(now) {
+		if !vm.awake(now) || !vm.core.isReadyLeader(now) {
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(g.t, vm.core.ledger.Document().Number, g.acked, "a reader at %s would see an older configuration", vm.name)
+		require.GreaterOrEqual(g.t, vm.core.store.Document().Number, g.acked, "a reader at %s would see an older configuration", vm.name)
 	}
 	require.LessOrEqual(g.t, leaders, 1)
 	for _, r := range g.routers {
@@ -284,7 +284,7 @@
 
 func (g *tended) leader() *keeperVM {
 	for _, vm := range g.vms {
-		if vm.awake(g.clock.Time) && vm.core.leads(g.clock.Time) {
+		if vm.awake(g.clock.Time) && vm.core.isReadyLeader(g.clock.Time) {
 			return vm
 		}
 	}
@@ -294,7 +294,7 @@
 // whole reports whether all VMs that are there are voters that hold everything.
 func (g *tended) whole() bool {
 	l := g.leader()
-	if l == nil || l.core.node.Changing() {
+	if l == nil || l.core.node.MembershipChangePending() {
 		return false
 	}
 	want := 0
@@ -307,7 +307,7 @@
 			return false
 		}
 		ok := slices.ContainsFunc(l.core.node.Members(), func(m quorum.Member) bool {
-			return m.ID == vm.core.node.ID && m.Voter && l.core.node.Match(m.ID) >= l.core.node.Commit()
+			return m.ID == vm.core.node.ID && m.Voter && l.core.node.MatchIndex(m.ID) >= l.core.node.CommitIndex()
 		})
 		if !ok {
 			return false
@@ -322,7 +322,7 @@
 	for _, vm := range g.vms {
 		text += fmt.Sprintf("%s cut %d gone %t joined %t", vm.name, vm.cut, vm.gone, vm.joined)
 		if c := vm.core; c != nil {
-			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.Commit(), c.ledger.Document().Number)
+			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.CommitIndex(), c.store.Document().Number)
 			for _, m := range c.node.Members() {
 				text += fmt.Sprintf(" %s/%t", m.ID, m.Voter)
 			}
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -20,13 +20,13 @@
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
 	"laburnumfall/internal/keeper"
-	"laburnumfall/internal/ledger"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
 	"laburnumfall/internal/router"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/standin"
+	"laburnumfall/internal/statestore"
 )
 
 // benchFleet is a group of three keepers on real disks, and some routers, in
@@ -81,20 +81,20 @@
 // mute answers what a keeper would call of an operator: nothing.
 type mute struct{}
 
-// Call implements link.Handler.
-func (mute) Call(context.Context, *link.Conn, string, json.RawMessage) (any, error) {
+// Call implements rpc.Handler.
+func (mute) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, nil
 }
 
-// Notice implements link.Handler.
-func (mute) Notice(*link.Conn, string, json.RawMessage) {}
+// Notice implements rpc.Handler.
+func (mute) Notice(*rpc.Conn, string, json.RawMessage) {}
 
 // leader returns a link to the leader.
-func (f *benchFleet) leader() *link.Conn {
+func (f *benchFleet) leader() *rpc.Conn {
 	for range 400 {
 		for _, address := range f.addresses {
-			var count link.Counter
-			conn, err := link.Dial(context.Background(), address, "bench", f.secret, mute{}, &count)
+			var count rpc.Counter
+			conn, err := rpc.Dial(context.Background(), address, "bench", f.secret, mute{}, &count)
 			if err != nil {
 				continue
 			}
@@ -162,14 +162,14 @@
 	}
 }
 
-func claimBatch(conn *link.Conn, next *atomic.Uint64, batch int, h *hdrhistogram.Histogram) error {
-	var p message.Claims
+func claimBatch(conn *rpc.Conn, next *atomic.Uint64, batch int, h *hdrhistogram.Histogram) error {
+	var p message.ClaimRequest
 	for range batch {
 		n := next.Add(1)
-		p.Claims = append(p.Claims, message.Claim{Key: ledger.KeyOf("a", fmt.Sprint(n)), Owner: "r1/abc", Attempt: n})
+		p.Claims = append(p.Claims, message.Claim{Key: statestore.KeyOf("a", fmt.Sprint(n)), Owner: "r1/abc", Attempt: n})
 	}
 	start := time.Now()
-	var v message.Verdicts
+	var v message.ClaimResponse
 	if err := conn.Call(context.Background(), message.MethodClaim, p, &v); err != nil {
 		return err
 	}
@@ -187,8 +187,8 @@
 			apply := func(number uint64) time.Duration {
 				c := benchConfig(number, targets)
 				start := time.Now()
-				var a message.Applied
-				require.NoError(b, conn.Call(context.Background(), message.MethodApply, message.Apply{Config: c.JSON(), Wait: true}, &a))
+				var a message.ApplyResult
+				require.NoError(b, conn.Call(context.Background(), message.MethodApply, message.ApplyRequest{Config: c.JSON(), Wait: true}, &a))
 				require.False(b, a.Conflict)
 				return time.Since(start)
 			}
@@ -241,8 +241,8 @@
 				j := &journal.Journal{Disk: &journal.RealDisk{Folder: folder}}
 				_, err := j.Open()
 				require.NoError(b, err)
-				_, base, entries := j.Load()
-				var l ledger.Ledger
+				_, base, entries := j.Recovered()
+				var l statestore.Store
 				require.NoError(b, l.Restore(base.Data))
 				for _, e := range entries {
 					_, err := l.Do(e.Data)
@@ -263,11 +263,11 @@
 	_, err := j.Open()
 	require.NoError(b, err)
 	require.NoError(b, j.SetIdentity(journal.Identity{Name: "k1", ID: "k1-x", Founded: true}))
-	var l ledger.Ledger
+	var l statestore.Store
 	limit, grown := 4<<20, 0
 	var batch []quorum.Entry
 	for i := range changes {
-		cmd := ledger.Command{At: time.Unix(1e9, 0), Apply: &ledger.Apply{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
+		cmd := statestore.Command{At: time.Unix(1e9, 0), Apply: &statestore.Apply{Config: benchConfig(uint64(i)+1, 23).JSON(), Operator: "op"}}
 		e := quorum.Entry{Index: uint64(i) + 1, Term: 1, Kind: quorum.EntryData, Data: cmd.Encode()}
 		_, err := l.Do(e.Data)
 		require.NoError(b, err)
--- a/internal/keeper/quarantine_test.go
+++ b/internal/keeper/quarantine_test.go
@@ -8,22 +8,22 @@
 	"github.com/stretchr/testify/require"
 
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/ledger"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
+	"laburnumfall/internal/rpc"
+	"laburnumfall/internal/statestore"
 )
 
-const heldPrint quarantine.Print = "alike"
+const heldPrint quarantine.Fingerprint = "alike"
 
 // tell has a router tell the leader of ends, or ask, and returns what it is told.
-func (g *tended) tell(r quarantine.Report) []quarantine.Ruling {
+func (g *tended) tell(r quarantine.Report) []quarantine.Restriction {
 	for range 300 {
 		if l := g.leader(); l != nil {
-			answer := l.core.renew(g.clock.Time, message.Renew{Router: "r", Inc: 1, Quarantine: &r})
-			require.NotNil(g.t, answer.Rulings)
+			answer := l.core.renew(g.clock.Time, message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &r})
+			require.NotNil(g.t, answer.Restrictions)
 			g.run(5 * tendedStep) // the log has it
-			return answer.Rulings.List
+			return answer.Restrictions.Restrictions
 		}
 		g.run(tendedStep)
 	}
@@ -65,19 +65,19 @@
 		g := newTended(t, seed, 5)
 		require.True(t, g.settle())
 		for _, id := range []string{"a", "b", "c"} {
-			g.tell(quarantine.Report{Ends: []quarantine.End{{Print: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}}}})
+			g.tell(quarantine.Report{Terminations: []quarantine.Termination{{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}}}})
 		}
 		grants := map[uint64]bool{}
 		for range 12 {
 			g.run(time.Duration(g.random.IntN(400)) * time.Millisecond)
 			g.strike()
 			require.True(t, g.settle(), "seed %d", seed)
-			g.tell(quarantine.Report{Asks: []quarantine.Print{heldPrint}})
+			g.tell(quarantine.Report{PermitRequests: []quarantine.Fingerprint{heldPrint}})
 			list := g.tell(quarantine.Report{})
 			require.Len(t, list, 1, "seed %d: it is known", seed)
-			require.GreaterOrEqual(t, list[0].Ends, 3)
-			if list[0].Grant > 0 {
-				grants[list[0].Grant] = true
+			require.GreaterOrEqual(t, list[0].TerminationCount, 3)
+			if list[0].PermitID > 0 {
+				grants[list[0].PermitID] = true
 			}
 			g.clock.Time = g.clock.Time.Add(20 * time.Second) // and trials fall due
 			require.True(t, g.settle(), "seed %d", seed)
@@ -113,7 +113,7 @@
 			}
 			g.wipe(victim)
 			require.True(t, g.settle(), "seed %d", seed)
-			require.GreaterOrEqual(t, g.leader().core.ledger.Document().Number, acked, "seed %d", seed)
+			require.GreaterOrEqual(t, g.leader().core.store.Document().Number, acked, "seed %d", seed)
 		}
 	}
 }
@@ -126,28 +126,28 @@
 	c, ok := g.whole()
 	require.True(t, ok)
 	key := routerKey{"told", 1}
-	conn := &link.Conn{}
+	conn := &rpc.Conn{}
 	g.conns[conn], g.cut[key.name] = key.name, true // what it is granted goes nowhere
 	report := func(q quarantine.Report) {
-		data, err := json.Marshal(message.Report{Router: key.name, Inc: key.inc, Full: true, Quarantine: &q})
+		data, err := json.Marshal(message.Report{Router: key.name, Incarnation: key.incarnation, Full: true, Quarantine: &q})
 		require.NoError(t, err)
-		c.onReport(conn, data)
-		(<-c.inputs)(g.clock.Now())
+		c.handleReport(conn, data)
+		(<-c.tasks)(g.clock.Now())
 	}
-	ends := func(id string) []quarantine.End {
-		return []quarantine.End{{Print: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}, Named: true}}
+	ends := func(id string) []quarantine.Termination {
+		return []quarantine.Termination{{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: id}, IDReused: true}}
 	}
-	report(quarantine.Report{Ends: ends("a")})
-	require.NoError(t, c.turn())
-	require.Equal(t, 1, c.registry.Ends(heldPrint))
+	report(quarantine.Report{Terminations: ends("a")})
+	require.NoError(t, c.runOnce())
+	require.Equal(t, 1, c.coordinator.TerminationCount(heldPrint))
 
-	c.submit(g.clock.Now(), ledger.Command{}, func(ledger.Result, error) {})
-	require.NoError(t, c.turn())
+	c.submit(g.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
+	require.NoError(t, c.runOnce())
 	g.commitUnapplied(c)
-	require.False(t, c.node.Applied())
-	report(quarantine.Report{Ends: ends("b")})
-	require.NoError(t, c.turn())
-	require.Equal(t, 2, c.registry.Ends(heldPrint), "the grant that follows tells the router that it was heard")
+	require.False(t, c.node.AllApplied())
+	report(quarantine.Report{Terminations: ends("b")})
+	require.NoError(t, c.runOnce())
+	require.Equal(t, 2, c.coordinator.TerminationCount(heldPrint), "the grant that follows tells the router that it was heard")
 }
 
 // commitUnapplied has followers answer the leader, which does not apply what that commits.
@@ -160,7 +160,7 @@
 				c.node.Step(g.clock.Now(), m)
 			} else if to != nil {
 				to.node.Step(g.clock.Now(), m)
-				require.NoError(g.t, to.turn())
+				require.NoError(g.t, to.runOnce())
 			}
 		}
 	}
@@ -173,20 +173,20 @@
 	g.run(3 * time.Second)
 	c, ok := g.whole()
 	require.True(t, ok)
-	end := quarantine.End{Print: heldPrint, Account: "x", Target: fleet.Incarnation{ID: "a"}}
-	p := message.Renew{Router: "r", Inc: 1, Quarantine: &quarantine.Report{Ends: []quarantine.End{end}}}
-	c.submit(g.clock.Now(), ledger.Command{}, func(ledger.Result, error) {})
-	require.NoError(t, c.turn())
+	end := quarantine.Termination{Fingerprint: heldPrint, Account: "x", Target: fleet.Incarnation{ID: "a"}}
+	p := message.RenewRequest{Router: "r", Incarnation: 1, Quarantine: &quarantine.Report{Terminations: []quarantine.Termination{end}}}
+	c.submit(g.clock.Now(), statestore.Command{}, func(statestore.Result, error) {})
+	require.NoError(t, c.runOnce())
 	g.commitUnapplied(c)
-	require.False(t, c.node.Applied())
+	require.False(t, c.node.AllApplied())
 	r := c.renew(g.clock.Now(), p)
 	require.False(t, r.Leads)
-	require.Nil(t, r.Rulings)
-	require.Nil(t, r.Evacuations)
-	require.Zero(t, r.Seat)
-	require.NoError(t, c.turn())
+	require.Nil(t, r.Restrictions)
+	require.Nil(t, r.EvacuatedZones)
+	require.Zero(t, r.WarmupLease)
+	require.NoError(t, c.runOnce())
 	r = c.renew(g.clock.Now(), p)
 	require.True(t, r.Leads)
-	require.NotNil(t, r.Rulings)
-	require.Equal(t, 1, c.registry.Ends(heldPrint))
+	require.NotNil(t, r.Restrictions)
+	require.Equal(t, 1, c.coordinator.TerminationCount(heldPrint))
 }
--- a/internal/keeper/trio_test.go
+++ b/internal/keeper/simcluster_test.go
@@ -12,16 +12,16 @@
 	"laburnumfall/internal/dispatch"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 )
 
 func newTrio(t require.TestingT, seed uint64) *trio {
 	g := &trio{
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), clock: clock.MockClock{Time: time.Unix(1e9, 0)},
 		cores: map[string]*core{}, disks: map[string]*journal.MockDisk{}, cut: map[string]bool{},
-		names: []string{"k1", "k2", "k3"}, routers: map[string]*dispatch.Scheduler{}, conns: map[*link.Conn]string{},
+		names: []string{"k1", "k2", "k3"}, routers: map[string]*dispatch.Scheduler{}, conns: map[*rpc.Conn]string{},
 		accepted: map[uint64]string{}, seen: map[string]uint64{},
 	}
 	var members []quorum.Member
@@ -30,7 +30,7 @@
 	}
 	for i, name := range g.names {
 		g.disks[name] = &journal.MockDisk{Seed: seed + uint64(i)}
-		g.boot(name, &journal.Identity{Name: name, ID: name + "-0", Founded: true, Members: members})
+		g.boot(name, &journal.Identity{Name: name, ID: name + "-0", Founded: true, FoundingMembers: members})
 	}
 	for _, name := range []string{"r1", "r2"} {
 		g.startRouter(name)
@@ -54,7 +54,7 @@
 func (g *trio) startRouter(name string) {
 	g.routers[name] = &dispatch.Scheduler{Name: name, Zone: "z", Incarnation: uint64(g.clock.Now().UnixNano())}
 	g.seen[name] = 0
-	conn := &link.Conn{}
+	conn := &rpc.Conn{}
 	g.conns[conn] = name
 	g.links = append(g.links, conn)
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-func (c *trioCarrier) grant(conn *link.Conn, m message.Grant) {
+func (c *trioCarrier) sendGrant(conn *rpc.Conn, m message.Grant) {
 	name := c.g.conns[conn]
 	if c.g.cut[name] {
 		return
@@ -103,7 +103,7 @@
 }
 
 func (g *trio) turn(name string) {
-	if c := g.cores[name]; c != nil && c.turn() != nil {
+	if c := g.cores[name]; c != nil && c.runOnce() != nil {
 		g.cores[name] = nil // a keeper whose disk fails stops
 	}
 }
@@ -137,13 +137,13 @@
 	}
 }
 
-func (g *trio) report(conn *link.Conn, r message.Report) {
+func (g *trio) report(conn *rpc.Conn, r message.Report) {
 	for _, name := range g.names {
 		c := g.cores[name]
-		if c == nil || g.cut[name] || c.divider == nil || !c.node.Leads(g.clock.Now()) {
+		if c == nil || g.cut[name] || c.divider == nil || !c.node.IsActiveLeader(g.clock.Now()) {
 			continue
 		}
-		c.routers[routerKey{r.Router, r.Inc}] = conn
+		c.routers[routerKey{r.Router, r.Incarnation}] = conn
 		c.divider.Report(g.clock.Now(), r)
 		g.turn(name)
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	config := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: share}}}
-	c.submitConfig(g.clock.Now(), config, "op", func(a message.Applied, err error) {
+	c.submitConfig(g.clock.Now(), config, "op", func(a message.ApplyResult, err error) {
 		if err != nil || a.Conflict {
 			return
 		}
@@ -175,13 +175,13 @@
 	leaders := 0
 	for _, name := range g.names {
 		c := g.cores[name]
-		if c == nil || !c.node.Leads(g.clock.Now()) {
+		if c == nil || !c.node.IsActiveLeader(g.clock.Now()) {
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(g.t, c.ledger.Number(), g.newest, "a reader at %s sees an older configuration", name)
-		if want, ok := g.accepted[c.ledger.Number()]; ok {
-			require.Equal(g.t, want, c.ledger.Digest())
+		require.GreaterOrEqual(g.t, c.store.Number(), g.newest, "a reader at %s sees an older configuration", name)
+		if want, ok := g.accepted[c.store.Number()]; ok {
+			require.Equal(g.t, want, c.store.Digest())
 		}
 	}
 	require.LessOrEqual(g.t, leaders, 1)
@@ -191,17 +191,17 @@
 func (g *trio) whole() (*core, bool) {
 	for _, name := range g.names {
 		c := g.cores[name]
-		if c == nil || !c.node.Leads(g.clock.Now()) {
+		if c == nil || !c.node.IsActiveLeader(g.clock.Now()) {
 			continue
 		}
-		if c.node.Changing() {
+		if c.node.MembershipChangePending() {
 			return c, false
 		}
 		for _, m := range c.node.Members() {
 			if g.cores[m.Name] == nil || g.cores[m.Name].node.ID != m.ID {
 				return c, false
 			}
-			if !m.Voter || c.node.Match(m.ID) < c.node.Commit() {
+			if !m.Voter || c.node.MatchIndex(m.ID) < c.node.CommitIndex() {
 				return c, false
 			}
 		}
@@ -226,7 +226,7 @@
 		for _, other := range g.names {
 			if c := g.cores[other]; c != nil && other != name {
 				// Refused while it does not lead or another change is on its way.
-				_ = c.takeIn(g.clock.Now(), joinParams{Name: name, ID: id.ID})
+				_ = c.admitMember(g.clock.Now(), joinParams{Name: name, ID: id.ID})
 			}
 		}
 		if _, ok := g.whole(); ok {
--- a/internal/keeper/histories_test.go
+++ b/internal/keeper/simhistories_test.go
@@ -11,8 +11,8 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/dispatch"
 	"laburnumfall/internal/journal"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/quorum"
+	"laburnumfall/internal/rpc"
 )
 
 // trio is three cores, two routers and two operators on fake disks, fake links
@@ -29,8 +29,8 @@
 	lossy  bool
 
 	routers map[string]*dispatch.Scheduler
-	conns   map[*link.Conn]string // router by its link
-	links   []*link.Conn
+	conns   map[*rpc.Conn]string // router by its link
+	links   []*rpc.Conn
 	ids     int
 
 	// The naive model: what operators were told.
@@ -98,7 +98,7 @@
 	case 8:
 		g.loseDisk(name)
 	case 9:
-		g.disks[name].FailAt, g.disks[name].Fault = g.disks[name].Ops+1+g.random.IntN(4), journal.ErrFull
+		g.disks[name].FailFromOp, g.disks[name].Fault = g.disks[name].Ops+1+g.random.IntN(4), journal.ErrDiskFull
 		g.run(200 * time.Millisecond)
 		g.restart(name)
 	case 10:
@@ -138,7 +138,7 @@
 		g.read()
 		c, ok := g.whole()
 		require.True(t, ok)
-		require.Equal(t, uint64(1), c.ledger.Number())
+		require.Equal(t, uint64(1), c.store.Number())
 	}
 }
 
@@ -159,13 +159,13 @@
 	old, _ := g.byID(c.node.ID)
 	g.cut[old] = true
 	cutAt := g.clock.Now()
-	for !slices.ContainsFunc(g.names, func(n string) bool { return n != old && g.cores[n].node.Leads(g.clock.Now()) }) {
+	for !slices.ContainsFunc(g.names, func(n string) bool { return n != old && g.cores[n].node.IsActiveLeader(g.clock.Now()) }) {
 		g.run(20 * time.Millisecond)
 		g.read()
 	}
 	without := g.clock.Now().Sub(cutAt)
 	t.Logf("time without a leader: %s", without)
-	require.Less(t, without, 2*quorum.Election+quorum.Election)
+	require.Less(t, without, 2*quorum.ElectionTimeout+quorum.ElectionTimeout)
 	term := uint64(0)
 	for _, n := range g.names {
 		if n != old {
@@ -181,6 +181,6 @@
 	g.read()
 	now, ok := g.whole()
 	require.True(t, ok)
-	require.Equal(t, uint64(2), now.ledger.Number())
-	require.Equal(t, uint64(2), g.cores[old].ledger.Number())
+	require.Equal(t, uint64(2), now.store.Number())
+	require.Equal(t, uint64(2), g.cores[old].store.Number())
 }
--- a/internal/uplink/ask.go
+++ b/internal/keeperclient/ask.go
@@ -1,4 +1,4 @@
-package uplink
+package keeperclient
 
 import (
 	"context"
@@ -7,19 +7,19 @@
 	"slices"
 	"time"
 
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // A reply is what came of a question to one keeper.
 type reply struct {
 	address string
-	conn    *link.Conn
+	conn    *rpc.Conn
 	dialed  bool // for this question
 	packs   bool // the question may be packed
 	asked   time.Time
 	mine    []message.Backlog // that the question reported
-	answer  message.Renewal
+	answer  message.RenewResponse
 	err     error
 }
 
@@ -28,7 +28,7 @@
 // gone, its link silent, its answer long or this router behind, and nothing tells
 // which. One after the other, two keepers that are gone cost up to three seconds by
 // calculation; a configuration was not in force in time on a day with two gone.
-func (u *Uplink) ask(ctx context.Context) {
+func (u *Client) ask(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	round := newRound(u)
 	defer func() {
@@ -66,9 +66,9 @@
 }
 
 // call asks one keeper. It touches nothing of the uplink that changes.
-func (u *Uplink) call(ctx context.Context, q reply, ask message.Renew) reply {
+func (u *Client) call(ctx context.Context, q reply, ask message.RenewRequest) reply {
 	if q.conn == nil {
-		q.conn, q.err = link.Dial(ctx, q.address, u.Name, u.Secret, noCalls{}, &u.count)
+		q.conn, q.err = rpc.Dial(ctx, q.address, u.Name, u.Secret, noCalls{}, &u.count)
 		q.dialed = true
 	}
 	if q.err != nil {
@@ -78,7 +78,7 @@
 		q.err = q.conn.Call(ctx, message.MethodRenew, ask, &q.answer)
 		return q
 	}
-	var p message.PackedRenew
+	var p message.PackedRenewRequest
 	if p, q.err = ask.Pack(); q.err == nil {
 		q.err = q.conn.Call(ctx, message.MethodRenewPacked, p, &q.answer)
 	}
@@ -86,7 +86,7 @@
 }
 
 // keep keeps the link of a reply, or gives it up if it failed.
-func (u *Uplink) keep(q reply) {
+func (u *Client) keep(q reply) {
 	if q.conn == nil {
 		return
 	}
@@ -103,13 +103,13 @@
 		}
 		u.links[q.address] = q.conn
 	}
-	if q.err == nil && q.answer.Packs {
+	if q.err == nil && q.answer.AcceptsPacked {
 		u.packs = q.conn
 	}
 }
 
 // nextOther returns the keepers beside the one thought to lead, in turn.
-func (u *Uplink) nextOther() string {
+func (u *Client) nextOther() string {
 	list := u.others()
 	for range list {
 		u.turn++
@@ -121,7 +121,7 @@
 }
 
 // others returns every keeper that was ever heard of.
-func (u *Uplink) others() []string {
+func (u *Client) others() []string {
 	seen := make(map[string]bool)
 	var list []string
 	for _, a := range append(append([]string(nil), u.keepers...), u.seedList()...) {
@@ -133,7 +133,7 @@
 	return list
 }
 
-func (u *Uplink) lost() {
+func (u *Client) lost() {
 	if u.leader == "" {
 		return
 	}
@@ -142,7 +142,7 @@
 	u.leader = ""
 }
 
-func (u *Uplink) number() uint64 {
+func (u *Client) number() uint64 {
 	if s := u.state.Load(); s != nil && s.Table != nil {
 		return s.Table.Number
 	}
@@ -154,20 +154,20 @@
 
 var errNoCalls = errors.New("a router serves no calls (ask a keeper)")
 
-// Call implements link.Handler.
-func (noCalls) Call(context.Context, *link.Conn, string, json.RawMessage) (any, error) {
+// Call implements rpc.Handler.
+func (noCalls) Call(context.Context, *rpc.Conn, string, json.RawMessage) (any, error) {
 	return nil, errNoCalls
 }
 
-// Notice implements link.Handler.
-func (noCalls) Notice(*link.Conn, string, json.RawMessage) {}
+// Notice implements rpc.Handler.
+func (noCalls) Notice(*rpc.Conn, string, json.RawMessage) {}
 
 // mostKeepers bounds the keepers that a router remembers from hearsay: some times as many
 // as there may be.
 const mostKeepers = 64
 
 // learn adds keepers that one who does not lead has named. What a leader says replaces it.
-func (u *Uplink) learn(addresses []string) {
+func (u *Client) learn(addresses []string) {
 	for _, a := range addresses {
 		if a != "" && len(u.keepers) < mostKeepers && !slices.Contains(u.keepers, a) {
 			u.keepers, u.members = append(u.keepers, a), 0
--- a/internal/uplink/uplink.go
+++ b/internal/keeperclient/keeperclient.go
@@ -1,7 +1,7 @@
-// Package uplink is a router's side of its talk with the keepers: it renews the
+// Package keeperclient is a router's side of its talk with the keepers: it renews the
 // lease on accounts' keys and learns the configuration, the targets and the
 // keepers themselves. While no keeper leads it goes on with what it has.
-package uplink
+package keeperclient
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/quota"
-	"laburnumfall/internal/roster"
+	"laburnumfall/internal/rpc"
+	"laburnumfall/internal/targetlist"
 	"laburnumfall/internal/warmup"
 )
 
@@ -48,34 +48,34 @@
 
 // A State is what a router knows from the keepers. It is never changed.
 type State struct {
-	Table *fleet.Table
+	Table *fleet.RoutingTable
 	// KeysUntil is when accounts' keys stop counting, unless renewed.
 	KeysUntil time.Time
 	Routers   int
 	// Evacuated are the availability zones whose targets get no new work.
-	Evacuated fleet.Evacuations
+	Evacuated fleet.EvacuatedZones
 }
 
 // A TargetList is the platform's list of targets.
 type TargetList interface {
-	Read(ctx context.Context) (fleet.Listing, error)
+	Read(ctx context.Context) (fleet.TargetListing, error)
 	// Address is where it is read, for those who look for the cause of damage.
 	Address() string
 }
 
-// An Uplink asks the keepers. Set the exported fields, then call Run.
-type Uplink struct {
+// An Client asks the keepers. Set the exported fields, then call Run.
+type Client struct {
 	Name  string
 	Zone  fleet.Zone
 	Inc   uint64
 	Clock clock.Clock
 	Log   hclog.Logger
 	// Secret proves to the keepers that this router belongs to the fleet.
-	Secret link.Secret
+	Secret rpc.Secret
 	// Lease is how long after a question, answered by a leader, keys count.
 	Lease time.Duration
 	// Decode reads a configuration.
-	Decode func(text []byte) (*fleet.Table, error)
+	Decode func(text []byte) (*fleet.RoutingTable, error)
 	// List is the platform's list, read while no keeper leads; Reads is how
 	// many reads a second it takes from all nodes.
 	List  TargetList
@@ -90,41 +90,41 @@
 	// Seat of the part of what cold targets get that is leased to this router from a moment.
 	// Held returns that lease while it holds.
 	Warming func(until map[fleet.Incarnation]time.Time)
-	Seat    func(asked time.Time, s warmup.Seat)
-	Held    func(now time.Time) warmup.Seat
+	Seat    func(asked time.Time, s warmup.Lease)
+	Held    func(now time.Time) warmup.Lease
 	// Quarantine returns which requests targets have ended under, and Ruled is told which are
 	// held back, by the leader of a term in answer to a question of a time. Wake asks for a
 	// question at once.
 	Quarantine func(now time.Time) quarantine.Report
-	Ruled      func(now, asked time.Time, term uint64, r quarantine.Rulings)
+	Ruled      func(now, asked time.Time, term uint64, r quarantine.RestrictionUpdate)
 	Wake       <-chan struct{}
 
-	count   link.Counter
+	count   rpc.Counter
 	seeds   atomic.Pointer[[]string]
 	state   atomic.Pointer[State]
 	damaged atomic.Uint64
-	roster  roster.Roster
-	links   map[string]*link.Conn
+	roster  targetlist.List
+	links   map[string]*rpc.Conn
 	turn    int // counts the keepers asked beside the leader
 	keepers []string
 	// accounts are those of the loads, as a leader named them last.
 	accounts []string
-	members  uint32     // digest of keepers as a leader sent them; 0 if others were added
-	names    uint32     // digest of accounts; 0 is none
-	packs    *link.Conn // over which questions may be packed
-	leader   string     // "" while none is known
-	last     string     // the keeper that is thought to lead, "" if none
+	members  uint32    // digest of keepers as a leader sent them; 0 if others were added
+	names    uint32    // digest of accounts; 0 is none
+	packs    *rpc.Conn // over which questions may be packed
+	leader   string    // "" while none is known
+	last     string    // the keeper that is thought to lead, "" if none
 	renewed  time.Time
 	term     uint64
 	list     uint64
 	sent     sentList
-	notes    roster.DamageNotes
+	notes    targetlist.DamageNotes
 	readOwn  time.Time // when this router last read the list itself
 	pulse    pulse
 }
 
 // State returns what is known now.
-func (u *Uplink) State() State {
+func (u *Client) State() State {
 	if s := u.state.Load(); s != nil {
 		return *s
 	}
@@ -132,7 +132,7 @@
 }
 
 // routed reports whether the configuration in force has a pool.
-func (u *Uplink) routed(pool string) bool {
+func (u *Client) routed(pool string) bool {
 	t := u.State().Table
 	if t == nil {
 		return true
@@ -143,17 +143,17 @@
 
 // Damaged returns how many damaged entries this router's own readings of the list have
 // held.
-func (u *Uplink) Damaged() uint64 {
+func (u *Client) Damaged() uint64 {
 	return u.damaged.Load()
 }
 
 // SetSeeds names the keepers that the settings tell of. It may be called at any
 // time; keepers learned from others stay known.
-func (u *Uplink) SetSeeds(addresses []string) {
+func (u *Client) SetSeeds(addresses []string) {
 	u.seeds.Store(&addresses)
 }
 
-func (u *Uplink) seedList() []string {
+func (u *Client) seedList() []string {
 	if s := u.seeds.Load(); s != nil {
 		return *s
 	}
@@ -161,8 +161,8 @@
 }
 
 // Run asks until ctx ends.
-func (u *Uplink) Run(ctx context.Context) error {
-	u.links = make(map[string]*link.Conn)
+func (u *Client) Run(ctx context.Context) error {
+	u.links = make(map[string]*rpc.Conn)
 	if u.List != nil {
 		u.notes.List = u.List.Address()
 	}
@@ -177,7 +177,7 @@
 		started := u.Clock.Now()
 		u.ask(ctx)
 		u.readList(ctx)
-		pause := quota.Period(u.State().Routers)
+		pause := quota.ReportPeriod(u.State().Routers)
 		if u.leader == "" {
 			pause = searchPause
 		}
@@ -191,7 +191,7 @@
 
 // rest waits until a pause after a moment, or until something is to be told at once, but
 // for askPause at least.
-func (u *Uplink) rest(ctx context.Context, started time.Time, pause time.Duration) {
+func (u *Client) rest(ctx context.Context, started time.Time, pause time.Duration) {
 	end := started.Add(pause)
 	u.beat(max(pause, askPause))
 	sleep(ctx, askPause)
--- a/internal/uplink/round.go
+++ b/internal/keeperclient/round.go
@@ -1,29 +1,29 @@
-package uplink
+package keeperclient
 
 import (
 	"context"
 	"time"
 
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // A round is one search for the leader's answer.
 type round struct {
-	uplink  *Uplink
+	uplink  *Client
 	replies chan reply
 	open    int // questions without a reply
 	count   int // questions
 	asked   map[string]bool
-	fresh   map[string]bool       // asked over a fresh link
-	since   map[string]time.Time  // when it was asked first
-	waiting map[string]*link.Conn // links over which a question has no reply
+	fresh   map[string]bool      // asked over a fresh link
+	since   map[string]time.Time // when it was asked first
+	waiting map[string]*rpc.Conn // links over which a question has no reply
 }
 
-func newRound(u *Uplink) *round {
+func newRound(u *Client) *round {
 	return &round{
 		uplink: u, replies: make(chan reply, mostAsked), asked: make(map[string]bool), fresh: make(map[string]bool),
-		since: make(map[string]time.Time), waiting: make(map[string]*link.Conn),
+		since: make(map[string]time.Time), waiting: make(map[string]*rpc.Conn),
 	}
 }
 
@@ -45,12 +45,12 @@
 		q.conn = u.links[address]
 		q.packs = q.conn != nil && q.conn == u.packs
 	}
-	ask := message.Renew{Router: u.Name, Zone: u.Zone, Inc: u.Inc, Number: u.number(), Term: u.term, List: u.list, Columns: true, Names: u.names, Members: u.members}
+	ask := message.RenewRequest{Router: u.Name, Zone: u.Zone, Incarnation: u.Inc, Number: u.number(), Term: u.term, ListRevision: u.list, AcceptsColumns: true, AccountsDigest: u.names, KeepersDigest: u.members}
 	ask.Demand, ask.Backlog = u.Load(q.asked)
 	q.mine = ask.Backlog
-	ask.Evacuations = u.State().Evacuated.Revision
+	ask.EvacuationRevision = u.State().Evacuated.Revision
 	if u.Held != nil {
-		ask.Seat = u.Held(q.asked)
+		ask.WarmupLease = u.Held(q.asked)
 	}
 	if u.Quarantine != nil {
 		report := u.Quarantine(q.asked)
--- a/internal/router/meters.go
+++ b/internal/router/meters.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 
 	"laburnumfall/internal/dispatch"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
+	"laburnumfall/internal/rpc"
 )
 
 // meters are the router's metrics.
@@ -27,7 +27,7 @@
 	slots    prometheus.Gauge
 }
 
-func newMeters(count *link.Counter) *meters {
+func newMeters(count *rpc.Counter) *meters {
 	reg := prometheus.NewRegistry()
 	m := &meters{
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lf_refusals_total", Help: "Requests answered by the router itself."}, []string{"kind", "outcome"}),
@@ -76,8 +76,8 @@
 	}
 	busy, total := 0, 0
 	for _, h := range r.Slots {
-		busy += h.Use
-		total += max(h.Cap, h.Use)
+		busy += h.InUse
+		total += max(h.Limit, h.InUse)
 	}
 	m.busy.Set(float64(busy))
 	m.slots.Set(float64(total))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -17,10 +17,10 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/dispatch"
 	"laburnumfall/internal/gateway"
-	"laburnumfall/internal/link"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
 	"laburnumfall/internal/routing"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
 	"laburnumfall/internal/target"
 )
@@ -46,7 +46,7 @@
 	Log      hclog.Logger
 	Clock    clock.Clock
 
-	count   link.Counter
+	count   rpc.Counter
 	desk    *desk
 	keepers *keepers
 	claimer *claimer
@@ -81,7 +81,7 @@
 	r.meters = newMeters(&r.count)
 	r.desk = newDesk(r.Clock, &dispatch.Scheduler{
 		Name: r.Settings.Name, Zone: r.Settings.Zone, Incarnation: inc,
-		Guard: quarantine.Guard{Owner: message.Owner(r.Settings.Name, inc), Named: true},
+		Guard: quarantine.Guard{Owner: message.ClaimOwner(r.Settings.Name, inc), IDsReused: true},
 	})
 	r.keepers = &keepers{
 		addresses: r.Settings.Keepers, name: r.Settings.Name, secret: secret,
@@ -96,7 +96,7 @@
 	if r.Settings.Hosts != "" {
 		r.routes = &routing.Service{
 			Settings: r.Settings, Listen: r.Settings.Hosts, Clock: r.Clock, Log: r.Log, Secret: secret,
-			Dialect: routing.Headers{}, Decode: routing.DecodeConfig, Meters: gateway.NewMeters(),
+			Dialect: routing.Headers{}, Decode: routing.DecodeConfig, Meters: gateway.NewMetrics(),
 		}
 		r.routes.SetSeeds(r.Settings.Keepers)
 	}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -13,11 +13,11 @@
 	"laburnumfall/internal/clock"
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/gateway"
-	"laburnumfall/internal/link"
+	"laburnumfall/internal/keeperclient"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/quarantine"
+	"laburnumfall/internal/rpc"
 	"laburnumfall/internal/settings"
-	"laburnumfall/internal/uplink"
 )
 
 // A Service serves the routes of one router. Set the exported fields, then call
@@ -28,25 +28,25 @@
 	Listen  string
 	Clock   clock.Clock
 	Log     hclog.Logger
-	Secret  link.Secret
+	Secret  rpc.Secret
 	Dialect gateway.Dialect
 	// Decode reads a configuration as the keepers keep it.
-	Decode func(text []byte) (*fleet.Table, error)
+	Decode func(text []byte) (*fleet.RoutingTable, error)
 	// List is the platform's list of targets; nil where configurations list them.
-	List   uplink.TargetList
-	Meters *gateway.Meters
+	List   keeperclient.TargetList
+	Meters *gateway.Metrics
 
 	gateway gateway.Gateway
-	uplink  uplink.Uplink
+	uplink  keeperclient.Client
 }
 
 // DecodeConfig reads a configuration of the product's own form.
-func DecodeConfig(text []byte) (*fleet.Table, error) {
+func DecodeConfig(text []byte) (*fleet.RoutingTable, error) {
 	var c fleet.Config
 	if err := json.Unmarshal(text, &c); err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	return c.Table()
+	return c.RoutingTable()
 }
 
 // SetSeeds names the keepers that the settings tell of. It may be called at any
@@ -78,18 +78,18 @@
 func (s *Service) assemble() {
 	g, u := &s.gateway, &s.uplink
 	g.Settings, g.Name, g.Zone, g.Listen = *s.Settings.Routes, s.Settings.Name, s.Settings.Zone, s.Listen
-	g.Clock, g.Log, g.Dialect, g.Meters, g.State = s.Clock, s.Log, s.Dialect, s.Meters, u.State
-	g.Informed = u.Informed
+	g.Clock, g.Log, g.Dialect, g.Metrics, g.State = s.Clock, s.Log, s.Dialect, s.Meters, u.State
+	g.StateIsFresh = u.Informed
 	u.Name, u.Zone, u.Inc = s.Settings.Name, s.Settings.Zone, uint64(s.Clock.Now().UnixNano())
 	u.Clock, u.Log, u.Secret, u.Lease = s.Clock, s.Log, s.Secret, s.Settings.Routes.Lease
 	u.Decode, u.List, u.Reads = s.Decode, s.List, s.Settings.Routes.Reads
-	u.Changed, u.Load, u.Heard = g.SetTargets, g.Load, g.Heard
+	u.Changed, u.Load, u.Heard = g.SetTargets, g.Load, g.SetFleetLoad
 	wake := make(chan struct{}, 1)
-	g.Wake, u.Wake = wake, wake
-	u.Quarantine, u.Ruled = g.Quarantine, g.Ruled
-	u.Warming, u.Seat, u.Held = g.SetWarming, g.LeaseSeat, g.Seat
+	g.PollLeader, u.Wake = wake, wake
+	u.Quarantine, u.Ruled = g.QuarantineReport, g.ApplyRestrictions
+	u.Warming, u.Seat, u.Held = g.SetColdUntil, g.SetWarmupLease, g.WarmupLease
 	// Targets that configurations list keep their names, and nobody tells their starts.
-	g.Guard = quarantine.Guard{Owner: message.Owner(u.Name, u.Inc), Named: s.List == nil}
+	g.Guard = quarantine.Guard{Owner: message.ClaimOwner(u.Name, u.Inc), IDsReused: s.List == nil}
 	s.Meters.AddCounter("lf_list_damaged_total", "Damaged entries in this router's own readings of the list of targets.",
 		func() float64 { return float64(u.Damaged()) })
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/statestore/statestore_test.go
@@ -1,4 +1,4 @@
-package ledger
+package statestore
 
 import (
 	"fmt"
@@ -14,13 +14,13 @@
 
 var start = time.Unix(1e9, 0)
 
-func (l *Ledger) claimOne(t require.TestingT, at time.Time, c message.Claim) message.Verdict {
+func (l *Store) claimOne(t require.TestingT, at time.Time, c message.Claim) message.ClaimResult {
 	r, err := l.Do(Command{At: at, Claims: []message.Claim{c}}.Encode())
 	require.NoError(t, err)
 	return r.Verdicts[0]
 }
 
-func (l *Ledger) settleOne(t require.TestingT, at time.Time, s message.Settlement) {
+func (l *Store) settleOne(t require.TestingT, at time.Time, s message.Settlement) {
 	_, err := l.Do(Command{At: at, Settlements: []message.Settlement{s}}.Encode())
 	require.NoError(t, err)
 }
@@ -31,39 +31,39 @@
 // overtakes the claim, which is still on its way.
 // Cause: the late claim finds no record and is granted.
 func TestReleaseThatOvertakesItsClaim(t *testing.T) {
-	var l Ledger
+	var l Store
 	key := KeyOf("a", "k")
-	l.settleOne(t, start, message.Settlement{Key: key, Owner: "r1/1", Attempt: 1, Fate: message.FateUnrun})
+	l.settleOne(t, start, message.Settlement{Key: key, Owner: "r1/1", Attempt: 1, State: message.RunStateNotRun})
 	v := l.claimOne(t, start, message.Claim{Key: key, Owner: "r1/1", Attempt: 1})
 	require.False(t, v.Granted)
-	require.Equal(t, message.FateUnrun, v.Fate)
+	require.Equal(t, message.RunStateNotRun, v.State)
 	require.True(t, l.claimOne(t, start, message.Claim{Key: key, Owner: "r2/1", Attempt: 1}).Granted)
 }
 
 func TestClaimSentAgainGetsTheSameAnswer(t *testing.T) {
-	var l Ledger
+	var l Store
 	c := message.Claim{Key: KeyOf("a", "k"), Owner: "r1/1", Attempt: 1}
 	require.True(t, l.claimOne(t, start, c).Granted)
 	require.True(t, l.claimOne(t, start, c).Granted)
 	other := message.Claim{Key: c.Key, Owner: "r1/1", Attempt: 2}
-	require.Equal(t, message.FateRunning, l.claimOne(t, start, other).Fate)
-	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, Fate: message.FateRan})
-	require.Equal(t, message.FateRan, l.claimOne(t, start, c).Fate)
-	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, Fate: message.FateUnrun})
-	require.Equal(t, message.FateRan, l.claimOne(t, start, other).Fate, "what ran stays so")
+	require.Equal(t, message.RunStateRunning, l.claimOne(t, start, other).State)
+	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, State: message.RunStateRan})
+	require.Equal(t, message.RunStateRan, l.claimOne(t, start, c).State)
+	l.settleOne(t, start, message.Settlement{Key: c.Key, Owner: "r1/1", Attempt: 1, State: message.RunStateNotRun})
+	require.Equal(t, message.RunStateRan, l.claimOne(t, start, other).State, "what ran stays so")
 }
 
 func TestClaimsAreBoundedAndKeptForTheirTime(t *testing.T) {
-	l := Ledger{Limit: 3}
-	claim := func(at time.Time, n int) message.Verdict {
+	l := Store{Limit: 3}
+	claim := func(at time.Time, n int) message.ClaimResult {
 		return l.claimOne(t, at, message.Claim{Key: KeyOf("a", fmt.Sprint(n)), Owner: "r1/1", Attempt: uint64(n)})
 	}
 	for n := range 3 {
 		require.True(t, claim(start, n+1).Granted)
 	}
-	require.True(t, claim(start.Add(time.Hour), 4).Full)
+	require.True(t, claim(start.Add(time.Hour), 4).ClaimsFull)
 	require.Equal(t, 3, l.Claims())
-	require.Equal(t, message.FateRunning, l.claimOne(t, start.Add(Retention), message.Claim{Key: KeyOf("a", "1"), Owner: "x"}).Fate)
+	require.Equal(t, message.RunStateRunning, l.claimOne(t, start.Add(Retention), message.Claim{Key: KeyOf("a", "1"), Owner: "x"}).State)
 	late := start.Add(Retention + generationSpan)
 	require.True(t, claim(late, 4).Granted)
 	require.Equal(t, 1, l.Claims())
@@ -73,11 +73,11 @@
 // across snapshots.
 func TestClaimsAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Ledger
+		var l Store
 		type naive struct {
 			owner   string
 			attempt uint64
-			fate    message.Fate
+			fate    message.RunState
 		}
 		records := make(map[string]naive)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -89,21 +89,21 @@
 			switch rapid.IntRange(0, 4).Draw(t, "act") {
 			case 0, 1:
 				v := l.claimOne(t, start, message.Claim{Key: key, Owner: owner, Attempt: attempt})
-				want := !found || mine && old.fate == message.FateRunning || !mine && old.fate == message.FateUnrun
+				want := !found || mine && old.fate == message.RunStateRunning || !mine && old.fate == message.RunStateNotRun
 				require.Equal(t, want, v.Granted)
 				if want {
-					records[key] = naive{owner, attempt, message.FateRunning}
+					records[key] = naive{owner, attempt, message.RunStateRunning}
 				}
 			case 2, 3:
-				fate := rapid.SampledFrom([]message.Fate{message.FateRan, message.FateUnrun, message.FateUnknown}).Draw(t, "fate")
-				l.settleOne(t, start, message.Settlement{Key: key, Owner: owner, Attempt: attempt, Fate: fate})
-				if mine && old.fate != message.FateRan || !found && fate == message.FateUnrun {
+				fate := rapid.SampledFrom([]message.RunState{message.RunStateRan, message.RunStateNotRun, message.RunStateUnknown}).Draw(t, "fate")
+				l.settleOne(t, start, message.Settlement{Key: key, Owner: owner, Attempt: attempt, State: fate})
+				if mine && old.fate != message.RunStateRan || !found && fate == message.RunStateNotRun {
 					records[key] = naive{owner, attempt, fate}
 				}
 			default:
 				data, err := l.Snapshot()
 				require.NoError(t, err)
-				l = Ledger{}
+				l = Store{}
 				require.NoError(t, l.Restore(data))
 			}
 			require.Equal(t, len(records), l.Claims())
@@ -112,8 +112,8 @@
 }
 
 func TestConfigurationsSentAgain(t *testing.T) {
-	var l Ledger
-	apply := func(number uint64, share float64) message.Applied {
+	var l Store
+	apply := func(number uint64, share float64) message.ApplyResult {
 		c := fleet.Config{Number: number, Accounts: []fleet.Account{{Name: "a", Share: share}}}
 		r, err := l.Do(Command{At: start, Apply: &Apply{Config: c.JSON(), Operator: "op"}}.Encode())
 		require.NoError(t, err)
@@ -123,15 +123,15 @@
 	require.False(t, apply(1, 1).Conflict, "the same again")
 	require.True(t, apply(1, 2).Conflict, "other content")
 	require.False(t, apply(3, 1).Conflict)
-	require.Zero(t, apply(3, 1).Replaced, "it is in force")
+	require.Zero(t, apply(3, 1).NewerNumber, "it is in force")
 	require.False(t, apply(1, 1).Conflict, "accepted before, and replaced since")
-	require.Equal(t, uint64(3), apply(1, 1).Replaced, "the answer says which is in force")
+	require.Equal(t, uint64(3), apply(1, 1).NewerNumber, "the answer says which is in force")
 	conflict := apply(2, 1)
 	require.True(t, conflict.Conflict)
 	require.Equal(t, uint64(3), conflict.Number)
 	data, err := l.Snapshot()
 	require.NoError(t, err)
-	var again Ledger
+	var again Store
 	require.NoError(t, again.Restore(data))
 	require.Equal(t, l.Digest(), again.Digest())
 	require.Equal(t, l.History(), again.History())
@@ -142,13 +142,13 @@
 	f.Add([]byte(`{"apply":{"config":{}}}`))
 	f.Add([]byte(`{`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var l Ledger
+		var l Store
 		if _, err := l.Do(data); err != nil {
 			return
 		}
 		snap, err := l.Snapshot()
 		require.NoError(t, err)
-		var again Ledger
+		var again Store
 		require.NoError(t, again.Restore(snap))
 		require.Equal(t, l.Claims(), again.Claims())
 	})
@@ -157,7 +157,7 @@
 // Whatever stands in place of a snapshot is an error that changes nothing, or a state that
 // can be stored again.
 func FuzzRestore(f *testing.F) {
-	var l Ledger
+	var l Store
 	_, err := l.Do(Command{At: start, Claims: []message.Claim{{Key: "k", Owner: "o"}}}.Encode())
 	require.NoError(f, err)
 	good, err := l.Snapshot()
@@ -167,7 +167,7 @@
 	f.Add([]byte(`{"config":7,"document":{"number":-1}}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var l Ledger
+		var l Store
 		if err := l.Restore(data); err != nil {
 			require.Zero(t, l.Claims())
 			require.Zero(t, l.Number())
@@ -175,7 +175,7 @@
 		}
 		snap, err := l.Snapshot()
 		require.NoError(t, err)
-		var again Ledger
+		var again Store
 		require.NoError(t, again.Restore(snap))
 		require.Equal(t, l.Claims(), again.Claims())
 		require.Equal(t, l.Digest(), again.Digest())
--- a/internal/workload/request.go
+++ b/internal/workload/request.go
@@ -83,7 +83,7 @@
 
 // watch lets a caller leave once nothing has come for too long.
 func (w *world) watch(r *request) {
-	gone := r.last.Add(r.route.Patience())
+	gone := r.last.Add(r.route.AbandonAfter())
 	if until := r.until(); until.Before(gone) {
 		gone = until
 	}
@@ -91,7 +91,7 @@
 		if r.fate != pending {
 			return
 		}
-		if w.now.Before(r.last.Add(r.route.Patience())) && w.now.Before(r.until()) {
+		if w.now.Before(r.last.Add(r.route.AbandonAfter())) && w.now.Before(r.until()) {
 			w.watch(r)
 			return
 		}
@@ -108,7 +108,7 @@
 	}
 	w.engines[a.engine].Cancel(a.id)
 	delete(w.jobs[a.engine], a.id)
-	w.end(a, placement.Left)
+	w.end(a, placement.Canceled)
 }
 
 // end tells the policy once how an attempt ended.
@@ -143,7 +143,7 @@
 func (w *world) offer(a *attempt) {
 	job := engine.Job{ID: a.id, Parts: a.parts, Output: a.output, From: w.source(a)}
 	if w.away[a.engine] {
-		w.after(w.hop(a.router, a.engine), func() { w.elsewhere(a, placement.Unreached) })
+		w.after(w.hop(a.router, a.engine), func() { w.elsewhere(a, placement.ConnectFailed) })
 		return
 	}
 	if a.fate != pending || !w.engines[a.engine].Offer(w.now, job) {
@@ -173,7 +173,7 @@
 	if a.fate != pending {
 		return
 	}
-	if a.sent < a.route.Attempts {
+	if a.sent < a.route.MaxAttempts {
 		w.send(a)
 		return
 	}
