--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -136,7 +136,7 @@
 	for i, event := range c.Events {
 		v.event(fmt.Sprintf("event.%d", i), event, eventNames, accountNames, targetNames)
 	}
-	v.check(c.Capacity >= 0, "capacity", "give the throughput of all engines in tokens per second, or leave it out", "the capacity is %v", c.Capacity)
+	v.check(c.Capacity >= 0, "capacity", "give the engines' tokens a second, or leave it out", "the capacity is %v", c.Capacity)
 	v.limits(c.Limits)
 	poolNames := make(map[string]bool, len(c.Pools))
 	for i, pool := range c.Pools {
@@ -152,14 +152,14 @@
 	v.name(key+".name", account.Name, seen)
 	v.check(account.Share > 0 && account.Share <= 1e6, key+".share", "give a share above 0, up to 1000000",
 		"account %q has the share %v", account.Name, account.Share)
-	v.check(account.QueueLimit >= 0, key+".queue", "give 0 for the default, or a positive limit",
-		"account %q has the queue limit %d", account.Name, account.QueueLimit)
+	v.check(account.QueueLimit >= 0, key+".queue", "give 0 for the default, or a positive bound",
+		"account %q has the queue bound %d", account.Name, account.QueueLimit)
 	for _, digest := range account.Keys {
 		v.check(keyPattern.MatchString(digest), key+".keys", `write "sha256:" and 64 hex digits; lfctl digest prints it for a key`,
-			"account %q has a key that is not a SHA-256 digest", account.Name)
+			"account %q has a key that is no digest", account.Name)
 		other, taken := accountByKey[digest]
-		v.check(!taken, key+".keys", "give each key to one account only",
-			"accounts %q and %q have the same key", other, account.Name)
+		v.check(!taken, key+".keys", "give each account keys of its own",
+			"accounts %q and %q have a key in common", other, account.Name)
 		accountByKey[digest] = account.Name
 	}
 }
@@ -169,13 +169,13 @@
 	v.check(validAddress(target.Address), key+".address", `write "IP:PORT"`,
 		"target %q has the address %q", target.Name, target.Address)
 	other, taken := targetByAddress[target.Address]
-	v.check(!taken, key+".address", "give each target an address of its own, or its slots are counted twice",
+	v.check(!taken, key+".address", "name each address once, or its slots would be counted twice",
 		"targets %q and %q have the same address", other, target.Name)
 	targetByAddress[target.Address] = target.Name
 	v.check(target.Zone != "", key+".zone", "name the target's availability zone", "target %q has no zone", target.Name)
 	v.check(target.Kind == TargetEngine || target.Kind == TargetService, key+".kind", `write "engine" or "service"`,
 		"target %q has the kind %q", target.Name, target.Kind)
-	v.check(target.Slots > 0 && target.Slots <= maxSlots, key+".slots", "give the number of requests it runs at a time, 1 to 65536",
+	v.check(target.Slots > 0 && target.Slots <= maxSlots, key+".slots", "give the requests it takes at a time, 1 to 65536",
 		"target %q has %d slots", target.Name, target.Slots)
 	v.check(target.State == TargetLive || target.State == TargetLeaving, key+".state", `write "live" or "leaving"`,
 		"target %q has the state %q", target.Name, target.State)
@@ -183,7 +183,7 @@
 
 func (v *validator) event(key string, event Event, seen, accountNames, targetNames map[string]bool) {
 	v.name(key+".name", event.Name, seen)
-	v.check(event.Start.IsZero() || event.End.IsZero() || event.Start.Before(event.End), key+".end", "give an end after the start",
+	v.check(event.Start.IsZero() || event.End.IsZero() || event.Start.Before(event.End), key+".end", "let the event end after its start",
 		"event %q ends before it starts", event.Name)
 	referrer := fmt.Sprintf("event %q", event.Name)
 	v.references(key+".accounts", "account", referrer, event.Accounts, accountNames)
@@ -193,17 +193,17 @@
 func (v *validator) references(key, kind, referrer string, names []string, known map[string]bool) {
 	seen := make(map[string]bool, len(names))
 	for _, name := range names {
-		v.check(known[name], key, fmt.Sprintf("declare [[%s]] %q or remove it", kind, name),
+		v.check(known[name], key, fmt.Sprintf("declare [[%s]] %q or take it out", kind, name),
 			"%s names the unknown %s %q", referrer, kind, name)
-		v.check(!seen[name], key, "list it once", "%s lists the %s %q twice", referrer, kind, name)
+		v.check(!seen[name], key, "name it once", "%s names the %s %q twice", referrer, kind, name)
 		seen[name] = true
 	}
 }
 
 func (v *validator) name(key, name string, seen map[string]bool) {
 	v.check(len(name) <= maxNameLength && namePattern.MatchString(name), key,
-		"use up to 64 of a-z, 0-9, '.', '_' and '-'", "%q is not a valid name", name)
-	v.check(!seen[name], key, "give each entry a name of its own", "the name %q is used twice", name)
+		"use up to 64 of a-z, 0-9, '.', '_' and '-'", "%q is no name", name)
+	v.check(!seen[name], key, "give each its own name", "the name %q stands twice", name)
 	seen[name] = true
 }
 
--- a/internal/fleet/declare.go
+++ b/internal/fleet/declare.go
@@ -114,39 +114,39 @@
 
 func (v *validator) limits(limits LimitSpec) {
 	v.check(limits.MaxHeaderBytes >= 0 && limits.MaxBodyBytes >= 0 && limits.HeaderTimeout >= 0 && limits.IdleTimeout >= 0, "limits",
-		"give sizes and times above 0, or leave them out", "a limit is negative")
+		"give bytes and times above 0, or leave them out", "a limit is negative")
 }
 
 func (v *validator) pool(key string, pool PoolSpec, seen, targetNames map[string]bool) {
 	v.name(key+".name", pool.Name, seen)
 	v.references(key+".targets", "target", fmt.Sprintf("pool %q", pool.Name), pool.Targets, targetNames)
 	v.check(pool.WarmupTime >= 0 && pool.WarmupRate >= 0 && (pool.WarmupTime > 0) == (pool.WarmupRate > 0), key+".warm",
-		`give both warm, such as "3s", and pace, in requests per second, or leave both out`, "pool %q is cold for %v at %v requests per second", pool.Name, time.Duration(pool.WarmupTime), pool.WarmupRate)
+		`give both warm, as "3s", and pace, in requests a second, or leave both out`, "pool %q is cold for %v at %v a second", pool.Name, time.Duration(pool.WarmupTime), pool.WarmupRate)
 }
 
 func (v *validator) route(key string, route RouteSpec, seen, poolNames map[string]bool, routeByHostAndPrefix map[string]string) {
 	v.name(key+".name", route.Name, seen)
 	v.check(strings.HasPrefix(route.Prefix, "/") && strings.HasSuffix(route.Prefix, "/"), key+".prefix",
-		"write a prefix that begins and ends with a slash", "route %q has the prefix %q", route.Name, route.Prefix)
+		"let it begin and end with a slash", "route %q has the prefix %q", route.Name, route.Prefix)
 	hostAndPrefix := strings.ToLower(route.Host) + route.Prefix
 	other, taken := routeByHostAndPrefix[hostAndPrefix]
-	v.check(!taken, key+".prefix", "give each route a host and prefix of its own",
+	v.check(!taken, key+".prefix", "give each route a place of its own",
 		"routes %q and %q have the same host and prefix", other, route.Name)
 	routeByHostAndPrefix[hostAndPrefix] = route.Name
 	v.check(route.Host != "", key+".host", "name the host that callers send to", "route %q has no host", route.Name)
 	v.check(route.Kind == RouteIdempotent || route.Kind == RouteAtMostOnce || route.Kind == RouteStream, key+".kind",
 		`write "idempotent", "once" or "stream"`, "route %q has the kind %q", route.Name, route.Kind)
-	v.check(!route.Resumable || route.Kind == RouteStream, key+".resume", "only streams can be resumed", "route %q is not a stream", route.Name)
-	v.check(route.Timeout > 0, key+".timeout", `give the longest time that callers wait, such as "10s"`, "route %q has no timeout", route.Name)
-	v.check(route.LatencyObjective >= 0 && route.MaxEventGap >= 0 && route.MaxAttempts >= 0 && route.Priority >= 0, key, "give values of 0 or more",
-		"route %q has a negative value", route.Name)
+	v.check(!route.Resumable || route.Kind == RouteStream, key+".resume", "only streams can be resumed", "route %q is no stream", route.Name)
+	v.check(route.Timeout > 0, key+".timeout", `write how long callers are kept waiting, as "10s"`, "route %q has no timeout", route.Name)
+	v.check(route.LatencyObjective >= 0 && route.MaxEventGap >= 0 && route.MaxAttempts >= 0 && route.Priority >= 0, key, "give no negative figures",
+		"route %q has a negative figure", route.Name)
 	totalWeight := 0
 	for _, pool := range route.Pools {
-		v.check(poolNames[pool.Pool], key+".pools", fmt.Sprintf("declare [[pool]] %q or remove it", pool.Pool),
+		v.check(poolNames[pool.Pool], key+".pools", fmt.Sprintf("declare [[pool]] %q or take it out", pool.Pool),
 			"route %q names the unknown pool %q", route.Name, pool.Pool)
 		v.check(pool.Weight >= 0, key+".pools", "give weights of 0 or more", "route %q has a negative weight", route.Name)
 		totalWeight += pool.Weight
 	}
-	v.check(totalWeight > 0, key+".pools", `give at least one pool a weight above 0, such as pools = [{ pool = "a", weight = 1 }]`,
-		"the weights of route %q add up to 0", route.Name)
+	v.check(totalWeight > 0, key+".pools", `give at least one pool a weight, as pools = [{ pool = "a", weight = 1 }]`,
+		"the weights of route %q add up to nothing", route.Name)
 }
