--- a/internal/keeperclient/fuzz_test.go
+++ b/internal/keeperclient/fuzz_test.go
@@ -40,8 +40,8 @@
 		placer := &placement.Placer{}
 		now := client.Clock.Now()
 		client.OnChange = func(_ State, targets []fleet.Instance) { placer.SetTargets(now, targets) }
-		client.OnFleetLoad = func(now time.Time, _ []message.Demand, others []message.Backlog) {
-			placer.SetRemoteBacklog(now, others)
+		client.OnFleetLoad = func(now time.Time, _ []message.Demand, backlog []message.Backlog) {
+			placer.SetRemoteBacklog(now, backlog)
 		}
 		client.receiveTargets(t, now.Add(-time.Minute), 1, newInstance("before", 1, false))
 		client.applyLeaderResponse(now, "k", nil, response)
--- a/internal/keeperclient/keeperclient_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -238,7 +238,7 @@
 }
 
 // Guards against a router that never gets a large configuration. The response takes longer than
-// hedgeDelay, and the router must not give the request up for a new one each time.
+// hedgeDelay, and the router must not abandon the request and send a new one each time.
 func TestAcceptsResponseSlowerThanHedgeDelay(t *testing.T) {
 	keeper := startKeeper(t)
 	keeper.configDelay = 2 * hedgeDelay
--- a/internal/keeperclient/restart_test.go
+++ b/internal/keeperclient/restart_test.go
@@ -39,15 +39,15 @@
 }
 
 func newRestartScenario(seed uint64, drained, listsStarts bool) *restartScenario {
-	s := &restartScenario{listsStarts: listsStarts, drained: drained, random: rand.New(rand.NewPCG(seed, 7))}
-	s.drainAt = 10*time.Second + s.randomDuration(2*time.Second)
-	s.endAt = s.drainAt
+	scenario := &restartScenario{listsStarts: listsStarts, drained: drained, random: rand.New(rand.NewPCG(seed, 7))}
+	scenario.drainAt = 10*time.Second + scenario.randomDuration(2*time.Second)
+	scenario.endAt = scenario.drainAt
 	if drained {
-		s.endAt += minDrainTime + s.randomDuration(time.Second)
+		scenario.endAt += minDrainTime + scenario.randomDuration(time.Second)
 	}
-	s.startAt = s.endAt + time.Second + s.randomDuration(7*time.Second)
-	s.unlistedAt = s.endAt + 2*time.Second + s.randomDuration(3*time.Second)
-	return s
+	scenario.startAt = scenario.endAt + time.Second + scenario.randomDuration(7*time.Second)
+	scenario.unlistedAt = scenario.endAt + 2*time.Second + scenario.randomDuration(3*time.Second)
+	return scenario
 }
 
 func (s *restartScenario) randomDuration(limit time.Duration) time.Duration {
--- a/internal/keeperclient/round.go
+++ b/internal/keeperclient/round.go
@@ -71,9 +71,9 @@
 	r.send(ctx, r.client.nextCandidate(), r.client.likelyLeader == "")
 }
 
-// handleReply processes a reply and reports whether the round is over: either a leader has
-// answered, or no leader is known and a new round is better than waiting for a keeper that may
-// have failed. Any other reply determines which keeper to ask next.
+// handleReply processes a reply and reports whether the round is over. It is over if the leader
+// has answered, or if no leader is known: then a new round soon is better than waiting for a
+// keeper that may have failed. Any other reply determines which keeper to ask next.
 func (r *renewalRound) handleReply(ctx context.Context, reply renewalReply) bool {
 	client := r.client
 	if r.pendingConns[reply.address] == reply.conn {
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -18,7 +18,7 @@
 		r.metrics.handler(ctx)
 	case "/state":
 		var state dispatch.View
-		r.loop.runAndWait(func(now time.Time, s *dispatch.Scheduler) { state = s.View(now) })
+		r.loop.runAndWait(func(now time.Time, scheduler *dispatch.Scheduler) { state = scheduler.View(now) })
 		writeJSON(ctx, fasthttp.StatusOK, state)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -27,7 +27,7 @@
 
 func (r *Router) serveHealth(ctx *fasthttp.RequestCtx) {
 	healthy := false
-	r.loop.runAndWait(func(now time.Time, s *dispatch.Scheduler) { healthy = s.Ready(now) })
+	r.loop.runAndWait(func(now time.Time, scheduler *dispatch.Scheduler) { healthy = scheduler.Ready(now) })
 	if !healthy {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		ctx.SetBodyString("no lease, or stopping\n")
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -20,8 +20,8 @@
 			return // the suspicion expires; no list reports the state of the targets of events
 		}
 		aliveAt := r.Clock.Now().Add(-target.ProbeSlack)
-		handle := func(now time.Time, s *dispatch.Scheduler) {
-			s.HandleProbeResult(now, aliveAt, dest.Name, result == target.Terminated)
+		handle := func(now time.Time, scheduler *dispatch.Scheduler) {
+			scheduler.HandleProbeResult(now, aliveAt, dest.Name, result == target.Terminated)
 		}
 		select {
 		case r.loop.inputs <- handle:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -56,7 +56,7 @@
 	requestIDPrefix string
 }
 
-// Run serves until ctx ends and no request is in progress.
+// Run serves until ctx ends, and then until no request is in progress or the grace period is over.
 func (r *Router) Run(ctx context.Context) error {
 	secret, err := os.ReadFile(r.Settings.Secret)
 	if err != nil {
--- a/internal/router/schedulerloop.go
+++ b/internal/router/schedulerloop.go
@@ -36,7 +36,7 @@
 }
 
 // An input is an operation on the scheduler.
-type input func(now time.Time, s *dispatch.Scheduler)
+type input func(now time.Time, scheduler *dispatch.Scheduler)
 
 // A pendingRequest is a caller's request in progress.
 type pendingRequest struct {
@@ -118,43 +118,43 @@
 }
 
 func (l *schedulerLoop) submit(pending *pendingRequest, request dispatch.Request) {
-	l.inputs <- func(now time.Time, s *dispatch.Scheduler) {
+	l.inputs <- func(now time.Time, scheduler *dispatch.Scheduler) {
 		l.requests[pending.id] = pending
-		s.Submit(now, request)
+		scheduler.Submit(now, request)
 	}
 }
 
 func (l *schedulerLoop) disconnect(id uint64) {
-	l.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.HandleDisconnect(now, id) }
+	l.inputs <- func(now time.Time, scheduler *dispatch.Scheduler) { scheduler.HandleDisconnect(now, id) }
 }
 
 // attemptEnded reports the end of an attempt to the scheduler. A request with a started or
 // complete response gets no further decision.
 func (l *schedulerLoop) attemptEnded(id uint64, result dispatch.AttemptResult) {
-	l.inputs <- func(now time.Time, s *dispatch.Scheduler) {
+	l.inputs <- func(now time.Time, scheduler *dispatch.Scheduler) {
 		if result.ResponseComplete || result.ResponseStarted {
 			delete(l.requests, id)
 		}
-		s.HandleAttemptEnd(now, id, result)
+		scheduler.HandleAttemptEnd(now, id, result)
 	}
 }
 
 func (l *schedulerLoop) claimDone(id uint64, result message.ClaimResult, lost bool) {
-	l.inputs <- func(now time.Time, s *dispatch.Scheduler) { s.HandleClaimResult(now, id, result, lost) }
+	l.inputs <- func(now time.Time, scheduler *dispatch.Scheduler) { scheduler.HandleClaimResult(now, id, result, lost) }
 }
 
 func (l *schedulerLoop) applyGrant(grant message.Grant, done func(inForce bool)) {
-	l.inputs <- func(now time.Time, s *dispatch.Scheduler) { done(s.HandleGrant(now, grant)) }
+	l.inputs <- func(now time.Time, scheduler *dispatch.Scheduler) { done(scheduler.HandleGrant(now, grant)) }
 }
 
 func (l *schedulerLoop) stop() {
-	l.runAndWait(func(now time.Time, s *dispatch.Scheduler) { s.Stop(now) })
+	l.runAndWait(func(now time.Time, scheduler *dispatch.Scheduler) { scheduler.Stop(now) })
 }
 
 // idle reports whether no request is in progress. It returns true after the loop has ended.
 func (l *schedulerLoop) idle() bool {
 	idle := true
-	l.runAndWait(func(_ time.Time, s *dispatch.Scheduler) { idle = s.Idle() })
+	l.runAndWait(func(_ time.Time, scheduler *dispatch.Scheduler) { idle = scheduler.Idle() })
 	return idle
 }
 
@@ -162,9 +162,9 @@
 // Goroutines that outlive the loop must not block on it.
 func (l *schedulerLoop) runAndWait(handle input) {
 	handled := make(chan struct{})
-	wrapped := func(now time.Time, s *dispatch.Scheduler) {
+	wrapped := func(now time.Time, scheduler *dispatch.Scheduler) {
 		defer close(handled)
-		handle(now, s)
+		handle(now, scheduler)
 	}
 	select {
 	case l.inputs <- wrapped:
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -215,9 +215,9 @@
 	}
 }
 
-// retryAfter returns the time until at in whole seconds, at least one.
-func retryAfter(now, at time.Time) string {
-	seconds := int64((at.Sub(now) + time.Second - 1) / time.Second)
+// retryAfter returns the time until retryAt in whole seconds, at least one.
+func retryAfter(now, retryAt time.Time) string {
+	seconds := int64((retryAt.Sub(now) + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(seconds, 1), 10)
 }
 
--- a/internal/target/socket.go
+++ b/internal/target/socket.go
@@ -30,8 +30,8 @@
 	return n, peekErr
 }
 
-// IsIdle reports whether a connection is open and has no unread bytes. Bytes on a connection over
-// which nothing was sent answer no request.
+// IsIdle reports whether a connection is open and has no unread bytes. Bytes that arrive before
+// anything was sent belong to no request.
 func IsIdle(conn net.Conn) bool {
 	_, err := peek(conn)
 	return errors.Is(err, unix.EAGAIN)
