--- a/internal/cmd/ctlcmd.go
+++ b/internal/cmd/ctlcmd.go
@@ -100,8 +100,8 @@
 	return nil, fleet.NewError(fleet.KindMalformed, "call a keeper", "lfctl serves no calls")
 }
 
-// Notice implements rpc.Handler.
-func (noPeer) Notice(*rpc.Conn, string, json.RawMessage) {}
+// Notify implements rpc.Handler.
+func (noPeer) Notify(*rpc.Conn, string, json.RawMessage) {}
 
 // call asks the leading keeper, whichever it is, until timeout. Every call of
 // lfctl may be sent again: the same request is carried out once.
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -43,7 +43,7 @@
 	}
 	if e.ctl.JSON {
 		return e.ctl.printJSON(struct {
-			*explain.Story
+			*explain.RequestReport
 			Cause explain.Cause
 		}{story, story.Cause()})
 	}
--- a/internal/cmd/keepercmd.go
+++ b/internal/cmd/keepercmd.go
@@ -28,7 +28,7 @@
 	p := program[settings.Keeper]{name: "lf-keeper", read: settings.ReadKeeper}
 	p.run = func(ctx context.Context, s settings.Keeper) error {
 		k := &keeper.Keeper{
-			Settings: s, Log: settings.Logger(s.Name, s.Level, s.Format), Clock: clock.NewRealClock(),
+			Settings: s, Log: settings.NewLogger(s.Name, s.Level, s.Format), Clock: clock.NewRealClock(),
 			Disk: &journal.RealDisk{Folder: s.Data}, Init: o.Init,
 		}
 		go func() { _ = (&stall.Monitor{Log: k.Log}).Run(ctx) }() // it ends with ctx only
--- a/internal/cmd/localcmd.go
+++ b/internal/cmd/localcmd.go
@@ -169,7 +169,7 @@
 		return err
 	}
 	k := &keeper.Keeper{
-		Settings: s, Log: settings.Logger("k1", l.options.Level, ""), Clock: clock.NewRealClock(),
+		Settings: s, Log: settings.NewLogger("k1", l.options.Level, ""), Clock: clock.NewRealClock(),
 		Disk: disk, Init: len(names) == 0,
 	}
 	return k.Run(ctx)
@@ -184,9 +184,9 @@
 	r := &router.Router{
 		Settings: settings.Router{
 			Name: name, Zone: "regina", Listen: address, Admin: admin, Keepers: []string{l.keeper}, Secret: l.secret,
-			Hosts: l.hosts[i], Routes: settings.DefaultRoutes(),
+			RouteListen: l.hosts[i], Routing: settings.DefaultRouting(),
 		},
-		Log:   settings.Logger(name, l.options.Level, ""),
+		Log:   settings.NewLogger(name, l.options.Level, ""),
 		Clock: clock.NewRealClock(),
 	}
 	return r.Run(ctx)
--- a/internal/cmd/lossescmd.go
+++ b/internal/cmd/lossescmd.go
@@ -8,7 +8,7 @@
 
 // lossesCmd is "lfctl losses FILE…".
 type lossesCmd struct {
-	By   explain.By `long:"by" choice:"route" choice:"account" choice:"size" default:"route" description:"what to tell them by"`
+	By   explain.Grouping `long:"by" choice:"route" choice:"account" choice:"size" default:"route" description:"what to tell them by"`
 	Args struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
 	} `positional-args:"yes"`
@@ -23,12 +23,12 @@
 
 // Execute implements flags.Commander.
 func (c *lossesCmd) Execute([]string) error {
-	list, err := explain.LossesOf(logFiles(c.Args.Files), c.By)
+	list, err := explain.ReadLossStats(logFiles(c.Args.Files), c.By)
 	if err != nil {
 		return err
 	}
 	if c.ctl.JSON {
 		return c.ctl.printJSON(list)
 	}
-	return explain.PrintLosses(c.ctl.stdout, list)
+	return explain.PrintLossStats(c.ctl.stdout, list)
 }
--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -106,7 +106,7 @@
 			source = "signal"
 		case <-ticker.C:
 		}
-		s, err := p.settings.Reread()
+		s, err := p.settings.Reload()
 		if err != nil {
 			p.log.Warn("settings cannot be read: going on with those before", "source", source, "error", err)
 			continue
@@ -128,7 +128,7 @@
 	}
 	r := &routing.Service{
 		Settings: s, Listen: s.Listen, Clock: clock.NewRealClock(), Log: p.log, Dialect: platform.Headers{},
-		Decode: platform.Decode, List: platform.NewList(p.settings.List), Meters: gateway.NewMetrics(),
+		Decode: platform.DecodeConfig, List: platform.NewTargetList(p.settings.List), Meters: gateway.NewMetrics(),
 	}
 	r.Meters.AddCounter("lf_log_dropped_total", "Log lines that were left out.", func() float64 { return float64(p.ring.Dropped()) })
 	r.Meters.AddCounter("lf_stalled_seconds_total", "For how long this process did not run.", func() float64 {
@@ -183,10 +183,10 @@
 	}
 	k := &keeper.Keeper{
 		Settings: s, Log: p.log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: s.Data},
-		Init: founds, TargetList: platform.NewList(p.settings.List),
+		Init: founds, TargetList: platform.NewTargetList(p.settings.List),
 	}
 	k.ServeControlAPI = func(ctx context.Context, c *keeper.LeaderClient) error {
-		control := &platform.Control{Keeper: c, Log: p.log}
+		control := &platform.OperatorServer{Keeper: c, Log: p.log}
 		return control.Run(ctx, p.settings.Operators)
 	}
 	if h.Keeper != nil {
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -38,7 +38,7 @@
 	var o platformOptions
 	p := program[settings.Router]{name: "lf-router", read: settings.ReadRouter}
 	p.run = func(ctx context.Context, s settings.Router) error {
-		r := &router.Router{Settings: s, Log: settings.Logger(s.Name, s.Level, s.Format), Clock: clock.NewRealClock()}
+		r := &router.Router{Settings: s, Log: settings.NewLogger(s.Name, s.Level, s.Format), Clock: clock.NewRealClock()}
 		go func() { _ = (&stall.Monitor{Log: r.Log}).Run(ctx) }() // it ends with ctx only
 		return r.Run(ctx)
 	}
--- a/internal/cmd/sizescmd.go
+++ b/internal/cmd/sizescmd.go
@@ -22,12 +22,12 @@
 
 // Execute implements flags.Commander.
 func (s *sizesCmd) Execute([]string) error {
-	list, err := explain.SizesOf(logFiles(s.Args.Files))
+	list, err := explain.ReadSizeStats(logFiles(s.Args.Files))
 	if err != nil {
 		return err
 	}
 	if s.ctl.JSON {
 		return s.ctl.printJSON(list)
 	}
-	return explain.PrintSizes(s.ctl.stdout, list)
+	return explain.PrintSizeStats(s.ctl.stdout, list)
 }
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -20,7 +20,7 @@
 var writers sync.Pool
 
 // Pack returns a text in its packed form.
-func Pack(text []byte) ([]byte, error) {
+func Compress(text []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, ok := writers.Get().(*gzip.Writer)
 	if !ok {
@@ -38,7 +38,7 @@
 }
 
 // Unpack returns the text of a packed form, byte by byte as it was.
-func Unpack(data []byte) ([]byte, error) {
+func Decompress(data []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, fmt.Errorf("unpack a text (it was damaged, or packed by another version): %w", err)
--- a/internal/codec/json.go
+++ b/internal/codec/json.go
@@ -6,18 +6,18 @@
 )
 
 // PackJSON returns a value as packed JSON.
-func PackJSON[T any](value T) ([]byte, error) {
+func CompressJSON[T any](value T) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return nil, fmt.Errorf("pack a value: %w", err)
 	}
-	return Pack(text)
+	return Compress(text)
 }
 
 // UnpackJSON returns the value of packed JSON.
-func UnpackJSON[T any](data []byte) (T, error) {
+func DecompressJSON[T any](data []byte) (T, error) {
 	var value T
-	text, err := Unpack(data)
+	text, err := Decompress(data)
 	if err != nil {
 		return value, err
 	}
--- a/internal/codec/sample.go
+++ b/internal/codec/sample.go
@@ -10,19 +10,19 @@
 
 // A Sample packs short texts that look alike. What stands in its text takes next to nothing in
 // theirs. Both ends must have the same; set Text, then call the methods.
-type Sample struct {
-	Text []byte
+type DictionaryCodec struct {
+	Dictionary []byte
 
 	writers, readers sync.Pool
 }
 
 // Pack returns a text in its packed form.
-func (s *Sample) Pack(text []byte) ([]byte, error) {
+func (s *DictionaryCodec) Compress(text []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, ok := s.writers.Get().(*flate.Writer)
 	if !ok {
 		var err error
-		if w, err = flate.NewWriterDict(nil, flate.DefaultCompression, s.Text); err != nil {
+		if w, err = flate.NewWriterDict(nil, flate.DefaultCompression, s.Dictionary); err != nil {
 			return nil, fmt.Errorf("pack a short text: %w", err)
 		}
 	}
@@ -35,13 +35,13 @@
 }
 
 // Unpack returns the text of a packed form, byte by byte as it was.
-func (s *Sample) Unpack(data []byte) ([]byte, error) {
+func (s *DictionaryCodec) Decompress(data []byte) ([]byte, error) {
 	source := bytes.NewReader(data)
 	r, ok := s.readers.Get().(io.Reader)
 	if !ok {
-		r = flate.NewReaderDict(source, s.Text)
+		r = flate.NewReaderDict(source, s.Dictionary)
 	} else if again, ok := r.(flate.Resetter); ok {
-		if err := again.Reset(source, s.Text); err != nil {
+		if err := again.Reset(source, s.Dictionary); err != nil {
 			return nil, fmt.Errorf("unpack a text (it was damaged): %w", err)
 		}
 	}
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -31,7 +31,7 @@
 }
 
 // Cause works out the cause.
-func (s *Story) Cause() Cause {
+func (s *RequestReport) Cause() Cause {
 	end := s.End()
 	if end == nil {
 		return s.unended()
@@ -58,12 +58,12 @@
 
 // A tell puts a reason into words with what the lines say.
 type tell struct {
-	why  func(s *Story, end *Line) string
+	why  func(s *RequestReport, end *Line) string
 	look string
 }
 
-func always(text string) func(*Story, *Line) string {
-	return func(*Story, *Line) string { return text }
+func always(text string) func(*RequestReport, *Line) string {
+	return func(*RequestReport, *Line) string { return text }
 }
 
 // causes has one entry for each reason.
@@ -125,8 +125,8 @@
 	},
 }
 
-func withError(text string) func(*Story, *Line) string {
-	return func(_ *Story, end *Line) string {
+func withError(text string) func(*RequestReport, *Line) string {
+	return func(_ *RequestReport, end *Line) string {
 		if end.Error == "" {
 			return text
 		}
@@ -135,7 +135,7 @@
 }
 
 // answered explains a whole answer: a target's failure, or where its time went.
-func answered(s *Story, end *Line) string {
+func answered(s *RequestReport, end *Line) string {
 	last := s.Last()
 	switch {
 	case last == nil:
@@ -163,11 +163,11 @@
 	return " (the prompt's parts belong elsewhere)"
 }
 
-func behind(_ *Story, end *Line) string {
+func behind(_ *RequestReport, end *Line) string {
 	return fmt.Sprintf("the first byte was predicted after %d ms, when its caller would have left; %.0f%% of the best target's slots were taken", end.Wait, 100*end.Load)
 }
 
-func left(s *Story, end *Line) string {
+func left(s *RequestReport, end *Line) string {
 	text := fmt.Sprintf("its caller left after %d ms", end.Took)
 	if last := s.Last(); last != nil {
 		text += fmt.Sprintf(", while target %s had it for %d ms (%d predicted to the first byte, which came after %d)", last.Target, last.Took, last.Predicted, last.First)
@@ -176,8 +176,8 @@
 	return text + ", before it was sent to a target"
 }
 
-func crowded(s *Story, _ *Line) string {
-	all, unrun := s.Pool.All(), s.Pool[fleet.AttemptNotRun]
+func crowded(s *RequestReport, _ *Line) string {
+	all, unrun := s.Pool.Total(), s.Pool[fleet.AttemptNotRun]
 	text := "its service was asked for more than it can do, and the request was kept back as surplus of its account or route"
 	if all > 0 {
 		text += fmt.Sprintf(": of %d attempts there around that time, it refused %d", all, unrun)
@@ -185,7 +185,7 @@
 	return text
 }
 
-func noKeys(s *Story, end *Line) string {
+func noKeys(s *RequestReport, end *Line) string {
 	text := "the router had no answer from a leading keeper for longer than its lease on keys lasts"
 	for _, l := range s.Known {
 		if l.Message == messageNoLeader {
@@ -202,22 +202,22 @@
 	return text
 }
 
-func overShare(s *Story, end *Line) string {
+func overShare(s *RequestReport, end *Line) string {
 	refused := s.Account[fleet.ReasonOverShare]
 	text := fmt.Sprintf("its account asked for more than its share (%d of its %d requests around that time were refused for that), and targets had no room beside: %d ms were predicted to the first byte, %.0f%% of the best target's slots taken",
-		refused, s.Account.All(), end.Wait, 100*end.Load)
+		refused, s.Account.Total(), end.Wait, 100*end.Load)
 	if end.Excess > 1 {
 		text += fmt.Sprintf("; the account was served %.1f times as much as another that lacked service", end.Excess)
 	}
 	return text
 }
 
-func heldBack(_ *Story, end *Line) string {
+func heldBack(_ *RequestReport, end *Line) string {
 	return fmt.Sprintf("%d targets have ended under requests like it (same account, method, path and body; print %s), so it is held back: each run may take another target away from everybody",
 		end.Ends, end.Print)
 }
 
-func stopping(s *Story, end *Line) string {
+func stopping(s *RequestReport, end *Line) string {
 	text := "the router was on its way out; others take new requests"
 	for _, l := range s.Known {
 		if l.Message == messageStopping {
@@ -227,7 +227,7 @@
 	return text
 }
 
-func timeUp(s *Story, end *Line) string {
+func timeUp(s *RequestReport, end *Line) string {
 	text := fmt.Sprintf("the caller's or the route's time was up after %d ms", end.Took)
 	if last := s.Last(); last != nil {
 		text += fmt.Sprintf("; the last attempt, at target %s, took %d of them (%s)", last.Target, last.Took, last.Result)
@@ -236,27 +236,27 @@
 	return text
 }
 
-func moved(s *Story, end *Line) string {
+func moved(s *RequestReport, end *Line) string {
 	text := "the target that it was sent to had just been replaced: another one has its address, and the list of targets did not say so yet"
 	for _, l := range s.Known {
 		if l.Message == messageTargets {
 			text += fmt.Sprintf("; the router had heard of the last change %.1f s before", end.At.Sub(l.At).Seconds())
 		}
 	}
-	return text + fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", s.Pool.All(), s.Pool[fleet.AttemptAddressReused])
+	return text + fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", s.Pool.Total(), s.Pool[fleet.AttemptAddressReused])
 }
 
-func unrun(s *Story, end *Line) string {
+func unrun(s *RequestReport, end *Line) string {
 	text := fmt.Sprintf("the targets that it was sent to (%d) said that they had no room for it", end.Sent)
 	if last := s.Last(); last != nil {
-		text += fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", s.Pool.All(), s.Pool[fleet.AttemptNotRun])
+		text += fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", s.Pool.Total(), s.Pool[fleet.AttemptNotRun])
 	}
 	return text
 }
 
 // lost explains an attempt that may have run.
-func lost(text string) func(*Story, *Line) string {
-	return func(s *Story, end *Line) string {
+func lost(text string) func(*RequestReport, *Line) string {
+	return func(s *RequestReport, end *Line) string {
 		why := text
 		if last := s.Last(); last != nil {
 			why += fmt.Sprintf(" at target %s after %d ms", last.Target, last.Took)
@@ -277,7 +277,7 @@
 
 // restarted tells whether the target of an attempt has started again since. The run that
 // had the request, and what became of it, is gone then.
-func (s *Story) restarted(attempt *Line) string {
+func (s *RequestReport) restarted(attempt *Line) string {
 	born := s.Starts[attempt.Target]
 	if attempt.Born == 0 || born <= attempt.Born {
 		return ""
@@ -286,24 +286,24 @@
 }
 
 // blame tells whether the attempts around point at one target or at its whole pool.
-func (s *Story) blame(attempt *Line) string {
+func (s *RequestReport) blame(attempt *Line) string {
 	here, there := s.Targets[attempt.target()], s.Pool
-	if here.All() == 0 || there.All() == here.All() {
+	if here.Total() == 0 || there.Total() == here.Total() {
 		return ""
 	}
 	bad, rest := here.failed(), there.failed()-here.failed()
-	partHere := float64(bad) / float64(here.All())
-	partRest := float64(rest) / float64(there.All()-here.All())
+	partHere := float64(bad) / float64(here.Total())
+	partRest := float64(rest) / float64(there.Total()-here.Total())
 	switch {
 	case partHere >= many && partHere > 2*partRest:
-		return fmt.Sprintf("; this target failed %d of %d attempts around that time, others %d of %d: it is the target", bad, here.All(), rest, there.All()-here.All())
+		return fmt.Sprintf("; this target failed %d of %d attempts around that time, others %d of %d: it is the target", bad, here.Total(), rest, there.Total()-here.Total())
 	case partHere >= many:
-		return fmt.Sprintf("; this target failed %d of %d attempts around that time, others %d of %d: it is the whole pool, or the way there", bad, here.All(), rest, there.All()-here.All())
+		return fmt.Sprintf("; this target failed %d of %d attempts around that time, others %d of %d: it is the whole pool, or the way there", bad, here.Total(), rest, there.Total()-here.Total())
 	}
-	return fmt.Sprintf("; around that time this target failed %d of %d attempts: it is not failing in general", bad, here.All())
+	return fmt.Sprintf("; around that time this target failed %d of %d attempts: it is not failing in general", bad, here.Total())
 }
 
 // failed counts the attempts that a target is to blame for.
-func (c Count) failed() int {
+func (c AttemptCounts) failed() int {
 	return c[fleet.AttemptAddressReused] + c[fleet.AttemptTruncated] + c[fleet.AttemptTargetFailed] + c[fleet.AttemptNoAnswer] + c[fleet.AttemptConnectFailed] + c[fleet.AttemptUnsigned]
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -51,7 +51,7 @@
 	file := filepath.Join(t.TempDir(), "r1.log")
 	require.NoError(t, os.WriteFile(file, []byte("{\"@message\":\"done\",\"request\":\"other\"}\nno line\n"), 0o600))
 	_, err := explain.Find("mine", []explain.Source{explain.File(file)})
-	var unknown *explain.UnknownError
+	var unknown *explain.UnknownRequestError
 	require.ErrorAs(t, err, &unknown)
 	require.Equal(t, "mine", unknown.ID)
 }
@@ -111,7 +111,7 @@
 		if fleet.Reason(reason) == fleet.ReasonTruncatedPrefix {
 			reason += string(fleet.ReasonStreamTruncated)
 		}
-		story := explain.Story{ID: "mine", Lines: []explain.Line{{Message: "done", Reason: fleet.Reason(reason)}}}
+		story := explain.RequestReport{ID: "mine", Lines: []explain.Line{{Message: "done", Reason: fleet.Reason(reason)}}}
 		require.NotContains(t, story.Cause().Why, "unknown reason", reason)
 		require.NotEmpty(t, story.Cause().Look, reason)
 		return true
@@ -135,10 +135,10 @@
 	} {
 		last.Message, last.Result = "send", fleet.AttemptAnswered
 		end := explain.Line{Message: "done", Reason: fleet.ReasonAnswered, Status: max(last.Status, 200), Took: 700}
-		story := explain.Story{Lines: []explain.Line{last, end}}
+		story := explain.RequestReport{Lines: []explain.Line{last, end}}
 		if last.Target != "" {
-			story.Targets = map[explain.Run]explain.Count{{ID: "t"}: {fleet.AttemptAnswered: 4}}
-			story.Pool = explain.Count{fleet.AttemptAnswered: 9}
+			story.Targets = map[explain.Incarnation]explain.AttemptCounts{{ID: "t"}: {fleet.AttemptAnswered: 4}}
+			story.Pool = explain.AttemptCounts{fleet.AttemptAnswered: 9}
 		}
 		require.Contains(t, story.Cause().Why, want)
 	}
@@ -146,7 +146,7 @@
 
 // A request that is held back is explained by the ends under it, and by whose it is.
 func TestWhyARequestIsHeldBack(t *testing.T) {
-	story := explain.Story{Lines: []explain.Line{{
+	story := explain.RequestReport{Lines: []explain.Line{{
 		Message: "done", Reason: fleet.ReasonQuarantined, Status: 503, Ends: 3, Print: "e5Ym0IaA-ksrL0NoekFNyg",
 	}}}
 	cause := story.Cause()
@@ -158,19 +158,19 @@
 func TestWhoIsToBlame(t *testing.T) {
 	tests := []struct {
 		want       string
-		here, pool explain.Count
+		here, pool explain.AttemptCounts
 	}{
-		{"it is the target", explain.Count{fleet.AttemptNoAnswer: 5, fleet.AttemptAnswered: 5}, explain.Count{fleet.AttemptNoAnswer: 6, fleet.AttemptAnswered: 100}},
-		{"it is the whole pool", explain.Count{fleet.AttemptNoAnswer: 5, fleet.AttemptAnswered: 5}, explain.Count{fleet.AttemptNoAnswer: 50, fleet.AttemptAnswered: 50}},
-		{"it is not failing in general", explain.Count{fleet.AttemptNoAnswer: 1, fleet.AttemptAnswered: 50}, explain.Count{fleet.AttemptNoAnswer: 6, fleet.AttemptAnswered: 100}},
+		{"it is the target", explain.AttemptCounts{fleet.AttemptNoAnswer: 5, fleet.AttemptAnswered: 5}, explain.AttemptCounts{fleet.AttemptNoAnswer: 6, fleet.AttemptAnswered: 100}},
+		{"it is the whole pool", explain.AttemptCounts{fleet.AttemptNoAnswer: 5, fleet.AttemptAnswered: 5}, explain.AttemptCounts{fleet.AttemptNoAnswer: 50, fleet.AttemptAnswered: 50}},
+		{"it is not failing in general", explain.AttemptCounts{fleet.AttemptNoAnswer: 1, fleet.AttemptAnswered: 50}, explain.AttemptCounts{fleet.AttemptNoAnswer: 6, fleet.AttemptAnswered: 100}},
 	}
 	for _, tt := range tests {
-		story := explain.Story{
+		story := explain.RequestReport{
 			Lines: []explain.Line{
 				{Message: "send", Result: fleet.AttemptNoAnswer, Target: "t", Left: 900},
 				{Message: "done", Reason: fleet.ReasonNoAnswer, Status: 502, Sent: 1},
 			},
-			Targets: map[explain.Run]explain.Count{{ID: "t"}: tt.here}, Pool: tt.pool,
+			Targets: map[explain.Incarnation]explain.AttemptCounts{{ID: "t"}: tt.here}, Pool: tt.pool,
 		}
 		require.Contains(t, story.Cause().Why, tt.want)
 	}
@@ -189,7 +189,7 @@
 	require.NoError(t, os.WriteFile(file, []byte(lines), 0o600))
 	story, err := explain.Find("mine", []explain.Source{explain.File(file)})
 	require.NoError(t, err)
-	require.Equal(t, 1, story.Targets[explain.Run{ID: "t", StartMillis: 1000}].All(), "the next run's attempts are not its own")
+	require.Equal(t, 1, story.Targets[explain.Incarnation{ID: "t", StartMillis: 1000}].Total(), "the next run's attempts are not its own")
 	text, err := json.Marshal(story)
 	require.NoError(t, err)
 	require.Contains(t, string(text), `"t (started 00:00:01.000)":{"no answer":1}`)
@@ -199,13 +199,13 @@
 func TestWhoLacksTheKeepers(t *testing.T) {
 	tests := []struct {
 		want   string
-		others explain.Ends
+		others explain.ReasonCounts
 	}{
-		{"this router was cut off", explain.Ends{fleet.ReasonAnswered: 100, fleet.ReasonKeysUnverifiable: 2}},
-		{"nobody led the keepers", explain.Ends{fleet.ReasonAnswered: 10, fleet.ReasonKeysUnverifiable: 50}},
+		{"this router was cut off", explain.ReasonCounts{fleet.ReasonAnswered: 100, fleet.ReasonKeysUnverifiable: 2}},
+		{"nobody led the keepers", explain.ReasonCounts{fleet.ReasonAnswered: 10, fleet.ReasonKeysUnverifiable: 50}},
 	}
 	for _, tt := range tests {
-		story := explain.Story{Lines: []explain.Line{{Message: "done", Reason: fleet.ReasonKeysUnverifiable, Status: 503}}, Others: tt.others}
+		story := explain.RequestReport{Lines: []explain.Line{{Message: "done", Reason: fleet.ReasonKeysUnverifiable, Status: 503}}, Others: tt.others}
 		require.Contains(t, story.Cause().Why, tt.want)
 	}
 }
@@ -216,7 +216,7 @@
 		"the answer of target t, status 200, ended early": {Message: "end", Target: "t", Status: 200},
 		"target t answered 500":                           {Message: "end", Target: "t", Status: 500, Whole: true},
 	} {
-		story := explain.Story{Lines: []explain.Line{{Message: "route", Target: "t"}, end}}
+		story := explain.RequestReport{Lines: []explain.Line{{Message: "route", Target: "t"}, end}}
 		require.Equal(t, want, story.Cause().Why)
 	}
 }
--- a/internal/explain/fuzz_test.go
+++ b/internal/explain/fuzz_test.go
@@ -25,7 +25,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		story, err := Find("mine", []Source{text(data)})
 		if err != nil {
-			var unknown *UnknownError
+			var unknown *UnknownRequestError
 			require.ErrorAs(t, err, &unknown)
 			return
 		}
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -87,8 +87,8 @@
 }
 
 // target returns which run of a target the line tells of.
-func (l *Line) target() Run {
-	return Run{ID: l.Target, StartMillis: l.Born}
+func (l *Line) target() Incarnation {
+	return Incarnation{ID: l.Target, StartMillis: l.Born}
 }
 
 // parse reads one line; ok is false for what is no line of this project.
--- a/internal/explain/lives.go
+++ b/internal/explain/lives.go
@@ -6,7 +6,7 @@
 const mostLives = 1024
 
 // live keeps the line of a start or an end.
-func (s *Story) live(l *Line) {
+func (s *RequestReport) live(l *Line) {
 	switch l.Message {
 	case messageStart, messageStopping, messageStopped, messageOverdue, messageStop:
 		if len(s.Lives) < mostLives {
@@ -25,7 +25,7 @@
 	again    bool      // it started again
 }
 
-func (s *Story) life() life {
+func (s *RequestReport) life() life {
 	last := s.Lines[len(s.Lines)-1]
 	var f life
 	for _, l := range s.Lives {
@@ -50,7 +50,7 @@
 }
 
 // unended works out the cause for a request without the line of its end.
-func (s *Story) unended() Cause {
+func (s *RequestReport) unended() Cause {
 	f := s.life()
 	c := Cause{
 		Why:  "no line tells of its end: it is in progress, its process was killed, or the line was dropped",
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -13,17 +13,17 @@
 )
 
 // By names what losses are told by.
-type By string
+type Grouping string
 
 // What losses can be told by.
 const (
-	ByRoute   By = "route"
-	ByAccount By = "account"
-	BySize    By = "size" // of prompts, within their route
+	ByRoute   Grouping = "route"
+	ByAccount Grouping = "account"
+	BySize    Grouping = "size" // of prompts, within their route
 )
 
 // Bys are all of them.
-var Bys = []By{ByRoute, ByAccount, BySize}
+var Groupings = []Grouping{ByRoute, ByAccount, BySize}
 
 // halfTaken is the part of a target's slots below which it counts as idle where nothing
 // waits at it.
@@ -31,7 +31,7 @@
 
 // A Loss tells what became of some callers' requests, in parts of them. An attempt that
 // comes again after a refusal is the same request.
-type Loss struct {
+type LossStats struct {
 	Name     string `json:"name"`
 	Requests int    `json:"requests"`
 	// Within is the part that was within its account's share when it came first.
@@ -78,7 +78,7 @@
 }
 
 // LossesOf reads what became of callers' requests.
-func LossesOf(sources []Source, by By) ([]Loss, error) {
+func ReadLossStats(sources []Source, by Grouping) ([]LossStats, error) {
 	predicted := make(map[string]int64) // by request: until the first byte, in ms
 	requests := make(map[string]*asked)
 	var lines []Line
@@ -157,7 +157,7 @@
 }
 
 // lossesBy groups requests.
-func lossesBy(list []*asked, by By) []Loss {
+func lossesBy(list []*asked, by Grouping) []LossStats {
 	groups := make(map[string][]*asked)
 	for _, a := range list {
 		switch by {
@@ -170,7 +170,7 @@
 	if by == BySize {
 		groups = bySize(groups)
 	}
-	losses := make([]Loss, 0, len(groups))
+	losses := make([]LossStats, 0, len(groups))
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
 		losses = append(losses, lossOf(name, groups[name]))
 	}
@@ -191,7 +191,7 @@
 	return groups
 }
 
-func lossOf(name string, list []*asked) Loss {
+func lossOf(name string, list []*asked) LossStats {
 	var count [outcomes]int
 	within, refused, idle := 0, 0, 0
 	for _, a := range list {
@@ -203,7 +203,7 @@
 		}
 	}
 	part := func(n int) float64 { return float64(n) / float64(max(len(list), 1)) }
-	return Loss{
+	return LossStats{
 		Name: name, Requests: len(list), Within: part(within), InAim: part(count[inAim]),
 		Back: part(count[lateBack]), Foreseen: part(count[lateForeseen]), Slow: part(count[lateSlow]),
 		Share: part(count[refusedShare]), Other: part(count[refusedOther]), Failed: part(count[ended]),
@@ -212,7 +212,7 @@
 }
 
 // PrintLosses writes them as a table.
-func PrintLosses(w io.Writer, list []Loss) error {
+func PrintLossStats(w io.Writer, list []LossStats) error {
 	const head = "%-24s %9s %7s %7s | %7s %8s %7s | %7s %7s %7s | %7s\n"
 	const row = "%-24s %9d %7.3f %7.3f | %7.3f %8.3f %7.3f | %7.3f %7.3f %7.3f | %7.3f\n"
 	if _, err := fmt.Fprintf(w, head, "", "requests", "within", "in aim", "back", "foreseen", "slow", "share", "other", "failed", "idle"); err != nil {
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -51,10 +51,10 @@
 	require.NoError(t, os.WriteFile(file, log.Bytes(), 0o600))
 	sources := []explain.Source{explain.File(file)}
 	var out bytes.Buffer
-	for _, by := range explain.Bys {
-		list, err := explain.LossesOf(sources, by)
+	for _, by := range explain.Groupings {
+		list, err := explain.ReadLossStats(sources, by)
 		require.NoError(t, err)
-		require.NoError(t, explain.PrintLosses(&out, list))
+		require.NoError(t, explain.PrintLossStats(&out, list))
 	}
 	const golden = "testdata/losses.golden"
 	want, err := os.ReadFile(golden)
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -12,7 +12,7 @@
 
 // Print writes the story as text: the request's own lines in order, what its
 // processes knew and how old that was, and the cause.
-func (s *Story) Print(w io.Writer) error {
+func (s *RequestReport) Print(w io.Writer) error {
 	p := printer{w: w, start: s.Arrived()}
 	p.say("request %s\n", s.ID)
 	if end := s.End(); end != nil {
@@ -127,7 +127,7 @@
 const clockTime = "15:04:05.000"
 
 // byStart orders targets by their IDs, and the runs of one by their starts.
-func byStart(a, b Run) int {
+func byStart(a, b Incarnation) int {
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartMillis, b.StartMillis))
 }
 
--- a/internal/explain/sizes.go
+++ b/internal/explain/sizes.go
@@ -14,7 +14,7 @@
 // A Sizes tells what callers of one route got by the size of their prompts, and how long
 // those waited that were refused. A prompt that came again is one request: it was served
 // if any attempt was.
-type Sizes struct {
+type SizeStats struct {
 	Route    string `json:"route"`
 	Requests int    `json:"requests"`
 	// All, Fifth and Largest are the parts served of all requests, of the fifth below the
@@ -43,7 +43,7 @@
 }
 
 // SizesOf reads what callers got by size, in the order of the routes.
-func SizesOf(sources []Source) ([]Sizes, error) {
+func ReadSizeStats(sources []Source) ([]SizeStats, error) {
 	routes := make(map[string]*sizeCount)
 	for _, s := range sources {
 		err := each(s, func(l *Line) {
@@ -61,7 +61,7 @@
 			return nil, err
 		}
 	}
-	list := make([]Sizes, 0, len(routes))
+	list := make([]SizeStats, 0, len(routes))
 	for _, name := range slices.Sorted(maps.Keys(routes)) {
 		list = append(list, routes[name].sizes(name))
 	}
@@ -76,12 +76,12 @@
 	}
 }
 
-func (c *sizeCount) sizes(route string) Sizes {
+func (c *sizeCount) sizes(route string) SizeStats {
 	prompts := slices.SortedFunc(maps.Keys(c.served), func(a, b prompt) int {
 		return cmp.Or(cmp.Compare(a.size(), b.size()), cmp.Compare(a.own, b.own), cmp.Compare(a.account, b.account))
 	})
 	n := len(prompts)
-	s := Sizes{Route: route, Requests: n, Refused: len(c.waits)}
+	s := SizeStats{Route: route, Requests: n, Refused: len(c.waits)}
 	s.All = c.part(prompts)
 	s.Fifth = c.part(prompts[n*7/10 : n*9/10])
 	s.Largest = c.part(prompts[n*9/10:])
@@ -105,7 +105,7 @@
 }
 
 // PrintSizes writes them as a table.
-func PrintSizes(w io.Writer, list []Sizes) error {
+func PrintSizeStats(w io.Writer, list []SizeStats) error {
 	if _, err := fmt.Fprintf(w, "%-16s %9s %7s %7s %7s %8s %8s %8s\n", "route", "requests", "served", "fifth", "largest", "refused", "p50 ms", "p99 ms"); err != nil {
 		return fmt.Errorf("print sizes: %w", err)
 	}
--- a/internal/explain/sizes_test.go
+++ b/internal/explain/sizes_test.go
@@ -36,12 +36,12 @@
 
 	file := filepath.Join(t.TempDir(), "r1.log")
 	require.NoError(t, os.WriteFile(file, log.Bytes(), 0o600))
-	list, err := explain.SizesOf([]explain.Source{explain.File(file)})
+	list, err := explain.ReadSizeStats([]explain.Source{explain.File(file)})
 	require.NoError(t, err)
-	require.Equal(t, []explain.Sizes{{Route: "r", Requests: 20, All: 0.9, Fifth: 1, Largest: 0, Refused: 7, P50: 18, P99: 50}}, list)
+	require.Equal(t, []explain.SizeStats{{Route: "r", Requests: 20, All: 0.9, Fifth: 1, Largest: 0, Refused: 7, P50: 18, P99: 50}}, list)
 
 	var out bytes.Buffer
-	require.NoError(t, explain.PrintSizes(&out, list))
+	require.NoError(t, explain.PrintSizeStats(&out, list))
 	require.Equal(t, `route             requests  served   fifth largest  refused   p50 ms   p99 ms
 r                       20   0.900   1.000   0.000        7       18       50
 `, out.String())
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -20,7 +20,7 @@
 )
 
 // A Story is what the logs say of one request.
-type Story struct {
+type RequestReport struct {
 	ID string
 	// Lines are the request's own, in order of time.
 	Lines []Line
@@ -36,23 +36,23 @@
 	Dropped int
 	// Targets counts the attempts of all requests around this one, at each target
 	// that this one was sent to.
-	Targets map[Run]Count
+	Targets map[Incarnation]AttemptCounts
 	// Starts holds the latest start of each of these targets that any line tells, by ID.
 	Starts map[string]int64
 	// Pool counts them in the pool of this one, whichever the target.
-	Pool Count
+	Pool AttemptCounts
 	// Account counts the ends of requests of its account.
-	Account Ends
+	Account ReasonCounts
 	// Around counts the ends of requests at the same processes, Others at all others.
-	Around Ends
-	Others Ends
+	Around ReasonCounts
+	Others ReasonCounts
 }
 
 // A Run is one run of a target, from its start to its end.
-type Run fleet.Incarnation
+type Incarnation fleet.Incarnation
 
 // String returns the ID, with the start if that is known.
-func (r Run) String() string {
+func (r Incarnation) String() string {
 	if r.StartMillis == 0 {
 		return r.ID
 	}
@@ -60,15 +60,15 @@
 }
 
 // MarshalText implements encoding.TextMarshaler, since runs are keys in the story's JSON.
-func (r Run) MarshalText() ([]byte, error) {
+func (r Incarnation) MarshalText() ([]byte, error) {
 	return []byte(r.String()), nil
 }
 
 // A Count counts attempts by their end.
-type Count map[fleet.AttemptResult]int
+type AttemptCounts map[fleet.AttemptResult]int
 
 // All returns how many there are.
-func (c Count) All() int {
+func (c AttemptCounts) Total() int {
 	sum := 0
 	for _, n := range c {
 		sum += n
@@ -77,10 +77,10 @@
 }
 
 // Ends counts requests by reason.
-type Ends map[fleet.Reason]int
+type ReasonCounts map[fleet.Reason]int
 
 // All returns how many there are.
-func (e Ends) All() int {
+func (e ReasonCounts) Total() int {
 	sum := 0
 	for _, n := range e {
 		sum += n
@@ -89,24 +89,24 @@
 }
 
 // An UnknownError says that no line names the request.
-type UnknownError struct{ ID string }
+type UnknownRequestError struct{ ID string }
 
 // Error implements error.
-func (e *UnknownError) Error() string {
+func (e *UnknownRequestError) Error() string {
 	return fmt.Sprintf("no line names request %s: give the logs of all routers of that time, and look for lines that were dropped", e.ID)
 }
 
 // Find reads logs for one request. Every log is read twice, and no more is held than
 // the lines about the request.
-func Find(id string, sources []Source) (*Story, error) {
-	s := &Story{ID: id, Targets: map[Run]Count{}, Starts: map[string]int64{}, Pool: Count{}, Account: Ends{}, Around: Ends{}, Others: Ends{}}
+func Find(id string, sources []Source) (*RequestReport, error) {
+	s := &RequestReport{ID: id, Targets: map[Incarnation]AttemptCounts{}, Starts: map[string]int64{}, Pool: AttemptCounts{}, Account: ReasonCounts{}, Around: ReasonCounts{}, Others: ReasonCounts{}}
 	for _, source := range sources {
 		if err := each(source, s.own); err != nil {
 			return nil, err
 		}
 	}
 	if len(s.Lines) == 0 {
-		return nil, &UnknownError{ID: id}
+		return nil, &UnknownRequestError{ID: id}
 	}
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	look := s.view()
@@ -122,7 +122,7 @@
 }
 
 // End returns the line of the request's end, or nil.
-func (s *Story) End() *Line {
+func (s *RequestReport) End() *Line {
 	for i := len(s.Lines) - 1; i >= 0; i-- {
 		switch s.Lines[i].Message {
 		case messageDone, messageRefuse, messageEnd:
@@ -134,7 +134,7 @@
 }
 
 // Arrived returns about when the request came: its end less what it took.
-func (s *Story) Arrived() time.Time {
+func (s *RequestReport) Arrived() time.Time {
 	first := s.Lines[0].At
 	for _, l := range s.Lines {
 		if at := l.At.Add(-time.Duration(l.Took) * time.Millisecond); at.Before(first) {
@@ -145,7 +145,7 @@
 }
 
 // Last returns the last attempt, or nil.
-func (s *Story) Last() *Line {
+func (s *RequestReport) Last() *Line {
 	for i := len(s.Lines) - 1; i >= 0; i-- {
 		if s.Lines[i].Message == messageSend {
 			return &s.Lines[i]
@@ -154,7 +154,7 @@
 	return nil
 }
 
-func (s *Story) own(l *Line) {
+func (s *RequestReport) own(l *Line) {
 	if l.Request == s.ID {
 		s.Lines = append(s.Lines, *l)
 	}
@@ -162,7 +162,7 @@
 
 // A view is the second reading, which knows whom to look at and when.
 type view struct {
-	story     *Story
+	story     *RequestReport
 	from, to  time.Time
 	processes map[string]bool
 	account   string
@@ -170,7 +170,7 @@
 	beliefs   map[string]map[string]Line // by process and message
 }
 
-func (s *Story) view() *view {
+func (s *RequestReport) view() *view {
 	v := &view{story: s, processes: map[string]bool{}, beliefs: map[string]map[string]Line{}}
 	v.from, v.to = s.Arrived().Add(-around), s.Lines[len(s.Lines)-1].At.Add(around)
 	for _, l := range s.Lines {
@@ -178,7 +178,7 @@
 		v.account = cmp.Or(v.account, l.Account)
 		v.pool = cmp.Or(v.pool, l.Pool)
 		if l.Target != "" {
-			s.Targets[l.target()] = Count{}
+			s.Targets[l.target()] = AttemptCounts{}
 			s.Starts[l.Target] = max(s.Starts[l.Target], l.Born)
 		}
 	}
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -109,7 +109,7 @@
 
 // validator checks a configuration and keeps the first fault that it finds.
 type validator struct {
-	lines tomlfile.Lines
+	lines tomlfile.KeyLines
 	err   error
 }
 
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -108,7 +108,7 @@
 	if req.r.ContentLength == 0 {
 		return refusal{}, true
 	}
-	if g.Settings.Memory > 0 && g.bodyBytes.Load() > g.Settings.Memory/bodyMemoryDivisor {
+	if g.Settings.MemoryLimit > 0 && g.bodyBytes.Load() > g.Settings.MemoryLimit/bodyMemoryDivisor {
 		return refusal{status: http.StatusServiceUnavailable, kind: fleet.KindCapacityExhausted, reason: fleet.ReasonBodyMemoryFull, retryAfter: noCapacityRetryAfter}, false
 	}
 	limit := int64(state.Table.Limits.MaxBodyBytes)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 
 // A Gateway serves the callers of one router. Set the exported fields, then call Run.
 type Gateway struct {
-	Settings settings.Routes
+	Settings settings.Routing
 	Name     string
 	Zone     fleet.Zone
 	Listen   string
@@ -170,7 +170,7 @@
 		defer g.awaitEndLogs()
 		return g.conns.run(listener, g.callerLimits)
 	})
-	if g.Settings.Ready != "" {
+	if g.Settings.ReadinessListen != "" {
 		group.Go(func() error { return g.serveReadiness(helperCtx) })
 	}
 	group.Go(func() error { return g.sweep(helperCtx) })
@@ -195,8 +195,8 @@
 
 // maxConns returns the limit on callers' connections.
 func (g *Gateway) maxConns() int {
-	limit := g.Settings.Files / connBudgetDivisor
-	if byMemory := int(g.Settings.Memory / connMemory / connBudgetDivisor); limit == 0 || byMemory < limit {
+	limit := g.Settings.MaxSockets / connBudgetDivisor
+	if byMemory := int(g.Settings.MemoryLimit / connMemory / connBudgetDivisor); limit == 0 || byMemory < limit {
 		limit = byMemory
 	}
 	return max(limit, minConns)
@@ -214,7 +214,7 @@
 func (g *Gateway) serveReadiness(ctx context.Context) error {
 	server := g.newServer(http.HandlerFunc(g.handleReadiness))
 	server.ReadHeaderTimeout = defaultHeaderTimeout
-	server.Addr = g.Settings.Ready
+	server.Addr = g.Settings.ReadinessListen
 	defer context.AfterFunc(ctx, func() { _ = server.Close() })() // no request is in progress that matters
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("listen for readiness checks of the load balancer (free the address): %w", err)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -58,13 +58,13 @@
 		require.NoError(t, err)
 		bed.targets = append(bed.targets, target)
 	}
-	table, err := platform.Decode([]byte(testConfig))
+	table, err := platform.DecodeConfig([]byte(testConfig))
 	require.NoError(t, err)
 	realClock := clock.NewRealClock()
 	bed.state.Store(&keeperclient.State{Table: table, KeyLeaseExpiry: realClock.Now().Add(time.Hour), Routers: 1})
 	bed.gateway = &gateway.Gateway{
-		Settings: settings.Routes{
-			Ready: bed.readyAddress, Grace: 5 * time.Second, Memory: 1 << 28,
+		Settings: settings.Routing{
+			ReadinessListen: bed.readyAddress, GracePeriod: 5 * time.Second, MemoryLimit: 1 << 28,
 			RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second,
 		},
 		Zone: "z1", Listen: bed.address, Clock: realClock, Log: hclog.NewNullLogger(), Dialect: platform.Headers{},
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -21,7 +21,7 @@
 func (g *Gateway) drain() {
 	startedAt := g.Clock.Now()
 	g.stoppingSince.Store(&startedAt)
-	deadline := startedAt.Add(g.Settings.Grace - exitMargin)
+	deadline := startedAt.Add(g.Settings.GracePeriod - exitMargin)
 	g.conns.graceEnd.Store(&deadline)
 	g.Log.Info("stopping", "active", g.activeRequests.Load(), "connections", g.conns.connCount(), "until", deadline)
 	for now := startedAt; now.Before(deadline); now = g.Clock.Now() {
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -86,8 +86,8 @@
 	return nil, nil
 }
 
-// Notice implements rpc.Handler.
-func (noopHandler) Notice(*rpc.Conn, string, json.RawMessage) {}
+// Notify implements rpc.Handler.
+func (noopHandler) Notify(*rpc.Conn, string, json.RawMessage) {}
 
 // leader returns a connection to the leader.
 func (f *benchFleet) leader() *rpc.Conn {
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -353,7 +353,7 @@
 func (c *core) handleReport(conn *rpc.Conn, params json.RawMessage) {
 	var report message.Report
 	if err := json.Unmarshal(params, &report); err != nil {
-		c.log.Warn("report cannot be read", "router", conn.Name(), "error", err)
+		c.log.Warn("report cannot be read", "router", conn.PeerName(), "error", err)
 		return
 	}
 	c.enqueue(func(now time.Time) {
--- a/internal/keeper/handlers.go
+++ b/internal/keeper/handlers.go
@@ -18,8 +18,8 @@
 	inForcePollInterval = 20 * time.Millisecond
 )
 
-// Notice implements rpc.Handler.
-func (k *Keeper) Notice(peer *rpc.Conn, method string, params json.RawMessage) {
+// Notify implements rpc.Handler.
+func (k *Keeper) Notify(peer *rpc.Conn, method string, params json.RawMessage) {
 	switch method {
 	case message.MethodQuorum:
 		k.core.handleQuorumMessage(params)
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -93,7 +93,7 @@
 // readSecret reads the secret that authenticates the fleet's processes to each other. Only
 // settings that are explicitly open may do without one.
 func (k *Keeper) readSecret() error {
-	if k.Settings.Open {
+	if k.Settings.AllowUnauthenticated {
 		return nil
 	}
 	secret, err := os.ReadFile(k.Settings.Secret)
@@ -127,8 +127,8 @@
 	k.core.autoMembers, k.core.zones = k.Settings.AutoMembers, k.Settings.Zones
 	k.sharedBootstrapper.Store(k.bootstrapper)
 	k.metrics = newMetrics(&k.counter, k.core)
-	if k.VMList == nil && k.Settings.List != "" {
-		k.VMList = &RealVMList{URL: k.Settings.List}
+	if k.VMList == nil && k.Settings.VMListURL != "" {
+		k.VMList = &RealVMList{URL: k.Settings.VMListURL}
 	}
 }
 
--- a/internal/keeper/leaderclient.go
+++ b/internal/keeper/leaderclient.go
@@ -30,7 +30,7 @@
 // PutRoutes makes a configuration of routes durable. After an error the configuration may still
 // come into force; it is safe to send it again.
 func (c *LeaderClient) PutRoutes(ctx context.Context, number uint64, config []byte) error {
-	packed, err := codec.Pack(config)
+	packed, err := codec.Compress(config)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	if err != nil || document.Number == 0 {
 		return 0, nil, err
 	}
-	config, err = codec.Unpack(document.PackedConfig)
+	config, err = codec.Decompress(document.PackedConfig)
 	return document.Number, config, err
 }
 
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -124,12 +124,12 @@
 
 func packLoads(summedAt time.Time, loads message.Loads, accountsDigest uint32) (packedLoads, error) {
 	loads.AccountsDigest = accountsDigest
-	withAccounts, err := codec.PackJSON(loads)
+	withAccounts, err := codec.CompressJSON(loads)
 	if err != nil {
 		return packedLoads{}, err
 	}
 	loads.Accounts = nil
-	withoutAccounts, err := codec.PackJSON(loads)
+	withoutAccounts, err := codec.CompressJSON(loads)
 	return packedLoads{summedAt: summedAt, accountsDigest: accountsDigest, withAccounts: withAccounts, withoutAccounts: withoutAccounts}, err
 }
 
@@ -143,7 +143,7 @@
 	if len(config.Routes) == 0 || c.renewals.ownDocument.Number == config.Number {
 		return c.renewals.ownDocument
 	}
-	packed, err := codec.Pack(text)
+	packed, err := codec.Compress(text)
 	if err != nil {
 		c.log.Error("a configuration cannot be packed: its routes are not served", "number", config.Number, "error", err)
 		return c.renewals.ownDocument
@@ -220,7 +220,7 @@
 	}
 	warming := warmingTargets(listing.WarmingUntil(readAt))
 	if c.renewals.listRevision == 0 || !slices.Equal(c.renewals.targets, targets) || !slices.Equal(c.renewals.damagedIDs, damaged) || warming.extends(c.renewals.warming) {
-		packed, err := codec.PackJSON(targets)
+		packed, err := codec.CompressJSON(targets)
 		if err != nil {
 			c.log.Error("the list of targets cannot be packed: routers go on with the one before", "error", err)
 			return
--- a/internal/keeper/renew_test.go
+++ b/internal/keeper/renew_test.go
@@ -30,10 +30,10 @@
 	first := c.renew(cluster.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Demand: demand, Backlog: backlog})
 	require.Empty(t, first.Targets)
 	require.Empty(t, first.Backlog)
-	unpackedTargets, err := codec.UnpackJSON[[]fleet.Instance](first.PackedTargets)
+	unpackedTargets, err := codec.DecompressJSON[[]fleet.Instance](first.PackedTargets)
 	require.NoError(t, err)
 	require.Equal(t, targets, unpackedTargets)
-	loads, err := codec.UnpackJSON[message.Loads](first.PackedLoads)
+	loads, err := codec.DecompressJSON[message.Loads](first.PackedLoads)
 	require.NoError(t, err)
 	require.NotZero(t, loads.AccountsDigest)
 	require.Equal(t, message.Loads{Accounts: []string{"x"}, AccountsDigest: loads.AccountsDigest, Rates: []int{9}, Served: []int{8}, Tokens: []int{0, 4}, Running: []int{0, 1}}, loads)
@@ -58,10 +58,10 @@
 	c.setTargets(cluster.clock.Now(), fleet.TargetListing{Targets: restarted})
 	second := c.renew(cluster.clock.Now(), message.RenewRequest{Router: "r", AcceptsColumns: true, Term: first.Term, ListRevision: first.ListRevision, Backlog: backlog})
 	require.Greater(t, second.ListRevision, first.ListRevision)
-	unpackedTargets, err := codec.UnpackJSON[[]fleet.Instance](second.PackedTargets)
+	unpackedTargets, err := codec.DecompressJSON[[]fleet.Instance](second.PackedTargets)
 	require.NoError(t, err)
 	require.Equal(t, restarted, unpackedTargets)
-	loads, err := codec.UnpackJSON[message.Loads](second.PackedLoads)
+	loads, err := codec.DecompressJSON[message.Loads](second.PackedLoads)
 	require.NoError(t, err)
 	require.Equal(t, []int{0}, loads.Tokens, "the backlog of the previous incarnation is dropped")
 }
@@ -129,7 +129,7 @@
 		for i, name := range accounts {
 			request.Demand = append(request.Demand, message.Demand{Account: name, Rate: float64(10 + i), Served: 1})
 		}
-		loads, err := codec.UnpackJSON[message.Loads](c.renew(cluster.clock.Now(), request).PackedLoads)
+		loads, err := codec.DecompressJSON[message.Loads](c.renew(cluster.clock.Now(), request).PackedLoads)
 		require.NoError(t, err)
 		return loads
 	}
--- a/internal/keeper/transport.go
+++ b/internal/keeper/transport.go
@@ -172,7 +172,7 @@
 	select {
 	case sender.queue <- grant:
 	default:
-		t.log.Warn("grant dropped: the router takes none", "router", conn.Name())
+		t.log.Warn("grant dropped: the router takes none", "router", conn.PeerName())
 	}
 }
 
--- a/internal/keeperclient/apply.go
+++ b/internal/keeperclient/apply.go
@@ -50,7 +50,7 @@
 	if len(response.PackedConfig) == 0 || response.Number <= c.configNumber() {
 		return false
 	}
-	text, err := codec.Unpack(response.PackedConfig)
+	text, err := codec.Decompress(response.PackedConfig)
 	if err != nil {
 		c.Log.Error("configuration cannot be unpacked: going on with the one before", "number", response.Number, "error", err)
 		return false
@@ -96,7 +96,7 @@
 	targets := response.Targets
 	if len(response.PackedTargets) > 0 {
 		var err error
-		if targets, err = codec.UnpackJSON[[]fleet.Instance](response.PackedTargets); err != nil {
+		if targets, err = codec.DecompressJSON[[]fleet.Instance](response.PackedTargets); err != nil {
 			c.Log.Error("the list of targets cannot be unpacked: going on with the one before", "list", response.ListRevision, "error", err)
 			return
 		}
@@ -110,7 +110,7 @@
 func (c *Client) applyLoads(ownBacklog []message.Backlog, response message.RenewResponse) {
 	demand, backlog := response.Demand, response.Backlog
 	if len(response.PackedLoads) > 0 {
-		loads, err := codec.UnpackJSON[message.Loads](response.PackedLoads)
+		loads, err := codec.DecompressJSON[message.Loads](response.PackedLoads)
 		if err != nil {
 			c.Log.Error("loads cannot be unpacked: going on with those before", "term", response.Term, "error", err)
 			return
--- a/internal/keeperclient/fuzz_test.go
+++ b/internal/keeperclient/fuzz_test.go
@@ -17,9 +17,9 @@
 // in the list of targets, a list that counts as newer than its request, and a later list that no
 // longer takes effect.
 func FuzzRenewal(f *testing.F) {
-	packedTargets, err := codec.PackJSON([]fleet.Instance{newInstance("a", 5, false), newInstance("a", 4, true), newInstance("", 0, false)})
+	packedTargets, err := codec.CompressJSON([]fleet.Instance{newInstance("a", 5, false), newInstance("a", 4, true), newInstance("", 0, false)})
 	require.NoError(f, err)
-	packedLoads, err := codec.PackJSON(message.Loads{Accounts: []string{"x"}, Rates: []int{-5}, Served: []int{1 << 62}, Tokens: []int{-1, 1 << 62, 3}, Running: []int{1, 2, 3}})
+	packedLoads, err := codec.CompressJSON(message.Loads{Accounts: []string{"x"}, Rates: []int{-5}, Served: []int{1 << 62}, Tokens: []int{-1, 1 << 62, 3}, Running: []int{1, 2, 3}})
 	require.NoError(f, err)
 	for _, response := range []message.RenewResponse{
 		{Leads: true, Term: 1, Number: 3, PackedConfig: []byte("3"), ListRevision: 1, PackedTargets: packedTargets, PackedLoads: packedLoads, Damaged: []string{"a", ""}, ListAge: -time.Hour},
--- a/internal/keeperclient/keeperclient_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -72,8 +72,8 @@
 	return request, json.Unmarshal(params, &request)
 }
 
-// Notice implements rpc.Handler.
-func (k *fakeKeeper) Notice(*rpc.Conn, string, json.RawMessage) {}
+// Notify implements rpc.Handler.
+func (k *fakeKeeper) Notify(*rpc.Conn, string, json.RawMessage) {}
 
 func (k *fakeKeeper) update(change func(k *fakeKeeper)) {
 	k.mu.Lock()
@@ -97,7 +97,7 @@
 
 // packedConfig returns the packed form of a configuration that decodeConfigNumber reads.
 func packedConfig(t *testing.T, number uint64) []byte {
-	data, err := codec.Pack(fmt.Append(nil, number))
+	data, err := codec.Compress(fmt.Append(nil, number))
 	require.NoError(t, err)
 	return data
 }
@@ -174,7 +174,7 @@
 }
 
 func packJSON[T any](t *testing.T, value T) []byte {
-	data, err := codec.PackJSON(value)
+	data, err := codec.CompressJSON(value)
 	require.NoError(t, err)
 	return data
 }
--- a/internal/keeperclient/renew.go
+++ b/internal/keeperclient/renew.go
@@ -164,8 +164,8 @@
 	return nil, errNoCalls
 }
 
-// Notice implements rpc.Handler.
-func (noCallsHandler) Notice(*rpc.Conn, string, json.RawMessage) {}
+// Notify implements rpc.Handler.
+func (noCallsHandler) Notify(*rpc.Conn, string, json.RawMessage) {}
 
 // maxKnownKeepers limits how many keepers a router remembers from answers of followers. It is
 // several times the largest number of keepers.
--- a/internal/message/packedrenew.go
+++ b/internal/message/packedrenew.go
@@ -9,7 +9,7 @@
 
 // renewDictionary is the compression dictionary for renewals: the text that most of them have
 // in common. It is part of the protocol, so that another dictionary needs another method.
-var renewDictionary = codec.Sample{Text: []byte(`"quarantine":{"held":,"ends":["clears":["returns":["asks":["evacuations":,"members":` +
+var renewDictionary = codec.DictionaryCodec{Dictionary: []byte(`"quarantine":{"held":,"ends":["clears":["returns":["asks":["evacuations":,"members":` +
 	`"backlog":[{"target":"i-","born":17,"tokens":0,"running":1},{"target":"i-","born":17,"running":1}],"quarantine":{}` +
 	`"demand":[{"account":"","rate":0,"served":0},{"account":"","rate":` +
 	`{"router":"","zone":"","inc":17,"number":1,"term":1,"list":1,"columns":true,"seat":{"number":1,"of":1,"ready":true},"demand":[{"account":"`)}
@@ -26,7 +26,7 @@
 	if err != nil {
 		return PackedRenewRequest{}, fmt.Errorf("encode a renewal as JSON: %w", err)
 	}
-	packedText, err := renewDictionary.Pack(text)
+	packedText, err := renewDictionary.Compress(text)
 	return PackedRenewRequest{PackedText: packedText}, err
 }
 
@@ -34,7 +34,7 @@
 // dictionary or is not a valid request.
 func (p PackedRenewRequest) Unpack() (RenewRequest, error) {
 	var request RenewRequest
-	text, err := renewDictionary.Unpack(p.PackedText)
+	text, err := renewDictionary.Decompress(p.PackedText)
 	if err != nil {
 		return request, err
 	}
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -42,7 +42,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				demand, backlog, _ := aggregator.Sums(start)
-				loads, err := codec.PackJSON(EncodeColumns(demand, backlog, targets))
+				loads, err := codec.CompressJSON(EncodeColumns(demand, backlog, targets))
 				require.NoError(b, err)
 				data, err := json.Marshal(message.RenewResponse{PackedLoads: loads})
 				require.NoError(b, err)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -180,9 +180,9 @@
 		for i := range rapid.IntRange(0, 9).Draw(t, "accounts") {
 			demand = append(demand, message.Demand{Account: fmt.Sprint(i), Rate: float64(rapid.IntRange(0, 9e6).Draw(t, "rate")), Served: 3})
 		}
-		data, err := codec.PackJSON(EncodeColumns(demand, backlog, targets))
+		data, err := codec.CompressJSON(EncodeColumns(demand, backlog, targets))
 		require.NoError(t, err)
-		loads, err := codec.UnpackJSON[message.Loads](data)
+		loads, err := codec.DecompressJSON[message.Loads](data)
 		require.NoError(t, err)
 		gotDemand, gotBacklog := DecodeColumns(loads, targets)
 		require.Equal(t, demand, gotDemand)
--- a/internal/router/apply_test.go
+++ b/internal/router/apply_test.go
@@ -22,8 +22,8 @@
 	return nil, nil
 }
 
-// Notice implements rpc.Handler.
-func (mute) Notice(*rpc.Conn, string, json.RawMessage) {}
+// Notify implements rpc.Handler.
+func (mute) Notify(*rpc.Conn, string, json.RawMessage) {}
 
 // applyConfig puts a configuration in force on one router.
 func applyConfig(t testing.TB, address, secretFile string, c fleet.Config) {
--- a/internal/router/claimer.go
+++ b/internal/router/claimer.go
@@ -141,7 +141,7 @@
 			if err == nil {
 				return true
 			}
-			c.log.Debug("keeper refuses", "method", method, "keeper", conn.Name(), "error", err)
+			c.log.Debug("keeper refuses", "method", method, "keeper", conn.PeerName(), "error", err)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/router/keepers.go
+++ b/internal/router/keepers.go
@@ -66,7 +66,7 @@
 		conn, err := rpc.Dial(ctx, address, k.name, k.secret, k, k.count)
 		if err == nil {
 			pause.Reset()
-			k.log.Debug("linked", "keeper", conn.Name(), "address", address)
+			k.log.Debug("linked", "keeper", conn.PeerName(), "address", address)
 			k.useLink(ctx, address, conn)
 		} else {
 			k.log.Debug("no link", "address", address, "error", err)
@@ -133,14 +133,14 @@
 	return nil, fleet.NewError(fleet.KindMalformed, "call a keeper", "a router serves no calls")
 }
 
-// Notice implements rpc.Handler: it takes grants.
-func (k *keepers) Notice(peer *rpc.Conn, method string, params json.RawMessage) {
+// Notify implements rpc.Handler: it takes grants.
+func (k *keepers) Notify(peer *rpc.Conn, method string, params json.RawMessage) {
 	if method != message.MethodGrant {
 		return
 	}
 	var g message.Grant
 	if err := json.Unmarshal(params, &g); err != nil {
-		k.log.Warn("grant cannot be read", "keeper", peer.Name(), "error", err)
+		k.log.Warn("grant cannot be read", "keeper", peer.PeerName(), "error", err)
 		return
 	}
 	k.desk.granted(g, func(inForce bool) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -93,9 +93,9 @@
 	r.desk.claim = r.claimer.ask
 	r.desk.settle = r.claimer.settle
 	r.desk.meters = r.meters
-	if r.Settings.Hosts != "" {
+	if r.Settings.RouteListen != "" {
 		r.routes = &routing.Service{
-			Settings: r.Settings, Listen: r.Settings.Hosts, Clock: r.Clock, Log: r.Log, Secret: secret,
+			Settings: r.Settings, Listen: r.Settings.RouteListen, Clock: r.Clock, Log: r.Log, Secret: secret,
 			Dialect: routing.DefaultDialect{}, Decode: routing.DecodeConfig, Meters: gateway.NewMetrics(),
 		}
 		r.routes.SetSeeds(r.Settings.Keepers)
@@ -147,10 +147,10 @@
 
 // grace is how long requests in progress may go on after a stop has begun.
 func (r *Router) grace() time.Duration {
-	if r.Settings.Routes != nil {
-		return r.Settings.Routes.Grace
+	if r.Settings.Routing != nil {
+		return r.Settings.Routing.GracePeriod
 	}
-	return settings.DefaultRoutes().Grace
+	return settings.DefaultRouting().GracePeriod
 }
 
 // stop answers what waits, lets what runs end, until the end of the grace at most, and
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -51,7 +51,7 @@
 }
 
 // startWith does so with settings of a router's routes.
-func startWith(t testing.TB, routes *settings.Routes, targets ...fleet.Target) *small {
+func startWith(t testing.TB, routes *settings.Routing, targets ...fleet.Target) *small {
 	folder := t.TempDir()
 	secret := filepath.Join(folder, "secret")
 	require.NoError(t, os.WriteFile(secret, []byte("0123456789abcdef"), 0o600))
@@ -68,7 +68,7 @@
 		Log: log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: filepath.Join(folder, "k1")}, Init: true,
 	}
 	r := &router.Router{
-		Settings: settings.Router{Name: "r1", Zone: "z", Listen: s.router, Admin: s.admin, Keepers: []string{keeperAddress}, Secret: secret, Routes: routes},
+		Settings: settings.Router{Name: "r1", Zone: "z", Listen: s.router, Admin: s.admin, Keepers: []string{keeperAddress}, Secret: secret, Routing: routes},
 		Log:      log, Clock: clock.NewRealClock(),
 	}
 	g.Go(func() error { return k.Run(ctx) })
@@ -340,7 +340,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }() // nothing else uses it
-	s := startWith(t, &settings.Routes{Grace: time.Millisecond}, fleet.Target{Name: "mute", Address: l.Addr().String(), Kind: fleet.TargetEngine, Slots: 8})
+	s := startWith(t, &settings.Routing{GracePeriod: time.Millisecond}, fleet.Target{Name: "mute", Address: l.Addr().String(), Kind: fleet.TargetEngine, Slots: 8})
 	caller, err := net.Dial("tcp", s.router)
 	require.NoError(t, err)
 	defer func() { _ = caller.Close() }() // it may be closed already
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -77,12 +77,12 @@
 
 func (s *Service) assemble() {
 	g, u := &s.gateway, &s.uplink
-	g.Settings, g.Name, g.Zone, g.Listen = *s.Settings.Routes, s.Settings.Name, s.Settings.Zone, s.Listen
+	g.Settings, g.Name, g.Zone, g.Listen = *s.Settings.Routing, s.Settings.Name, s.Settings.Zone, s.Listen
 	g.Clock, g.Log, g.Dialect, g.Metrics, g.State = s.Clock, s.Log, s.Dialect, s.Meters, u.State
 	g.StateIsFresh = u.StateIsFresh
 	u.Name, u.Zone, u.Incarnation = s.Settings.Name, s.Settings.Zone, uint64(s.Clock.Now().UnixNano())
-	u.Clock, u.Log, u.Secret, u.KeyLease = s.Clock, s.Log, s.Secret, s.Settings.Routes.Lease
-	u.Decode, u.List, u.ReadRate = s.Decode, s.List, s.Settings.Routes.Reads
+	u.Clock, u.Log, u.Secret, u.KeyLease = s.Clock, s.Log, s.Secret, s.Settings.Routing.KeyLease
+	u.Decode, u.List, u.ReadRate = s.Decode, s.List, s.Settings.Routing.ListReadRate
 	u.OnChange, u.Load, u.OnFleetLoad = g.SetTargets, g.Load, g.SetFleetLoad
 	wake := make(chan struct{}, 1)
 	g.PollLeader, u.PollNow = wake, wake
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -49,7 +49,7 @@
 // order; calls run beside each other.
 type Handler interface {
 	Call(ctx context.Context, peer *Conn, method string, params json.RawMessage) (any, error)
-	Notice(peer *Conn, method string, params json.RawMessage)
+	Notify(peer *Conn, method string, params json.RawMessage)
 }
 
 // A Counter counts the bytes of a process's links.
@@ -72,7 +72,7 @@
 }
 
 // Name returns the name that the peer gave.
-func (c *Conn) Name() string {
+func (c *Conn) PeerName() string {
 	return c.name
 }
 
@@ -243,7 +243,7 @@
 		return
 	}
 	if req.Notif {
-		s.handler.Notice(s.conn, req.Method, params)
+		s.handler.Notify(s.conn, req.Method, params)
 		return
 	}
 	s.slots <- struct{}{}
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -30,8 +30,8 @@
 	return params, nil
 }
 
-// Notice implements Handler.
-func (e *echo) Notice(_ *Conn, method string, _ json.RawMessage) {
+// Notify implements Handler.
+func (e *echo) Notify(_ *Conn, method string, _ json.RawMessage) {
 	e.notices <- method
 }
 
@@ -55,7 +55,7 @@
 	c, err := Dial(context.Background(), address, "client", Secret("0123456789abcdef"), h, &count)
 	require.NoError(t, err)
 	defer c.Close()
-	require.Equal(t, "server", c.Name())
+	require.Equal(t, "server", c.PeerName())
 	var got string
 	require.NoError(t, c.Call(context.Background(), "echo", "hello", &got))
 	require.Equal(t, "hello", got)
--- a/internal/settings/routes.go
+++ b/internal/settings/routes.go
@@ -5,18 +5,18 @@
 // A Routes is what a router of routes is told about the platform it runs on.
 // Its fields are bounds that the operators agree with the platform, so they are
 // lengths of time and not deadlines.
-type Routes struct {
+type Routing struct {
 	// Ready is the address where the balancer asks whether this router is ready.
-	Ready string
+	ReadinessListen string
 	// Lease is how long after a question to the keepers, answered by the leader,
 	// keys of accounts still count.
-	Lease time.Duration
+	KeyLease time.Duration
 	// Grace is how long a stopping router may go on.
-	Grace time.Duration
+	GracePeriod time.Duration
 	// Memory bounds what the process may use, in bytes.
-	Memory int64
+	MemoryLimit int64
 	// Files is how many sockets the process may have open.
-	Files int
+	MaxSockets int
 	// RetryRatio, RetrySlack and RetryWindow bound the attempts beyond the first
 	// of each request, over all routers: in any window at most the ratio of the
 	// requests plus the slack.
@@ -28,7 +28,7 @@
 	WarmupRatio float64
 	WarmupSlack float64
 	// Reads is how many reads a second the platform's list takes from all nodes.
-	Reads float64
+	ListReadRate float64
 }
 
 // The defaults where no platform states bounds.
@@ -49,9 +49,9 @@
 )
 
 // DefaultRoutes returns the bounds that hold where no platform states any.
-func DefaultRoutes() *Routes {
-	return &Routes{
-		Lease: defaultLease, Grace: defaultGrace, Memory: defaultMemory, Files: defaultFiles,
+func DefaultRouting() *Routing {
+	return &Routing{
+		KeyLease: defaultLease, GracePeriod: defaultGrace, MemoryLimit: defaultMemory, MaxSockets: defaultFiles,
 		RetryRatio: defaultRetryRatio, RetrySlack: defaultRetrySlack, RetryWindow: defaultRetryWindow,
 		WarmupRatio: defaultWarmupRatio,
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,10 +25,10 @@
 	Level   string     `toml:"level"`
 	Format  string     `toml:"format"`
 	// Hosts is the address where callers of routes come in, or "".
-	Hosts string `toml:"hosts"`
+	RouteListen string `toml:"hosts"`
 	// Routes are the settings of a router of routes; nil where it serves events
 	// only.
-	Routes *Routes `toml:"-"`
+	Routing *Routing `toml:"-"`
 }
 
 // A Keeper is the settings of lf-keeper.
@@ -41,12 +41,12 @@
 	Peers  []string   `toml:"peers"`
 	Secret string     `toml:"secret"`
 	// List is the URL of the platform's list of VMs, or "".
-	List   string `toml:"list"`
-	Level  string `toml:"level"`
-	Format string `toml:"format"`
+	VMListURL string `toml:"list"`
+	Level     string `toml:"level"`
+	Format    string `toml:"format"`
 	// Open lets peers in without proof of a shared secret: the network alone
 	// keeps strangers out.
-	Open bool `toml:"-"`
+	AllowUnauthenticated bool `toml:"-"`
 	// Zones are the availability zones that the platform names, beside those of targets.
 	Zones []fleet.Zone `toml:"-"`
 	// AutoMembers lets keepers take each other in and out of the group by themselves;
@@ -87,9 +87,9 @@
 	}
 	c.secret("secret", r.Secret)
 	c.logging(r.Level, r.Format)
-	if r.Hosts != "" {
-		c.address("hosts", r.Hosts)
-		r.Routes = DefaultRoutes()
+	if r.RouteListen != "" {
+		c.address("hosts", r.RouteListen)
+		r.Routing = DefaultRouting()
 	}
 	return r, c.err
 }
@@ -108,14 +108,14 @@
 	c.text("data", k.Data)
 	c.peers(k)
 	c.secret("secret", k.Secret)
-	c.require(k.List == "" || strings.HasPrefix(k.List, "http://"), "list",
-		`write "http://IP:PORT/PATH", or leave it out`, "%q is no URL of a list of VMs", k.List)
+	c.require(k.VMListURL == "" || strings.HasPrefix(k.VMListURL, "http://"), "list",
+		`write "http://IP:PORT/PATH", or leave it out`, "%q is no URL of a list of VMs", k.VMListURL)
 	c.logging(k.Level, k.Format)
 	return k, c.err
 }
 
 // Logger returns a logger as the settings ask for it.
-func Logger(name, level, format string) hclog.Logger {
+func NewLogger(name, level, format string) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:       name,
 		Level:      hclog.LevelFromString(orDefault(level, "info")),
@@ -133,7 +133,7 @@
 
 // checker keeps the first fault that it finds.
 type checker struct {
-	lines tomlfile.Lines
+	lines tomlfile.KeyLines
 	err   error
 }
 
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -35,24 +35,24 @@
 
 // A Lines tells on which line a key stands. An element of an array of tables
 // has its place, counted from 0, in its key: "target.2.address".
-type Lines struct {
+type KeyLines struct {
 	file  string
 	lines map[string]int
 }
 
 // Decode reads data into v and returns the lines of its keys.
-func Decode(file string, data []byte, v any) (Lines, error) {
+func Decode(file string, data []byte, v any) (KeyLines, error) {
 	dec := toml.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		return Lines{}, explain(file, err)
+		return KeyLines{}, explain(file, err)
 	}
-	return Lines{file: file, lines: index(data)}, nil
+	return KeyLines{file: file, lines: index(data)}, nil
 }
 
 // Errorf returns an Error at the line of key, or of the nearest table around
 // it where the key itself is missing.
-func (l Lines) Errorf(key, remedy, format string, args ...any) *Error {
+func (l KeyLines) Errorf(key, remedy, format string, args ...any) *Error {
 	return &Error{
 		File:    l.file,
 		Line:    l.line(key),
@@ -62,7 +62,7 @@
 	}
 }
 
-func (l Lines) line(key string) int {
+func (l KeyLines) line(key string) int {
 	for key != "" {
 		if n, ok := l.lines[key]; ok {
 			return n
