--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,6 +1,5 @@
-// Package rpc joins two processes of a fleet by JSON-RPC 2.0 over TCP. Both
-// ends prove that they hold the fleet's secret before any other message, and
-// every byte is counted.
+// Package rpc connects two processes of a fleet by JSON-RPC 2.0 over TCP. Each end proves that it
+// holds the fleet's secret before any other message is accepted. All bytes are counted.
 package rpc
 
 import (
@@ -26,217 +25,221 @@
 )
 
 const (
-	// maxStranger bounds a message from a peer that has proved nothing, so
-	// that a stranger cannot make a process hold memory.
-	maxStranger = 4 << 10
-	// maxFrame bounds a message from a peer of the fleet.
+	// maxUnauthenticatedFrame bounds a message, in bytes, from a peer that has not authenticated
+	// yet, so that an unknown peer cannot make a process allocate much memory.
+	maxUnauthenticatedFrame = 4 << 10
+	// maxFrame bounds a message, in bytes, from an authenticated peer.
 	maxFrame = 256 << 20
-	// dialTimeout bounds the making of a connection: twice the longest way there and back,
-	// between regions. A machine without power loses what opens a connection, and the
-	// kernel says it again only after a second: keepers that came back after others
-	// had dialled them heard of their leader up to a second after its election. A new
-	// connection reaches them at once.
-	dialTimeout  = 400 * time.Millisecond
-	proveTimeout = 2 * time.Second
-	writeTimeout = 5 * time.Second
-	// acceptPause is kept after a failure to accept: what it lacked may be there then.
-	acceptPause = 5 * time.Millisecond
-	// maxCalls bounds the calls of one peer that run at a time.
-	maxCalls = 256
+	// dialTimeout bounds the time to connect. It is twice the longest round trip between regions.
+	// A SYN that is sent to a machine without power is lost, and the kernel repeats it only
+	// after a second. With a longer timeout, a keeper that restarted after others had dialed it
+	// learned of the leader up to a second after the election. A new dial reaches it at once.
+	dialTimeout      = 400 * time.Millisecond
+	handshakeTimeout = 2 * time.Second
+	writeTimeout     = 5 * time.Second
+	// acceptRetryDelay is the delay after a failed accept; the missing resource, such as a file
+	// descriptor, may be available by then.
+	acceptRetryDelay = 5 * time.Millisecond
+	// maxConcurrentCalls bounds the calls of one peer that run at the same time.
+	maxConcurrentCalls = 256
 )
 
-// A Handler serves the messages of a peer. Notices arrive one at a time and in
-// order; calls run beside each other.
+// A Handler handles the messages of a peer. Notify is called sequentially and in the order of the
+// notifications; Call is called concurrently.
 type Handler interface {
 	Call(ctx context.Context, peer *Conn, method string, params json.RawMessage) (any, error)
 	Notify(peer *Conn, method string, params json.RawMessage)
 }
 
-// A Counter counts the bytes of a process's links.
+// A Counter counts the bytes of all connections of a process.
 type Counter struct {
-	// Failed counts connections that could not be accepted.
+	// Failed is the number of connections that could not be accepted.
 	Failed   atomic.Int64
 	Sent     atomic.Int64
 	Received atomic.Int64
 }
 
-// A Secret proves that a process belongs to the fleet.
+// A Secret is the key by which processes of a fleet authenticate each other.
 type Secret []byte
 
-// A Conn is one end of a link.
+// A Conn is one end of a connection.
 type Conn struct {
-	name  string
-	rpc   *jsonrpc2.Conn
-	codec *frameCodec
-	proof *proof
+	name      string
+	rpc       *jsonrpc2.Conn
+	codec     *frameCodec
+	handshake *serverHandshake
 }
 
-// Name returns the name that the peer gave.
+// PeerName returns the name that the peer gave in the handshake.
 func (c *Conn) PeerName() string {
 	return c.name
 }
 
-// Call sends a request and waits for its result.
+// Call sends a request and waits for its result. An error that the peer's handler returned as a
+// fleet.Error is returned as one.
 func (c *Conn) Call(ctx context.Context, method string, params, result any) error {
-	return fromWire(c.rpc.Call(ctx, method, params, result))
+	return decodeError(c.rpc.Call(ctx, method, params, result))
 }
 
-// Notify sends a notice.
+// Notify sends a notification, which has no response.
 func (c *Conn) Notify(method string, params any) error {
 	return c.rpc.Notify(context.Background(), method, params)
 }
 
-// Close ends the link.
+// Close closes the connection.
 func (c *Conn) Close() {
-	// A second close is the only error, and harmless.
+	// The only error is that it is closed already, which is harmless.
 	_ = c.rpc.Close()
 }
 
-// Done is closed when the link has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} {
 	return c.rpc.DisconnectNotify()
 }
 
-// Dial opens a link to address and returns once both ends have proved that
-// they hold the secret. Ctx bounds the opening; the link lasts until Close.
-func Dial(ctx context.Context, address, self string, secret Secret, h Handler, count *Counter) (*Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout}
-	raw, err := d.DialContext(ctx, "tcp", address)
+// Dial connects to address and returns once both ends have proved that they hold the secret. The
+// context bounds only the connection setup; the connection lasts until Close.
+func Dial(ctx context.Context, address, self string, secret Secret, handler Handler, counter *Counter) (*Conn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	netConn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
-	c := newConn(context.WithoutCancel(ctx), raw, h, count, nil)
-	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
+	conn := newConn(context.WithoutCancel(ctx), netConn, handler, counter, nil)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	if err := c.introduce(ctx, self, secret); err != nil {
-		c.Close()
-		return nil, fmt.Errorf("greet %s: %w", address, err)
+	if err := conn.authenticate(ctx, self, secret); err != nil {
+		conn.Close()
+		return nil, fmt.Errorf("authenticate with %s: %w", address, err)
 	}
-	return c, nil
+	return conn, nil
 }
 
-// Serve accepts links until the listener closes. A connection that cannot be accepted,
-// for want of descriptors or since its peer left at once, ends nothing: the next one may
-// be, and a process that ended would come back to the same want.
-func Serve(ctx context.Context, l net.Listener, self string, secret Secret, h Handler, count *Counter) error {
+// Serve accepts connections until the listener closes. It continues if a connection cannot be
+// accepted, because file descriptors ran out or the peer left at once: the next accept may succeed,
+// and a restarted process would run into the same shortage.
+func Serve(ctx context.Context, listener net.Listener, self string, secret Secret, handler Handler, counter *Counter) error {
 	for {
-		raw, err := l.Accept()
+		netConn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			count.Failed.Add(1)
-			time.Sleep(acceptPause)
+			counter.Failed.Add(1)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		p := &proof{self: self, secret: secret, nonce: nonce()}
-		c := newConn(ctx, raw, h, count, p)
-		time.AfterFunc(proveTimeout, func() {
-			if !p.done.Load() {
-				c.Close()
+		handshake := &serverHandshake{self: self, secret: secret, nonce: newNonce()}
+		conn := newConn(ctx, netConn, handler, counter, handshake)
+		time.AfterFunc(handshakeTimeout, func() {
+			if !handshake.done.Load() {
+				conn.Close()
 			}
 		})
 	}
 }
 
-func newConn(ctx context.Context, raw net.Conn, h Handler, count *Counter, p *proof) *Conn {
-	c := &Conn{codec: &frameCodec{}, proof: p}
-	c.codec.bound.Store(maxFrame)
-	if p != nil {
-		c.codec.bound.Store(maxStranger)
+func newConn(ctx context.Context, netConn net.Conn, handler Handler, counter *Counter, handshake *serverHandshake) *Conn {
+	conn := &Conn{codec: &frameCodec{}, handshake: handshake}
+	conn.codec.maxSize.Store(maxFrame)
+	if handshake != nil {
+		conn.codec.maxSize.Store(maxUnauthenticatedFrame)
 	}
-	stream := jsonrpc2.NewBufferedStream(&countedConn{Conn: raw, count: count}, c.codec)
-	serve := &server{conn: c, handler: h, slots: make(chan struct{}, maxCalls), ready: make(chan struct{})}
-	c.rpc = jsonrpc2.NewConn(ctx, stream, serve, jsonrpc2.SetLogger(silent{}))
-	close(serve.ready)
-	return c
+	stream := jsonrpc2.NewBufferedStream(&countedConn{Conn: netConn, counter: counter}, conn.codec)
+	dispatch := &dispatcher{conn: conn, handler: handler, callSlots: make(chan struct{}, maxConcurrentCalls), ready: make(chan struct{})}
+	conn.rpc = jsonrpc2.NewConn(ctx, stream, dispatch, jsonrpc2.SetLogger(discardLogger{}))
+	close(dispatch.ready)
+	return conn
 }
 
-// silent drops the library's own log lines: each error reaches a caller.
-type silent struct{}
+// discardLogger drops the log lines of the library, since every error is returned to a caller.
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// hello opens a link.
-type hello struct {
+// helloRequest is the first message of a handshake, sent by the dialing end.
+type helloRequest struct {
 	Version int    `json:"version"`
 	Name    string `json:"name"`
 	Nonce   string `json:"nonce"`
 }
 
-// welcome answers a hello.
-type welcome struct {
+// helloResponse answers a helloRequest and proves that the accepting end holds the secret.
+type helloResponse struct {
 	Version int    `json:"version"`
 	Name    string `json:"name"`
 	Nonce   string `json:"nonce"`
 	Proof   string `json:"proof"`
 }
 
-// prove closes the greeting.
-type prove struct {
+// proveRequest ends a handshake. It proves that the dialing end holds the secret.
+type proveRequest struct {
 	Proof string `json:"proof"`
 }
 
-// proof is the state of a greeting at the accepting end.
-type proof struct {
+// serverHandshake is the state of a handshake at the accepting end.
+type serverHandshake struct {
 	self   string
 	secret Secret
 	nonce  string
-	peer   hello
+	peer   helloRequest
 	done   atomic.Bool
 }
 
-func (c *Conn) introduce(ctx context.Context, self string, secret Secret) error {
-	mine := hello{Version: message.Version, Name: self, Nonce: nonce()}
-	var theirs welcome
-	if err := c.Call(ctx, message.MethodHello, mine, &theirs); err != nil {
+// authenticate does the handshake at the dialing end.
+func (c *Conn) authenticate(ctx context.Context, self string, secret Secret) error {
+	clientHello := helloRequest{Version: message.Version, Name: self, Nonce: newNonce()}
+	var serverHello helloResponse
+	if err := c.Call(ctx, message.MethodHello, clientHello, &serverHello); err != nil {
 		return err
 	}
-	if !secret.verify(theirs.Proof, "accept", mine.Nonce, theirs.Nonce) {
-		return errProof
+	if !secret.verify(serverHello.Proof, "accept", clientHello.Nonce, serverHello.Nonce) {
+		return errBadProof
 	}
-	c.name = theirs.Name
-	answer := prove{Proof: secret.prove("dial", mine.Nonce, theirs.Nonce)}
-	return c.Call(ctx, message.MethodProve, answer, nil)
+	c.name = serverHello.Name
+	clientProof := proveRequest{Proof: secret.sign("dial", clientHello.Nonce, serverHello.Nonce)}
+	return c.Call(ctx, message.MethodProve, clientProof, nil)
 }
 
-var errProof = fleet.NewError(fleet.KindBadProof, "give every process the same secret file", "the peer does not hold the fleet's secret")
+var errBadProof = fleet.NewError(fleet.KindBadProof, "give every process the same secret file", "the peer does not hold the fleet's secret")
 
-func (s Secret) prove(role, a, b string) string {
+// sign returns the proof that a process in this role, "dial" or "accept", holds the secret. The
+// nonces of both ends are new for each connection, which prevents replays.
+func (s Secret) sign(role, dialerNonce, acceptorNonce string) string {
 	mac := hmac.New(sha256.New, s)
-	// A hash never fails to take bytes.
-	_, _ = fmt.Fprintf(mac, "%s|%s|%s", role, a, b)
+	// Writing to a hash never fails.
+	_, _ = fmt.Fprintf(mac, "%s|%s|%s", role, dialerNonce, acceptorNonce)
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-func (s Secret) verify(proof, role, a, b string) bool {
-	return hmac.Equal([]byte(proof), []byte(s.prove(role, a, b)))
+func (s Secret) verify(proof, role, dialerNonce, acceptorNonce string) bool {
+	return hmac.Equal([]byte(proof), []byte(s.sign(role, dialerNonce, acceptorNonce)))
 }
 
-func nonce() string {
+func newNonce() string {
 	return rand.Text()
 }
 
-// server hands the messages of one link to the handler.
-type server struct {
-	conn    *Conn
-	handler Handler
-	slots   chan struct{}
-	ready   chan struct{}
+// dispatcher passes the messages of one connection to the handler.
+type dispatcher struct {
+	conn      *Conn
+	handler   Handler
+	callSlots chan struct{}
+	ready     chan struct{}
 }
 
-// Handle implements jsonrpc2.Handler. The library calls it from the link's
-// one reading goroutine.
-func (s *server) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
+// Handle implements jsonrpc2.Handler. The library calls it from the only goroutine that reads the
+// connection.
+func (s *dispatcher) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	<-s.ready
 	params := json.RawMessage{}
 	if req.Params != nil {
 		params = *req.Params
 	}
-	p := s.conn.proof
-	if p != nil && !p.done.Load() {
-		result, err := s.greet(req.Method, params)
-		reply(ctx, rpc, req, result, err)
+	handshake := s.conn.handshake
+	if handshake != nil && !handshake.done.Load() {
+		result, err := s.handshake(req.Method, params)
+		reply(ctx, conn, req, result, err)
 		if err != nil {
 			s.conn.Close()
 		}
@@ -246,74 +249,77 @@
 		s.handler.Notify(s.conn, req.Method, params)
 		return
 	}
-	s.slots <- struct{}{}
+	s.callSlots <- struct{}{}
 	go func() {
-		defer func() { <-s.slots }()
+		defer func() { <-s.callSlots }()
 		result, err := s.handler.Call(ctx, s.conn, req.Method, params)
-		reply(ctx, rpc, req, result, err)
+		reply(ctx, conn, req, result, err)
 	}()
 }
 
-func (s *server) greet(method string, params json.RawMessage) (any, error) {
-	p := s.conn.proof
+// handshake handles a message of a peer that has not authenticated yet.
+func (s *dispatcher) handshake(method string, params json.RawMessage) (any, error) {
+	handshake := s.conn.handshake
 	switch method {
 	case message.MethodHello:
-		if err := json.Unmarshal(params, &p.peer); err != nil {
-			return nil, errProof
+		if err := json.Unmarshal(params, &handshake.peer); err != nil {
+			return nil, errBadProof
 		}
-		mark := p.secret.prove("accept", p.peer.Nonce, p.nonce)
-		return welcome{Version: message.Version, Name: p.self, Nonce: p.nonce, Proof: mark}, nil
+		serverProof := handshake.secret.sign("accept", handshake.peer.Nonce, handshake.nonce)
+		return helloResponse{Version: message.Version, Name: handshake.self, Nonce: handshake.nonce, Proof: serverProof}, nil
 	case message.MethodProve:
-		var answer prove
-		err := json.Unmarshal(params, &answer)
-		if err != nil || !p.secret.verify(answer.Proof, "dial", p.peer.Nonce, p.nonce) {
-			return nil, errProof
+		var clientProof proveRequest
+		err := json.Unmarshal(params, &clientProof)
+		if err != nil || !handshake.secret.verify(clientProof.Proof, "dial", handshake.peer.Nonce, handshake.nonce) {
+			return nil, errBadProof
 		}
-		s.conn.name = p.peer.Name
-		s.conn.codec.bound.Store(maxFrame)
-		p.done.Store(true)
+		s.conn.name = handshake.peer.Name
+		s.conn.codec.maxSize.Store(maxFrame)
+		handshake.done.Store(true)
 		return struct{}{}, nil
 	default:
-		return nil, errProof
+		return nil, errBadProof
 	}
 }
 
-func reply(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request, result any, err error) {
+func reply(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, result any, err error) {
 	if req.Notif {
 		return
 	}
-	// A reply that cannot be sent shows to the caller as a broken link.
+	// If the reply cannot be sent, the caller sees a broken connection.
 	if err != nil {
-		_ = rpc.ReplyWithError(ctx, req.ID, toWire(err))
+		_ = conn.ReplyWithError(ctx, req.ID, encodeError(err))
 		return
 	}
-	_ = rpc.Reply(ctx, req.ID, result)
+	_ = conn.Reply(ctx, req.ID, result)
 }
 
-func toWire(err error) *jsonrpc2.Error {
-	wire := &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
-	var kind *fleet.Error
-	if errors.As(err, &kind) {
-		wire.SetError(kind)
+// encodeError returns the error that is sent to the peer; a fleet.Error is sent with all its fields.
+func encodeError(err error) *jsonrpc2.Error {
+	rpcError := &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
+	var fleetError *fleet.Error
+	if errors.As(err, &fleetError) {
+		rpcError.SetError(fleetError)
 	}
-	return wire
+	return rpcError
 }
 
-func fromWire(err error) error {
-	var wire *jsonrpc2.Error
-	if !errors.As(err, &wire) || wire.Data == nil {
+// decodeError returns the fleet.Error that the peer sent, or the error itself if there is none.
+func decodeError(err error) error {
+	var rpcError *jsonrpc2.Error
+	if !errors.As(err, &rpcError) || rpcError.Data == nil {
 		return err
 	}
-	var kind fleet.Error
-	if json.Unmarshal(*wire.Data, &kind) != nil || kind.Kind == "" {
+	var fleetError fleet.Error
+	if json.Unmarshal(*rpcError.Data, &fleetError) != nil || fleetError.Kind == "" {
 		return err
 	}
-	return &kind
+	return &fleetError
 }
 
-// frameCodec writes each message behind its length and bounds what it reads.
+// frameCodec prefixes each message with its length and bounds the messages that it reads.
 type frameCodec struct {
-	bound atomic.Int64
+	maxSize atomic.Int64
 }
 
 // WriteObject implements jsonrpc2.ObjectCodec.
@@ -327,7 +333,7 @@
 	if err != nil {
 		return err
 	}
-	if size > uint64(f.bound.Load()) {
+	if size > uint64(f.maxSize.Load()) {
 		return fleet.NewError(fleet.KindMalformed, "speak the fleet's protocol", "a message of %d bytes is too large", size)
 	}
 	body := io.LimitReader(r, int64(size))
@@ -338,17 +344,16 @@
 	return err
 }
 
-// countedConn counts bytes and bounds how long a write may block on a peer
-// that reads nothing.
+// countedConn counts bytes and bounds how long a write may block on a peer that does not read.
 type countedConn struct {
 	net.Conn
-	count *Counter
+	counter *Counter
 }
 
 // Read implements io.Reader.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.count.Received.Add(int64(n))
+	c.counter.Received.Add(int64(n))
 	return n, err
 }
 
@@ -358,6 +363,6 @@
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
-	c.count.Sent.Add(int64(n))
+	c.counter.Sent.Add(int64(n))
 	return n, err
 }
