--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,7 +1,6 @@
-// Package codec holds the form in which configurations of routes are kept and
-// sent between processes. They are text that repeats itself: packed, one is a
-// tenth as long, and so are the log of the keepers, its way to each of them and
-// to each router.
+// Package codec compresses configurations of routes and other data that processes store and send
+// to each other. Configurations are repetitive text, which shrinks to a tenth, and so do the
+// keepers' log and what is replicated to keepers and sent to routers.
 package codec
 
 import (
@@ -12,59 +11,60 @@
 	"sync"
 )
 
-// maxText bounds what a packed text may unpack to, in bytes.
-const maxText = 64 << 20
+// maxTextSize bounds a decompressed text, in bytes.
+const maxTextSize = 64 << 20
 
-// writers keeps writers for the next text: each allocates 1.2 MB, which is more than
-// anything else that a keeper does several times a second.
-var writers sync.Pool
+// gzipWriters holds writers for reuse. A new one allocates 1.2 MB, more than anything else that a
+// keeper does several times per second.
+var gzipWriters sync.Pool
 
-// Pack returns a text in its packed form.
+// Compress returns a text compressed with gzip.
 func Compress(text []byte) ([]byte, error) {
-	var b bytes.Buffer
-	w, ok := writers.Get().(*gzip.Writer)
+	var compressed bytes.Buffer
+	w, ok := gzipWriters.Get().(*gzip.Writer)
 	if !ok {
 		var err error
 		if w, err = gzip.NewWriterLevel(nil, gzip.BestSpeed); err != nil {
-			return nil, fmt.Errorf("pack a text: %w", err)
+			return nil, fmt.Errorf("compress a text: %w", err)
 		}
 	}
-	w.Reset(&b)
-	if err := write(w, text); err != nil {
+	w.Reset(&compressed)
+	if err := compressAll(w, text); err != nil {
 		return nil, err
 	}
-	writers.Put(w)
-	return b.Bytes(), nil
+	gzipWriters.Put(w)
+	return compressed.Bytes(), nil
 }
 
-// Unpack returns the text of a packed form, byte by byte as it was.
+// Decompress returns the text that Compress was given. It fails if the data are damaged or the text
+// is larger than 64 MiB.
 func Decompress(data []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return nil, fmt.Errorf("unpack a text (it was damaged, or packed by another version): %w", err)
+		return nil, fmt.Errorf("decompress a text (it is damaged, or another version compressed it): %w", err)
 	}
 	return readBounded(r)
 }
 
-// readBounded reads what was packed to its end.
+// readBounded reads a decompressed text to its end. It fails if the text is larger than maxTextSize.
 func readBounded(r io.Reader) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(r, maxText+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxTextSize+1))
 	if err != nil {
-		return nil, fmt.Errorf("unpack a text (it was damaged, or packed by another version): %w", err)
+		return nil, fmt.Errorf("decompress a text (it is damaged, or another version compressed it): %w", err)
 	}
-	if len(text) > maxText {
-		return nil, fmt.Errorf("unpack a text: it has more than %d bytes (it was damaged, or is none of ours)", maxText)
+	if len(text) > maxTextSize {
+		return nil, fmt.Errorf("decompress a text: it has more than %d bytes (it is damaged, or does not come from this program)", maxTextSize)
 	}
 	return text, nil
 }
 
-// write packs a text to its end.
-func write(w io.WriteCloser, text []byte) error {
+// compressAll writes a complete text to a compressing writer and closes it.
+func compressAll(w io.WriteCloser, text []byte) error {
 	if _, err := w.Write(text); err != nil {
-		return fmt.Errorf("pack a text: %w", err)
+		return fmt.Errorf("compress a text: %w", err)
 	}
 	if err := w.Close(); err != nil {
-		return fmt.Errorf("pack a text: %w", err)
+		return fmt.Errorf("compress a text: %w", err)
 	}
 	return nil
 }
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -8,46 +8,44 @@
 	"pgregory.net/rapid"
 )
 
-func TestUnpackGivesEveryByteBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOf(rapid.Byte()).Draw(t, "text")
-		data, err := Compress(text)
+		compressed, err := Compress(text)
 		require.NoError(t, err)
-		again, err := Decompress(data)
+		decompressed, err := Decompress(compressed)
 		require.NoError(t, err)
-		require.Equal(t, string(text), string(again))
-		if len(data) > 0 {
-			_, err = Decompress(data[:len(data)-1])
-			require.Error(t, err, "what is cut is no text")
+		require.Equal(t, string(text), string(decompressed))
+		if len(compressed) > 0 {
+			_, err = Decompress(compressed[:len(compressed)-1])
+			require.Error(t, err, "truncated data are an error")
 		}
 	})
 }
 
-func TestPackedRoutesAreATenth(t *testing.T) {
+func TestRoutesCompressToTenth(t *testing.T) {
 	text := strings.Repeat(`{"name":"r-vtdhbjp","hostname":"ficu95.example","path_prefix":"/pufi791/","service":"huvo11a"},`, 400)
-	data, err := Compress([]byte(text))
+	compressed, err := Compress([]byte(text))
 	require.NoError(t, err)
-	require.Less(t, len(data), len(text)/10)
+	require.Less(t, len(compressed), len(text)/10)
 }
 
-// Symptom: a configuration that is cut is taken for whole, or cannot be read for a reason
-// that leads nowhere.
-// Sequence: what comes from another process unpacks to more than is allowed.
-// Cause: the rest was left out without a word.
-func TestWhatUnpacksToTooMuchIsAnError(t *testing.T) {
-	most, err := Compress(make([]byte, maxText))
+// A text above the limit must be an error. If it were truncated silently, a partial configuration
+// would be taken for a complete one, or fail to parse with a misleading error.
+func TestDecompressRefusesOversizedText(t *testing.T) {
+	largest, err := Compress(make([]byte, maxTextSize))
 	require.NoError(t, err)
-	text, err := Decompress(most)
+	text, err := Decompress(largest)
 	require.NoError(t, err)
-	require.Len(t, text, maxText)
-	more, err := Compress(make([]byte, maxText+1))
+	require.Len(t, text, maxTextSize)
+	tooLarge, err := Compress(make([]byte, maxTextSize+1))
 	require.NoError(t, err)
-	require.Less(t, len(more), maxText/100)
-	_, err = Decompress(more)
+	require.Less(t, len(tooLarge), maxTextSize/100)
+	_, err = Decompress(tooLarge)
 	require.Error(t, err)
 }
 
-// Whatever comes in place of a packed text is an error, or a text that packs again.
+// Any input is either an error or decompresses to a text that survives another round trip.
 func FuzzUnpack(f *testing.F) {
 	for _, text := range []string{"", "{}", strings.Repeat("x", 4000)} {
 		data, err := Compress([]byte(text))
@@ -61,10 +59,10 @@
 		if err != nil {
 			return
 		}
-		again, err := Compress(text)
+		compressed, err := Compress(text)
 		require.NoError(t, err)
-		back, err := Decompress(again)
+		decompressed, err := Decompress(compressed)
 		require.NoError(t, err)
-		require.Equal(t, string(text), string(back))
+		require.Equal(t, string(text), string(decompressed))
 	})
 }
--- a/internal/codec/json.go
+++ b/internal/codec/json.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// PackJSON returns a value as packed JSON.
+// CompressJSON returns a value as compressed JSON.
 func CompressJSON[T any](value T) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
-		return nil, fmt.Errorf("pack a value: %w", err)
+		return nil, fmt.Errorf("encode a value as JSON: %w", err)
 	}
 	return Compress(text)
 }
 
-// UnpackJSON returns the value of packed JSON.
+// DecompressJSON returns the value that compressed JSON encodes.
 func DecompressJSON[T any](data []byte) (T, error) {
 	var value T
 	text, err := Decompress(data)
@@ -22,7 +22,7 @@
 		return value, err
 	}
 	if err := json.Unmarshal(text, &value); err != nil {
-		return value, fmt.Errorf("unpack a value (it was packed by another version): %w", err)
+		return value, fmt.Errorf("decode a value from JSON (another version encoded it): %w", err)
 	}
 	return value, nil
 }
--- a/internal/codec/sample.go
+++ b/internal/codec/sample.go
@@ -8,47 +8,49 @@
 	"sync"
 )
 
-// A Sample packs short texts that look alike. What stands in its text takes next to nothing in
-// theirs. Both ends must have the same; set Text, then call the methods.
+// A DictionaryCodec compresses short, similar texts with DEFLATE and a preset dictionary. A part of
+// a text that also occurs in the dictionary takes almost no space. Both ends must use the same
+// dictionary. Set Dictionary before calling the methods.
 type DictionaryCodec struct {
 	Dictionary []byte
 
-	writers, readers sync.Pool
+	writerPool, readerPool sync.Pool
 }
 
-// Pack returns a text in its packed form.
+// Compress returns a compressed text.
 func (s *DictionaryCodec) Compress(text []byte) ([]byte, error) {
-	var b bytes.Buffer
-	w, ok := s.writers.Get().(*flate.Writer)
+	var compressed bytes.Buffer
+	w, ok := s.writerPool.Get().(*flate.Writer)
 	if !ok {
 		var err error
 		if w, err = flate.NewWriterDict(nil, flate.DefaultCompression, s.Dictionary); err != nil {
-			return nil, fmt.Errorf("pack a short text: %w", err)
+			return nil, fmt.Errorf("compress a text with a dictionary: %w", err)
 		}
 	}
-	w.Reset(&b)
-	if err := write(w, text); err != nil {
+	w.Reset(&compressed)
+	if err := compressAll(w, text); err != nil {
 		return nil, err
 	}
-	s.writers.Put(w)
-	return b.Bytes(), nil
+	s.writerPool.Put(w)
+	return compressed.Bytes(), nil
 }
 
-// Unpack returns the text of a packed form, byte by byte as it was.
+// Decompress returns the text that Compress was given. It fails if the data are damaged or the text
+// is larger than 64 MiB.
 func (s *DictionaryCodec) Decompress(data []byte) ([]byte, error) {
 	source := bytes.NewReader(data)
-	r, ok := s.readers.Get().(io.Reader)
+	r, ok := s.readerPool.Get().(io.Reader)
 	if !ok {
 		r = flate.NewReaderDict(source, s.Dictionary)
-	} else if again, ok := r.(flate.Resetter); ok {
-		if err := again.Reset(source, s.Dictionary); err != nil {
-			return nil, fmt.Errorf("unpack a text (it was damaged): %w", err)
+	} else if resetter, ok := r.(flate.Resetter); ok {
+		if err := resetter.Reset(source, s.Dictionary); err != nil {
+			return nil, fmt.Errorf("decompress a text with a dictionary: %w", err)
 		}
 	}
 	text, err := readBounded(r)
 	if err != nil {
 		return nil, err
 	}
-	s.readers.Put(r)
+	s.readerPool.Put(r)
 	return text, nil
 }
--- a/internal/codec/sample_test.go
+++ b/internal/codec/sample_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-func TestASampleGivesEveryByteBack(t *testing.T) {
+func TestDictionaryCodecRoundTrip(t *testing.T) {
 	s := &DictionaryCodec{Dictionary: []byte(`{"account":"","rate":0}`)}
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOf(rapid.Byte()).Draw(t, "text")
-		data, err := s.Compress(text)
+		compressed, err := s.Compress(text)
 		require.NoError(t, err)
-		again, err := s.Decompress(data)
+		decompressed, err := s.Decompress(compressed)
 		require.NoError(t, err)
-		require.Equal(t, string(text), string(again))
-		_, err = s.Decompress(data[:len(data)-1])
-		require.Error(t, err, "what is cut is no text")
+		require.Equal(t, string(text), string(decompressed))
+		_, err = s.Decompress(compressed[:len(compressed)-1])
+		require.Error(t, err, "truncated data are an error")
 	})
 }
