--- a/internal/settings/routes.go
+++ b/internal/settings/routes.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// A Routes is what a router of routes is told about the platform it runs on.
-// Its fields are bounds that the operators agree with the platform, so they are
-// lengths of time and not deadlines.
+// Routing holds the settings of a router that serves routes. Most are limits that the operators agree
+// on with the platform. Times are durations, not deadlines.
 type Routing struct {
-	// Ready is the address where the balancer asks whether this router is ready.
+	// ReadinessListen is the address at which the load balancer checks whether this router is ready.
 	ReadinessListen string
-	// Lease is how long after a question to the keepers, answered by the leader,
-	// keys of accounts still count.
+	// KeyLease is how long API keys stay valid after the router has sent a renewal that the leader
+	// answers.
 	KeyLease time.Duration
-	// Grace is how long a stopping router may go on.
+	// GracePeriod is how long a router may take for a graceful shutdown.
 	GracePeriod time.Duration
-	// Memory bounds what the process may use, in bytes.
+	// MemoryLimit bounds the memory of the process, in bytes.
 	MemoryLimit int64
-	// Files is how many sockets the process may have open.
+	// MaxSockets is how many sockets the process may have open.
 	MaxSockets int
-	// RetryRatio, RetrySlack and RetryWindow bound the attempts beyond the first
-	// of each request, over all routers: in any window at most the ratio of the
-	// requests plus the slack.
+	// RetryRatio, RetrySlack and RetryWindow are the retry budget of all routers together: in any
+	// window, the number of retries is at most RetryRatio times the number of requests, plus
+	// RetrySlack.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// WarmupRatio and WarmupSlack bound what a cold target gets in any second, over all
-	// routers: the ratio of its pool's rate plus the slack.
+	// WarmupRatio and WarmupSlack bound how many requests a cold target gets from all routers in
+	// any second: WarmupRatio times the warm-up rate of its pool, plus WarmupSlack.
 	WarmupRatio float64
 	WarmupSlack float64
-	// Reads is how many reads a second the platform's list takes from all nodes.
+	// ListReadRate is how many reads per second the platform's list accepts from all nodes
+	// together.
 	ListReadRate float64
 }
 
-// The defaults where no platform states bounds.
+// The defaults without a platform that gives limits.
 const (
-	// defaultLease is how long keys count after the last word of a leader. A key
-	// that is withdrawn stops working within that time everywhere.
-	defaultLease = 4500 * time.Millisecond
-	// defaultGrace is as long as the longest answers of engines usually take.
-	defaultGrace  = 30 * time.Second
-	defaultMemory = 256 << 20
-	defaultFiles  = 4096
-	// defaultRetryRatio and defaultRetrySlack are those of requests for events.
+	// defaultKeyLease is also the time within which a revoked key stops working everywhere.
+	defaultKeyLease = 4500 * time.Millisecond
+	// defaultGracePeriod is as long as the longest responses of engines usually take.
+	defaultGracePeriod = 30 * time.Second
+	defaultMemoryLimit = 256 << 20
+	defaultMaxSockets  = 4096
+	// defaultRetryRatio and defaultRetrySlack are the same as for requests for events.
 	defaultRetryRatio  = 0.1
 	defaultRetrySlack  = 10
 	defaultRetryWindow = 10 * time.Second
-	// defaultWarmupRatio is what targets that configurations list state of themselves.
+	// defaultWarmupRatio makes the limit the warm-up rate that targets in configurations state for
+	// themselves.
 	defaultWarmupRatio = 1
 )
 
-// DefaultRoutes returns the bounds that hold where no platform states any.
+// DefaultRouting returns the settings that apply without a platform that gives limits.
 func DefaultRouting() *Routing {
 	return &Routing{
-		KeyLease: defaultLease, GracePeriod: defaultGrace, MemoryLimit: defaultMemory, MaxSockets: defaultFiles,
+		KeyLease: defaultKeyLease, GracePeriod: defaultGracePeriod, MemoryLimit: defaultMemoryLimit, MaxSockets: defaultMaxSockets,
 		RetryRatio: defaultRetryRatio, RetrySlack: defaultRetrySlack, RetryWindow: defaultRetryWindow,
 		WarmupRatio: defaultWarmupRatio,
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,4 @@
-// Package settings reads and checks the TOML settings of each program before
-// anything starts.
+// Package settings reads and checks the TOML settings of routers and keepers at their start.
 package settings
 
 import (
@@ -14,7 +13,7 @@
 	"laburnumfall/internal/tomlfile"
 )
 
-// A Router is the settings of lf-router.
+// Router holds the settings of lf-router.
 type Router struct {
 	Name    string     `toml:"name"`
 	Zone    fleet.Zone `toml:"zone"`
@@ -24,14 +23,13 @@
 	Secret  string     `toml:"secret"`
 	Level   string     `toml:"level"`
 	Format  string     `toml:"format"`
-	// Hosts is the address where callers of routes come in, or "".
+	// RouteListen is the address at which callers of routes are served, or "" if there is none.
 	RouteListen string `toml:"hosts"`
-	// Routes are the settings of a router of routes; nil where it serves events
-	// only.
+	// Routing holds the settings for serving routes; it is nil if the router serves only events.
 	Routing *Routing `toml:"-"`
 }
 
-// A Keeper is the settings of lf-keeper.
+// Keeper holds the settings of lf-keeper.
 type Keeper struct {
 	Name   string     `toml:"name"`
 	Zone   fleet.Zone `toml:"zone"`
@@ -40,21 +38,22 @@
 	Data   string     `toml:"data"`
 	Peers  []string   `toml:"peers"`
 	Secret string     `toml:"secret"`
-	// List is the URL of the platform's list of VMs, or "".
+	// VMListURL is the URL of the platform's list of VMs, or "" if there is none.
 	VMListURL string `toml:"list"`
 	Level     string `toml:"level"`
 	Format    string `toml:"format"`
-	// Open lets peers in without proof of a shared secret: the network alone
-	// keeps strangers out.
+	// AllowUnauthenticated accepts peers that do not prove that they hold the secret. Only the network
+	// then protects the keeper.
 	AllowUnauthenticated bool `toml:"-"`
-	// Zones are the availability zones that the platform names, beside those of targets.
+	// Zones are the availability zones that the platform's settings list, in addition to those of
+	// targets.
 	Zones []fleet.Zone `toml:"-"`
-	// AutoMembers lets keepers take each other in and out of the group by themselves;
-	// else that is an operator's order.
+	// AutoMembers lets keepers add and remove members of the quorum group automatically. Otherwise
+	// only operators change it.
 	AutoMembers bool `toml:"-"`
 }
 
-// A Peer is a keeper as named in the settings of another.
+// A Peer is a keeper in the list of peers of another keeper.
 type Peer struct {
 	Name    string
 	Address string
@@ -63,58 +62,61 @@
 // PeerList returns the peers in the order of the settings.
 func (k Keeper) PeerList() []Peer {
 	peers := make([]Peer, 0, len(k.Peers))
-	for _, p := range k.Peers {
-		name, address, _ := strings.Cut(p, "=")
+	for _, peer := range k.Peers {
+		name, address, _ := strings.Cut(peer, "=")
 		peers = append(peers, Peer{Name: name, Address: address})
 	}
 	return peers
 }
 
-// ReadRouter reads and checks the settings of a router.
+// ReadRouter reads and checks the settings file of a router. The error is a *tomlfile.Error for the first
+// invalid setting.
 func ReadRouter(file string) (Router, error) {
-	var r Router
-	c, err := read(file, &r)
+	var router Router
+	check, err := read(file, &router)
 	if err != nil {
 		return Router{}, err
 	}
-	c.text("name", r.Name)
-	c.text("zone", string(r.Zone))
-	c.address("listen", r.Listen)
-	c.address("admin", r.Admin)
-	c.require(len(r.Keepers) > 0, "keepers", "list the keepers' addresses", "no keeper is named")
-	for _, k := range r.Keepers {
-		c.address("keepers", k)
+	check.nonEmpty("name", router.Name)
+	check.nonEmpty("zone", string(router.Zone))
+	check.address("listen", router.Listen)
+	check.address("admin", router.Admin)
+	check.require(len(router.Keepers) > 0, "keepers", "list the keepers' addresses", "the list is empty")
+	for _, keeper := range router.Keepers {
+		check.address("keepers", keeper)
 	}
-	c.secret("secret", r.Secret)
-	c.logging(r.Level, r.Format)
-	if r.RouteListen != "" {
-		c.address("hosts", r.RouteListen)
-		r.Routing = DefaultRouting()
+	check.secretFile("secret", router.Secret)
+	check.logOptions(router.Level, router.Format)
+	if router.RouteListen != "" {
+		check.address("hosts", router.RouteListen)
+		router.Routing = DefaultRouting()
 	}
-	return r, c.err
+	return router, check.err
 }
 
-// ReadKeeper reads and checks the settings of a keeper.
+// ReadKeeper reads and checks the settings file of a keeper. The error is a *tomlfile.Error for the first
+// invalid setting.
 func ReadKeeper(file string) (Keeper, error) {
-	var k Keeper
-	c, err := read(file, &k)
+	var keeper Keeper
+	check, err := read(file, &keeper)
 	if err != nil {
 		return Keeper{}, err
 	}
-	c.text("name", k.Name)
-	c.text("zone", string(k.Zone))
-	c.address("listen", k.Listen)
-	c.address("admin", k.Admin)
-	c.text("data", k.Data)
-	c.peers(k)
-	c.secret("secret", k.Secret)
-	c.require(k.VMListURL == "" || strings.HasPrefix(k.VMListURL, "http://"), "list",
-		`write "http://IP:PORT/PATH", or leave it out`, "%q is no URL of a list of VMs", k.VMListURL)
-	c.logging(k.Level, k.Format)
-	return k, c.err
-}
-
-// Logger returns a logger as the settings ask for it.
+	check.nonEmpty("name", keeper.Name)
+	check.nonEmpty("zone", string(keeper.Zone))
+	check.address("listen", keeper.Listen)
+	check.address("admin", keeper.Admin)
+	check.nonEmpty("data", keeper.Data)
+	check.peers(keeper)
+	check.secretFile("secret", keeper.Secret)
+	check.require(keeper.VMListURL == "" || strings.HasPrefix(keeper.VMListURL, "http://"), "list",
+		`write "http://IP:PORT/PATH", or leave it out`, "%q is not the URL of a list of VMs", keeper.VMListURL)
+	check.logOptions(keeper.Level, keeper.Format)
+	return keeper, check.err
+}
+
+// NewLogger returns a logger to standard error with the level and format ("text" or "json") of the
+// settings. The default level is info.
 func NewLogger(name, level, format string) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:       name,
@@ -131,24 +133,26 @@
 	return value
 }
 
-// checker keeps the first fault that it finds.
+// checker checks settings and keeps the first error.
 type checker struct {
 	lines tomlfile.KeyLines
 	err   error
 }
 
-func read(file string, v any) (*checker, error) {
+// read decodes a settings file into target.
+func read(file string, target any) (*checker, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &tomlfile.Error{File: file, Message: err.Error(), Remedy: "name a readable settings file with --config"}
 	}
-	lines, err := tomlfile.Decode(file, data, v)
+	lines, err := tomlfile.Decode(file, data, target)
 	if err != nil {
 		return nil, err
 	}
 	return &checker{lines: lines}, nil
 }
 
+// require records an error at the key unless ok is true.
 func (c *checker) require(ok bool, key, remedy, format string, args ...any) {
 	if ok || c.err != nil {
 		return
@@ -156,39 +160,40 @@
 	c.err = c.lines.Errorf(key, remedy, format, args...)
 }
 
-func (c *checker) text(key, value string) {
+func (c *checker) nonEmpty(key, value string) {
 	c.require(value != "", key, fmt.Sprintf("set %s", key), "the setting is missing or empty")
 }
 
 func (c *checker) address(key, value string) {
 	host, port, err := net.SplitHostPort(value)
 	ok := err == nil && port != "" && net.ParseIP(host) != nil
-	c.require(ok, key, `write "IP:PORT"`, "%q is no address", value)
+	c.require(ok, key, `write "IP:PORT"`, "%q is not an address", value)
 }
 
-func (c *checker) secret(key, file string) {
-	c.text(key, file)
+func (c *checker) secretFile(key, file string) {
+	c.nonEmpty(key, file)
 	info, err := os.Stat(file)
-	c.require(err == nil, key, "create the file; all processes of a fleet share it", "the secret %q cannot be read", file)
+	c.require(err == nil, key, "create the file; all processes of a fleet share it", "the secret file %q cannot be read", file)
 	c.require(err != nil || info.Size() >= minSecretSize, key, "put at least 16 random bytes into it",
-		"the secret %q is too short", file)
+		"the secret file %q is too short", file)
 }
 
 const minSecretSize = 16
 
-func (c *checker) logging(level, format string) {
+func (c *checker) logOptions(level, format string) {
 	c.require(level == "" || hclog.LevelFromString(level) != hclog.NoLevel, "level",
-		"write trace, debug, info, warn or error", "%q is no log level", level)
+		"write trace, debug, info, warn or error", "%q is not a log level", level)
 	c.require(format == "" || format == "text" || format == "json", "format",
-		"write text or json", "%q is no log format", format)
+		"write text or json", "%q is not a log format", format)
 }
 
-func (c *checker) peers(k Keeper) {
+// peers checks the list of peers, which must include the keeper itself.
+func (c *checker) peers(keeper Keeper) {
 	seen := make(map[string]bool)
-	for _, p := range k.PeerList() {
-		c.require(p.Name != "" && !seen[p.Name], "peers", `write each peer once, as "name=IP:PORT"`, "the peer %q is wrong", p.Name)
-		c.address("peers", p.Address)
-		seen[p.Name] = true
+	for _, peer := range keeper.PeerList() {
+		c.require(peer.Name != "" && !seen[peer.Name], "peers", `write each peer once, as "name=IP:PORT"`, "the peer %q is invalid or listed twice", peer.Name)
+		c.address("peers", peer.Address)
+		seen[peer.Name] = true
 	}
-	c.require(seen[k.Name], "peers", "name this keeper among its peers", "the keeper %q is not among its peers", k.Name)
+	c.require(seen[keeper.Name], "peers", "name this keeper among its peers", "the keeper %q is not among its peers", keeper.Name)
 }
--- a/internal/settings/settings_fuzz_test.go
+++ b/internal/settings/settings_fuzz_test.go
@@ -11,7 +11,7 @@
 	"laburnumfall/internal/tomlfile"
 )
 
-// Whatever a settings file holds: it is refused with a remedy, or names what is needed.
+// Any settings file is either refused with a remedy or contains the required settings.
 func FuzzSettingsFiles(f *testing.F) {
 	dir := f.TempDir()
 	secret := filepath.Join(dir, "secret")
@@ -27,20 +27,20 @@
 			if err == nil {
 				return false
 			}
-			var wrong *tomlfile.Error
-			require.True(t, errors.As(err, &wrong), "%v", err)
-			require.NotEmpty(t, wrong.Remedy)
+			var tomlError *tomlfile.Error
+			require.True(t, errors.As(err, &tomlError), "%v", err)
+			require.NotEmpty(t, tomlError.Remedy)
 			return true
 		}
-		r, err := ReadRouter(path)
+		router, err := ReadRouter(path)
 		if !refused(err) {
-			require.NotEmpty(t, r.Name)
-			require.NotEmpty(t, r.Keepers)
+			require.NotEmpty(t, router.Name)
+			require.NotEmpty(t, router.Keepers)
 		}
-		k, err := ReadKeeper(path)
+		keeper, err := ReadKeeper(path)
 		if !refused(err) {
-			require.NotEmpty(t, k.Name)
-			require.NotEmpty(t, k.Data)
+			require.NotEmpty(t, keeper.Name)
+			require.NotEmpty(t, keeper.Data)
 		}
 	})
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML strictly: an unknown key is an error, and every
-// error names the file, the line, the key and the remedy.
+// Package tomlfile decodes TOML files strictly: an unknown key is an error. Errors give the file, the
+// line, the key and a remedy.
 package tomlfile
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// An Error is a fault in a TOML file.
+// An Error is an error in a TOML file.
 type Error struct {
 	File    string
 	Line    int
@@ -23,112 +23,115 @@
 
 // Error returns "file:line: key: message (remedy)".
 func (e *Error) Error() string {
-	where := e.File
+	location := e.File
 	if e.Line > 0 {
-		where = fmt.Sprintf("%s:%d", e.File, e.Line)
+		location = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
 	if e.Key != "" {
-		where += ": " + e.Key
+		location += ": " + e.Key
 	}
-	return fmt.Sprintf("%s: %s (%s)", where, e.Message, e.Remedy)
+	return fmt.Sprintf("%s: %s (%s)", location, e.Message, e.Remedy)
 }
 
-// A Lines tells on which line a key stands. An element of an array of tables
-// has its place, counted from 0, in its key: "target.2.address".
+// KeyLines holds the line number of each key in a file. A key in an array of tables contains the index
+// of its element, counted from 0, as in "target.2.address".
 type KeyLines struct {
-	file  string
-	lines map[string]int
+	file      string
+	lineOfKey map[string]int
 }
 
-// Decode reads data into v and returns the lines of its keys.
+// Decode decodes the data of a file into v and returns the lines of its keys. The error is an *Error.
 func Decode(file string, data []byte, v any) (KeyLines, error) {
-	dec := toml.NewDecoder(bytes.NewReader(data))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(v); err != nil {
-		return KeyLines{}, explain(file, err)
+	decoder := toml.NewDecoder(bytes.NewReader(data))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
+		return KeyLines{}, convertError(file, err)
 	}
-	return KeyLines{file: file, lines: index(data)}, nil
+	return KeyLines{file: file, lineOfKey: indexLines(data)}, nil
 }
 
-// Errorf returns an Error at the line of key, or of the nearest table around
-// it where the key itself is missing.
+// Errorf returns an Error at the line of key or, if the file does not contain the key, of the innermost
+// table that contains it.
 func (l KeyLines) Errorf(key, remedy, format string, args ...any) *Error {
 	return &Error{
 		File:    l.file,
-		Line:    l.line(key),
+		Line:    l.lineOf(key),
 		Key:     key,
 		Message: fmt.Sprintf(format, args...),
 		Remedy:  remedy,
 	}
 }
 
-func (l KeyLines) line(key string) int {
+// lineOf returns the line of the key or of the innermost table that contains it, or 0.
+func (l KeyLines) lineOf(key string) int {
 	for key != "" {
-		if n, ok := l.lines[key]; ok {
-			return n
+		if number, ok := l.lineOfKey[key]; ok {
+			return number
 		}
-		cut := strings.LastIndexByte(key, '.')
-		if cut < 0 {
+		lastDot := strings.LastIndexByte(key, '.')
+		if lastDot < 0 {
 			return 0
 		}
-		key = key[:cut]
+		key = key[:lastDot]
 	}
 	return 0
 }
 
-func explain(file string, err error) error {
-	var strict *toml.StrictMissingError
-	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		first := &strict.Errors[0]
-		return decodeError(file, first, "unknown key", "remove it or mend its spelling")
+// convertError returns an *Error for an error of the TOML decoder.
+func convertError(file string, err error) error {
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		first := &unknownKeys.Errors[0]
+		return newError(file, first, "unknown key", "remove it or correct its spelling")
 	}
-	var syntax *toml.DecodeError
-	if errors.As(err, &syntax) {
-		return decodeError(file, syntax, syntax.Error(), "mend the value or the syntax at this line")
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		return newError(file, decodeError, decodeError.Error(), "mend the value or the syntax at this line")
 	}
 	return &Error{File: file, Message: err.Error(), Remedy: "mend the value"}
 }
 
-func decodeError(file string, err *toml.DecodeError, message, remedy string) error {
+func newError(file string, err *toml.DecodeError, message, remedy string) error {
 	line, _ := err.Position()
 	return &Error{File: file, Line: line, Key: strings.Join(err.Key(), "."), Message: message, Remedy: remedy}
 }
 
-// index maps each key of a document that has already been decoded to its line.
-func index(data []byte) map[string]int {
-	lines := make(map[string]int)
-	counts := make(map[string]int)
+// indexLines returns the line of each key in a file that was decoded without errors.
+func indexLines(data []byte) map[string]int {
+	lineOfKey := make(map[string]int)
+	elementCount := make(map[string]int)
 	prefix := ""
-	p := unstable.Parser{}
-	p.Reset(data)
-	for p.NextExpression() {
-		e := p.Expression()
-		key, line := keyOf(&p, e)
-		switch e.Kind {
+	parser := unstable.Parser{}
+	parser.Reset(data)
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		key, line := keyAndLine(&parser, expression)
+		switch expression.Kind {
 		case unstable.ArrayTable:
-			prefix = fmt.Sprintf("%s.%d.", key, counts[key])
-			counts[key]++
-			lines[strings.TrimSuffix(prefix, ".")] = line
+			prefix = fmt.Sprintf("%s.%d.", key, elementCount[key])
+			elementCount[key]++
+			lineOfKey[strings.TrimSuffix(prefix, ".")] = line
 		case unstable.Table:
 			prefix = key + "."
-			lines[key] = line
+			lineOfKey[key] = line
 		case unstable.KeyValue:
-			lines[prefix+key] = line
+			lineOfKey[prefix+key] = line
 		default:
 		}
 	}
-	return lines
+	return lineOfKey
 }
 
-func keyOf(p *unstable.Parser, e *unstable.Node) (string, int) {
+// keyAndLine returns the dotted key of an expression and its line.
+func keyAndLine(parser *unstable.Parser, expression *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
-	it := e.Key()
-	for it.Next() {
-		n := it.Node()
-		parts = append(parts, string(n.Data))
+	iterator := expression.Key()
+	for iterator.Next() {
+		node := iterator.Node()
+		parts = append(parts, string(node.Data))
 		if line == 0 {
-			line = p.Shape(n.Raw).Start.Line
+			line = parser.Shape(node.Raw).Start.Line
 		}
 	}
 	return strings.Join(parts, "."), line
