--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,7 +1,6 @@
-// Package asynclog takes log lines off the path of requests: a slow or stuck
-// reader of the log must never hold a request. Lines are bounded by kind, and
-// warnings, which the lines of failed requests are, go before others. What is left
-// out is counted, and the counts stand in the log once there is room.
+// Package asynclog writes log lines asynchronously, so that a slow or blocked reader of the log never
+// delays a request. Lines are rate limited by kind. Warnings, including the lines of failed requests,
+// have priority. Dropped lines are counted, and the counts are logged once the queue has space.
 package asynclog
 
 import (
@@ -13,113 +12,112 @@
 )
 
 const (
-	// size bounds the lines that wait: some seconds of a busy router.
-	size = 4096
-	// usualSize is the part of them that lines may take which are no warnings.
-	usualSize = size * 3 / 4
-	// batchBytes bounds what is written at once.
+	// queueSize bounds the queued lines. It holds some seconds of a busy router.
+	queueSize = 4096
+	// normalQueueSize is how many lines may be queued before lines below warn level are dropped.
+	normalQueueSize = queueSize * 3 / 4
+	// batchBytes bounds a batch: no line is added to a batch of this size.
 	batchBytes = 32 << 10
-	// pause is how long lines are collected, so that a write serves many.
-	pause = 50 * time.Millisecond
+	// batchDelay is the time between two writes, during which lines are collected for a batch.
+	batchDelay = 50 * time.Millisecond
 )
 
-// A Writer is a bounded ring of log lines. Make it by New.
+// A Writer is a bounded queue of log lines. Create it with New.
 type Writer struct {
 	out   io.Writer
 	lines chan []byte
 	now   func() time.Time
 
-	mu     sync.Mutex
-	budget budget
-	left   int // lines dropped since the start
+	mu           sync.Mutex
+	limiter      rateLimiter
+	totalDropped int // lines dropped since the start
 }
 
 var _ io.Writer = &Writer{}
 
-// New returns a ring that writes to out while Run runs.
+// New returns a Writer with an empty queue. Run writes the lines to out.
 func New(out io.Writer) *Writer {
-	return &Writer{out: out, lines: make(chan []byte, size), now: time.Now}
+	return &Writer{out: out, lines: make(chan []byte, queueSize), now: time.Now}
 }
 
-// Write queues one line. It never waits and never fails.
-func (r *Writer) Write(line []byte) (int, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	k, ok := r.budget.take(r.now(), line)
-	if !ok || !urgent(line) && len(r.lines) >= usualSize {
-		r.drop(k)
+// Write queues one line, or drops it. It never blocks and never fails.
+func (w *Writer) Write(line []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	counter, ok := w.limiter.allow(w.now(), line)
+	if !ok || !isUrgent(line) && len(w.lines) >= normalQueueSize {
+		w.drop(counter)
 		return len(line), nil
 	}
 	copied := append([]byte(nil), line...)
 	select {
-	case r.lines <- copied:
+	case w.lines <- copied:
 	default:
-		r.drop(k)
+		w.drop(counter)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out since the start.
-func (r *Writer) Dropped() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.left
+// Dropped returns how many lines were dropped since the start.
+func (w *Writer) Dropped() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.totalDropped
 }
 
-func (r *Writer) drop(k *kind) {
-	k.dropped++
-	r.left++
+func (w *Writer) drop(counter *kindCounter) {
+	counter.dropped++
+	w.totalDropped++
 }
 
-// Run writes lines until ctx ends, and then what still waits.
-func (r *Writer) Run(ctx context.Context) {
+// Run writes lines until ctx ends, and then the lines that are still queued.
+func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
-			for r.flush(nil) {
+			for w.flush(nil) {
 			}
 			return
-		case line := <-r.lines:
-			r.flush(line)
+		case line := <-w.lines:
+			w.flush(line)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(batchDelay):
 		}
 	}
 }
 
-// droppedLine is the line that counts what was left out.
-type droppedLine struct {
+// droppedLinesMessage is the log line with the counts of dropped lines.
+type droppedLinesMessage struct {
 	Level   string         `json:"@level"`
 	Message string         `json:"@message"`
-	At      time.Time      `json:"@timestamp"`
+	Time    time.Time      `json:"@timestamp"`
 	Count   int            `json:"count"`
 	Kinds   map[string]int `json:"kinds"`
 }
 
-// dropped returns the line that counts what was left out since the last one, if
-// anything was.
-func (r *Writer) dropped() []byte {
-	r.mu.Lock()
-	counts, all := r.budget.droppedLines()
-	now := r.now().UTC()
-	r.mu.Unlock()
-	if all == 0 {
+// droppedLine returns a line with the counts since the last such line, or nil if none were dropped.
+func (w *Writer) droppedLine() []byte {
+	w.mu.Lock()
+	counts, total := w.limiter.takeDropped()
+	now := w.now().UTC()
+	w.mu.Unlock()
+	if total == 0 {
 		return nil
 	}
-	// It holds nothing that cannot be encoded.
-	line, _ := json.Marshal(droppedLine{Level: "warn", Message: "log lines dropped", At: now, Count: all, Kinds: counts})
+	// All fields have types that can always be encoded.
+	line, _ := json.Marshal(droppedLinesMessage{Level: "warn", Message: "log lines dropped", Time: now, Count: total, Kinds: counts})
 	return append(line, '\n')
 }
 
-// flush writes a batch that begins with a line, and reports whether there was
-// anything.
-func (r *Writer) flush(batch []byte) bool {
-	batch = append(batch, r.dropped()...)
+// flush appends queued lines to the batch and writes it. It reports whether there was anything to
+// write.
+func (w *Writer) flush(batch []byte) bool {
+	batch = append(batch, w.droppedLine()...)
 	for len(batch) < batchBytes {
 		select {
-		case line := <-r.lines:
+		case line := <-w.lines:
 			batch = append(batch, line...)
 			continue
 		default:
@@ -129,7 +127,7 @@
 	if len(batch) == 0 {
 		return false
 	}
-	// A log that takes nothing is no reason to stop serving.
-	_, _ = r.out.Write(batch)
+	// The error is ignored, since a broken log must not stop the process.
+	_, _ = w.out.Write(batch)
 	return true
 }
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -14,48 +14,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowOut takes nothing until it is released.
-type slowOut struct {
+// blockedWriter blocks writes until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 
-	mu   sync.Mutex
-	text bytes.Buffer
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (s *slowOut) Write(b []byte) (int, error) {
+func (s *blockedWriter) Write(b []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.text.Write(b)
+	return s.written.Write(b)
 }
 
-// full runs write against a ring whose reader takes nothing meanwhile, at a time
-// that stands still for a second's worth of lines at most, and returns what was
-// written in the end.
-func full(write func(r *Writer, log hclog.Logger, second func())) string {
-	out := &slowOut{release: make(chan struct{})}
-	r := New(out)
+// writeWhileBlocked calls write with a Writer whose output is blocked, then unblocks the output and
+// returns everything that was written. The clock advances only when write calls nextSecond, so that
+// write controls how many lines are logged per second.
+func writeWhileBlocked(write func(w *Writer, log hclog.Logger, nextSecond func())) string {
+	out := &blockedWriter{release: make(chan struct{})}
+	w := New(out)
 	now := time.Unix(1000, 0)
-	r.now = func() time.Time { return now }
+	w.now = func() time.Time { return now }
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	log := hclog.New(&hclog.LoggerOptions{Name: "lf-router", JSONFormat: true, Output: r})
-	write(r, log, func() { now = now.Add(time.Second) })
+	log := hclog.New(&hclog.LoggerOptions{Name: "lf-router", JSONFormat: true, Output: w})
+	write(w, log, func() { now = now.Add(time.Second) })
 	go func() {
 		defer close(done)
-		r.Run(ctx)
+		w.Run(ctx)
 	}()
 	close(out.release)
 	cancel()
 	<-done
-	return out.text.String()
+	return out.written.String()
 }
 
-// counts returns what the last line about dropped lines says.
-func counts(t *testing.T, text string) map[string]int {
-	var last droppedLine
-	for line := range strings.Lines(text) {
+// droppedCounts returns the counts by message from the last line about dropped lines.
+func droppedCounts(t *testing.T, written string) map[string]int {
+	var last droppedLinesMessage
+	for line := range strings.Lines(written) {
 		if strings.Contains(line, "log lines dropped") {
 			require.NoError(t, json.Unmarshal([]byte(line), &last))
 		}
@@ -63,37 +63,32 @@
 	return last.Kinds
 }
 
-// Symptom: requests wait for a log that nobody reads.
-// Sequence: standard output takes nothing; far more lines are written than are
-// kept.
-// Cause: writing a line waits for its reader.
-func TestAStuckLogHoldsNobodyAndTellsWhatItDropped(t *testing.T) {
-	text := full(func(r *Writer, _ hclog.Logger, second func()) {
-		for i := range 3 * size {
-			if i%usualLines == 0 {
-				second()
+// Logging must not block if standard output is not read and the queue is full: requests would wait.
+func TestWriteDoesNotBlockAndCountsDroppedLines(t *testing.T) {
+	written := writeWhileBlocked(func(w *Writer, _ hclog.Logger, nextSecond func()) {
+		for i := range 3 * queueSize {
+			if i%normalLinesPerSecond == 0 {
+				nextSecond()
 			}
-			n, err := fmt.Fprintf(r, "line %d\n", i)
+			n, err := fmt.Fprintf(w, "line %d\n", i)
 			require.NoError(t, err)
 			require.Positive(t, n)
 		}
 	})
-	require.Contains(t, text, "line 0\n")
-	require.Equal(t, usualSize, strings.Count(text, "line "))
-	require.Equal(t, map[string]int{"": 3*size - usualSize}, counts(t, text))
-	require.True(t, strings.HasSuffix(text, "\n"))
+	require.Contains(t, written, "line 0\n")
+	require.Equal(t, normalQueueSize, strings.Count(written, "line "))
+	require.Equal(t, map[string]int{"": 3*queueSize - normalQueueSize}, droppedCounts(t, written))
+	require.True(t, strings.HasSuffix(written, "\n"))
 }
 
-// Symptom: the line of the request that a user complains of is not in the log, those
-// of thousands that were served are.
-// Sequence: a log that is read slowly, under load; some requests fail.
-// Cause: whatever comes first takes the room.
-func TestFailedRequestsAreKeptBeforeServedOnes(t *testing.T) {
+// If the log is read slowly under load, the queue must keep space for the lines of failed requests.
+// Otherwise thousands of lines of successful requests displace those that users ask about.
+func TestKeepsWarningsWhenQueueIsFull(t *testing.T) {
 	const failed = 900
-	text := full(func(_ *Writer, log hclog.Logger, second func()) {
-		for i := range 8 * usualLines {
-			if i%usualLines == 0 {
-				second()
+	written := writeWhileBlocked(func(_ *Writer, log hclog.Logger, nextSecond func()) {
+		for i := range 8 * normalLinesPerSecond {
+			if i%normalLinesPerSecond == 0 {
+				nextSecond()
 			}
 			log.Info("done", "request", i, "status", 200)
 		}
@@ -101,51 +96,48 @@
 			log.Warn("done", "request", fmt.Sprintf("f%d", i), "status", 503)
 		}
 	})
-	require.Equal(t, failed, strings.Count(text, `"request":"f`))
-	require.Equal(t, usualSize, strings.Count(text, `"status":200`))
-	require.Equal(t, map[string]int{"done": 8*usualLines - usualSize}, counts(t, text))
+	require.Equal(t, failed, strings.Count(written, `"request":"f`))
+	require.Equal(t, normalQueueSize, strings.Count(written, `"status":200`))
+	require.Equal(t, map[string]int{"done": 8*normalLinesPerSecond - normalQueueSize}, droppedCounts(t, written))
 }
 
-// Symptom: under load, a router's log grows without bound, and what it came to know
-// is not in it.
-// Sequence: many requests in one second, and a change of configuration.
-// Cause: all lines draw on one budget, or on none.
-func TestEachKindOfLineHasABudget(t *testing.T) {
-	text := full(func(_ *Writer, log hclog.Logger, second func()) {
+// Many request lines in one second must not grow the log without bound, nor displace other lines such
+// as a change of configuration.
+func TestLimitsLinesPerKind(t *testing.T) {
+	written := writeWhileBlocked(func(_ *Writer, log hclog.Logger, nextSecond func()) {
 		for range 2 {
-			for range 2 * usualLines {
+			for range 2 * normalLinesPerSecond {
 				log.Info("done", "status", 200)
 			}
 			log.Info("configuration in force", "number", 7)
-			second()
+			nextSecond()
 		}
 	})
-	require.Equal(t, 2*usualLines, strings.Count(text, `"@message":"done"`))
-	require.Equal(t, 2, strings.Count(text, "configuration in force"))
-	require.Equal(t, map[string]int{"done": 2 * usualLines}, counts(t, text))
+	require.Equal(t, 2*normalLinesPerSecond, strings.Count(written, `"@message":"done"`))
+	require.Equal(t, 2, strings.Count(written, "configuration in force"))
+	require.Equal(t, map[string]int{"done": 2 * normalLinesPerSecond}, droppedCounts(t, written))
 }
 
-func TestManyKindsShareOneBudget(t *testing.T) {
-	text := full(func(_ *Writer, log hclog.Logger, _ func()) {
-		for i := range 4 * usualLines {
+func TestExcessKindsShareOneLimit(t *testing.T) {
+	written := writeWhileBlocked(func(_ *Writer, log hclog.Logger, _ func()) {
+		for i := range 4 * normalLinesPerSecond {
 			log.Info(fmt.Sprintf("kind %d", i))
 		}
 	})
-	require.Equal(t, kinds+usualLines, strings.Count(text, `"@message":"kind `))
+	require.Equal(t, maxKinds+normalLinesPerSecond, strings.Count(written, `"@message":"kind `))
 }
 
-// BenchmarkWrite measures one line of a request, as encoded by the library and queued
-// here: see the pages for what a request costs with and without its two lines.
+// BenchmarkWrite measures the cost of one line of a request, encoded by hclog and queued by Writer.
 func BenchmarkWrite(b *testing.B) {
-	r := New(&bytes.Buffer{})
+	w := New(&bytes.Buffer{})
 	lines := int64(0)
-	r.now = func() time.Time { lines++; return time.Unix(lines/(usualLines/2), 0) }
-	log := hclog.New(&hclog.LoggerOptions{Name: "lf-router", JSONFormat: true, Output: r})
+	w.now = func() time.Time { lines++; return time.Unix(lines/(normalLinesPerSecond/2), 0) }
+	log := hclog.New(&hclog.LoggerOptions{Name: "lf-router", JSONFormat: true, Output: w})
 	b.ReportAllocs()
 	for b.Loop() {
 		log.Info("done", "request", "7f", "status", 200, "reason", "answered", "route", "read", "pool", "plain", "account", "acme", "sent", 1, "took", 41, "first", 36)
 		select {
-		case <-r.lines:
+		case <-w.lines:
 		default:
 		}
 	}
--- a/internal/asynclog/budget.go
+++ b/internal/asynclog/budget.go
@@ -6,118 +6,118 @@
 )
 
 const (
-	// usualLines and urgentLines are how many lines of one kind are written in a
-	// second. At two lines a request, usualLines covers ten times what one router of
-	// the largest deployment in sight serves; a line is about 350 bytes, so both
-	// together bound a process to a megabyte a second and kind.
-	usualLines  = 1000
-	urgentLines = 2000
-	// kinds bounds the kinds of lines that are counted apart. There are some sixty.
-	kinds = 256
+	// normalLinesPerSecond and urgentLinesPerSecond bound the lines of one kind per second. At two
+	// lines per request, normalLinesPerSecond is ten times the load of one router in the largest
+	// planned deployment. A line has about 350 bytes, so a process writes at most about 1 MB per
+	// second for each message.
+	normalLinesPerSecond = 1000
+	urgentLinesPerSecond = 2000
+	// maxKinds bounds the kinds of lines that are counted separately. There are about sixty.
+	maxKinds = 256
 )
 
-// A kind is what is counted of lines with one message, of one urgency.
-type kind struct {
-	message string
-	second  int64
-	lines   int // written in that second
-	dropped int // since the last count in the log
+// A kindCounter counts the lines with one message and one urgency.
+type kindCounter struct {
+	message       string
+	second        int64
+	linesInSecond int
+	dropped       int // since the counts were last logged
 }
 
-// A budget bounds the lines of each kind in a second, so that a process under load
-// neither spends its processor on its log nor fills what keeps it, and one kind
-// never crowds another out.
-type budget struct {
-	usual  map[string]*kind
-	urgent map[string]*kind
-	rest   kind // of kinds beyond the bound
+// A rateLimiter bounds the lines of each kind per second. Under load, a process then spends little CPU
+// time on its log and does not fill the log storage, and lines of one kind do not displace others.
+type rateLimiter struct {
+	normal map[string]*kindCounter
+	urgent map[string]*kindCounter
+	other  kindCounter // shared by all kinds in excess of maxKinds
 }
 
-// take counts a line and reports whether it is within its kind's budget.
-func (b *budget) take(now time.Time, line []byte) (*kind, bool) {
-	k := b.kind(line)
-	if s := now.Unix(); s != k.second {
-		k.second, k.lines = s, 0
+// allow counts a line, returns its counter and reports whether it is within the limit of its kind.
+func (l *rateLimiter) allow(now time.Time, line []byte) (*kindCounter, bool) {
+	counter := l.counterFor(line)
+	if second := now.Unix(); second != counter.second {
+		counter.second, counter.linesInSecond = second, 0
 	}
-	k.lines++
-	most := usualLines
-	if urgent(line) {
-		most = urgentLines
+	counter.linesInSecond++
+	limit := normalLinesPerSecond
+	if isUrgent(line) {
+		limit = urgentLinesPerSecond
 	}
-	return k, k.lines <= most
+	return counter, counter.linesInSecond <= limit
 }
 
-func (b *budget) kind(line []byte) *kind {
-	if b.usual == nil {
-		b.usual, b.urgent = make(map[string]*kind), make(map[string]*kind)
+// counterFor returns the counter of a line's kind.
+func (l *rateLimiter) counterFor(line []byte) *kindCounter {
+	if l.normal == nil {
+		l.normal, l.urgent = make(map[string]*kindCounter), make(map[string]*kindCounter)
 	}
-	list := b.usual
-	if urgent(line) {
-		list = b.urgent
+	counters := l.normal
+	if isUrgent(line) {
+		counters = l.urgent
 	}
-	name := message(line)
-	if k := list[string(name)]; k != nil { // converts without an allocation
-		return k
+	messageText := messageOf(line)
+	if counter := counters[string(messageText)]; counter != nil { // this conversion does not allocate
+		return counter
 	}
-	if len(list) >= kinds {
-		return &b.rest
+	if len(counters) >= maxKinds {
+		return &l.other
 	}
-	k := &kind{message: string(name)}
-	list[k.message] = k
-	return k
+	counter := &kindCounter{message: string(messageText)}
+	counters[counter.message] = counter
+	return counter
 }
 
-// droppedLines returns how many lines of each message were dropped, and forgets it.
-func (b *budget) droppedLines() (counts map[string]int, all int) {
-	add := func(k *kind) {
-		if k.dropped == 0 {
+// takeDropped returns how many lines were dropped by message and in total, and resets these counts.
+func (l *rateLimiter) takeDropped() (counts map[string]int, total int) {
+	collect := func(counter *kindCounter) {
+		if counter.dropped == 0 {
 			return
 		}
 		if counts == nil {
 			counts = make(map[string]int)
 		}
-		counts[k.message] += k.dropped
-		all += k.dropped
-		k.dropped = 0
+		counts[counter.message] += counter.dropped
+		total += counter.dropped
+		counter.dropped = 0
 	}
-	for _, k := range b.usual {
-		add(k)
+	for _, counter := range l.normal {
+		collect(counter)
 	}
-	for _, k := range b.urgent {
-		add(k)
+	for _, counter := range l.urgent {
+		collect(counter)
 	}
-	add(&b.rest)
-	return counts, all
+	collect(&l.other)
+	return counts, total
 }
 
 var (
 	levelField   = []byte(`{"@level":"`)
 	messageField = []byte(`"@message":"`)
-	usualLevels  = [][]byte{[]byte("info"), []byte("debug"), []byte("trace")}
+	normalLevels = [][]byte{[]byte("info"), []byte("debug"), []byte("trace")}
 )
 
-// urgent reports whether a line is a warning or worse: then it goes before others.
-func urgent(line []byte) bool {
+// isUrgent reports whether the level of a line is warn or higher. Such lines have priority.
+func isUrgent(line []byte) bool {
 	level, ok := bytes.CutPrefix(line, levelField)
 	if !ok {
 		return false
 	}
-	for _, l := range usualLevels {
-		if bytes.HasPrefix(level, l) {
+	for _, normal := range normalLevels {
+		if bytes.HasPrefix(level, normal) {
 			return false
 		}
 	}
 	return true
 }
 
-// message returns what kind of line it is. The encoder puts it second.
-func message(line []byte) []byte {
-	const near = 40
-	_, rest, ok := bytes.Cut(line[:min(len(line), near+len(messageField))], messageField)
+// messageOf returns the message of a line, which is the second field.
+func messageOf(line []byte) []byte {
+	const maxOffset = 40
+	_, rest, ok := bytes.Cut(line[:min(len(line), maxOffset+len(messageField))], messageField)
 	if !ok {
 		return nil
 	}
-	at := len(line[:min(len(line), near+len(messageField))]) - len(rest)
-	text, _, _ := bytes.Cut(line[at:], []byte{'"'})
+	start := len(line[:min(len(line), maxOffset+len(messageField))]) - len(rest)
+	text, _, _ := bytes.Cut(line[start:], []byte{'"'})
 	return text
 }
--- a/internal/asynclog/logger.go
+++ b/internal/asynclog/logger.go
@@ -14,12 +14,12 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// timeFormat is that of hclog's lines.
+// timeFormat is the time format of hclog.
 const timeFormat = "2006-01-02T15:04:05.000000Z07:00"
 
-// A Logger writes the JSON lines of hclog field by field. hclog makes a map of each line and
-// encodes it by reflection, which takes a router more processor time than its decisions. What
-// Logger does not override, hclog does. Make it by NewLogger.
+// A Logger writes the same JSON lines as hclog, but field by field. hclog makes a map of each line and
+// encodes it by reflection, which costs a router more CPU time than its placement decisions. Methods
+// that Logger does not override are those of hclog. Create it with NewLogger.
 type Logger struct {
 	hclog.Logger
 
@@ -30,11 +30,11 @@
 
 var _ hclog.Logger = &Logger{}
 
-// NewLogger returns a logger of JSON lines with the name and level of the options. Fields
-// come in the order of the arguments; of two with one key, readers take the last.
-func NewLogger(o hclog.LoggerOptions) *Logger {
+// NewLogger returns a logger of JSON lines with the name, level and output of the options. Fields are in
+// the order of the arguments. If two have the same key, readers of JSON use the last one.
+func NewLogger(options hclog.LoggerOptions) *Logger {
 	return &Logger{
-		Logger: hclog.New(&o), out: o.Output, now: time.Now,
+		Logger: hclog.New(&options), out: options.Output, now: time.Now,
 		buffers: sync.Pool{New: func() any { return new([]byte) }},
 	}
 }
@@ -46,11 +46,11 @@
 	}
 	buf, ok := l.buffers.Get().(*[]byte)
 	if !ok {
-		return // the pool holds nothing else
+		return // cannot happen: the pool holds only buffers
 	}
 	defer l.buffers.Put(buf)
-	*buf = l.line((*buf)[:0], level, msg, args)
-	_, _ = l.out.Write(*buf) // a log that takes nothing is no reason to stop
+	*buf = l.appendLine((*buf)[:0], level, msg, args)
+	_, _ = l.out.Write(*buf) // a broken log must not stop the process
 }
 
 // Debug implements hclog.Logger.
@@ -65,86 +65,89 @@
 // Error implements hclog.Logger.
 func (l *Logger) Error(msg string, args ...any) { l.Log(hclog.Error, msg, args...) }
 
-// line appends a line. Its level and message come first, where Writer looks for them.
-func (l *Logger) line(b []byte, level hclog.Level, msg string, args []any) []byte {
-	b = append(b, `{"@level":"`...)
-	b = append(b, level.String()...)
-	b = append(b, `","@message":`...)
-	b = appendText(b, msg)
+// appendLine appends a line. The level and message are the first fields, where Writer expects them.
+func (l *Logger) appendLine(buf []byte, level hclog.Level, msg string, args []any) []byte {
+	buf = append(buf, `{"@level":"`...)
+	buf = append(buf, level.String()...)
+	buf = append(buf, `","@message":`...)
+	buf = appendString(buf, msg)
 	if name := l.Name(); name != "" {
-		b = append(b, `,"@module":`...)
-		b = appendText(b, name)
+		buf = append(buf, `,"@module":`...)
+		buf = appendString(buf, name)
 	}
-	b = append(b, `,"@timestamp":"`...)
-	b = l.now().AppendFormat(b, timeFormat)
-	b = append(b, '"')
+	buf = append(buf, `,"@timestamp":"`...)
+	buf = l.now().AppendFormat(buf, timeFormat)
+	buf = append(buf, '"')
 	if len(args)%2 != 0 {
 		last := args[len(args)-1]
 		args = append(append([]any(nil), args[:len(args)-1]...), hclog.MissingKey, last)
 	}
 	for i := 0; i+1 < len(args); i += 2 {
-		b = append(b, ',')
-		b = appendText(b, keyOf(args[i]))
-		b = append(b, ':')
-		b = appendValue(b, args[i+1])
+		buf = append(buf, ',')
+		buf = appendString(buf, keyText(args[i]))
+		buf = append(buf, ':')
+		buf = appendValue(buf, args[i+1])
 	}
-	return append(b, "}\n"...)
+	return append(buf, "}\n"...)
 }
 
-func keyOf(key any) string {
+func keyText(key any) string {
 	if s, ok := key.(string); ok {
 		return s
 	}
 	return fmt.Sprint(key)
 }
 
-func appendValue(b []byte, v any) []byte {
+// appendValue appends a value as JSON.
+func appendValue(buf []byte, v any) []byte {
 	switch v := v.(type) {
 	case nil:
-		return append(b, "null"...)
+		return append(buf, "null"...)
 	case string:
-		return appendText(b, v)
+		return appendString(buf, v)
 	case int:
-		return strconv.AppendInt(b, int64(v), 10)
+		return strconv.AppendInt(buf, int64(v), 10)
 	case int64:
-		return strconv.AppendInt(b, v, 10)
+		return strconv.AppendInt(buf, v, 10)
 	case uint64:
-		return strconv.AppendUint(b, v, 10)
+		return strconv.AppendUint(buf, v, 10)
 	case bool:
-		return strconv.AppendBool(b, v)
+		return strconv.AppendBool(buf, v)
 	case float64:
 		if !math.IsNaN(v) && !math.IsInf(v, 0) {
-			return strconv.AppendFloat(b, v, 'g', -1, 64)
+			return strconv.AppendFloat(buf, v, 'g', -1, 64)
 		}
-		return appendText(b, strconv.FormatFloat(v, 'g', -1, 64))
+		return appendString(buf, strconv.FormatFloat(v, 'g', -1, 64))
 	case json.Marshaler, encoding.TextMarshaler:
-		return appendJSON(b, v)
+		return appendJSON(buf, v)
 	case error:
-		return appendText(b, v.Error())
+		return appendString(buf, v.Error())
 	}
-	if r := reflect.ValueOf(v); r.Kind() == reflect.String {
-		return appendText(b, r.String())
+	if value := reflect.ValueOf(v); value.Kind() == reflect.String {
+		return appendString(buf, value.String())
 	}
-	return appendJSON(b, v)
+	return appendJSON(buf, v)
 }
 
-// appendJSON appends what the library makes of a value, or says why it makes nothing.
-func appendJSON(b []byte, v any) []byte {
+// appendJSON appends a value as encoding/json encodes it. If that fails, it appends a string with the
+// value and the error.
+func appendJSON(buf []byte, v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		return appendText(b, fmt.Sprintf("%v (not encoded: %v)", v, err))
+		return appendString(buf, fmt.Sprintf("%v (not encoded: %v)", v, err))
 	}
-	return append(b, data...)
+	return append(buf, data...)
 }
 
-// appendText appends a text in quotes. One of plain characters needs no look at each rune.
-func appendText(b []byte, s string) []byte {
+// appendString appends a JSON string. Strings of printable ASCII characters without quotes and
+// backslashes, which need no escaping, are copied.
+func appendString(buf []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
-			return appendJSON(b, s)
+			return appendJSON(buf, s)
 		}
 	}
-	b = append(b, '"')
-	b = append(b, s...)
-	return append(b, '"')
+	buf = append(buf, '"')
+	buf = append(buf, s...)
+	return append(buf, '"')
 }
