--- a/internal/explain/events.go
+++ b/internal/explain/events.go
@@ -11,75 +11,75 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// An Event is one kind of log line.
+// An Event describes one kind of log line.
 type Event struct {
 	Message string
-	// By are the processes that log it: router, keeper or both.
+	// By is the program that logs it: "router", "keeper" or "both".
 	By     string
 	Means  string
 	Fields []Field
 }
 
-// A Field is one field of an event.
+// A Field describes one field of an event.
 type Field struct {
 	Name  string
 	Means string
 }
 
-// table is the file of events. A field means the same in all of them, unless an
-// event says otherwise.
+// eventsTOML is the table of events. A field has the same meaning in all events, unless an event
+// gives its own.
 //
 //go:embed events.toml
-var table []byte
+var eventsTOML []byte
 
-type tableFile struct {
+type eventsFile struct {
 	Fields map[string]string `toml:"fields"`
 	Events []struct {
-		Message string            `toml:"message"`
-		By      string            `toml:"by"`
-		Means   string            `toml:"means"`
-		Fields  []string          `toml:"fields"`
-		Other   map[string]string `toml:"other"` // fields with a meaning of their own
+		Message   string            `toml:"message"`
+		By        string            `toml:"by"`
+		Means     string            `toml:"means"`
+		Fields    []string          `toml:"fields"`
+		OwnFields map[string]string `toml:"other"` // meanings of fields that apply only to this event
 	} `toml:"event"`
 }
 
-// Events returns all kinds of lines that processes write, but those for developers.
-// It panics if the embedded table cannot be read, which its test rules out.
+// Events returns all kinds of log lines, except those at debug level. It panics if the embedded table
+// is invalid, which a test rules out.
 func Events() []Event {
-	var file tableFile
-	if err := toml.Unmarshal(table, &file); err != nil {
+	var file eventsFile
+	if err := toml.Unmarshal(eventsTOML, &file); err != nil {
 		panic(fmt.Errorf("read the table of events: %w", err))
 	}
 	var events []Event
-	for _, e := range file.Events {
-		event := Event{Message: e.Message, By: e.By, Means: e.Means}
-		for _, name := range e.Fields {
+	for _, listed := range file.Events {
+		event := Event{Message: listed.Message, By: listed.By, Means: listed.Means}
+		for _, name := range listed.Fields {
 			event.Fields = append(event.Fields, Field{Name: name, Means: file.Fields[name]})
 		}
-		for _, name := range slices.Sorted(maps.Keys(e.Other)) {
-			event.Fields = append(event.Fields, Field{Name: name, Means: e.Other[name]})
+		for _, name := range slices.Sorted(maps.Keys(listed.OwnFields)) {
+			event.Fields = append(event.Fields, Field{Name: name, Means: listed.OwnFields[name]})
 		}
 		events = append(events, event)
 	}
 	return events
 }
 
-// PrintEvents writes the page of all events.
+// PrintEvents writes the Markdown page that lists all events.
 func PrintEvents(w io.Writer) error {
-	p := printer{w: w}
-	p.say("# Log lines\n\nMade from the table in `internal/explain`, which a test holds against the code.\n")
-	p.say("Each line is JSON on standard output with `@timestamp`, `@level`, `@module` and\n`@message`; times without a unit are in milliseconds. `lfctl explain ID` reads them.\n")
-	for _, by := range []string{"both", "router", "keeper"} {
-		p.say("\n## %s\n", map[string]string{"both": "Every process", "router": "Routers", "keeper": "Keepers"}[by])
-		for _, e := range Events() {
-			if e.By != by {
+	out := printer{w: w}
+	out.printf("# Log lines\n\nMade from the table in `internal/explain`, which a test holds against the code.\n")
+	out.printf("Each line is JSON on standard output with `@timestamp`, `@level`, `@module` and\n`@message`; times without a unit are in milliseconds. `lfctl explain ID` reads them.\n")
+	for _, process := range []string{"both", "router", "keeper"} {
+		out.printf("\n## %s\n", map[string]string{"both": "Every process", "router": "Routers", "keeper": "Keepers"}[process])
+		for _, event := range Events() {
+			if event.By != process {
 				continue
 			}
-			p.say("\n`%s`: %s\n", e.Message, e.Means)
-			for _, f := range e.Fields {
-				p.say("- `%s`: %s\n", f.Name, strings.TrimSpace(f.Means))
+			out.printf("\n`%s`: %s\n", event.Message, event.Means)
+			for _, field := range event.Fields {
+				out.printf("- `%s`: %s\n", field.Name, strings.TrimSpace(field.Means))
 			}
 		}
 	}
-	return p.err
+	return out.err
 }
--- a/internal/explain/events_test.go
+++ b/internal/explain/events_test.go
@@ -19,25 +19,23 @@
 
 const eventsPage = "../../docs/EVENTS.md"
 
-// Symptom: an engineer finds a line, or a field, that no page explains; or looks for
-// one that is never written.
-// Sequence: a log call is added, renamed or dropped.
-// Cause: the table of events is kept by hand.
-func TestTheTableOfEventsIsWhatTheCodeLogs(t *testing.T) {
+// The table of events is maintained by hand. Whenever a log call is added, renamed or removed, the table
+// must change too, so that it contains every line and field, and none that is never logged.
+func TestEventsMatchLogCalls(t *testing.T) {
 	logged := loggedEvents(t)
 	listed := map[string]explain.Event{}
-	for _, e := range explain.Events() {
-		require.NotContains(t, listed, e.Message, "listed twice")
-		require.NotEmpty(t, e.Means, e.Message)
-		listed[e.Message] = e
+	for _, event := range explain.Events() {
+		require.NotContains(t, listed, event.Message, "listed twice")
+		require.NotEmpty(t, event.Means, event.Message)
+		listed[event.Message] = event
 	}
 	for message, fields := range logged {
-		e, ok := listed[message]
+		event, ok := listed[message]
 		require.True(t, ok, "not in the table: %q with %v", message, fields)
 		var names []string
-		for _, f := range e.Fields {
-			names = append(names, f.Name)
-			require.NotEmpty(t, f.Means, "%s: %s", message, f.Name)
+		for _, field := range event.Fields {
+			names = append(names, field.Name)
+			require.NotEmpty(t, field.Means, "%s: %s", message, field.Name)
 		}
 		slices.Sort(names)
 		require.Equal(t, fields, names, message)
@@ -47,27 +45,27 @@
 	}
 }
 
-func TestThePageOfEventsIsTheTable(t *testing.T) {
+func TestEventsPageIsCurrent(t *testing.T) {
 	var page strings.Builder
 	require.NoError(t, explain.PrintEvents(&page))
 	if *update {
 		require.NoError(t, os.WriteFile(eventsPage, []byte(page.String()), 0o600))
 	}
-	have, err := os.ReadFile(eventsPage)
+	current, err := os.ReadFile(eventsPage)
 	require.NoError(t, err)
-	require.Equal(t, page.String(), string(have), "run go test ./internal/explain -update")
+	require.Equal(t, page.String(), string(current), "run go test ./internal/explain -update")
 }
 
-// messageOfRing is of the only line that no logger writes.
-const messageOfRing = "log lines dropped"
+// droppedLinesMessage is the message of the only line that is not written by a logger.
+const droppedLinesMessage = "log lines dropped"
 
-// loggedEvents reads from the sources which messages are logged, with the names of
-// their fields in order. Lines for developers (debug) are left out.
+// loggedEvents returns the messages that the source code logs, with the sorted names of their fields.
+// Lines at debug level are left out.
 func loggedEvents(t *testing.T) map[string][]string {
-	events := map[string][]string{messageOfRing: {"count", "kinds"}}
+	events := map[string][]string{droppedLinesMessage: {"count", "kinds"}}
 	for _, root := range []string{"../../internal", "../../platform"} {
-		require.NoError(t, filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
-			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+		require.NoError(t, filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -75,8 +73,8 @@
 				return err
 			}
 			for _, decl := range file.Decls {
-				if f, ok := decl.(*ast.FuncDecl); ok {
-					readCalls(f, events)
+				if function, ok := decl.(*ast.FuncDecl); ok {
+					addLoggedFields(function, events)
 				}
 			}
 			return nil
@@ -89,21 +87,22 @@
 	return events
 }
 
-// wrappers are functions that write a line with fields that their callers add, and
-// from which argument on.
-var wrappers = map[string]struct {
-	message string
-	from    int
+// logWrappers are functions that log a line with additional fields from their callers. firstField is the
+// index of the first such argument.
+var logWrappers = map[string]struct {
+	message    string
+	firstField int
 }{
 	"logEnd":  {"done", 4},
 	"logSend": {"send", 5},
 }
 
-// messageAt is which argument of a logger's methods is the message.
-var messageAt = map[string]int{"Info": 0, "Warn": 0, "Error": 0, "Log": 1}
+// messageArgument is the index of the message in the arguments of a logger's methods.
+var messageArgument = map[string]int{"Info": 0, "Warn": 0, "Error": 0, "Log": 1}
 
-func readCalls(f *ast.FuncDecl, events map[string][]string) {
-	ast.Inspect(f, func(n ast.Node) bool {
+// addLoggedFields adds the messages and field names of all log calls in a function.
+func addLoggedFields(function *ast.FuncDecl, events map[string][]string) {
+	ast.Inspect(function, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
 		if !ok {
 			return true
@@ -112,47 +111,47 @@
 		if !ok {
 			return true
 		}
-		if w, ok := wrappers[method.Sel.Name]; ok {
-			events[w.message] = append(events[w.message], names(call.Args[min(w.from, len(call.Args)):])...)
+		if wrapper, ok := logWrappers[method.Sel.Name]; ok {
+			events[wrapper.message] = append(events[wrapper.message], fieldNames(call.Args[min(wrapper.firstField, len(call.Args)):])...)
 			return true
 		}
-		at, ok := messageAt[method.Sel.Name]
+		argument, ok := messageArgument[method.Sel.Name]
 		if !ok || !isLogger(method.X) {
 			return true
 		}
-		message, ok := text(call.Args[at])
+		message, ok := stringLiteral(call.Args[argument])
 		if !ok {
 			return true
 		}
-		events[message] = append(events[message], names(call.Args[at+1:])...)
+		events[message] = append(events[message], fieldNames(call.Args[argument+1:])...)
 		if call.Ellipsis.IsValid() {
-			events[message] = append(events[message], built(f)...)
+			events[message] = append(events[message], builtFieldNames(function)...)
 		}
 		return true
 	})
 }
 
-// isLogger goes by the name: all loggers are called log or Log.
-func isLogger(x ast.Expr) bool {
-	switch x := x.(type) {
+// isLogger reports whether an expression is a logger by its name: all loggers are named log or Log.
+func isLogger(expression ast.Expr) bool {
+	switch expression := expression.(type) {
 	case *ast.Ident:
-		return strings.EqualFold(x.Name, "log")
+		return strings.EqualFold(expression.Name, "log")
 	case *ast.SelectorExpr:
-		return strings.EqualFold(x.Sel.Name, "log")
+		return strings.EqualFold(expression.Sel.Name, "log")
 	}
 	return false
 }
 
-// built returns the names in lists of fields that a function puts together.
-func built(f *ast.FuncDecl) []string {
+// builtFieldNames returns the field names in the lists of fields that a function builds.
+func builtFieldNames(function *ast.FuncDecl) []string {
 	var list []string
-	ast.Inspect(f, func(n ast.Node) bool {
+	ast.Inspect(function, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.CompositeLit:
-			list = append(list, names(n.Elts)...)
+			list = append(list, fieldNames(n.Elts)...)
 		case *ast.CallExpr:
-			if fun, ok := n.Fun.(*ast.Ident); ok && fun.Name == "append" {
-				list = append(list, names(n.Args[1:])...)
+			if called, ok := n.Fun.(*ast.Ident); ok && called.Name == "append" {
+				list = append(list, fieldNames(n.Args[1:])...)
 			}
 		}
 		return true
@@ -160,19 +159,20 @@
 	return list
 }
 
-// names returns the names among names and values in turn.
-func names(args []ast.Expr) []string {
+// fieldNames returns the names from alternating names and values.
+func fieldNames(args []ast.Expr) []string {
 	var list []string
 	for i := 0; i < len(args); i += 2 {
-		if name, ok := text(args[i]); ok {
+		if name, ok := stringLiteral(args[i]); ok {
 			list = append(list, name)
 		}
 	}
 	return list
 }
 
-func text(x ast.Expr) (string, bool) {
-	literal, ok := x.(*ast.BasicLit)
+// stringLiteral returns the value of an expression that is a string literal.
+func stringLiteral(expression ast.Expr) (string, bool) {
+	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return "", false
 	}
--- a/internal/explain/fuzz_test.go
+++ b/internal/explain/fuzz_test.go
@@ -8,28 +8,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// text is a log in memory.
-type text []byte
+// memoryLog is a log in memory.
+type memoryLog []byte
 
 // Open implements Source.
-func (t text) Open() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(t)), nil }
+func (t memoryLog) Open() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(t)), nil }
 
 // Name implements Source.
-func (text) Name() string { return "r1" }
+func (memoryLog) Name() string { return "r1" }
 
-// Whatever a log holds, what is ours in it is told of.
+// Any log gives a report with a cause, or an UnknownRequestError.
 func FuzzLogs(f *testing.F) {
 	f.Add([]byte(`r1 {"@message":"send","@timestamp":"2026-01-01T00:00:00Z","request":"mine","target":"t","born":-1,"result":"no answer","try":1}` + "\n" +
 		`{"@message":"done","@timestamp":"2026-01-01T00:00:00Z","request":"mine","reason":"the target gave no answer"}`))
 	f.Add([]byte(`{"@message":"done","@timestamp":"2026-01-01T00:00:00Z","request":"mine","took":9223372036854775807,"reason":"?"}` + "\n\xff\x00{"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		story, err := Find("mine", []Source{text(data)})
+		report, err := Find("mine", []Source{memoryLog(data)})
 		if err != nil {
 			var unknown *UnknownRequestError
 			require.ErrorAs(t, err, &unknown)
 			return
 		}
-		require.NotEmpty(t, story.Cause().Why)
-		require.NoError(t, story.Print(io.Discard))
+		require.NotEmpty(t, report.Cause().Why)
+		require.NoError(t, report.Print(io.Discard))
 	})
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -1,6 +1,6 @@
-// Package explain tells the life of a request from the log lines of the processes
-// that touched it: what was decided, on what knowledge and how old that was, and why
-// the request ended as it did.
+// Package explain reconstructs from log lines how a request was processed: which decisions were made,
+// on the basis of which state and how old it was, and why the request ended as it did. It also
+// computes statistics about all requests in the logs.
 package explain
 
 import (
@@ -17,15 +17,15 @@
 	"laburnumfall/internal/fleet"
 )
 
-// longestLine bounds what is read of one line. Lines of this project are below two
-// kilobytes; a longer one is skipped.
-const longestLine = 64 << 10
+// maxLineBytes bounds the length of a line; longer ones are skipped. Lines of this project have less
+// than 2 KB.
+const maxLineBytes = 64 << 10
 
-// The messages of lines that are told of in particular.
+// The messages of lines that are evaluated.
 const (
 	messageDone     = "done"
 	messageSend     = "send"
-	messageRefuse   = "refuse" // of the product's own interface, as the next
+	messageRefuse   = "refuse" // refuse and end are for requests of the product's own API
 	messageEnd      = "end"
 	messageDropped  = "log lines dropped"
 	messageStart    = "start"
@@ -39,114 +39,114 @@
 
 // A Line is one log line.
 type Line struct {
-	At      time.Time `json:"@timestamp"`
+	Time    time.Time `json:"@timestamp"`
 	Level   string    `json:"@level"`
 	Message string    `json:"@message"`
 	Module  string    `json:"@module"`
 
-	Account   string              `json:"account"`
-	Age       int64               `json:"age"`  // of a list, in ms
-	Aim       int64               `json:"aim"`  // of the route, in ms
-	Back      int64               `json:"back"` // when the caller may come back, in ms
-	Born      int64               `json:"born"` // start of the target, as a Unix millisecond
-	Copy      string              `json:"copy"` // from where parts of the prompt are copied
-	Ends      int                 `json:"ends"` // of targets under the request
-	Error     string              `json:"error"`
-	Excess    float64             `json:"excess"` // how many times as much as others the account has
-	First     int64               `json:"first"`  // until the first byte, in ms
-	Home      bool                `json:"home"`   // the prompt's parts belong there
-	Left      int64               `json:"left"`   // until the caller gives up, in ms
-	Load      float64             `json:"load"`   // part of the target's slots
-	Own       int                 `json:"own"`    // tokens of the prompt's own part
-	Pool      string              `json:"pool"`
-	Predicted int64               `json:"predicted"` // until the first byte, in ms
-	Print     string              `json:"print"`     // fingerprint of the request
-	Queue     int64               `json:"queue"`     // of that, for others, in ms
-	Reason    fleet.Reason        `json:"reason"`
-	Request   string              `json:"request"`
-	Result    fleet.AttemptResult `json:"result"`
-	Route     string              `json:"route"`
-	Sent      int                 `json:"sent"`
-	Shared    int                 `json:"shared"` // tokens of the prompt's shared parts
-	Status    int                 `json:"status"`
-	Target    string              `json:"target"`
-	Took      int64               `json:"took"` // in ms
-	Try       int                 `json:"try"`
-	Unread    int                 `json:"unread"` // tokens
-	Wait      int64               `json:"wait"`   // predicted, in ms
-	Whole     bool                `json:"whole"`
-	Within    bool                `json:"within"` // its account's share
-	Why       string              `json:"why"`    // of a refusal or a choice
-	Zone      string              `json:"zone"`
+	Account            string              `json:"account"`
+	Age                int64               `json:"age"`  // of the list of targets, in ms
+	LatencyObjective   int64               `json:"aim"`  // of the route, in ms
+	RetryAfter         int64               `json:"back"` // when the caller may retry, in ms; 0 is never
+	TargetStart        int64               `json:"born"` // in Unix milliseconds
+	CopySource         string              `json:"copy"` // engine from which KV cache is copied
+	TargetEnds         int                 `json:"ends"` // how many targets ended while they ran the request
+	Error              string              `json:"error"`
+	ExcessFactor       float64             `json:"excess"` // service of the account, as a multiple of that of an underserved account
+	FirstByte          int64               `json:"first"`  // until the first byte, in ms
+	CachedAtTarget     bool                `json:"home"`   // the target is where the prompt's parts are expected to be cached
+	TimeLeft           int64               `json:"left"`   // until the caller's deadline, in ms
+	Load               float64             `json:"load"`   // fraction of the target's slots that is in use
+	OwnTokens          int                 `json:"own"`    // tokens of the prompt's unshared part
+	Pool               string              `json:"pool"`
+	PredictedFirstByte int64               `json:"predicted"` // until the first byte, in ms
+	Fingerprint        string              `json:"print"`     // of the account, method, path and body
+	QueueTime          int64               `json:"queue"`     // part of the predicted time that is for requests before it, in ms
+	Reason             fleet.Reason        `json:"reason"`
+	Request            string              `json:"request"`
+	Result             fleet.AttemptResult `json:"result"`
+	Route              string              `json:"route"`
+	Sent               int                 `json:"sent"`
+	SharedTokens       int                 `json:"shared"` // tokens of the prompt's shared parts
+	Status             int                 `json:"status"`
+	Target             string              `json:"target"`
+	Duration           int64               `json:"took"` // in ms
+	Attempt            int                 `json:"try"`
+	UncachedTokens     int                 `json:"unread"` // tokens of the prompt that the target has to prefill
+	PredictedWait      int64               `json:"wait"`   // until the first byte, in ms
+	Complete           bool                `json:"whole"`
+	WithinShare        bool                `json:"within"` // the account was within its share when the request arrived
+	Why                string              `json:"why"`    // reason for a refusal or for the choice of a target
+	Zone               string              `json:"zone"`
 
-	// Process is what stands before the line, as collectors of logs put it there,
-	// or else the name of the file.
+	// Process is the last word before the line, where log collectors put the name of the process, or
+	// else the name of the source.
 	Process string `json:"-"`
-	// Text is the line itself, from its first brace on.
+	// Text is the JSON text of the line.
 	Text string `json:"-"`
 }
 
-// target returns which run of a target the line tells of.
-func (l *Line) target() Incarnation {
-	return Incarnation{ID: l.Target, StartMillis: l.Born}
+// targetIncarnation returns the incarnation of the target in the line.
+func (l *Line) targetIncarnation() Incarnation {
+	return Incarnation{ID: l.Target, StartMillis: l.TargetStart}
 }
 
-// parse reads one line; ok is false for what is no line of this project.
-func parse(text, file string) (Line, bool) {
-	at := strings.IndexByte(text, '{')
-	if at < 0 {
+// parseLine parses one line. It reports false for lines that are not of this project.
+func parseLine(text, file string) (Line, bool) {
+	start := strings.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
-	l := Line{Text: strings.TrimSpace(text[at:]), Process: file}
-	if err := json.Unmarshal([]byte(l.Text), &l); err != nil || l.Message == "" || l.At.IsZero() {
+	line := Line{Text: strings.TrimSpace(text[start:]), Process: file}
+	if err := json.Unmarshal([]byte(line.Text), &line); err != nil || line.Message == "" || line.Time.IsZero() {
 		return Line{}, false
 	}
-	if fields := strings.Fields(text[:at]); len(fields) > 0 {
-		l.Process = fields[len(fields)-1]
+	if fields := strings.Fields(text[:start]); len(fields) > 0 {
+		line.Process = fields[len(fields)-1]
 	}
-	return l, true
+	return line, true
 }
 
-// A Source is one log to read, as often as need be.
+// A Source is a log that can be read several times.
 type Source interface {
-	// Open returns the log from its beginning.
+	// Open opens the log at its beginning.
 	Open() (io.ReadCloser, error)
-	// Name is what its lines are known by if nothing stands before them.
+	// Name returns the name of the process for lines without a prefix that names it.
 	Name() string
 }
 
-// A File is a Source by its path.
+// A File is the path of a log file.
 type File string
 
 // Open implements Source.
 func (f File) Open() (io.ReadCloser, error) { return os.Open(string(f)) }
 
-// Name implements Source.
+// Name implements Source. It returns the base name of the file without its extension.
 func (f File) Name() string {
 	return strings.TrimSuffix(filepath.Base(string(f)), filepath.Ext(string(f)))
 }
 
-// each calls f with each line of a source.
-func each(s Source, f func(*Line)) (err error) {
-	r, err := s.Open()
+// eachLine calls visit with each line of a source that is of this project.
+func eachLine(source Source, visit func(*Line)) (err error) {
+	r, err := source.Open()
 	if err != nil {
 		return fmt.Errorf("open a log (name a readable file): %w", err)
 	}
 	defer func() { err = errors.Join(err, r.Close()) }()
-	b := bufio.NewReaderSize(r, longestLine)
+	reader := bufio.NewReaderSize(r, maxLineBytes)
 	for {
-		text, long, err := b.ReadLine()
+		text, tooLong, err := reader.ReadLine()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("read the log %s: %w", s.Name(), err)
+			return fmt.Errorf("read the log %s: %w", source.Name(), err)
 		}
-		if long {
-			continue // a part of no line of ours
+		if tooLong {
+			continue // lines of this project are shorter
 		}
-		if l, ok := parse(string(text), s.Name()); ok {
-			f(&l)
+		if line, ok := parseLine(string(text), source.Name()); ok {
+			visit(&line)
 		}
 	}
 }
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -12,214 +12,219 @@
 	"laburnumfall/internal/fleet"
 )
 
-// By names what losses are told by.
+// Grouping is the property by which requests are grouped.
 type Grouping string
 
-// What losses can be told by.
+// The groupings of requests.
 const (
-	ByRoute   Grouping = "route"
-	ByAccount Grouping = "account"
-	BySize    Grouping = "size" // of prompts, within their route
+	GroupByRoute   Grouping = "route"
+	GroupByAccount Grouping = "account"
+	GroupBySize    Grouping = "size" // of prompts, within each route
 )
 
-// Bys are all of them.
-var Groupings = []Grouping{ByRoute, ByAccount, BySize}
+// Groupings are all groupings.
+var Groupings = []Grouping{GroupByRoute, GroupByAccount, GroupBySize}
 
-// halfTaken is the part of a target's slots below which it counts as idle where nothing
-// waits at it.
-const halfTaken = 0.5
+// idleLoad is the fraction of a target's slots in use up to which the target counts as idle if its
+// queue is empty.
+const idleLoad = 0.5
 
-// A Loss tells what became of some callers' requests, in parts of them. An attempt that
-// comes again after a refusal is the same request.
+// LossStats are the outcomes of a group of requests, as fractions of their number. A caller's retry after
+// a refusal belongs to the same request.
 type LossStats struct {
 	Name     string `json:"name"`
 	Requests int    `json:"requests"`
-	// Within is the part that was within its account's share when it came first.
-	Within float64 `json:"within"`
-	InAim  float64 `json:"in_aim"`
-	// Back, Foreseen and Slow are late answers: of callers that were refused first, of
-	// requests that were sent although their target was known to be late, and others.
-	Back     float64 `json:"back"`
-	Foreseen float64 `json:"foreseen"`
-	Slow     float64 `json:"slow"`
-	// Share and Other were refused in the end: beyond their account's share, or for
-	// another reason.
-	Share float64 `json:"share"`
-	Other float64 `json:"other"`
-	// Failed had an answer of failure, one that broke off, or left.
+	// WithinShare is the fraction of requests whose account was within its share at their first
+	// arrival.
+	WithinShare float64 `json:"within"`
+	OnTime      float64 `json:"in_aim"`
+	// The late answers are divided into those after an earlier refusal, those that were sent although
+	// the predicted time to first byte was above the latency objective, and others.
+	LateAfterRefusal float64 `json:"back"`
+	LateAsPredicted  float64 `json:"foreseen"`
+	LateOther        float64 `json:"slow"`
+	// RefusedOverShare and RefusedOther are requests whose last attempt was refused: because the
+	// account exceeded its share, or for another reason.
+	RefusedOverShare float64 `json:"share"`
+	RefusedOther     float64 `json:"other"`
+	// Failed are requests with an error or a truncated answer, or whose caller left.
 	Failed float64 `json:"failed"`
-	// Idle is the part of refused attempts at which the target chosen had at most half of
-	// its slots taken and nothing to read.
-	Idle float64 `json:"idle"`
+	// RefusedByIdleTarget is the fraction of refused attempts whose chosen target was idle: at most
+	// half of its slots were in use and its queue was empty.
+	RefusedByIdleTarget float64 `json:"idle"`
 }
 
-// outcome is how a request ended so far.
+// outcome is the outcome of the latest attempt of a request.
 type outcome uint8
 
 const (
-	ended outcome = iota // in failure
-	refusedShare
+	failed outcome = iota // with an error or a truncated answer, or the caller left
+	refusedOverShare
 	refusedOther
-	inAim
-	lateBack
-	lateForeseen
-	lateSlow
-	outcomes
+	onTime
+	lateAfterRefusal
+	lateAsPredicted
+	lateOther
+	outcomeCount
 )
 
-// asked is one caller's request.
-type asked struct {
-	route, account string
-	size           int
-	first          time.Time // when it came first
-	within         bool
-	end            outcome
-	refused, idle  int // attempts
+// callerRequest is a request of a caller with all its attempts.
+type callerRequest struct {
+	route, account         string
+	tokens                 int
+	arrival                time.Time // of the first attempt
+	withinShare            bool
+	outcome                outcome
+	refused, refusedByIdle int // numbers of attempts
 }
 
-// LossesOf reads what became of callers' requests.
-func ReadLossStats(sources []Source, by Grouping) ([]LossStats, error) {
-	predicted := make(map[string]int64) // by request: until the first byte, in ms
-	requests := make(map[string]*asked)
+// ReadLossStats reads logs and returns the outcomes of requests by group, sorted by name. Requests of
+// routes without a latency objective are left out.
+func ReadLossStats(sources []Source, grouping Grouping) ([]LossStats, error) {
+	predicted := make(map[string]int64) // time to first byte in ms, by request
+	requests := make(map[string]*callerRequest)
 	var lines []Line
-	for _, s := range sources {
-		err := each(s, func(l *Line) {
+	for _, source := range sources {
+		err := eachLine(source, func(line *Line) {
 			switch {
-			case l.Message == messageSend:
-				predicted[l.Request] = l.Predicted
-			case l.Message == messageDone && l.Aim > 0:
-				lines = append(lines, *l)
+			case line.Message == messageSend:
+				predicted[line.Request] = line.PredictedFirstByte
+			case line.Message == messageDone && line.LatencyObjective > 0:
+				lines = append(lines, *line)
 			}
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
-	slices.SortStableFunc(lines, func(a, b Line) int { return a.came().Compare(b.came()) })
+	slices.SortStableFunc(lines, func(a, b Line) int { return a.arrival().Compare(b.arrival()) })
 	for i := range lines {
-		l := &lines[i]
-		a := requests[l.asks()]
-		if a == nil {
-			a = &asked{route: l.Route, account: l.Account, size: l.Own + l.Shared, first: l.came(), within: l.Within}
-			requests[l.asks()] = a
+		line := &lines[i]
+		request := requests[line.requestKey()]
+		if request == nil {
+			request = &callerRequest{route: line.Route, account: line.Account, tokens: line.OwnTokens + line.SharedTokens, arrival: line.arrival(), withinShare: line.WithinShare}
+			requests[line.requestKey()] = request
 		}
-		a.add(l, predicted[l.Request])
+		request.add(line, predicted[line.Request])
 	}
-	return lossesBy(slices.Collect(maps.Values(requests)), by), nil
+	return groupLosses(slices.Collect(maps.Values(requests)), grouping), nil
 }
 
-// came returns when the request of a line of its end came.
-func (l *Line) came() time.Time {
-	return l.At.Add(-time.Duration(l.Took) * time.Millisecond)
+// arrival returns the arrival of the request, if the line is about its end.
+func (l *Line) arrival() time.Time {
+	return l.Time.Add(-time.Duration(l.Duration) * time.Millisecond)
 }
 
-// asks names what attempts at one request have in common: a prompt comes again as it was,
-// all else under another ID.
-func (l *Line) asks() string {
-	if l.Own+l.Shared == 0 {
+// requestKey returns a key that is the same for all attempts of a caller's request. A retry has another
+// request ID, so prompts are recognized by their route, account and sizes. Other requests cannot be
+// recognized, and each attempt counts as a request.
+func (l *Line) requestKey() string {
+	if l.OwnTokens+l.SharedTokens == 0 {
 		return l.Request
 	}
-	return fmt.Sprintf("%s/%s/%d/%d", l.Route, l.Account, l.Own, l.Shared)
+	return fmt.Sprintf("%s/%s/%d/%d", l.Route, l.Account, l.OwnTokens, l.SharedTokens)
 }
 
-// add counts an attempt that took a predicted time, in ms, to its first byte.
-func (a *asked) add(l *Line, predicted int64) {
+// add counts an attempt. The predicted time to first byte is in ms.
+func (r *callerRequest) add(line *Line, predicted int64) {
 	switch {
-	case l.Status == http.StatusOK:
-		a.end = a.answered(l, predicted)
-	case l.Status == http.StatusTooManyRequests || l.Status == http.StatusServiceUnavailable:
-		a.refused++
-		if l.Queue == 0 && l.Load <= halfTaken {
-			a.idle++
+	case line.Status == http.StatusOK:
+		r.outcome = r.answerOutcome(line, predicted)
+	case line.Status == http.StatusTooManyRequests || line.Status == http.StatusServiceUnavailable:
+		r.refused++
+		if line.QueueTime == 0 && line.Load <= idleLoad {
+			r.refusedByIdle++
 		}
-		a.end = refusedOther
-		if l.Reason == fleet.ReasonOverShare {
-			a.end = refusedShare
+		r.outcome = refusedOther
+		if line.Reason == fleet.ReasonOverShare {
+			r.outcome = refusedOverShare
 		}
 	default:
-		a.end = ended
+		r.outcome = failed
 	}
 }
 
-// answered returns whether an answer was in time, and if not, why.
-func (a *asked) answered(l *Line, predicted int64) outcome {
-	waited := l.came().Sub(a.first).Milliseconds()
+// answerOutcome returns whether an answer was on time and, if not, why.
+func (r *callerRequest) answerOutcome(line *Line, predicted int64) outcome {
+	waitedBefore := line.arrival().Sub(r.arrival).Milliseconds()
 	switch {
-	case waited+l.First <= l.Aim:
-		return inAim
-	case a.refused > 0:
-		return lateBack
-	case predicted > l.Aim:
-		return lateForeseen
+	case waitedBefore+line.FirstByte <= line.LatencyObjective:
+		return onTime
+	case r.refused > 0:
+		return lateAfterRefusal
+	case predicted > line.LatencyObjective:
+		return lateAsPredicted
 	default:
-		return lateSlow
+		return lateOther
 	}
 }
 
-// lossesBy groups requests.
-func lossesBy(list []*asked, by Grouping) []LossStats {
-	groups := make(map[string][]*asked)
-	for _, a := range list {
-		switch by {
-		case ByAccount:
-			groups[a.account] = append(groups[a.account], a)
-		case ByRoute, BySize:
-			groups[a.route] = append(groups[a.route], a)
+// groupLosses groups requests and returns the statistics of each group.
+func groupLosses(requests []*callerRequest, grouping Grouping) []LossStats {
+	groups := make(map[string][]*callerRequest)
+	for _, request := range requests {
+		switch grouping {
+		case GroupByAccount:
+			groups[request.account] = append(groups[request.account], request)
+		case GroupByRoute, GroupBySize:
+			groups[request.route] = append(groups[request.route], request)
 		}
 	}
-	if by == BySize {
-		groups = bySize(groups)
+	if grouping == GroupBySize {
+		groups = splitBySize(groups)
 	}
 	losses := make([]LossStats, 0, len(groups))
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
-		losses = append(losses, lossOf(name, groups[name]))
+		losses = append(losses, lossStats(name, groups[name]))
 	}
 	return losses
 }
 
-// bySize splits each route's requests into the largest tenth, the fifth below it, and the
-// rest.
-func bySize(routes map[string][]*asked) map[string][]*asked {
-	groups := make(map[string][]*asked)
-	for route, list := range routes {
-		slices.SortFunc(list, func(a, b *asked) int { return cmp.Or(cmp.Compare(a.size, b.size), a.first.Compare(b.first)) })
-		n := len(list)
-		groups[route+" rest"] = list[:n*7/10]
-		groups[route+" fifth"] = list[n*7/10 : n*9/10]
-		groups[route+" largest"] = list[n*9/10:]
+// splitBySize splits the requests of each route by the size of their prompts into the largest tenth,
+// the next fifth, and the rest.
+func splitBySize(routes map[string][]*callerRequest) map[string][]*callerRequest {
+	groups := make(map[string][]*callerRequest)
+	for route, requests := range routes {
+		slices.SortFunc(requests, func(a, b *callerRequest) int {
+			return cmp.Or(cmp.Compare(a.tokens, b.tokens), a.arrival.Compare(b.arrival))
+		})
+		count := len(requests)
+		groups[route+" rest"] = requests[:count*7/10]
+		groups[route+" fifth"] = requests[count*7/10 : count*9/10]
+		groups[route+" largest"] = requests[count*9/10:]
 	}
 	return groups
 }
 
-func lossOf(name string, list []*asked) LossStats {
-	var count [outcomes]int
-	within, refused, idle := 0, 0, 0
-	for _, a := range list {
-		count[a.end]++
-		refused += a.refused
-		idle += a.idle
-		if a.within {
-			within++
+func lossStats(name string, requests []*callerRequest) LossStats {
+	var outcomes [outcomeCount]int
+	withinShare, refusedAttempts, refusedByIdle := 0, 0, 0
+	for _, request := range requests {
+		outcomes[request.outcome]++
+		refusedAttempts += request.refused
+		refusedByIdle += request.refusedByIdle
+		if request.withinShare {
+			withinShare++
 		}
 	}
-	part := func(n int) float64 { return float64(n) / float64(max(len(list), 1)) }
+	fraction := func(n int) float64 { return float64(n) / float64(max(len(requests), 1)) }
 	return LossStats{
-		Name: name, Requests: len(list), Within: part(within), InAim: part(count[inAim]),
-		Back: part(count[lateBack]), Foreseen: part(count[lateForeseen]), Slow: part(count[lateSlow]),
-		Share: part(count[refusedShare]), Other: part(count[refusedOther]), Failed: part(count[ended]),
-		Idle: float64(idle) / float64(max(refused, 1)),
+		Name: name, Requests: len(requests), WithinShare: fraction(withinShare), OnTime: fraction(outcomes[onTime]),
+		LateAfterRefusal: fraction(outcomes[lateAfterRefusal]), LateAsPredicted: fraction(outcomes[lateAsPredicted]), LateOther: fraction(outcomes[lateOther]),
+		RefusedOverShare: fraction(outcomes[refusedOverShare]), RefusedOther: fraction(outcomes[refusedOther]), Failed: fraction(outcomes[failed]),
+		RefusedByIdleTarget: float64(refusedByIdle) / float64(max(refusedAttempts, 1)),
 	}
 }
 
-// PrintLosses writes them as a table.
+// PrintLossStats writes the statistics as a table.
 func PrintLossStats(w io.Writer, list []LossStats) error {
 	const head = "%-24s %9s %7s %7s | %7s %8s %7s | %7s %7s %7s | %7s\n"
 	const row = "%-24s %9d %7.3f %7.3f | %7.3f %8.3f %7.3f | %7.3f %7.3f %7.3f | %7.3f\n"
 	if _, err := fmt.Fprintf(w, head, "", "requests", "within", "in aim", "back", "foreseen", "slow", "share", "other", "failed", "idle"); err != nil {
 		return fmt.Errorf("print losses: %w", err)
 	}
-	for _, l := range list {
-		if _, err := fmt.Fprintf(w, row, l.Name, l.Requests, l.Within, l.InAim, l.Back, l.Foreseen, l.Slow, l.Share, l.Other, l.Failed, l.Idle); err != nil {
+	for _, loss := range list {
+		if _, err := fmt.Fprintf(w, row, loss.Name, loss.Requests, loss.WithinShare, loss.OnTime, loss.LateAfterRefusal, loss.LateAsPredicted, loss.LateOther, loss.RefusedOverShare, loss.RefusedOther, loss.Failed, loss.RefusedByIdleTarget); err != nil {
 			return fmt.Errorf("print losses: %w", err)
 		}
 	}
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -10,70 +10,70 @@
 	"time"
 )
 
-// Print writes the story as text: the request's own lines in order, what its
-// processes knew and how old that was, and the cause.
-func (s *RequestReport) Print(w io.Writer) error {
-	p := printer{w: w, start: s.Arrived()}
-	p.say("request %s\n", s.ID)
-	if end := s.End(); end != nil {
-		p.say("  route %s, pool %s, account %s: status %d after %d ms, sent to %d\n", none(end.Route), none(end.Pool), none(end.Account), end.Status, end.Took, end.Sent)
+// Print writes the report as text: the lines of the request, the state of its processes with the age of
+// each line, the counts of other requests, and the cause.
+func (r *RequestReport) Print(w io.Writer) error {
+	out := printer{w: w, start: r.Arrived()}
+	out.printf("request %s\n", r.ID)
+	if end := r.End(); end != nil {
+		out.printf("  route %s, pool %s, account %s: status %d after %d ms, sent to %d\n", orNone(end.Route), orNone(end.Pool), orNone(end.Account), end.Status, end.Duration, end.Sent)
 	}
-	p.say("\nits lines\n")
-	for _, l := range s.Lines {
-		p.line(l)
+	out.printf("\nits lines\n")
+	for _, line := range r.Lines {
+		out.line(line)
 	}
-	if len(s.Known) > 0 {
-		p.say("\nwhat its processes knew by then (the last line of each kind)\n")
-		for _, l := range s.Known {
-			p.line(l)
+	if len(r.Known) > 0 {
+		out.printf("\nwhat its processes knew by then (the last line of each kind)\n")
+		for _, line := range r.Known {
+			out.line(line)
 		}
 	}
-	if len(s.Elsewhere) > 0 {
-		p.say("\nwhat other processes came to know around it\n")
-		for _, l := range s.Elsewhere {
-			p.line(l)
+	if len(r.Elsewhere) > 0 {
+		out.printf("\nwhat other processes came to know around it\n")
+		for _, line := range r.Elsewhere {
+			out.line(line)
 		}
 	}
-	p.say("\naround it (%v before and after)\n", around)
-	for _, target := range slices.SortedFunc(maps.Keys(s.Targets), byStart) {
-		p.say("  attempts at %s: %s\n", target, tally(s.Targets[target]))
+	out.printf("\naround it (%v before and after)\n", window)
+	for _, target := range slices.SortedFunc(maps.Keys(r.Targets), compareIncarnations) {
+		out.printf("  attempts at %s: %s\n", target, formatCounts(r.Targets[target]))
 	}
-	p.say("  attempts in its pool: %s\n", tally(s.Pool))
-	p.say("  ends at its processes: %s\n", tally(s.Around))
-	p.say("  ends at other processes: %s\n", tally(s.Others))
-	if len(s.Account) > 0 {
-		p.say("  ends of its account: %s\n", tally(s.Account))
+	out.printf("  attempts in its pool: %s\n", formatCounts(r.Pool))
+	out.printf("  ends at its processes: %s\n", formatCounts(r.Around))
+	out.printf("  ends at other processes: %s\n", formatCounts(r.Others))
+	if len(r.Account) > 0 {
+		out.printf("  ends of its account: %s\n", formatCounts(r.Account))
 	}
-	if s.Dropped > 0 {
-		p.say("  %d lines there say that others were dropped: the counts are too low\n", s.Dropped)
+	if r.Dropped > 0 {
+		out.printf("  %d lines there say that others were dropped: the counts are too low\n", r.Dropped)
 	}
-	c := s.Cause()
-	p.say("\ncause: %s\nlook at: %s\n", c.Why, c.Look)
-	return p.err
+	cause := r.Cause()
+	out.printf("\ncause: %s\nlook at: %s\n", cause.Why, cause.Look)
+	return out.err
 }
 
-// A printer keeps the first error.
+// A printer writes text until the first error, which it keeps.
 type printer struct {
 	w     io.Writer
 	start time.Time
 	err   error
 }
 
-func (p *printer) say(format string, args ...any) {
+func (p *printer) printf(format string, args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.w, format, args...)
 	}
 }
 
-func (p *printer) line(l Line) {
-	p.say("  %s %+9.3f s  %s  %s\n", l.At.UTC().Format(clockTime), l.At.Sub(p.start).Seconds(), l.Process, l.body())
+func (p *printer) line(line Line) {
+	p.printf("  %s %+9.3f s  %s  %s\n", line.Time.UTC().Format(timeFormat), line.Time.Sub(p.start).Seconds(), line.Process, line.fields())
 }
 
-// body returns what a line says, without its time and module.
-func (l Line) body() string {
-	text := strings.TrimSuffix(strings.TrimPrefix(l.Text, "{"), "}")
+// fields returns the message and the fields of a line without its time, level, module and request.
+func (l Line) fields() string {
+	members := strings.TrimSuffix(strings.TrimPrefix(l.Text, "{"), "}")
 	var kept []string
-	for _, field := range split(text) {
+	for _, field := range splitFields(members) {
 		name, _, _ := strings.Cut(field, ":")
 		if !strings.HasPrefix(name, `"@`) && name != `"request"` {
 			kept = append(kept, strings.ReplaceAll(field, `"`, ""))
@@ -82,55 +82,56 @@
 	return l.Message + "  " + strings.Join(kept, " ")
 }
 
-// split cuts the inside of a JSON object at the commas between its fields.
-func split(text string) []string {
+// splitFields splits the text between the braces of a JSON object at the commas between its fields.
+func splitFields(text string) []string {
 	var fields []string
-	depth, quoted, from := 0, false, 0
+	depth, inString, start := 0, false, 0
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
-		case quoted && c == '\\':
+		case inString && c == '\\':
 			i++
 		case c == '"':
-			quoted = !quoted
-		case quoted:
+			inString = !inString
+		case inString:
 		case c == '{' || c == '[':
 			depth++
 		case c == '}' || c == ']':
 			depth--
 		case c == ',' && depth == 0:
-			fields = append(fields, text[from:i])
-			from = i + 1
+			fields = append(fields, text[start:i])
+			start = i + 1
 		}
 	}
-	return append(fields, text[from:])
+	return append(fields, text[start:])
 }
 
-func tally[K ~string](counts map[K]int) string {
+// formatCounts returns the counts as text, in the order of their keys.
+func formatCounts[K ~string](counts map[K]int) string {
 	if len(counts) == 0 {
 		return "none"
 	}
 	var parts []string
-	for _, k := range slices.Sorted(maps.Keys(counts)) {
-		parts = append(parts, fmt.Sprintf("%s %d", k, counts[k]))
+	for _, key := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%s %d", key, counts[key]))
 	}
 	return strings.Join(parts, ", ")
 }
 
-func none(name string) string {
+func orNone(name string) string {
 	if name == "" {
 		return "(none)"
 	}
 	return name
 }
 
-// clockTime is how moments are written, in UTC as the lines themselves.
-const clockTime = "15:04:05.000"
+// timeFormat is the format of times, which are in UTC like those of the lines.
+const timeFormat = "15:04:05.000"
 
-// byStart orders targets by their IDs, and the runs of one by their starts.
-func byStart(a, b Incarnation) int {
+// compareIncarnations orders incarnations by ID and then by start.
+func compareIncarnations(a, b Incarnation) int {
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartMillis, b.StartMillis))
 }
 
-func startOf(born int64) string {
-	return time.UnixMilli(born).UTC().Format(clockTime)
+func formatStart(startMillis int64) string {
+	return time.UnixMilli(startMillis).UTC().Format(timeFormat)
 }
--- a/internal/explain/sizes.go
+++ b/internal/explain/sizes.go
@@ -11,51 +11,52 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// A Sizes tells what callers of one route got by the size of their prompts, and how long
-// those waited that were refused. A prompt that came again is one request: it was served
-// if any attempt was.
+// SizeStats are statistics about the requests of one route by the size of their prompts. A repeated
+// prompt counts as one request, which is served if any of its attempts is.
 type SizeStats struct {
 	Route    string `json:"route"`
 	Requests int    `json:"requests"`
-	// All, Fifth and Largest are the parts served of all requests, of the fifth below the
-	// largest tenth, and of the largest tenth.
-	All     float64 `json:"all"`
-	Fifth   float64 `json:"fifth"`
-	Largest float64 `json:"largest"`
-	// Refused counts attempts; P50 and P99 are how long these took, in ms.
-	Refused int     `json:"refused"`
-	P50     float64 `json:"p50"`
-	P99     float64 `json:"p99"`
+	// Served is the served fraction of all requests, ServedLargestTenth that of the tenth with the
+	// largest prompts, and ServedNextFifth that of the fifth with the next largest prompts.
+	Served             float64 `json:"all"`
+	ServedNextFifth    float64 `json:"fifth"`
+	ServedLargestTenth float64 `json:"largest"`
+	// RefusedAttempts is the number of refused attempts. RefusalP50 and RefusalP99 are percentiles of
+	// their durations, in ms.
+	RefusedAttempts int     `json:"refused"`
+	RefusalP50      float64 `json:"p50"`
+	RefusalP99      float64 `json:"p99"`
 }
 
-// prompt is what attempts at one request of a route have in common.
+// prompt identifies a request of a route: all its attempts have the same account and sizes.
 type prompt struct {
-	account     string
-	own, shared int // tokens
+	account                 string
+	ownTokens, sharedTokens int // tokens
 }
 
-func (p prompt) size() int { return p.own + p.shared }
+func (p prompt) tokens() int { return p.ownTokens + p.sharedTokens }
 
-// sizeCount is what the lines of one route tell.
-type sizeCount struct {
-	served map[prompt]bool
-	waits  []float64 // of refused attempts, in ms
+// routeSizes collects the requests of one route.
+type routeSizes struct {
+	servedByPrompt map[prompt]bool
+	refusalTimes   []float64 // of refused attempts, in ms
 }
 
-// SizesOf reads what callers got by size, in the order of the routes.
+// ReadSizeStats reads logs and returns the statistics of each route, sorted by name. Requests without
+// prompts are left out.
 func ReadSizeStats(sources []Source) ([]SizeStats, error) {
-	routes := make(map[string]*sizeCount)
-	for _, s := range sources {
-		err := each(s, func(l *Line) {
-			if l.Message != messageDone || l.Own+l.Shared == 0 {
+	routes := make(map[string]*routeSizes)
+	for _, source := range sources {
+		err := eachLine(source, func(line *Line) {
+			if line.Message != messageDone || line.OwnTokens+line.SharedTokens == 0 {
 				return
 			}
-			count := routes[l.Route]
-			if count == nil {
-				count = &sizeCount{served: make(map[prompt]bool)}
-				routes[l.Route] = count
+			sizes := routes[line.Route]
+			if sizes == nil {
+				sizes = &routeSizes{servedByPrompt: make(map[prompt]bool)}
+				routes[line.Route] = sizes
 			}
-			count.add(l)
+			sizes.add(line)
 		})
 		if err != nil {
 			return nil, err
@@ -63,54 +64,54 @@
 	}
 	list := make([]SizeStats, 0, len(routes))
 	for _, name := range slices.Sorted(maps.Keys(routes)) {
-		list = append(list, routes[name].sizes(name))
+		list = append(list, routes[name].stats(name))
 	}
 	return list, nil
 }
 
-func (c *sizeCount) add(l *Line) {
-	p := prompt{account: l.Account, own: l.Own, shared: l.Shared}
-	c.served[p] = c.served[p] || l.Status == http.StatusOK
-	if l.Status == http.StatusTooManyRequests || l.Status == http.StatusServiceUnavailable {
-		c.waits = append(c.waits, float64(l.Took))
+func (s *routeSizes) add(line *Line) {
+	prompt := prompt{account: line.Account, ownTokens: line.OwnTokens, sharedTokens: line.SharedTokens}
+	s.servedByPrompt[prompt] = s.servedByPrompt[prompt] || line.Status == http.StatusOK
+	if line.Status == http.StatusTooManyRequests || line.Status == http.StatusServiceUnavailable {
+		s.refusalTimes = append(s.refusalTimes, float64(line.Duration))
 	}
 }
 
-func (c *sizeCount) sizes(route string) SizeStats {
-	prompts := slices.SortedFunc(maps.Keys(c.served), func(a, b prompt) int {
-		return cmp.Or(cmp.Compare(a.size(), b.size()), cmp.Compare(a.own, b.own), cmp.Compare(a.account, b.account))
+func (s *routeSizes) stats(route string) SizeStats {
+	prompts := slices.SortedFunc(maps.Keys(s.servedByPrompt), func(a, b prompt) int {
+		return cmp.Or(cmp.Compare(a.tokens(), b.tokens()), cmp.Compare(a.ownTokens, b.ownTokens), cmp.Compare(a.account, b.account))
 	})
-	n := len(prompts)
-	s := SizeStats{Route: route, Requests: n, Refused: len(c.waits)}
-	s.All = c.part(prompts)
-	s.Fifth = c.part(prompts[n*7/10 : n*9/10])
-	s.Largest = c.part(prompts[n*9/10:])
-	if len(c.waits) > 0 {
-		slices.Sort(c.waits)
-		s.P50 = stat.Quantile(0.50, stat.Empirical, c.waits, nil)
-		s.P99 = stat.Quantile(0.99, stat.Empirical, c.waits, nil)
+	count := len(prompts)
+	stats := SizeStats{Route: route, Requests: count, RefusedAttempts: len(s.refusalTimes)}
+	stats.Served = s.servedFraction(prompts)
+	stats.ServedNextFifth = s.servedFraction(prompts[count*7/10 : count*9/10])
+	stats.ServedLargestTenth = s.servedFraction(prompts[count*9/10:])
+	if len(s.refusalTimes) > 0 {
+		slices.Sort(s.refusalTimes)
+		stats.RefusalP50 = stat.Quantile(0.50, stat.Empirical, s.refusalTimes, nil)
+		stats.RefusalP99 = stat.Quantile(0.99, stat.Empirical, s.refusalTimes, nil)
 	}
-	return s
+	return stats
 }
 
-// part returns the part of some prompts that was served.
-func (c *sizeCount) part(prompts []prompt) float64 {
+// servedFraction returns which fraction of the prompts was served.
+func (s *routeSizes) servedFraction(prompts []prompt) float64 {
 	served := 0
-	for _, p := range prompts {
-		if c.served[p] {
+	for _, prompt := range prompts {
+		if s.servedByPrompt[prompt] {
 			served++
 		}
 	}
 	return float64(served) / float64(max(len(prompts), 1))
 }
 
-// PrintSizes writes them as a table.
+// PrintSizeStats writes the statistics as a table.
 func PrintSizeStats(w io.Writer, list []SizeStats) error {
 	if _, err := fmt.Fprintf(w, "%-16s %9s %7s %7s %7s %8s %8s %8s\n", "route", "requests", "served", "fifth", "largest", "refused", "p50 ms", "p99 ms"); err != nil {
 		return fmt.Errorf("print sizes: %w", err)
 	}
-	for _, s := range list {
-		if _, err := fmt.Fprintf(w, "%-16s %9d %7.3f %7.3f %7.3f %8d %8.0f %8.0f\n", s.Route, s.Requests, s.All, s.Fifth, s.Largest, s.Refused, s.P50, s.P99); err != nil {
+	for _, stats := range list {
+		if _, err := fmt.Fprintf(w, "%-16s %9d %7.3f %7.3f %7.3f %8d %8.0f %8.0f\n", stats.Route, stats.Requests, stats.Served, stats.ServedNextFifth, stats.ServedLargestTenth, stats.RefusedAttempts, stats.RefusalP50, stats.RefusalP99); err != nil {
 			return fmt.Errorf("print sizes: %w", err)
 		}
 	}
--- a/internal/explain/sizes_test.go
+++ b/internal/explain/sizes_test.go
@@ -12,12 +12,12 @@
 	"laburnumfall/internal/explain"
 )
 
-// Twenty prompts: the two largest are refused, one of them twice, the next four are
-// served once they come back.
-func TestSizesTellWhoIsServed(t *testing.T) {
-	var log bytes.Buffer
+// Twenty prompts: the two largest are refused, one of them twice, and the next four are refused once and
+// then served.
+func TestSizeStats(t *testing.T) {
+	var logText bytes.Buffer
 	done := func(own, status, took int) {
-		_, err := fmt.Fprintf(&log, `edge-1 {"@level":"info","@message":"done","@timestamp":"2026-08-26T03:27:37Z","route":"r","account":"a","own":%d,"shared":100,"status":%d,"took":%d}`+"\n", own, status, took)
+		_, err := fmt.Fprintf(&logText, `edge-1 {"@level":"info","@message":"done","@timestamp":"2026-08-26T03:27:37Z","route":"r","account":"a","own":%d,"shared":100,"status":%d,"took":%d}`+"\n", own, status, took)
 		require.NoError(t, err)
 	}
 	for i := 1; i <= 20; i++ {
@@ -32,13 +32,13 @@
 		}
 	}
 	done(20, 429, 50)
-	log.WriteString(`edge-1 {"@level":"info","@message":"done","@timestamp":"2026-08-26T03:27:37Z","route":"plain","status":200}` + "\n")
+	logText.WriteString(`edge-1 {"@level":"info","@message":"done","@timestamp":"2026-08-26T03:27:37Z","route":"plain","status":200}` + "\n")
 
 	file := filepath.Join(t.TempDir(), "r1.log")
-	require.NoError(t, os.WriteFile(file, log.Bytes(), 0o600))
+	require.NoError(t, os.WriteFile(file, logText.Bytes(), 0o600))
 	list, err := explain.ReadSizeStats([]explain.Source{explain.File(file)})
 	require.NoError(t, err)
-	require.Equal(t, []explain.SizeStats{{Route: "r", Requests: 20, All: 0.9, Fifth: 1, Largest: 0, Refused: 7, P50: 18, P99: 50}}, list)
+	require.Equal(t, []explain.SizeStats{{Route: "r", Requests: 20, Served: 0.9, ServedNextFifth: 1, ServedLargestTenth: 0, RefusedAttempts: 7, RefusalP50: 18, RefusalP99: 50}}, list)
 
 	var out bytes.Buffer
 	require.NoError(t, explain.PrintSizeStats(&out, list))
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -10,85 +10,87 @@
 )
 
 const (
-	// around is how long before and after a request other requests are counted: the
-	// decisions of a router rest on what it saw in the last seconds.
-	around = 3 * time.Second
-	// kinds bounds how many kinds of beliefs are kept for each process.
-	kinds = 64
-	// elsewhere bounds the lines of other processes.
-	elsewhere = 20
+	// window is how long before and after a request other requests are counted. A router's decisions
+	// depend on its observations of the last seconds.
+	window = 3 * time.Second
+	// maxKinds bounds how many kinds of state lines are kept for each process.
+	maxKinds = 64
+	// maxElsewhere bounds the kept lines of other processes.
+	maxElsewhere = 20
 )
 
-// A Story is what the logs say of one request.
+// A RequestReport is what the logs contain about one request. State lines are those that belong to no
+// request.
 type RequestReport struct {
 	ID string
-	// Lines are the request's own, in order of time.
+	// Lines are the lines of the request, in order of time.
 	Lines []Line
-	// Known are what the request's processes believed: the last line of each kind
-	// before the request's end.
+	// Known shows the state of the processes that handled the request: the last state line of each
+	// kind before the request's end.
 	Known []Line
-	// Lives are the lines of its processes' starts and ends, in order of time.
+	// Lives are the lines of these processes' starts and stops, in order of time.
 	Lives []Line
-	// Elsewhere is what other processes came to believe around the request: as many
-	// lines as fit.
+	// Elsewhere are state lines of other processes within the time window around the request, up to
+	// maxElsewhere.
 	Elsewhere []Line
-	// Dropped is how many lines around the request say that others were dropped.
+	// Dropped is how many lines within the window report that lines were dropped.
 	Dropped int
-	// Targets counts the attempts of all requests around this one, at each target
-	// that this one was sent to.
+	// Targets counts the attempts of all requests within the window at each target that this request
+	// was sent to.
 	Targets map[Incarnation]AttemptCounts
-	// Starts holds the latest start of each of these targets that any line tells, by ID.
+	// Starts holds the latest known start of each of these targets by ID, in Unix milliseconds.
 	Starts map[string]int64
-	// Pool counts them in the pool of this one, whichever the target.
+	// Pool counts the attempts within the window at all targets of this request's pool.
 	Pool AttemptCounts
-	// Account counts the ends of requests of its account.
+	// Account counts the requests of this request's account that ended within the window.
 	Account ReasonCounts
-	// Around counts the ends of requests at the same processes, Others at all others.
+	// Around counts the requests that ended within the window at the same processes, and Others those
+	// at all other processes.
 	Around ReasonCounts
 	Others ReasonCounts
 }
 
-// A Run is one run of a target, from its start to its end.
+// An Incarnation identifies a target between two of its starts.
 type Incarnation fleet.Incarnation
 
-// String returns the ID, with the start if that is known.
-func (r Incarnation) String() string {
-	if r.StartMillis == 0 {
-		return r.ID
+// String returns the ID, and the start time if it is known.
+func (i Incarnation) String() string {
+	if i.StartMillis == 0 {
+		return i.ID
 	}
-	return fmt.Sprintf("%s (started %s)", r.ID, startOf(r.StartMillis))
+	return fmt.Sprintf("%s (started %s)", i.ID, formatStart(i.StartMillis))
 }
 
-// MarshalText implements encoding.TextMarshaler, since runs are keys in the story's JSON.
-func (r Incarnation) MarshalText() ([]byte, error) {
-	return []byte(r.String()), nil
+// MarshalText implements encoding.TextMarshaler, since incarnations are map keys in a report's JSON.
+func (i Incarnation) MarshalText() ([]byte, error) {
+	return []byte(i.String()), nil
 }
 
-// A Count counts attempts by their end.
+// AttemptCounts counts attempts by their result.
 type AttemptCounts map[fleet.AttemptResult]int
 
-// All returns how many there are.
+// Total returns the number of all attempts.
 func (c AttemptCounts) Total() int {
-	sum := 0
+	total := 0
 	for _, n := range c {
-		sum += n
+		total += n
 	}
-	return sum
+	return total
 }
 
-// Ends counts requests by reason.
+// ReasonCounts counts requests by the reason of their end.
 type ReasonCounts map[fleet.Reason]int
 
-// All returns how many there are.
+// Total returns the number of all requests.
 func (e ReasonCounts) Total() int {
-	sum := 0
+	total := 0
 	for _, n := range e {
-		sum += n
+		total += n
 	}
-	return sum
+	return total
 }
 
-// An UnknownError says that no line names the request.
+// An UnknownRequestError means that the logs contain no line about the request.
 type UnknownRequestError struct{ ID string }
 
 // Error implements error.
@@ -96,169 +98,174 @@
 	return fmt.Sprintf("no line names request %s: give the logs of all routers of that time, and look for lines that were dropped", e.ID)
 }
 
-// Find reads logs for one request. Every log is read twice, and no more is held than
-// the lines about the request.
+// Find returns the report about one request. It reads every log twice, so that it need not keep all
+// lines in memory. If there is no line about the request, it returns an *UnknownRequestError.
 func Find(id string, sources []Source) (*RequestReport, error) {
-	s := &RequestReport{ID: id, Targets: map[Incarnation]AttemptCounts{}, Starts: map[string]int64{}, Pool: AttemptCounts{}, Account: ReasonCounts{}, Around: ReasonCounts{}, Others: ReasonCounts{}}
+	report := &RequestReport{ID: id, Targets: map[Incarnation]AttemptCounts{}, Starts: map[string]int64{}, Pool: AttemptCounts{}, Account: ReasonCounts{}, Around: ReasonCounts{}, Others: ReasonCounts{}}
 	for _, source := range sources {
-		if err := each(source, s.own); err != nil {
+		if err := eachLine(source, report.addOwnLine); err != nil {
 			return nil, err
 		}
 	}
-	if len(s.Lines) == 0 {
+	if len(report.Lines) == 0 {
 		return nil, &UnknownRequestError{ID: id}
 	}
-	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	look := s.view()
+	slices.SortStableFunc(report.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	pass := report.newSecondPass()
 	for _, source := range sources {
-		if err := each(source, look.take); err != nil {
+		if err := eachLine(source, pass.addLine); err != nil {
 			return nil, err
 		}
 	}
-	s.Known = look.known()
-	slices.SortStableFunc(s.Elsewhere, func(a, b Line) int { return a.At.Compare(b.At) })
-	slices.SortStableFunc(s.Lives, func(a, b Line) int { return a.At.Compare(b.At) })
-	return s, nil
+	report.Known = pass.knownLines()
+	slices.SortStableFunc(report.Elsewhere, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	slices.SortStableFunc(report.Lives, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	return report, nil
 }
 
 // End returns the line of the request's end, or nil.
-func (s *RequestReport) End() *Line {
-	for i := len(s.Lines) - 1; i >= 0; i-- {
-		switch s.Lines[i].Message {
+func (r *RequestReport) End() *Line {
+	for i := len(r.Lines) - 1; i >= 0; i-- {
+		switch r.Lines[i].Message {
 		case messageDone, messageRefuse, messageEnd:
-			return &s.Lines[i]
+			return &r.Lines[i]
 		default:
 		}
 	}
 	return nil
 }
 
-// Arrived returns about when the request came: its end less what it took.
-func (s *RequestReport) Arrived() time.Time {
-	first := s.Lines[0].At
-	for _, l := range s.Lines {
-		if at := l.At.Add(-time.Duration(l.Took) * time.Millisecond); at.Before(first) {
-			first = at
+// Arrived returns the approximate arrival of the request: the earliest time of a line minus its
+// duration.
+func (r *RequestReport) Arrived() time.Time {
+	earliest := r.Lines[0].Time
+	for _, line := range r.Lines {
+		if arrival := line.Time.Add(-time.Duration(line.Duration) * time.Millisecond); arrival.Before(earliest) {
+			earliest = arrival
 		}
 	}
-	return first
+	return earliest
 }
 
-// Last returns the last attempt, or nil.
-func (s *RequestReport) Last() *Line {
-	for i := len(s.Lines) - 1; i >= 0; i-- {
-		if s.Lines[i].Message == messageSend {
-			return &s.Lines[i]
+// Last returns the line of the last attempt, or nil.
+func (r *RequestReport) Last() *Line {
+	for i := len(r.Lines) - 1; i >= 0; i-- {
+		if r.Lines[i].Message == messageSend {
+			return &r.Lines[i]
 		}
 	}
 	return nil
 }
 
-func (s *RequestReport) own(l *Line) {
-	if l.Request == s.ID {
-		s.Lines = append(s.Lines, *l)
+// addOwnLine keeps a line if it is about the request.
+func (r *RequestReport) addOwnLine(line *Line) {
+	if line.Request == r.ID {
+		r.Lines = append(r.Lines, *line)
 	}
 }
 
-// A view is the second reading, which knows whom to look at and when.
-type view struct {
-	story     *RequestReport
+// secondPass is the state of the second read of the logs. The processes, the account, the pool and the
+// time window of the request are known from the first.
+type secondPass struct {
+	report    *RequestReport
 	from, to  time.Time
 	processes map[string]bool
 	account   string
 	pool      string
-	beliefs   map[string]map[string]Line // by process and message
+	lastLines map[string]map[string]Line // by process and message
 }
 
-func (s *RequestReport) view() *view {
-	v := &view{story: s, processes: map[string]bool{}, beliefs: map[string]map[string]Line{}}
-	v.from, v.to = s.Arrived().Add(-around), s.Lines[len(s.Lines)-1].At.Add(around)
-	for _, l := range s.Lines {
-		v.processes[l.Process] = true
-		v.account = cmp.Or(v.account, l.Account)
-		v.pool = cmp.Or(v.pool, l.Pool)
-		if l.Target != "" {
-			s.Targets[l.target()] = AttemptCounts{}
-			s.Starts[l.Target] = max(s.Starts[l.Target], l.Born)
+func (r *RequestReport) newSecondPass() *secondPass {
+	pass := &secondPass{report: r, processes: map[string]bool{}, lastLines: map[string]map[string]Line{}}
+	pass.from, pass.to = r.Arrived().Add(-window), r.Lines[len(r.Lines)-1].Time.Add(window)
+	for _, line := range r.Lines {
+		pass.processes[line.Process] = true
+		pass.account = cmp.Or(pass.account, line.Account)
+		pass.pool = cmp.Or(pass.pool, line.Pool)
+		if line.Target != "" {
+			r.Targets[line.targetIncarnation()] = AttemptCounts{}
+			r.Starts[line.Target] = max(r.Starts[line.Target], line.TargetStart)
 		}
 	}
-	return v
+	return pass
 }
 
-func (v *view) take(l *Line) {
-	if l.Request == "" {
-		v.belief(l)
+// addLine counts a line of another request within the window, or keeps a state line.
+func (p *secondPass) addLine(line *Line) {
+	if line.Request == "" {
+		p.addStateLine(line)
 		return
 	}
-	if l.At.Before(v.from) || l.At.After(v.to) {
+	if line.Time.Before(p.from) || line.Time.After(p.to) {
 		return
 	}
-	switch l.Message {
+	switch line.Message {
 	case messageSend:
-		result := l.Result
-		if result == fleet.AttemptAnswered && l.Status >= failure {
+		result := line.Result
+		if result == fleet.AttemptAnswered && line.Status >= firstServerError {
 			result = fleet.AttemptTargetFailed
 		}
-		if l.Pool == v.pool {
-			v.story.Pool[result]++
+		if line.Pool == p.pool {
+			p.report.Pool[result]++
 		}
-		if c, ok := v.story.Targets[l.target()]; ok {
-			c[result]++
+		if counts, ok := p.report.Targets[line.targetIncarnation()]; ok {
+			counts[result]++
 		}
-		if born, ok := v.story.Starts[l.Target]; ok {
-			v.story.Starts[l.Target] = max(born, l.Born)
+		if start, ok := p.report.Starts[line.Target]; ok {
+			p.report.Starts[line.Target] = max(start, line.TargetStart)
 		}
 	case messageDone:
-		if v.account != "" && l.Account == v.account {
-			v.story.Account[l.Reason]++
+		if p.account != "" && line.Account == p.account {
+			p.report.Account[line.Reason]++
 		}
-		ends := v.story.Others
-		if v.processes[l.Process] {
-			ends = v.story.Around
+		reasons := p.report.Others
+		if p.processes[line.Process] {
+			reasons = p.report.Around
 		}
-		ends[l.Reason]++
+		reasons[line.Reason]++
 	}
 }
 
-// belief keeps the last line of its kind before the request's end.
-func (v *view) belief(l *Line) {
-	if !v.processes[l.Process] {
-		v.other(l)
+// addStateLine keeps the line if it is the last one of its kind before the request's end.
+func (p *secondPass) addStateLine(line *Line) {
+	if !p.processes[line.Process] {
+		p.addElsewhere(line)
 		return
 	}
-	v.story.live(l)
-	if l.Message == messageDropped && !l.At.Before(v.from) && !l.At.After(v.to) {
-		v.story.Dropped++
+	p.report.addLifecycleLine(line)
+	if line.Message == messageDropped && !line.Time.Before(p.from) && !line.Time.After(p.to) {
+		p.report.Dropped++
 	}
-	if l.At.After(v.to.Add(-around)) {
+	if line.Time.After(p.to.Add(-window)) {
 		return
 	}
-	list := v.beliefs[l.Process]
-	if list == nil {
-		list = map[string]Line{}
-		v.beliefs[l.Process] = list
+	lastLines := p.lastLines[line.Process]
+	if lastLines == nil {
+		lastLines = map[string]Line{}
+		p.lastLines[line.Process] = lastLines
 	}
-	if before, ok := list[l.Message]; (ok || len(list) < kinds) && !l.At.Before(before.At) {
-		list[l.Message] = *l
+	if previous, ok := lastLines[line.Message]; (ok || len(lastLines) < maxKinds) && !line.Time.Before(previous.Time) {
+		lastLines[line.Message] = *line
 	}
 }
 
-// other keeps what another process came to believe around the request.
-func (v *view) other(l *Line) {
-	if len(v.story.Elsewhere) < elsewhere && !l.At.Before(v.from) && !l.At.After(v.to) {
-		v.story.Elsewhere = append(v.story.Elsewhere, *l)
+// addElsewhere keeps a state line of another process if it is within the window.
+func (p *secondPass) addElsewhere(line *Line) {
+	if len(p.report.Elsewhere) < maxElsewhere && !line.Time.Before(p.from) && !line.Time.After(p.to) {
+		p.report.Elsewhere = append(p.report.Elsewhere, *line)
 	}
 }
 
-func (v *view) known() []Line {
+// knownLines returns the kept state lines in order of time.
+func (p *secondPass) knownLines() []Line {
 	var all []Line
-	for _, list := range v.beliefs {
-		for _, l := range list {
-			all = append(all, l)
+	for _, ofProcess := range p.lastLines {
+		for _, line := range ofProcess {
+			all = append(all, line)
 		}
 	}
 	slices.SortFunc(all, func(a, b Line) int {
-		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Process, b.Process), cmp.Compare(a.Message, b.Message))
+		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Process, b.Process), cmp.Compare(a.Message, b.Message))
 	})
 	return all
 }
