--- a/internal/cmd/ctlcmd.go
+++ b/internal/cmd/ctlcmd.go
@@ -100,8 +100,8 @@
 	return nil, fleet.NewError(fleet.KindMalformed, "call a keeper", "lfctl serves no calls")
 }
 
-// Notice implements rpc.Handler.
-func (clientHandler) Notice(*rpc.Conn, string, json.RawMessage) {}
+// Notify implements rpc.Handler.
+func (clientHandler) Notify(*rpc.Conn, string, json.RawMessage) {}
 
 // call sends a request to the leader and tries the keepers in turn until it is found or the
 // timeout expires. All requests of lfctl are idempotent, so each may be sent again.
--- a/internal/cmd/keepercmd.go
+++ b/internal/cmd/keepercmd.go
@@ -28,7 +28,7 @@
 	keeperProgram := program[settings.Keeper]{name: "lf-keeper", readSettings: settings.ReadKeeper}
 	keeperProgram.run = func(ctx context.Context, keeperSettings settings.Keeper) error {
 		node := &keeper.Keeper{
-			Settings: keeperSettings, Log: settings.Logger(keeperSettings.Name, keeperSettings.Level, keeperSettings.Format), Clock: clock.NewRealClock(),
+			Settings: keeperSettings, Log: settings.NewLogger(keeperSettings.Name, keeperSettings.Level, keeperSettings.Format), Clock: clock.NewRealClock(),
 			Disk: &journal.RealDisk{Folder: keeperSettings.Data}, Init: options.Init,
 		}
 		go func() { _ = (&stall.Monitor{Log: node.Log}).Run(ctx) }() // It returns only when ctx ends.
--- a/internal/cmd/localcmd.go
+++ b/internal/cmd/localcmd.go
@@ -169,7 +169,7 @@
 		return err
 	}
 	node := &keeper.Keeper{
-		Settings: keeperSettings, Log: settings.Logger("k1", l.options.Level, ""), Clock: clock.NewRealClock(),
+		Settings: keeperSettings, Log: settings.NewLogger("k1", l.options.Level, ""), Clock: clock.NewRealClock(),
 		Disk: disk, Init: len(files) == 0,
 	}
 	return node.Run(ctx)
@@ -184,9 +184,9 @@
 	node := &router.Router{
 		Settings: settings.Router{
 			Name: name, Zone: "regina", Listen: address, Admin: admin, Keepers: []string{l.keeperAddress}, Secret: l.secretFile,
-			Hosts: l.routeAddresses[index], Routes: settings.DefaultRoutes(),
+			RouteListen: l.routeAddresses[index], Routing: settings.DefaultRouting(),
 		},
-		Log:   settings.Logger(name, l.options.Level, ""),
+		Log:   settings.NewLogger(name, l.options.Level, ""),
 		Clock: clock.NewRealClock(),
 	}
 	return node.Run(ctx)
--- a/internal/cmd/platformcmd.go
+++ b/internal/cmd/platformcmd.go
@@ -107,7 +107,7 @@
 			source = "signal"
 		case <-ticker.C:
 		}
-		reread, err := p.settings.Reread()
+		reread, err := p.settings.Reload()
 		if err != nil {
 			p.log.Warn("settings cannot be read: going on with those before", "source", source, "error", err)
 			continue
@@ -129,7 +129,7 @@
 	}
 	service := &routing.Service{
 		Settings: routerSettings, Listen: routerSettings.Listen, Clock: clock.NewRealClock(), Log: p.log, Dialect: platform.Headers{},
-		Decode: platform.Decode, List: platform.NewList(p.settings.List), Meters: gateway.NewMetrics(),
+		Decode: platform.DecodeConfig, List: platform.NewTargetList(p.settings.List), Meters: gateway.NewMetrics(),
 	}
 	service.Meters.AddCounter("lf_log_dropped_total", "Log lines that were left out.", func() float64 { return float64(p.logWriter.Dropped()) })
 	service.Meters.AddCounter("lf_stalled_seconds_total", "For how long this process did not run.", func() float64 {
@@ -187,10 +187,10 @@
 	}
 	node := &keeper.Keeper{
 		Settings: keeperSettings, Log: p.log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: keeperSettings.Data},
-		Init: foundsGroup, TargetList: platform.NewList(p.settings.List),
+		Init: foundsGroup, TargetList: platform.NewTargetList(p.settings.List),
 	}
 	node.ServeControlAPI = func(ctx context.Context, client *keeper.LeaderClient) error {
-		control := &platform.Control{Keeper: client, Log: p.log}
+		control := &platform.OperatorServer{Keeper: client, Log: p.log}
 		return control.Run(ctx, p.settings.Operators)
 	}
 	if h.ConfigureKeeper != nil {
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -37,7 +37,7 @@
 	var options platformOptions
 	routerProgram := program[settings.Router]{name: "lf-router", readSettings: settings.ReadRouter}
 	routerProgram.run = func(ctx context.Context, routerSettings settings.Router) error {
-		node := &router.Router{Settings: routerSettings, Log: settings.Logger(routerSettings.Name, routerSettings.Level, routerSettings.Format), Clock: clock.NewRealClock()}
+		node := &router.Router{Settings: routerSettings, Log: settings.NewLogger(routerSettings.Name, routerSettings.Level, routerSettings.Format), Clock: clock.NewRealClock()}
 		go func() { _ = (&stall.Monitor{Log: node.Log}).Run(ctx) }() // It returns only when ctx ends.
 		return node.Run(ctx)
 	}
--- a/internal/router/apply_test.go
+++ b/internal/router/apply_test.go
@@ -22,8 +22,8 @@
 	return nil, nil
 }
 
-// Notice implements rpc.Handler.
-func (noCallsHandler) Notice(*rpc.Conn, string, json.RawMessage) {}
+// Notify implements rpc.Handler.
+func (noCallsHandler) Notify(*rpc.Conn, string, json.RawMessage) {}
 
 // applyConfig applies a configuration and waits until one router has it in force.
 func applyConfig(t testing.TB, address, secretFile string, config fleet.Config) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -92,9 +92,9 @@
 	r.loop.claim = r.claimer.claim
 	r.loop.settle = r.claimer.settle
 	r.loop.metrics = r.metrics
-	if r.Settings.Hosts != "" {
+	if r.Settings.RouteListen != "" {
 		r.routes = &routing.Service{
-			Settings: r.Settings, Listen: r.Settings.Hosts, Clock: r.Clock, Log: r.Log, Secret: secret,
+			Settings: r.Settings, Listen: r.Settings.RouteListen, Clock: r.Clock, Log: r.Log, Secret: secret,
 			Dialect: routing.DefaultDialect{}, Decode: routing.DecodeConfig, Meters: gateway.NewMetrics(),
 		}
 		r.routes.SetSeeds(r.Settings.Keepers)
@@ -146,10 +146,10 @@
 
 // gracePeriod returns how long requests in progress may continue after a stop has begun.
 func (r *Router) gracePeriod() time.Duration {
-	if r.Settings.Routes != nil {
-		return r.Settings.Routes.Grace
+	if r.Settings.Routing != nil {
+		return r.Settings.Routing.GracePeriod
 	}
-	return settings.DefaultRoutes().Grace
+	return settings.DefaultRouting().GracePeriod
 }
 
 // stop refuses queued requests, waits for requests in progress until the deadline, and only then
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -51,7 +51,7 @@
 }
 
 // startFleetWith is startFleet with settings for the routes of the router.
-func startFleetWith(t testing.TB, routes *settings.Routes, targets ...fleet.Target) *testFleet {
+func startFleetWith(t testing.TB, routes *settings.Routing, targets ...fleet.Target) *testFleet {
 	dir := t.TempDir()
 	secret := filepath.Join(dir, "secret")
 	require.NoError(t, os.WriteFile(secret, []byte("0123456789abcdef"), 0o600))
@@ -68,7 +68,7 @@
 		Log: log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: filepath.Join(dir, "k1")}, Init: true,
 	}
 	routerServer := &router.Router{
-		Settings: settings.Router{Name: "r1", Zone: "z", Listen: f.router, Admin: f.admin, Keepers: []string{keeperAddress}, Secret: secret, Routes: routes},
+		Settings: settings.Router{Name: "r1", Zone: "z", Listen: f.router, Admin: f.admin, Keepers: []string{keeperAddress}, Secret: secret, Routing: routes},
 		Log:      log, Clock: clock.NewRealClock(),
 	}
 	group.Go(func() error { return keeperServer.Run(ctx) })
@@ -337,7 +337,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }() // nothing else uses it
-	f := startFleetWith(t, &settings.Routes{Grace: time.Millisecond}, fleet.Target{Name: "mute", Address: listener.Addr().String(), Kind: fleet.TargetEngine, Slots: 8})
+	f := startFleetWith(t, &settings.Routing{GracePeriod: time.Millisecond}, fleet.Target{Name: "mute", Address: listener.Addr().String(), Kind: fleet.TargetEngine, Slots: 8})
 	callerConn, err := net.Dial("tcp", f.router)
 	require.NoError(t, err)
 	defer func() { _ = callerConn.Close() }() // may be closed already
