--- a/internal/cmd/balancer_test.go
+++ b/internal/cmd/balancer_test.go
@@ -25,19 +25,19 @@
 	for i := range groundKeepers {
 		g.keeper(i, true)
 	}
-	b := &standin.Balancer{Period: time.Second}
+	b := &standin.LoadBalancer{CheckPeriod: time.Second}
 	for i := range 2 {
 		g.router(i)
-		b.Doors = append(b.Doors, standin.Door{Ready: g.address(g.routerIP(i), 3), Callers: g.address(g.routerIP(i), 2)})
+		b.Routers = append(b.Routers, standin.BalancedRouter{ReadinessAddress: g.address(g.routerIP(i), 3), CallerAddress: g.address(g.routerIP(i), 2)})
 	}
 	g.put(1)
 	g.requireServed(1)
 	require.NoError(t, b.Start("127.0.4.1:0"))
 	t.Cleanup(b.Close)
 	c := &standin.Callers{
-		Paths: []string{"/keyed/x", "/open1/x"},
-		Key:   func(int) string { return "good-key" },
-		Door:  func(int, int) (int, string) { return 0, b.Address() },
+		Paths:        []string{"/keyed/x", "/open1/x"},
+		Key:          func(int) string { return "good-key" },
+		ChooseRouter: func(int, int) (int, string) { return 0, b.Address() },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -55,9 +55,9 @@
 	cancel()
 	running.Wait()
 	statuses := map[int]int{}
-	for _, a := range c.Taken() {
+	for _, a := range c.Attempts() {
 		statuses[a.Status]++
-		require.Empty(t, a.Wrong)
+		require.Empty(t, a.Violation)
 	}
 	require.Len(t, statuses, 1, "%v", statuses)
 	require.Greater(t, statuses[http.StatusOK], 10*callers)
--- a/internal/cmd/crashing_test.go
+++ b/internal/cmd/crashing_test.go
@@ -272,11 +272,11 @@
 	g := newGround(t)
 	var ends atomic.Int64
 	var made atomic.Int64
-	g.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
+	g.site.Fault = func(target *standin.PlatformTarget, _ http.ResponseWriter, r *http.Request) bool {
 		if r.Header.Get("Crash") == "" {
 			return false
 		}
-		target.Ran(r)
+		target.RecordRun(r)
 		ends.Add(1)
 		g.site.Remove(target)
 		go func() {
--- a/internal/cmd/fleet_test.go
+++ b/internal/cmd/fleet_test.go
@@ -163,7 +163,7 @@
 			return outcome == "ran"
 		})
 	}
-	for key, n := range p.counts("s1").Runs {
+	for key, n := range p.counts("s1").RunsByKey {
 		require.Equal(t, 1, n, key)
 	}
 	require.Equal(t, before, p.counts("s2").Started, "a leaving target gets no new work")
@@ -193,7 +193,7 @@
 	require.Equal(t, exitDone, p.exitCode("r1"))
 	c := p.counts("s1")
 	require.Zero(t, c.Cancelled)
-	require.LessOrEqual(t, c.Most, 8, "no more than its slots at a time")
+	require.LessOrEqual(t, c.MaxRunning, 8, "no more than its slots at a time")
 }
 
 // Symptom: a router that hears no keeper goes on starting requests, on targets
--- a/internal/cmd/load_test.go
+++ b/internal/cmd/load_test.go
@@ -53,8 +53,8 @@
 		}
 		for _, name := range targets {
 			c := p.counts(name)
-			require.LessOrEqual(b, c.Most, 8)
-			for key, n := range c.Runs {
+			require.LessOrEqual(b, c.MaxRunning, 8)
+			for key, n := range c.RunsByKey {
 				l.runs(key, n)
 			}
 		}
--- a/internal/cmd/loadcmd.go
+++ b/internal/cmd/loadcmd.go
@@ -58,7 +58,7 @@
 	if err := o.write(list); err != nil {
 		return fail(stderr, exitFail, err)
 	}
-	broken := s.Check(list)
+	broken := s.FailedChecks(list)
 	for _, b := range broken {
 		say(stdout, "check failed: %s\n", b)
 	}
@@ -133,5 +133,5 @@
 	if o.Plot == "" {
 		return nil
 	}
-	return workload.Draw(list, o.Plot)
+	return workload.WritePlot(list, o.Plot)
 }
--- a/internal/cmd/localcmd.go
+++ b/internal/cmd/localcmd.go
@@ -118,17 +118,17 @@
 			return fmt.Errorf("write the secret: %w", err)
 		}
 	}
-	if l.keeper, err = standin.FreeAddress(); err != nil {
+	if l.keeper, err = standin.ReserveAddress(); err != nil {
 		return err
 	}
 	const routerCount = 2
 	for range routerCount {
-		address, err := standin.FreeAddress()
+		address, err := standin.ReserveAddress()
 		if err != nil {
 			return err
 		}
 		l.routers = append(l.routers, address)
-		if address, err = standin.FreeAddress(); err != nil {
+		if address, err = standin.ReserveAddress(); err != nil {
 			return err
 		}
 		l.hosts = append(l.hosts, address)
@@ -140,7 +140,7 @@
 	for _, kind := range []fleet.TargetKind{fleet.TargetEngine, fleet.TargetService} {
 		s := &standin.Standin{Settings: standin.Settings{
 			Name: string(kind) + "-1", Listen: "127.0.0.1:0", Kind: kind,
-			Tokens: localTokens, Pace: fleet.Duration(localPace), Delay: fleet.Duration(localPace),
+			Tokens: localTokens, TokenInterval: fleet.Duration(localPace), Delay: fleet.Duration(localPace),
 		}}
 		address, err := s.Listen()
 		if err != nil {
@@ -155,7 +155,7 @@
 }
 
 func (l *local) runKeeper(ctx context.Context) error {
-	admin, err := standin.FreeAddress()
+	admin, err := standin.ReserveAddress()
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 }
 
 func (l *local) runRouter(ctx context.Context, i int, address string) error {
-	admin, err := standin.FreeAddress()
+	admin, err := standin.ReserveAddress()
 	if err != nil {
 		return err
 	}
--- a/internal/cmd/platform_test.go
+++ b/internal/cmd/platform_test.go
@@ -22,7 +22,7 @@
 	t       *testing.T
 	folder  string
 	port    int
-	site    *standin.Site
+	site    *standin.Platform
 	running map[string]*exec.Cmd
 	seeds   []int // keepers that settings name
 	ids     int
@@ -30,14 +30,14 @@
 
 const (
 	groundKeepers = 4 // the first three are the seeds
-	groundPorts   = standin.ProcessPorts
+	groundPorts   = standin.PortsPerProcess
 )
 
 func newGround(t *testing.T) *ground {
-	site, err := standin.StartSite("127.0.3.1:0")
+	site, err := standin.StartPlatform("127.0.3.1:0")
 	require.NoError(t, err)
 	g := &ground{t: t, folder: t.TempDir(), site: site, running: map[string]*exec.Cmd{}, seeds: []int{0, 1, 2}}
-	g.port, err = standin.FreePorts(groundPorts)
+	g.port, err = standin.ReservePorts(groundPorts)
 	require.NoError(t, err)
 	for i := range 2 {
 		_, err := site.Add(fmt.Sprintf("i-%d", i), "plain", "z1", "127.0.3.1:0", 8)
@@ -49,7 +49,7 @@
 		}
 		site.Close()
 		if t.Failed() {
-			place, err := standin.KeepLogs(t.Name(), g.folder)
+			place, err := standin.SaveLogs(t.Name(), g.folder)
 			t.Logf("logs are in %q: %v", place, err)
 		}
 	})
@@ -81,9 +81,9 @@
 		seeds = append(seeds, g.address(g.keeperIP(i), standin.OperatorPort))
 	}
 	return standin.ProcessSettings{
-		Name: name, IP: ip, Zone: zone, Port: g.port, Seeds: seeds, First: first, Folder: filepath.Join(g.folder, name),
-		List: list,
-	}.Text()
+		Name: name, IP: ip, Zone: zone, Port: g.port, Seeds: seeds, FirstStart: first, DataDir: filepath.Join(g.folder, name),
+		ListAddress: list,
+	}.TOML()
 }
 
 // write writes the settings file of a process and returns its path.
@@ -147,7 +147,7 @@
 	next := 0
 	require.Eventually(g.t, func() bool {
 		next = (next + 1) % groundKeepers
-		status, _ := g.operator().Put(next, g.config(version))
+		status, _ := g.operator().PutConfig(next, g.config(version))
 		return status == http.StatusOK
 	}, patience, poll, "configuration %d was not accepted", version)
 }
@@ -158,7 +158,7 @@
 	require.Eventually(g.t, func() bool {
 		answers := 0
 		for i := range groundKeepers {
-			status, text := g.operator().Get(i)
+			status, text := g.operator().GetConfig(i)
 			if status == http.StatusOK {
 				require.Equal(g.t, g.config(version), text)
 				answers++
@@ -203,7 +203,7 @@
 	g.router(1)
 	g.put(1)
 	g.requireServed(1)
-	status, _ := g.operator().Put(0, strings.Replace(g.config(5), `"timeout_ms":2000`, `"timeout_ms":0`, 1))
+	status, _ := g.operator().PutConfig(0, strings.Replace(g.config(5), `"timeout_ms":2000`, `"timeout_ms":0`, 1))
 	require.Equal(t, http.StatusBadRequest, status)
 	version := 1
 	for i := range groundKeepers {
--- a/internal/cmd/processes_test.go
+++ b/internal/cmd/processes_test.go
@@ -51,7 +51,7 @@
 }
 
 func (p *processes) free() string {
-	address, err := standin.FreeAddress()
+	address, err := standin.ReserveAddress()
 	require.NoError(p.t, err)
 	return address
 }
@@ -149,7 +149,7 @@
 	if !p.t.Failed() {
 		return
 	}
-	place, err := standin.KeepLogs(p.t.Name(), p.folder)
+	place, err := standin.SaveLogs(p.t.Name(), p.folder)
 	p.t.Logf("logs are in %q: %v", place, err)
 	logs, _ := filepath.Glob(filepath.Join(p.folder, "*.log"))
 	for _, file := range logs {
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -11,9 +11,9 @@
 // Standin runs lf-standin and returns its exit code.
 func Standin(args []string, stdout, stderr io.Writer) int {
 	var o common
-	p := program[standin.Settings]{name: "lf-standin", read: standin.Read}
+	p := program[standin.Settings]{name: "lf-standin", read: standin.ReadSettings}
 	p.run = func(ctx context.Context, s standin.Settings) error {
-		server := &standin.Standin{Settings: s, Log: settings.Logger(s.Name, s.Level, s.Format)}
+		server := &standin.Standin{Settings: s, Log: settings.Logger(s.Name, s.LogLevel, s.LogFormat)}
 		return server.Run(ctx)
 	}
 	return p.main(&o, &o, args, stdout, stderr)
--- a/internal/cmd/standstill_test.go
+++ b/internal/cmd/standstill_test.go
@@ -37,7 +37,7 @@
 	}
 	g.router(0)
 	require.Eventually(t, func() bool {
-		status, _ := g.operator().Put(0, standstillConfig)
+		status, _ := g.operator().PutConfig(0, standstillConfig)
 		return status == http.StatusOK
 	}, patience, poll)
 	require.Eventually(t, func() bool {
@@ -45,7 +45,7 @@
 	}, patience, poll)
 
 	var stream strings.Builder
-	for i := 1; i <= standin.SiteEvents; i++ {
+	for i := 1; i <= standin.StreamEvents; i++ {
 		stream.WriteString(event(i))
 	}
 	tests := []struct {
@@ -88,9 +88,9 @@
 			}
 		})
 	}
-	for _, target := range g.site.All() {
+	for _, target := range g.site.AllIncarnations() {
 		for _, run := range target.Runs() {
-			p.runs[run.ID]++
+			p.runs[run.RequestID]++
 		}
 	}
 	for id, n := range p.runs {
@@ -107,28 +107,28 @@
 	runs    map[string]int
 }
 
-func newPaused(site *standin.Site, requests int) *paused {
+func newPaused(site *standin.Platform, requests int) *paused {
 	p := &paused{stopped: make(chan struct{}), over: make(chan struct{}), runs: make(map[string]int)}
 	p.begun.Add(requests)
-	site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+	site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 		p.serve(target, w, r)
 		return true
 	}
 	return p
 }
 
-func (p *paused) serve(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
-	target.Ran(r)
-	target.Head(w, r)
+func (p *paused) serve(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) {
+	target.RecordRun(r)
+	target.WriteHeaders(w, r)
 	switch {
 	case strings.HasPrefix(r.RequestURI, "/silent/"):
 		p.begun.Done()
 		<-p.over
 	case strings.HasPrefix(r.RequestURI, "/flow/"):
-		target.Stream(w, 1, 2)
+		target.WriteEvents(w, 1, 2)
 		p.begun.Done()
 		<-p.stopped
-		target.Stream(w, 3, standin.SiteEvents)
+		target.WriteEvents(w, 3, standin.StreamEvents)
 	default:
 		p.begun.Done()
 		<-p.stopped
@@ -171,7 +171,7 @@
 	}
 	g.router(0)
 	require.Eventually(t, func() bool {
-		status, _ := g.operator().Put(0, standstillConfig)
+		status, _ := g.operator().PutConfig(0, standstillConfig)
 		return status == http.StatusOK
 	}, patience, poll)
 	require.Eventually(t, func() bool {
@@ -181,7 +181,7 @@
 		require.Equal(t, http.StatusOK, g.request(0, "/keyed/x"))
 	}
 	require.NoError(t, g.running["r0"].Process.Signal(syscall.SIGSTOP))
-	left := g.site.All()[0]
+	left := g.site.AllIncarnations()[0]
 	left.Drain()
 	time.Sleep(leftTime)
 	before := len(left.Runs())
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,38 +19,38 @@
 // A Spec describes an engine. All engines of a pool have the same.
 type Spec struct {
 	// Slots is how many requests run at a time, and Queue how many more may wait.
-	Slots int
-	Queue int
+	Slots      int
+	QueueLimit int
 	// Memory is the tokens that running requests and kept parts share.
-	Memory int
+	KVCapacity int
 	// Step is what a step takes at least, and PerSlot what each running request adds.
-	Step    time.Duration
-	PerSlot time.Duration
+	BaseStepTime       time.Duration
+	StepTimePerRequest time.Duration
 	// ReadRate is how many prompt tokens are read in a millisecond.
-	ReadRate float64
+	PrefillRate float64
 	// Chunk is how many prompt tokens a step reads at most.
-	Chunk int
+	PrefillChunk int
 	// CopyRate is how many tokens are copied from another engine in a millisecond;
 	// 0 if they cannot be.
 	CopyRate float64
 }
 
 // A Job is one request at an engine.
-type Job struct {
+type Request struct {
 	ID uint64
 	// Parts are the prompt. All but the last may be shared with other requests.
 	Parts []placement.PromptPart
 	// Output is how many tokens are generated.
-	Output int
+	OutputTokens int
 	// From is the engine from which parts that are lacking are copied, or nil.
-	From *Engine
+	CopySource *Engine
 }
 
-func (j Job) shared() []placement.PromptPart {
+func (j Request) shared() []placement.PromptPart {
 	return j.Parts[:max(len(j.Parts)-1, 0)]
 }
 
-func (j Job) own() int {
+func (j Request) own() int {
 	if len(j.Parts) == 0 {
 		return 0
 	}
@@ -59,22 +59,22 @@
 
 // An Event is what an engine did for a job by the end of a step.
 type Event struct {
-	At  time.Time
-	Job uint64
+	At        time.Time
+	RequestID uint64
 	// Made is how many tokens the job has so far; the first one comes with 1.
-	Made int
+	Generated int
 	// Done says that it has all.
 	Done bool
 }
 
 // Counts are sums over an engine's life.
 type Counts struct {
-	Read      int // prompt tokens
-	Again     int // of these, of shared parts that were read here before
-	Copied    int // tokens of parts copied from other engines
-	Made      int // tokens
-	Preempted int // requests that were pushed out of memory and began anew
-	Busy      time.Duration
+	PrefilledTokens  int // prompt tokens
+	RecomputedTokens int // of these, of shared parts that were read here before
+	CopiedTokens     int // tokens of parts copied from other engines
+	GeneratedTokens  int // tokens
+	Preemptions      int // requests that were pushed out of memory and began anew
+	BusyTime         time.Duration
 }
 
 // An Engine is a model of one engine. Set Spec, then call its methods with times
@@ -94,7 +94,7 @@
 
 // run is a job at the engine.
 type run struct {
-	Job
+	Request
 
 	unread  int
 	made    int
@@ -108,14 +108,14 @@
 }
 
 // Offer brings a job. It reports false if the engine is full.
-func (e *Engine) Offer(now time.Time, j Job) bool {
-	if len(e.running)+len(e.waiting) >= e.Slots+e.Queue {
+func (e *Engine) Submit(now time.Time, j Request) bool {
+	if len(e.running)+len(e.waiting) >= e.Slots+e.QueueLimit {
 		return false
 	}
-	if tokens(j.Parts)+j.Output > e.Memory {
+	if tokens(j.Parts)+j.OutputTokens > e.KVCapacity {
 		return false
 	}
-	e.waiting = append(e.waiting, &run{Job: j})
+	e.waiting = append(e.waiting, &run{Request: j})
 	e.begin(now)
 	return true
 }
@@ -139,17 +139,17 @@
 }
 
 // Slow makes steps from the next one on take x times as long.
-func (e *Engine) Slow(x float64) {
+func (e *Engine) SetSlowdown(x float64) {
 	e.slow = x
 }
 
 // Next returns when the present step ends, and false while nothing runs.
-func (e *Engine) Next() (time.Time, bool) {
+func (e *Engine) StepEnd() (time.Time, bool) {
 	return e.stepEnd, !e.stepEnd.IsZero()
 }
 
 // Advance ends the present step, which is due, and begins the next one.
-func (e *Engine) Advance(now time.Time) []Event {
+func (e *Engine) FinishStep(now time.Time) []Event {
 	if e.stepEnd.IsZero() || now.Before(e.stepEnd) {
 		return nil
 	}
@@ -165,7 +165,7 @@
 	for _, r := range slices.Clone(e.running) {
 		if n := e.step.reads[r]; n > 0 {
 			r.unread -= n
-			e.counts.Read += n
+			e.counts.PrefilledTokens += n
 			if r.unread > 0 {
 				continue
 			}
@@ -174,9 +174,9 @@
 			continue
 		}
 		r.made++
-		e.counts.Made++
-		done := r.made >= r.Output
-		events = append(events, Event{At: now, Job: r.ID, Made: r.made, Done: done})
+		e.counts.GeneratedTokens++
+		done := r.made >= r.OutputTokens
+		events = append(events, Event{At: now, RequestID: r.ID, Generated: r.made, Done: done})
 		if done {
 			e.remove(r)
 		}
@@ -188,11 +188,11 @@
 
 // fit pushes the newest request out until memory suffices.
 func (e *Engine) fit() {
-	for e.memory.shrink(e.Memory) > 0 && len(e.running) > 1 {
+	for e.memory.shrink(e.KVCapacity) > 0 && len(e.running) > 1 {
 		newest := e.running[len(e.running)-1]
 		e.remove(newest)
-		e.counts.Preempted++
-		e.waiting = append([]*run{{Job: newest.Job}}, e.waiting...)
+		e.counts.Preemptions++
+		e.waiting = append([]*run{{Request: newest.Request}}, e.waiting...)
 	}
 }
 
@@ -213,7 +213,7 @@
 	}
 	for len(e.waiting) > 0 && len(e.running) < e.Slots {
 		r := e.waiting[0]
-		if !e.memory.room(e.Memory, tokens(r.Parts)+1) && len(e.running) > 0 {
+		if !e.memory.room(e.KVCapacity, tokens(r.Parts)+1) && len(e.running) > 0 {
 			break
 		}
 		e.waiting = e.waiting[1:]
@@ -228,16 +228,16 @@
 	lacking, again := e.memory.enter(now, r)
 	r.unread = r.own() + lacking
 	r.readyAt = now
-	if r.From != nil && r.From != e && e.CopyRate > 0 {
-		copied := min(r.From.memory.holds(r.shared())-e.memory.holds(r.shared()), lacking)
+	if r.CopySource != nil && r.CopySource != e && e.CopyRate > 0 {
+		copied := min(r.CopySource.memory.holds(r.shared())-e.memory.holds(r.shared()), lacking)
 		if copied > 0 {
 			r.unread -= copied
 			again = min(again, lacking-copied)
-			r.readyAt = r.From.send(now, copied, e.CopyRate)
-			e.counts.Copied += copied
+			r.readyAt = r.CopySource.send(now, copied, e.CopyRate)
+			e.counts.CopiedTokens += copied
 		}
 	}
-	e.counts.Again += again
+	e.counts.RecomputedTokens += again
 	r.unread = max(r.unread, 1) // the last token of a prompt is always read
 	e.running = append(e.running, r)
 }
@@ -254,7 +254,7 @@
 // plan shares the chunk of the next step out in the order of admission.
 func (e *Engine) plan(now time.Time) {
 	e.step.reads = make(map[*run]int)
-	left, soonest := e.Chunk, time.Time{}
+	left, soonest := e.PrefillChunk, time.Time{}
 	for _, r := range e.running {
 		switch {
 		case r.readyAt.After(now):
@@ -274,14 +274,14 @@
 		e.stepEnd = soonest // nothing but copies on their way
 		return
 	}
-	took := e.stepTime(e.Chunk - left)
-	e.counts.Busy += took
+	took := e.stepTime(e.PrefillChunk - left)
+	e.counts.BusyTime += took
 	e.stepEnd = now.Add(took)
 }
 
 func (e *Engine) stepTime(read int) time.Duration {
-	took := e.Step + time.Duration(len(e.running))*e.PerSlot
-	took += time.Duration(float64(read) / e.ReadRate * float64(time.Millisecond))
+	took := e.BaseStepTime + time.Duration(len(e.running))*e.StepTimePerRequest
+	took += time.Duration(float64(read) / e.PrefillRate * float64(time.Millisecond))
 	if e.slow > 1 {
 		took = time.Duration(float64(took) * e.slow)
 	}
--- a/internal/gateway/atmostonce_test.go
+++ b/internal/gateway/atmostonce_test.go
@@ -32,7 +32,7 @@
 			bed := newTestbed(t)
 			var mu sync.Mutex
 			attempts := map[string]int{}
-			bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+			bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 				id := r.Header.Get("X-Attempt-Id")
 				if id == "" {
 					return false
@@ -93,7 +93,7 @@
 		want := "ran " + id + " x"
 		if strings.HasSuffix(response.path, "stream") {
 			want = ""
-			for i := 1; i <= standin.SiteEvents; i++ {
+			for i := 1; i <= standin.StreamEvents; i++ {
 				want += fmt.Sprintf("id: %d\ndata: piece %d\n\n", i, i)
 			}
 		}
--- a/internal/gateway/charge_test.go
+++ b/internal/gateway/charge_test.go
@@ -24,7 +24,7 @@
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t)
 			endedTargets := bed.targets[:tt.endedCount]
-			bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+			bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 				if slices.Contains(endedTargets, target) {
 					targetFaults["moved"](target, w, r)
 					return true
--- a/internal/gateway/endedtargets_test.go
+++ b/internal/gateway/endedtargets_test.go
@@ -15,9 +15,9 @@
 // and the list of targets still has them.
 func TestServesDespiteEndedTargets(t *testing.T) {
 	const addedCount, endedCount = 8, 7
-	for name, endTarget := range map[string]func(bed *testbed, target *standin.SiteTarget){
-		"address is closed": func(bed *testbed, target *standin.SiteTarget) { bed.site.Remove(target) },
-		"address is reused": func(*testbed, *standin.SiteTarget) {},
+	for name, endTarget := range map[string]func(bed *testbed, target *standin.PlatformTarget){
+		"address is closed": func(bed *testbed, target *standin.PlatformTarget) { bed.site.Remove(target) },
+		"address is reused": func(*testbed, *standin.PlatformTarget) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bed := newTestbed(t)
@@ -28,7 +28,7 @@
 			}
 			bed.applyTargets()
 			endedTargets := bed.targets[:endedCount]
-			bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+			bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 				if slices.Contains(endedTargets, target) {
 					targetFaults["moved"](target, w, r)
 					return true
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -47,7 +47,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			bed := newTestbed(t)
 			var faultCount atomic.Int64
-			bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+			bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 				if faultCount.Add(1) > int64(tt.faultyAttempts) {
 					return false
 				}
@@ -74,13 +74,13 @@
 func TestResumesOrAbortsInterruptedStream(t *testing.T) {
 	bed := newTestbed(t)
 	var faultCount atomic.Int64
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 		if faultCount.Add(1)%2 == 0 {
 			return false
 		}
-		target.Ran(r)
-		target.Head(w, r)
-		target.Stream(w, 1, 3)
+		target.RecordRun(r)
+		target.WriteHeaders(w, r)
+		target.WriteEvents(w, 1, 3)
 		_, _ = io.WriteString(w, "id: 4\ndata: pie") // the stream ends early here
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -89,7 +89,7 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	want := ""
-	for i := 1; i <= standin.SiteEvents; i++ {
+	for i := 1; i <= standin.StreamEvents; i++ {
 		want += fmt.Sprintf("id: %d\ndata: piece %d\n\n", i, i)
 	}
 	require.Equal(t, want, body)
@@ -108,11 +108,11 @@
 func TestCancelsRunWhenCallerLeaves(t *testing.T) {
 	bed := newTestbed(t)
 	runEnded := make(chan struct{}, 2)
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-		target.Ran(r)
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
+		target.RecordRun(r)
 		if strings.HasPrefix(r.RequestURI, "/stream/") {
-			target.Head(w, r)
-			target.Stream(w, 1, 1)
+			target.WriteHeaders(w, r)
+			target.WriteEvents(w, 1, 1)
 		}
 		<-r.Context().Done()
 		runEnded <- struct{}{}
@@ -142,8 +142,8 @@
 // Guards against callers that wait much longer than the timeout of their route.
 func TestEnforcesRouteTimeout(t *testing.T) {
 	bed := newTestbed(t)
-	bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
-		target.Ran(r)
+	bed.site.Fault = func(target *standin.PlatformTarget, _ http.ResponseWriter, r *http.Request) bool {
+		target.RecordRun(r)
 		<-r.Context().Done()
 		return true
 	}
@@ -161,10 +161,10 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, resp.StatusCode)
 	}
-	require.Equal(t, 1, bed.targets[0].Conns())
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-		target.Ran(r)
-		target.Head(w, r)
+	require.Equal(t, 1, bed.targets[0].ConnectionCount())
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
+		target.RecordRun(r)
+		target.WriteHeaders(w, r)
 		w.Header().Set("Connection", "close")
 		_, _ = io.WriteString(w, "bye") // the last response on this connection
 		return true
@@ -173,7 +173,7 @@
 		_, _, err := bed.do(http.MethodPost, "/once/x", "z")
 		require.NoError(t, err)
 	}
-	require.Equal(t, 3, bed.targets[0].Conns())
+	require.Equal(t, 3, bed.targets[0].ConnectionCount())
 }
 
 // Guards against forwarding a response to the wrong caller. A target sends a second response after
@@ -182,8 +182,8 @@
 	bed := newTestbed(t)
 	bed.targets = bed.targets[:1]
 	bed.applyTargets()
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-		run := target.Ran(r)
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
+		run := target.RecordRun(r)
 		hijacker, ok := w.(http.Hijacker)
 		if !ok {
 			return false
@@ -194,7 +194,7 @@
 		}
 		go func() {
 			defer func() { _ = conn.Close() }() // the test is over
-			for id := run.ID; ; {
+			for id := run.RequestID; ; {
 				for range 2 { // each response comes twice, the second one late
 					_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Signature: s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 					if err != nil {
@@ -206,7 +206,7 @@
 				if err != nil {
 					return
 				}
-				id = target.Ran(next).ID
+				id = target.RecordRun(next).RequestID
 			}
 		}()
 		return true
@@ -228,15 +228,15 @@
 func TestGracefulShutdownCompletesRequests(t *testing.T) {
 	bed := newTestbed(t)
 	release := make(chan struct{})
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 		if !strings.HasPrefix(r.RequestURI, "/stream/") {
 			return false
 		}
-		target.Ran(r)
-		target.Head(w, r)
-		target.Stream(w, 1, 2)
+		target.RecordRun(r)
+		target.WriteHeaders(w, r)
+		target.WriteEvents(w, 1, 2)
 		<-release
-		target.Stream(w, 3, standin.SiteEvents)
+		target.WriteEvents(w, 3, standin.StreamEvents)
 		return true
 	}
 	resp, err := bed.client.Do(bed.newRequest(context.Background(), http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key"))
@@ -253,7 +253,7 @@
 	close(release)
 	rest, err := io.ReadAll(reader)
 	require.NoError(t, err)
-	require.Contains(t, string(rest), fmt.Sprintf("piece %d", standin.SiteEvents))
+	require.Contains(t, string(rest), fmt.Sprintf("piece %d", standin.StreamEvents))
 	select {
 	case err := <-bed.stopped:
 		require.NoError(t, err)
@@ -268,10 +268,10 @@
 	bed := newTestbed(t)
 	release := make(chan struct{})
 	defer close(release)
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-		target.Ran(r)
-		target.Head(w, r)
-		target.Stream(w, 1, 2)
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
+		target.RecordRun(r)
+		target.WriteHeaders(w, r)
+		target.WriteEvents(w, 1, 2)
 		<-release
 		return true
 	}
@@ -306,9 +306,9 @@
 
 func TestForwardsResponsesWithoutBody(t *testing.T) {
 	bed := newTestbed(t)
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-		target.Ran(r)
-		target.Head(w, r)
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
+		target.RecordRun(r)
+		target.WriteHeaders(w, r)
 		if r.Method == http.MethodHead {
 			w.Header().Set("Content-Length", "77")
 			return true
@@ -350,9 +350,9 @@
 func TestAbortsResponseToCallerThatDoesNotRead(t *testing.T) {
 	bed := newTestbed(t)
 	runEnded := make(chan struct{})
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-		target.Ran(r)
-		target.Head(w, r)
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
+		target.RecordRun(r)
+		target.WriteHeaders(w, r)
 		w.Header().Set("Content-Type", "text/event-stream")
 		event := "data: " + strings.Repeat("x", 60000) + "\n\n"
 		for r.Context().Err() == nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,8 +37,8 @@
 // A testbed is a gateway with two targets of a simulated platform.
 type testbed struct {
 	t            testing.TB
-	site         *standin.Site
-	targets      []*standin.SiteTarget
+	site         *standin.Platform
+	targets      []*standin.PlatformTarget
 	gateway      *gateway.Gateway
 	address      string
 	readyAddress string
@@ -50,7 +50,7 @@
 }
 
 func newTestbed(t testing.TB) *testbed {
-	site, err := standin.StartSite("127.0.0.1:0")
+	site, err := standin.StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
 	bed := &testbed{t: t, site: site, address: freeAddress(t), readyAddress: freeAddress(t), stopped: make(chan error, 1)}
 	for i := range 2 {
@@ -86,7 +86,7 @@
 }
 
 func freeAddress(t testing.TB) string {
-	address, err := standin.FreeAddress()
+	address, err := standin.ReserveAddress()
 	require.NoError(t, err)
 	return address
 }
@@ -94,7 +94,7 @@
 func (bed *testbed) applyTargets() {
 	var list []fleet.Instance
 	for _, target := range bed.targets {
-		list = append(list, fleet.Instance{Incarnation: fleet.Incarnation{ID: target.ID, StartMillis: target.Born}, Pool: target.Pool, Address: target.Address, Zone: fleet.Zone(target.Zone), Slots: target.Slots})
+		list = append(list, fleet.Instance{Incarnation: fleet.Incarnation{ID: target.ID, StartMillis: target.StartMillis}, Pool: target.Pool, Address: target.Address, Zone: fleet.Zone(target.Zone), Slots: target.Slots})
 	}
 	bed.gateway.SetTargets(*bed.state.Load(), list)
 }
@@ -134,7 +134,7 @@
 	return resp, string(responseBody), err
 }
 
-func (bed *testbed) runs() (runs []standin.SiteRun) {
+func (bed *testbed) runs() (runs []standin.TargetRun) {
 	for _, target := range bed.targets {
 		runs = append(runs, target.Runs()...)
 	}
@@ -166,7 +166,7 @@
 	resp, body, err := bed.do(http.MethodPost, "/stream/stream", "x", "Authorization", "Bearer good-key")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.Equal(t, standin.SiteEvents, strings.Count(body, "data: piece"))
+	require.Equal(t, standin.StreamEvents, strings.Count(body, "data: piece"))
 	run := bed.runs()[0]
 	require.Equal(t, "acme", run.Header.Get("X-Tenant"))
 	require.Empty(t, run.Header.Get("Authorization"))
--- a/internal/gateway/hang_test.go
+++ b/internal/gateway/hang_test.go
@@ -29,11 +29,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			bed := newTestbed(t)
 			var faultCount atomic.Int64
-			bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
+			bed.site.Fault = func(target *standin.PlatformTarget, _ http.ResponseWriter, r *http.Request) bool {
 				if faultCount.Add(1) > 1 {
 					return false
 				}
-				target.Ran(r)
+				target.RecordRun(r)
 				<-r.Context().Done()
 				return true
 			}
@@ -42,7 +42,7 @@
 			require.Equal(t, tt.status, resp.StatusCode, body)
 			require.Len(t, bed.runs(), tt.runs)
 			if strings.HasSuffix(tt.path, "stream") {
-				require.Equal(t, standin.SiteEvents, strings.Count(body, "data: piece"))
+				require.Equal(t, standin.StreamEvents, strings.Count(body, "data: piece"))
 			}
 		})
 	}
--- a/internal/gateway/largeresponse_test.go
+++ b/internal/gateway/largeresponse_test.go
@@ -23,9 +23,9 @@
 // target.
 func TestCallerLeavingLargeResponseIsNotTargetFailure(t *testing.T) {
 	bed := newTestbed(t)
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
-		target.Ran(r)
-		target.Head(w, r)
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
+		target.RecordRun(r)
+		target.WriteHeaders(w, r)
 		_, _ = io.WriteString(w, strings.Repeat("x", largeResponseBytes)) // fails when the caller leaves
 		return true
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -31,8 +31,8 @@
 // crashingBody. It returns the number of ended targets.
 func (bed *testbed) crashTargets() *atomic.Int64 {
 	terminationCount := &atomic.Int64{}
-	bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
-		if run := target.Ran(r); run.Body != crashingBody {
+	bed.site.Fault = func(target *standin.PlatformTarget, _ http.ResponseWriter, r *http.Request) bool {
+		if run := target.RecordRun(r); run.Body != crashingBody {
 			return false
 		}
 		terminationCount.Add(1)
@@ -71,8 +71,8 @@
 // quarantined during its first attempt, and its second attempt is therefore refused.
 func TestQuarantineDuringRunIsNotReportedAsNotRun(t *testing.T) {
 	bed := newTestbed(t)
-	bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
-		target.Ran(r)
+	bed.site.Fault = func(target *standin.PlatformTarget, _ http.ResponseWriter, r *http.Request) bool {
+		target.RecordRun(r)
 		bed.applyRestrictions(1, quarantine.Restriction{Fingerprint: fingerprintOf("/whole/x", crashingBody), TerminationCount: 3, NextRunIn: time.Minute})
 		bed.site.Remove(target)
 		panic(http.ErrAbortHandler)
@@ -132,8 +132,8 @@
 // running.
 func TestInterruptionWithoutTerminationIsNotReported(t *testing.T) {
 	bed := newTestbed(t)
-	bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
-		if run := target.Ran(r); run.Body != "cut" {
+	bed.site.Fault = func(target *standin.PlatformTarget, _ http.ResponseWriter, r *http.Request) bool {
+		if run := target.RecordRun(r); run.Body != "cut" {
 			return false
 		}
 		panic(http.ErrAbortHandler)
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -22,9 +22,9 @@
 
 // runCount returns how often a request has run at all current and former targets.
 func (bed *testbed) runCount(id string) (count int) {
-	for _, target := range bed.site.All() {
+	for _, target := range bed.site.AllIncarnations() {
 		for _, run := range target.Runs() {
-			if run.ID == id {
+			if run.RequestID == id {
 				count++
 			}
 		}
@@ -42,8 +42,8 @@
 			bed.targets = bed.targets[:1]
 			bed.applyTargets()
 			runStarted := make(chan struct{}, 1)
-			bed.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
-				target.Ran(r)
+			bed.site.Fault = func(target *standin.PlatformTarget, _ http.ResponseWriter, r *http.Request) bool {
+				target.RecordRun(r)
 				runStarted <- struct{}{}
 				<-r.Context().Done()
 				return true
@@ -54,7 +54,7 @@
 					defer close(restarted)
 					<-runStarted
 					if listUpdated {
-						bed.targets[0].Born++
+						bed.targets[0].StartMillis++
 						bed.applyTargets()
 					}
 					bed.restartFirstTarget()
@@ -87,7 +87,7 @@
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	require.Len(t, former.Runs(), 1)
 	require.Len(t, bed.targets[0].Runs(), 1)
-	require.Equal(t, 1, bed.targets[0].Conns(), "connections to the former incarnation are not reused")
+	require.Equal(t, 1, bed.targets[0].ConnectionCount(), "connections to the former incarnation are not reused")
 }
 
 // TestAtMostOnceWhileTargetsRestart checks the properties of TestAtMostOnceUnderRandomFaults while
@@ -97,7 +97,7 @@
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			bed := newTestbed(t)
-			bed.site.Fault = func(*standin.SiteTarget, http.ResponseWriter, *http.Request) bool {
+			bed.site.Fault = func(*standin.PlatformTarget, http.ResponseWriter, *http.Request) bool {
 				time.Sleep(3 * time.Millisecond) // so that some requests run while their target ends
 				return false
 			}
@@ -148,16 +148,16 @@
 	bed.targets = bed.targets[:1]
 	bed.applyTargets()
 	former := bed.targets[0]
-	bed.site.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+	bed.site.Fault = func(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 		if target != former {
 			return false
 		}
-		target.Ran(r)
-		target.Head(w, r)
-		target.Stream(w, 1, 2)
+		target.RecordRun(r)
+		target.WriteHeaders(w, r)
+		target.WriteEvents(w, 1, 2)
 		restarted, err := bed.site.Add(former.ID, former.Pool, former.Zone, "127.0.0.1:0", former.Slots)
 		if err == nil {
-			restarted.Born = former.Born + 1
+			restarted.StartMillis = former.StartMillis + 1
 			bed.targets[0] = restarted
 			bed.applyTargets()
 		}
--- a/internal/gateway/throttle_test.go
+++ b/internal/gateway/throttle_test.go
@@ -19,7 +19,7 @@
 func TestThrottlesRouteThatServiceRefuses(t *testing.T) {
 	bed := newTestbed(t)
 	var sentCount atomic.Int64
-	bed.site.Fault = func(_ *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+	bed.site.Fault = func(_ *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 		if strings.HasPrefix(r.URL.Path, "/whole/") {
 			return false
 		}
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -39,7 +39,7 @@
 }
 
 func freeAddress(b testing.TB) string {
-	address, err := standin.FreeAddress()
+	address, err := standin.ReserveAddress()
 	require.NoError(b, err)
 	return address
 }
--- a/internal/keeperclient/discovery_test.go
+++ b/internal/keeperclient/discovery_test.go
@@ -49,7 +49,7 @@
 	follower.update(func(keeper *fakeKeeper) { keeper.response.Leader = proxy.Address() })
 	client, _ := startClient(t, &fakeList{}, proxy.Address(), follower.address)
 	require.Eventually(t, client.hasConfig(1), waitLimit, pollInterval)
-	proxy.Stall()
+	proxy.StallOpenConnections()
 	leader.update(func(keeper *fakeKeeper) {
 		keeper.response = message.RenewResponse{Leads: true, Term: 1, Number: 2, PackedConfig: packedConfig(t, 2)}
 	})
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -39,7 +39,7 @@
 }
 
 func freeAddress(t testing.TB) string {
-	address, err := standin.FreeAddress()
+	address, err := standin.ReserveAddress()
 	require.NoError(t, err)
 	return address
 }
@@ -258,7 +258,7 @@
 // Sequence: a caller leaves while its request runs, streamed or not, or waits.
 // Cause: the HTTP library tells a handler nothing of it.
 func TestCallerThatLeavesCancelsAtTheTarget(t *testing.T) {
-	e, target := engine(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, Pace: fleet.Duration(5 * time.Millisecond)})
+	e, target := engine(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, TokenInterval: fleet.Duration(5 * time.Millisecond)})
 	target.Slots = 2
 	s := start(t, target)
 	for _, body := range []string{`{"stream":true}`, `{"stream":true}`, `{"stream":true}`} {
@@ -281,7 +281,7 @@
 // Sequence: a caller leaves while its request, not streamed, runs; another
 // waits for the slot.
 func TestCallerThatLeavesUnstreamedRequest(t *testing.T) {
-	e, target := engine(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, Pace: fleet.Duration(5 * time.Millisecond)})
+	e, target := engine(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, TokenInterval: fleet.Duration(5 * time.Millisecond)})
 	target.Slots = 1
 	s := start(t, target)
 	for range 2 {
--- a/internal/soak/changes_test.go
+++ b/internal/soak/changes_test.go
@@ -63,7 +63,7 @@
 	c.history.withdrawn(c.guest, &c.history.asked)
 	for until := time.Now().Add(patience); ; time.Sleep(poll) {
 		c.next = (c.next + 1) % len(c.keepers)
-		if status, _ := c.operator().Put(c.next, fmt.Sprintf(configText, version, version, guest)); status == http.StatusOK {
+		if status, _ := c.operator().PutConfig(c.next, fmt.Sprintf(configText, version, version, guest)); status == http.StatusOK {
 			break
 		}
 		if time.Now().After(until) {
@@ -97,7 +97,7 @@
 func (c *changes) watchKeepers(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		from := time.Now()
-		status, text := c.operator().Get(n % len(c.keepers))
+		status, text := c.operator().GetConfig(n % len(c.keepers))
 		var got struct{ Version int }
 		if status == http.StatusOK && json.Unmarshal([]byte(text), &got) == nil {
 			c.noteRead(from, n%len(c.keepers), got.Version)
--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -46,7 +46,7 @@
 
 // crashes ends a target as in a crash if it has begun a request that does that. Another start
 // follows under its ID, if it still stands as ready.
-func (p *player) crashes(t *standin.SiteTarget, run standin.SiteRun) bool {
+func (p *player) crashes(t *standin.PlatformTarget, run standin.TargetRun) bool {
 	if !strings.HasPrefix(run.Body, crashMark) {
 		return false
 	}
@@ -74,10 +74,10 @@
 }
 
 // judgeCrashes holds the runs of each request that ends targets against what is allowed.
-func (h *history) judgeCrashes(site *standin.Site, n *notes) {
+func (h *history) judgeCrashes(site *standin.Platform, n *notes) {
 	ends := make(map[string][]time.Time) // of targets, by body
-	runs := make(map[string][]standin.SiteRun)
-	for _, t := range site.All() {
+	runs := make(map[string][]standin.TargetRun)
+	for _, t := range site.AllIncarnations() {
 		ended := make(map[string]bool)
 		for _, run := range t.Runs() {
 			if !strings.HasPrefix(run.Body, crashMark) {
@@ -93,7 +93,7 @@
 	h.judgeEnds(ends, runs, n)
 }
 
-func (h *history) judgeEnds(ends map[string][]time.Time, runs map[string][]standin.SiteRun, n *notes) {
+func (h *history) judgeEnds(ends map[string][]time.Time, runs map[string][]standin.TargetRun, n *notes) {
 	for body, list := range ends {
 		slices.SortFunc(list, time.Time.Compare)
 		if len(list) < crashesAllowed {
@@ -102,7 +102,7 @@
 		known := list[crashesAllowed-1].Add(knownTime)
 		later := 0
 		for _, run := range runs[body] {
-			if run.At.After(known) && h.inTouch(askedRouter(run.ID), run.At) {
+			if run.At.After(known) && h.inTouch(askedRouter(run.RequestID), run.At) {
 				later++
 			}
 		}
--- a/internal/soak/draw_test.go
+++ b/internal/soak/draw_test.go
@@ -248,7 +248,7 @@
 // forgotten has a router stand still while a key is withdrawn, for longer than it may
 // count.
 func (d *drawing) forgotten() {
-	victim, length := d.IntN(d.Size.Routers), revokeTime+standin.CallerTime+d.between(500, 2500)
+	victim, length := d.IntN(d.Size.Routers), revokeTime+standin.CallerTimeout+d.between(500, 2500)
 	if !d.withdrawn && d.take(onRouter, victim, d.now, length+time.Second) {
 		d.add(d.now, onRouter, victim, doPause, "", length)
 		d.now += d.between(50, 300)
--- a/internal/soak/evacuation_test.go
+++ b/internal/soak/evacuation_test.go
@@ -55,12 +55,12 @@
 
 // judgeCleared holds the time of a run, sent by a router, against evacuations: it keeps to one
 // once it and all keepers were well for long enough to hear of it.
-func (h *history) judgeCleared(t *standin.SiteTarget, run standin.SiteRun, router int, n *notes) {
+func (h *history) judgeCleared(t *standin.PlatformTarget, run standin.TargetRun, router int, n *notes) {
 	for _, c := range h.cleared {
 		if c.zone != t.Zone || !c.overlaps(run.At, run.At) || h.held(run) {
 			continue
 		}
-		n.check(h.calm(router, c.from, run.At) <= knownTime, "%s ran at %s, %s after its zone was evacuated", run.ID, t.ID, run.At.Sub(c.from))
+		n.check(h.calm(router, c.from, run.At) <= knownTime, "%s ran at %s, %s after its zone was evacuated", run.RequestID, t.ID, run.At.Sub(c.from))
 	}
 }
 
@@ -87,7 +87,7 @@
 	h.cleared = []clearing{{span{at(0), at(10)}, "z1"}}
 	judge := func(zone string, second float64) int {
 		var n notes
-		h.judgeCleared(&standin.SiteTarget{ID: "t-0", Zone: zone}, standin.SiteRun{At: at(second)}, 1, &n)
+		h.judgeCleared(&standin.PlatformTarget{ID: "t-0", Zone: zone}, standin.TargetRun{At: at(second)}, 1, &n)
 		return len(n.list)
 	}
 	require.Zero(t, judge("z1", 2))
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -23,7 +23,7 @@
 	// lateTime and lastTime, counted from the signal, bound what may outlast the grace:
 	// what was sent no later than the one and is at work after the other.
 	lateTime = 3 * time.Second
-	lastTime = standin.Grace * time.Second * 5 / 6
+	lastTime = standin.GraceSeconds * time.Second * 5 / 6
 )
 
 // Whom a fault may hurt, where it is not one router.
@@ -51,20 +51,20 @@
 type history struct {
 	mu      sync.Mutex
 	hurts   []hurt
-	asleep  []hurt                            // in which a router is out of touch
-	absent  []hurt                            // in which a router, or the keepers (anyRouter), were in trouble
-	links   []span                            // in which requests may come late to targets
-	blind   []span                            // in which the list could not be read
-	stops   map[int][]span                    // of routers, from the signal to the exit
-	left    map[*standin.SiteTarget]time.Time // since when the list shows them leaving
-	stalls  []span                            // in which the soak itself did not run
-	cleared []clearing                        // evacuations
-	asked   time.Time                         // when the withdrawal of the guest's key was first sent
-	revoked time.Time                         // when it was accepted
+	asleep  []hurt                                // in which a router is out of touch
+	absent  []hurt                                // in which a router, or the keepers (anyRouter), were in trouble
+	links   []span                                // in which requests may come late to targets
+	blind   []span                                // in which the list could not be read
+	stops   map[int][]span                        // of routers, from the signal to the exit
+	left    map[*standin.PlatformTarget]time.Time // since when the list shows them leaving
+	stalls  []span                                // in which the soak itself did not run
+	cleared []clearing                            // evacuations
+	asked   time.Time                             // when the withdrawal of the guest's key was first sent
+	revoked time.Time                             // when it was accepted
 }
 
 func newHistory() *history {
-	return &history{stops: make(map[int][]span), left: make(map[*standin.SiteTarget]time.Time)}
+	return &history{stops: make(map[int][]span), left: make(map[*standin.PlatformTarget]time.Time)}
 }
 
 // fault notes what was done to a process. Keepers' faults cut no answer.
@@ -131,7 +131,7 @@
 	h.stops[router] = append(h.stops[router], s)
 }
 
-func (h *history) leaves(t *standin.SiteTarget) {
+func (h *history) leaves(t *standin.PlatformTarget) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.left[t] = time.Now()
@@ -144,21 +144,21 @@
 }
 
 // judge notes what callers and targets saw against the promises.
-func (h *history) judge(attempts []standin.Attempt, site *standin.Site, n *notes) {
+func (h *history) judge(attempts []standin.Attempt, site *standin.Platform, n *notes) {
 	runs, keys, by := make(map[string]int), make(map[string]string), make(map[string]int)
 	for _, a := range attempts {
 		keys[a.ID], by[a.ID] = a.Key, a.Router
 	}
-	for _, t := range site.All() {
+	for _, t := range site.AllIncarnations() {
 		for _, run := range t.Runs() {
-			runs[run.ID]++
-			router, known := by[run.ID]
+			runs[run.RequestID]++
+			router, known := by[run.RequestID]
 			if !known {
-				router = askedRouter(run.ID)
+				router = askedRouter(run.RequestID)
 			}
 			h.judgeRun(t, run, router, n)
 			h.judgeCleared(t, run, router, n)
-			h.judgeKey(run, keys[run.ID], n)
+			h.judgeKey(run, keys[run.RequestID], n)
 		}
 	}
 	for _, a := range attempts {
@@ -173,16 +173,16 @@
 		n.check(ok, "%s %s by router %d, sent %s, ended %s, status %d, ran %d times: %s",
 			a.ID, a.Path, a.Router, clockTime(a.Sent), clockTime(a.Ended), a.Status, ran, what)
 	}
-	check(a.Wrong == "", a.Wrong)
+	check(a.Violation == "", a.Violation)
 	check(ran <= 1 || a.Path == "/keyed/x", "it may run only once")
 	h.judgeStatus(a, ran, check)
-	if a.Status == 0 && !a.Refused && !a.Left {
+	if a.Status == 0 && !a.Refused && !a.Abandoned {
 		h.judgeCut(a, ran, check)
 	}
 }
 
 // judgeRun holds the time of a run, sent by a router, against the target's leaving.
-func (h *history) judgeRun(t *standin.SiteTarget, run standin.SiteRun, router int, n *notes) {
+func (h *history) judgeRun(t *standin.PlatformTarget, run standin.TargetRun, router int, n *notes) {
 	left, leaves := h.left[t]
 	if !leaves {
 		return
@@ -200,11 +200,11 @@
 	if h.held(run) {
 		return
 	}
-	n.check(run.At.Sub(left) <= leaveTime, "%s ran at %s, %s after that was shown as leaving", run.ID, t.ID, run.At.Sub(left))
+	n.check(run.At.Sub(left) <= leaveTime, "%s ran at %s, %s after that was shown as leaving", run.RequestID, t.ID, run.At.Sub(left))
 }
 
 // held reports whether a request may have been held on its way to the target.
-func (h *history) held(run standin.SiteRun) bool {
+func (h *history) held(run standin.TargetRun) bool {
 	for _, l := range h.links {
 		if l.overlaps(run.At, run.At) {
 			return true
@@ -215,10 +215,10 @@
 
 // judgeKey holds the time of a run against the withdrawal of its key: what was let in
 // before it waits no longer than its deadline.
-func (h *history) judgeKey(run standin.SiteRun, key string, n *notes) {
+func (h *history) judgeKey(run standin.TargetRun, key string, n *notes) {
 	if key == guestKey && !h.revoked.IsZero() && !h.held(run) {
 		late := run.At.Sub(h.revoked)
-		n.check(late <= revokeTime+standin.CallerTime, "%s ran %s after its key was withdrawn", run.ID, late)
+		n.check(late <= revokeTime+standin.CallerTimeout, "%s ran %s after its key was withdrawn", run.RequestID, late)
 	}
 }
 
@@ -247,11 +247,11 @@
 		}
 	}
 	stalled := h.stalled(a.Sent, a.Ended)
-	if a.Ended.Sub(a.Sent)-stalled >= standin.CallerTime+waitMargin {
+	if a.Ended.Sub(a.Sent)-stalled >= standin.CallerTimeout+waitMargin {
 		check(false, "nobody ended it")
 		return
 	}
-	if a.Path == flowPath && a.Ended.Sub(a.Sent) >= standin.CallerTime && stalled > standin.CallerTime-flowTime {
+	if a.Path == flowPath && a.Ended.Sub(a.Sent) >= standin.CallerTimeout && stalled > standin.CallerTimeout-flowTime {
 		return // its deadline passed while its target stood still
 	}
 	for _, s := range h.stops[a.Router] {
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -78,7 +78,7 @@
 		broken int
 	}{{guestKey, 6 * time.Second, 0}, {guestKey, 8 * time.Second, 1}, {memberKey, 8 * time.Second, 0}} {
 		var n notes
-		h.judgeKey(standin.SiteRun{At: h.revoked.Add(c.after)}, c.key, &n)
+		h.judgeKey(standin.TargetRun{At: h.revoked.Add(c.after)}, c.key, &n)
 		require.Len(t, n.list, c.broken)
 	}
 }
@@ -87,10 +87,10 @@
 func TestJudgeKnowsWorkAfterLeaving(t *testing.T) {
 	zero := time.Now()
 	at := func(s float64) time.Time { return zero.Add(time.Duration(s * float64(time.Second))) }
-	h, leaving := newHistory(), &standin.SiteTarget{ID: "t-0"}
+	h, leaving := newHistory(), &standin.PlatformTarget{ID: "t-0"}
 	judge := func(second float64) int {
 		var n notes
-		h.judgeRun(leaving, standin.SiteRun{At: at(second)}, 1, &n)
+		h.judgeRun(leaving, standin.TargetRun{At: at(second)}, 1, &n)
 		return len(n.list)
 	}
 	require.Zero(t, judge(9), "it does not leave")
@@ -133,11 +133,11 @@
 				h.away(event{Kind: onKeeper}, c.absent)
 			}
 			ends := make(map[string][]time.Time)
-			runs := make(map[string][]standin.SiteRun)
+			runs := make(map[string][]standin.TargetRun)
 			for _, at := range c.runs {
 				moment := zero.Add(time.Duration(at * float64(time.Second)))
 				ends[mark] = append(ends[mark], moment)
-				runs[mark] = append(runs[mark], standin.SiteRun{At: moment, ID: "ask-0-1", Body: mark})
+				runs[mark] = append(runs[mark], standin.TargetRun{At: moment, RequestID: "ask-0-1", Body: mark})
 			}
 			h.judgeEnds(ends, runs, n)
 			require.Equal(t, c.broken, len(n.list) > 0, "%v", n.list)
--- a/internal/soak/play_test.go
+++ b/internal/soak/play_test.go
@@ -120,7 +120,7 @@
 func (p *player) wreck(e event, on *process) error {
 	switch e.How {
 	case howLost:
-		return os.RemoveAll(on.settings.Folder)
+		return os.RemoveAll(on.settings.DataDir)
 	case howTorn:
 		return on.tear()
 	}
@@ -134,7 +134,7 @@
 	if e.Do == doKill && e.How != howLost && e.How != howTorn {
 		clock = e.How
 	}
-	on.settings.First = e.Kind == onRouter
+	on.settings.FirstStart = e.Kind == onRouter
 	if err := on.start(clock); err != nil {
 		p.notes.add("%s: %v", e, err)
 	}
@@ -148,7 +148,7 @@
 	time.Sleep(time.Duration(e.For))
 	p.notes.check(os.Remove(on.file(".disk")) == nil, "%s could not be ended", e)
 	on.kill()
-	on.settings.First = false
+	on.settings.FirstStart = false
 	if err := on.start(""); err != nil {
 		p.notes.add("%s: %v", e, err)
 	}
@@ -160,7 +160,7 @@
 	first := int(time.Duration(e.At)/time.Millisecond) % n
 	settings := on.settings
 	settings.Seeds = p.seeds(first, (first+1)%n, (first+2)%n)
-	err := os.WriteFile(on.file(".new"), []byte(settings.Text()), 0o600)
+	err := os.WriteFile(on.file(".new"), []byte(settings.TOML()), 0o600)
 	if err == nil {
 		err = os.Rename(on.file(".new"), on.file(".toml"))
 	}
@@ -199,21 +199,21 @@
 	from := time.Now()
 	switch e.Do {
 	case doDelay:
-		proxy.Delay(late)
+		proxy.SetDelay(late)
 	case doReset:
-		proxy.Reset()
+		proxy.ResetConnections()
 	case doIn:
-		proxy.Silence(standin.ToTarget)
+		proxy.Block(standin.ToTarget)
 	case doOut:
-		proxy.Silence(standin.ToCaller)
+		proxy.Block(standin.ToCaller)
 	case doBoth:
-		proxy.Silence(standin.ToTarget)
-		proxy.Silence(standin.ToCaller)
+		proxy.Block(standin.ToTarget)
+		proxy.Block(standin.ToCaller)
 	default:
 		p.notes.add("nobody knows how to play %s", e)
 	}
 	time.Sleep(time.Duration(e.For))
-	proxy.Heal()
+	proxy.ClearFaults()
 	p.history.away(e, span{from, time.Now()})
 	p.history.faultAt(router, span{from, time.Now().Add(healTime)})
 }
@@ -261,16 +261,16 @@
 func (p *player) list(e event) {
 	from := time.Now()
 	if e.Do == doGarble {
-		p.site.Garble("\xff{")
+		p.site.SetListBody("\xff{")
 	} else {
-		p.site.Damage(standin.DamagedEntries...)
+		p.site.SetDamagedEntries(standin.DamagedEntries...)
 	}
 	time.Sleep(time.Duration(e.For))
 	if e.Do == doGarble {
-		p.site.Garble("")
+		p.site.SetListBody("")
 		p.history.unread(span{from, time.Now()})
 	} else {
-		p.site.Damage()
+		p.site.SetDamagedEntries()
 	}
 }
 
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -55,7 +55,7 @@
 
 // write writes the settings file.
 func (p *process) write() error {
-	return os.WriteFile(p.file(".toml"), []byte(p.settings.Text()), 0o600)
+	return os.WriteFile(p.file(".toml"), []byte(p.settings.TOML()), 0o600)
 }
 
 // start starts the program with a clock that goes wrong or, by "", right. It returns
@@ -181,7 +181,7 @@
 	}
 	select {
 	case <-r.ended:
-	case <-time.After(standin.Grace*time.Second + stopMargin):
+	case <-time.After(standin.GraceSeconds*time.Second + stopMargin):
 		p.notes.add("%s was told to stop at %s and still runs", p.settings.Name, clockTime(s.from))
 		p.signal(syscall.SIGQUIT, true)
 		<-r.ended
@@ -196,7 +196,7 @@
 // tear leaves the beginning of a batch at the end of a keeper's log, as a crash in the
 // middle of a write does.
 func (p *process) tear() error {
-	logs, err := filepath.Glob(filepath.Join(p.settings.Folder, "log-*"))
+	logs, err := filepath.Glob(filepath.Join(p.settings.DataDir, "log-*"))
 	if err != nil || len(logs) == 0 {
 		return err
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -122,7 +122,7 @@
 	cancel()
 	running.Wait()
 	p.stopAll()
-	p.requirePromises(c.Taken())
+	p.requirePromises(c.Attempts())
 }
 
 func (p *player) phase(what string) {
@@ -162,7 +162,7 @@
 	for _, target := range p.live {
 		before := len(target.Runs())
 		require.Eventually(p.t, func() bool { return len(target.Runs()) > before }, patience, poll,
-			"%s, born at %s, gets no work", target.ID, clockTime(time.UnixMilli(target.Born)))
+			"%s, born at %s, gets no work", target.ID, clockTime(time.UnixMilli(target.StartMillis)))
 	}
 }
 
@@ -176,23 +176,23 @@
 			}
 			return memberKey
 		},
-		Door: func(caller, n int) (int, string) {
+		ChooseRouter: func(caller, n int) (int, string) {
 			i := (caller + n/20) % len(p.doors)
 			return i, p.doors[i].Address()
 		},
-		Alone: func(i int, local string) bool { return p.doors[i].Alone(local) },
-		Manner: func(_, n int) standin.Manner {
+		DialFailed: func(i int, local string) bool { return p.doors[i].DialFailed(local) },
+		Behavior: func(_, n int) standin.CallerBehavior {
 			switch {
 			case n%7 == 3:
-				return standin.Pieces
+				return standin.BehaviorChunkedBody
 			case n%7 == 5:
-				return standin.Slow
+				return standin.BehaviorSlowReader
 			case n%11 == 6:
-				return standin.Leaving
+				return standin.BehaviorAbandon
 			}
-			return standin.Prompt
+			return standin.BehaviorNormal
 		},
-		Patience: waitMargin + time.Second,
+		ExtraWait: waitMargin + time.Second,
 	}
 }
 
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -32,7 +32,7 @@
 	size    size
 	folder  string
 	port    int
-	site    *standin.Site
+	site    *standin.Platform
 	keepers []*process
 	routers []*process
 	peers   []*standin.Proxy // before keepers
@@ -41,16 +41,16 @@
 
 	mu    sync.Mutex
 	links []*standin.Proxy // before targets, the oldest first
-	live  []*standin.SiteTarget
+	live  []*standin.PlatformTarget
 	added int
 }
 
 func newWorld(t *testing.T, of size) *world {
 	w := &world{t: t, size: of, folder: t.TempDir(), notes: &notes{}}
 	var err error
-	w.port, err = standin.FreePorts(standin.ProcessPorts)
+	w.port, err = standin.ReservePorts(standin.PortsPerProcess)
 	require.NoError(t, err)
-	w.site, err = standin.StartSite(w.ip(firstKeeper) + ":0")
+	w.site, err = standin.StartPlatform(w.ip(firstKeeper) + ":0")
 	require.NoError(t, err)
 	t.Cleanup(w.close)
 	for i := range of.Keepers {
@@ -87,8 +87,8 @@
 
 func (w *world) process(program, name string, host int) *process {
 	return &process{program: program, folder: w.folder, notes: w.notes, settings: standin.ProcessSettings{
-		Name: name, IP: w.ip(host), Zone: fmt.Sprintf("z%d", 1+host%2), Port: w.port, Seeds: w.seeds(0, 1, 2), First: true,
-		Folder: filepath.Join(w.folder, name), List: w.site.Address(),
+		Name: name, IP: w.ip(host), Zone: fmt.Sprintf("z%d", 1+host%2), Port: w.port, Seeds: w.seeds(0, 1, 2), FirstStart: true,
+		DataDir: filepath.Join(w.folder, name), ListAddress: w.site.Address(),
 	}}
 }
 
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	target.Behind(link.Address())
+	target.SetListedAddress(link.Address())
 	w.added++
 	w.live, w.links = append(w.live, target), append(w.links, link)
 	return nil
@@ -144,24 +144,24 @@
 
 // slowly has targets answer as they do, but not at once. Routes that show which
 // configuration is in force are answered at once, and some requests end their target.
-func (p *player) slowly(t *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+func (p *player) slowly(t *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 	switch r.URL.Path {
 	case flowPath:
-		t.Ran(r)
-		t.Head(w, r)
-		for i := 1; i <= standin.SiteEvents; i++ {
-			t.Stream(w, i, i)
+		t.RecordRun(r)
+		t.WriteHeaders(w, r)
+		for i := 1; i <= standin.StreamEvents; i++ {
+			t.WriteEvents(w, i, i)
 			time.Sleep(eventTime)
 		}
 		return true
 	case "/once/x", "/keyed/x":
-		run := t.Ran(r)
+		run := t.RecordRun(r)
 		if p.crashes(t, run) {
 			return true
 		}
 		time.Sleep(workTime)
-		t.Head(w, r)
-		_, _ = io.WriteString(w, "ran "+run.ID+" "+run.Body) // a router that left takes none
+		t.WriteHeaders(w, r)
+		_, _ = io.WriteString(w, "ran "+run.RequestID+" "+run.Body) // a router that left takes none
 		return true
 	}
 	return false
@@ -191,9 +191,9 @@
 func (w *world) keepLogs() {
 	place, err := "", error(nil)
 	if *keep == "" {
-		place, err = standin.KeepLogs(w.t.Name(), w.folder)
+		place, err = standin.SaveLogs(w.t.Name(), w.folder)
 	} else {
-		place, err = standin.KeepLogsIn(*keep, w.t.Name(), w.folder)
+		place, err = standin.SaveLogsIn(*keep, w.t.Name(), w.folder)
 	}
 	w.t.Logf("logs are in %q: %v", place, err)
 }
--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -27,8 +27,8 @@
 
 // FreeAddress returns a loopback address for a listener of this process or of one
 // that it tells of it. See [FreePorts].
-func FreeAddress() (string, error) {
-	port, err := FreePorts(1)
+func ReserveAddress() (string, error) {
+	port, err := ReservePorts(1)
 	if err != nil {
 		return "", err
 	}
@@ -42,7 +42,7 @@
 // or its callers reach a stranger. So each port is claimed until this process
 // ends, by the datagram socket of the same number, which nothing else here uses;
 // and it is none of those that the system gives out by itself.
-func FreePorts(count int) (int, error) {
+func ReservePorts(count int) (int, error) {
 	var last error
 	for range portTries {
 		port := firstPort + rand.IntN(lastPort-firstPort-count)
--- a/internal/standin/address_test.go
+++ b/internal/standin/address_test.go
@@ -56,7 +56,7 @@
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer func() { require.NoError(t, l.Close()) }()
-		first, err := standin.FreePorts(3)
+		first, err := standin.ReservePorts(3)
 		require.NoError(t, err)
 		require.Less(t, first+2, l.Addr().(*net.TCPAddr).Port)
 	}
@@ -65,7 +65,7 @@
 func take(t *testing.T) []string {
 	var list []string
 	for range addressesOf {
-		a, err := standin.FreeAddress()
+		a, err := standin.ReserveAddress()
 		require.NoError(t, err)
 		list = append(list, a)
 	}
--- a/internal/standin/balancer.go
+++ b/internal/standin/balancer.go
@@ -20,18 +20,18 @@
 )
 
 // A Door is one router as a balancer sees it.
-type Door struct {
-	Ready   string // where it tells whether it is ready, HOST:PORT
-	Callers string // where it takes callers
+type BalancedRouter struct {
+	ReadinessAddress string // where it tells whether it is ready, HOST:PORT
+	CallerAddress    string // where it takes callers
 }
 
 // A Balancer stands in for the platform's: it passes each new connection on to a router
 // that is ready, by a hash of the caller, and leaves open ones alone. Set the exported
 // fields, then call Start.
-type Balancer struct {
-	Doors []Door
+type LoadBalancer struct {
+	Routers []BalancedRouter
 	// Period is how often it asks the routers whether they are ready.
-	Period time.Duration
+	CheckPeriod time.Duration
 
 	listener net.Listener
 	stop     context.CancelFunc
@@ -41,13 +41,13 @@
 }
 
 // Start listens for callers.
-func (b *Balancer) Start(address string) error {
+func (b *LoadBalancer) Start(address string) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
 	b.listener = l
-	b.rotation.misses = make([]int, len(b.Doors))
+	b.rotation.misses = make([]int, len(b.Routers))
 	ctx, cancel := context.WithCancel(context.Background())
 	b.stop = cancel
 	go b.watch(ctx)
@@ -56,30 +56,30 @@
 }
 
 // Address returns where callers connect.
-func (b *Balancer) Address() string {
+func (b *LoadBalancer) Address() string {
 	return b.listener.Addr().String()
 }
 
 // Close takes no more connections.
-func (b *Balancer) Close() {
+func (b *LoadBalancer) Close() {
 	b.stop()
 	_ = b.listener.Close() // ends the accepting
 }
 
 // Rotation returns the routers that get new connections, as places among the doors.
-func (b *Balancer) Rotation() []int {
+func (b *LoadBalancer) Rotation() []int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rotation.in()
 }
 
-func (b *Balancer) watch(ctx context.Context) {
+func (b *LoadBalancer) watch(ctx context.Context) {
 	client := &http.Client{Timeout: askTime, Transport: &http.Transport{DisableKeepAlives: true}}
-	ticker := time.NewTicker(b.Period)
+	ticker := time.NewTicker(b.CheckPeriod)
 	defer ticker.Stop()
 	for {
-		for i, d := range b.Doors {
-			resp, err := client.Get("http://" + d.Ready + "/laburnumfall/readyz")
+		for i, d := range b.Routers {
+			resp, err := client.Get("http://" + d.ReadinessAddress + "/laburnumfall/readyz")
 			ready := err == nil && resp.StatusCode == http.StatusOK
 			if err == nil {
 				_ = resp.Body.Close() // only the status counts
@@ -96,7 +96,7 @@
 	}
 }
 
-func (b *Balancer) accept() {
+func (b *LoadBalancer) accept() {
 	for {
 		c, err := b.listener.Accept()
 		if err != nil {
@@ -106,11 +106,11 @@
 	}
 }
 
-func (b *Balancer) pass(caller net.Conn) {
+func (b *LoadBalancer) pass(caller net.Conn) {
 	b.mu.Lock()
 	i := b.rotation.pick(caller.RemoteAddr().String())
 	b.mu.Unlock()
-	router, err := net.Dial("tcp4", b.Doors[i].Callers)
+	router, err := net.Dial("tcp4", b.Routers[i].CallerAddress)
 	if err != nil {
 		_ = caller.Close() // nobody is there
 		return
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -15,7 +15,7 @@
 )
 
 // CallerTime is how long a caller waits for an answer.
-const CallerTime = 2 * time.Second
+const CallerTimeout = 2 * time.Second
 
 // callerPause is kept between two requests of one caller.
 const callerPause = 10 * time.Millisecond
@@ -27,19 +27,19 @@
 	Sent, Ended   time.Time
 	Status        int // 0: no answer, or none that is whole
 	Refused       bool
-	Left          bool   // the caller left before the end
-	Wrong         string // what no caller may see
+	Abandoned     bool   // the caller left before the end
+	Violation     string // what no caller may see
 }
 
 // A Manner is how a caller sends a request and takes its answer.
-type Manner int
+type CallerBehavior int
 
 // The manners.
 const (
-	Prompt  Manner = iota
-	Pieces         // the body comes in pieces, with pauses
-	Slow           // the answer is read in pieces, with pauses
-	Leaving        // the caller leaves while the answer is on its way
+	BehaviorNormal      CallerBehavior = iota
+	BehaviorChunkedBody                // the body comes in pieces, with pauses
+	BehaviorSlowReader                 // the answer is read in pieces, with pauses
+	BehaviorAbandon                    // the caller leaves while the answer is on its way
 )
 
 // The pauses of manners.
@@ -59,14 +59,14 @@
 	// Key is the key of a caller's account.
 	Key func(caller int) string
 	// Door is where the n-th request of a caller goes, and by what name.
-	Door func(caller, n int) (router int, address string)
+	ChooseRouter func(caller, n int) (router int, address string)
 	// Alone, if set, tells of a caller's own address that its connection reached nobody.
-	Alone func(router int, local string) bool
+	DialFailed func(router int, local string) bool
 	// Manner, if set, is the manner of a caller's n-th request.
-	Manner func(caller, n int) Manner
+	Behavior func(caller, n int) CallerBehavior
 	// Patience is how long after its deadline a caller goes on waiting; half a second
 	// if it isn't set.
-	Patience time.Duration
+	ExtraWait time.Duration
 
 	mu       sync.Mutex
 	attempts []Attempt
@@ -77,14 +77,14 @@
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
-		router, address := c.Door(caller, n)
+		router, address := c.ChooseRouter(caller, n)
 		a := Attempt{
 			ID: fmt.Sprintf("c%d-%d", caller, n), Path: c.Paths[(caller+n)%len(c.Paths)], Key: c.Key(caller),
 			Router: router, Sent: time.Now(),
 		}
-		manner := Prompt
-		if c.Manner != nil {
-			manner = c.Manner(caller, n)
+		manner := BehaviorNormal
+		if c.Behavior != nil {
+			manner = c.Behavior(caller, n)
 		}
 		c.send(client, address, manner, &a)
 		a.Ended = time.Now()
@@ -96,55 +96,55 @@
 }
 
 // Taken returns the attempts so far.
-func (c *Callers) Taken() []Attempt {
+func (c *Callers) Attempts() []Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Attempt(nil), c.attempts...)
 }
 
 // send makes one attempt. It is a POST: the client would by itself send others again.
-func (c *Callers) send(client *http.Client, address string, manner Manner, a *Attempt) {
+func (c *Callers) send(client *http.Client, address string, manner CallerBehavior, a *Attempt) {
 	const slack = 500 * time.Millisecond
-	ctx, cancel := context.WithTimeout(context.Background(), CallerTime+max(c.Patience, slack))
+	ctx, cancel := context.WithTimeout(context.Background(), CallerTimeout+max(c.ExtraWait, slack))
 	defer cancel()
-	if manner == Leaving {
+	if manner == BehaviorAbandon {
 		time.AfterFunc(leaveAfter, cancel)
 	}
 	local := ""
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { local = i.Conn.LocalAddr().String() }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+a.Path, body(manner, "body of "+a.ID))
 	if err != nil {
-		a.Wrong = err.Error()
+		a.Violation = err.Error()
 		return
 	}
 	req.Host = "h.example"
 	req.Header.Set("X-Attempt-Id", a.ID)
-	req.Header.Set("X-Deadline-Ms", fmt.Sprint(CallerTime.Milliseconds()))
+	req.Header.Set("X-Deadline-Ms", fmt.Sprint(CallerTimeout.Milliseconds()))
 	req.Header.Set("Authorization", "Bearer "+a.Key)
 	resp, err := client.Do(req)
 	if err != nil {
-		a.Refused = errors.Is(err, syscall.ECONNREFUSED) || c.Alone != nil && c.Alone(a.Router, local)
-		a.Left = manner == Leaving && errors.Is(err, context.Canceled)
+		a.Refused = errors.Is(err, syscall.ECONNREFUSED) || c.DialFailed != nil && c.DialFailed(a.Router, local)
+		a.Abandoned = manner == BehaviorAbandon && errors.Is(err, context.Canceled)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }() // it is read
 	answer := io.Reader(resp.Body)
-	if manner == Slow {
+	if manner == BehaviorSlowReader {
 		answer = &pausing{Reader: answer}
 	}
 	text, err := io.ReadAll(answer)
 	if err == nil {
 		a.Status = resp.StatusCode
 	}
-	a.Left = manner == Leaving && errors.Is(err, context.Canceled)
+	a.Abandoned = manner == BehaviorAbandon && errors.Is(err, context.Canceled)
 	if resp.StatusCode == http.StatusOK {
-		a.Wrong = wrongAnswer(a.ID, a.Path, resp.Header, text, err == nil)
+		a.Violation = wrongAnswer(a.ID, a.Path, resp.Header, text, err == nil)
 	}
 }
 
 // body returns a request's body. One in pieces has no length that is known before.
-func body(manner Manner, text string) io.Reader {
-	if manner != Pieces {
+func body(manner CallerBehavior, text string) io.Reader {
+	if manner != BehaviorChunkedBody {
 		return strings.NewReader(text)
 	}
 	return &pausing{Reader: strings.NewReader(text), most: len(text)/bodyPieces + 1}
@@ -172,7 +172,7 @@
 	want := []byte(fmt.Sprintf("ran %s body of %s", id, id))
 	if strings.HasSuffix(path, "/stream") {
 		want = nil
-		for i := 1; i <= SiteEvents; i++ {
+		for i := 1; i <= StreamEvents; i++ {
 			want = fmt.Appendf(want, "id: %d\ndata: piece %d\n\n", i, i)
 		}
 	}
--- a/internal/standin/damage.go
+++ b/internal/standin/damage.go
@@ -27,21 +27,21 @@
 
 // Damage lets the list hold these entries, each a JSON text, before those of its
 // targets. None takes them away again.
-func (s *Site) Damage(entries ...string) {
+func (s *Platform) SetDamagedEntries(entries ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.damage.entries = entries
 }
 
 // Garble answers readers of the list by these bytes; "" ends that.
-func (s *Site) Garble(body string) {
+func (s *Platform) SetListBody(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.damage.body = body
 }
 
 // ShowAs lets the list show a JSON text in place of the target's entry; "" ends that.
-func (t *SiteTarget) ShowAs(entry string) {
+func (t *PlatformTarget) SetListEntry(entry string) {
 	t.site.mu.Lock()
 	defer t.site.mu.Unlock()
 	t.shown = entry
@@ -58,11 +58,11 @@
 	State   string `json:"state"`
 }
 
-func (t *SiteTarget) entry() string {
+func (t *PlatformTarget) entry() string {
 	if t.shown != "" {
 		return t.shown
 	}
-	e := siteEntry{ID: t.ID, Born: t.Born, Service: t.Pool, Address: t.Address, Zone: t.Zone, Slots: t.Slots, State: "ready"}
+	e := siteEntry{ID: t.ID, Born: t.StartMillis, Service: t.Pool, Address: t.Address, Zone: t.Zone, Slots: t.Slots, State: "ready"}
 	if t.draining.Load() {
 		e.State = "draining"
 	}
@@ -74,7 +74,7 @@
 }
 
 // entries returns the list, as JSON texts.
-func (s *Site) entries() []string {
+func (s *Platform) entries() []string {
 	list := append([]string(nil), s.damage.entries...)
 	for _, t := range s.targets {
 		list = append(list, t.entry())
--- a/internal/standin/keep.go
+++ b/internal/standin/keep.go
@@ -13,16 +13,16 @@
 
 // KeepLogs copies the folder of a failed test's processes to where it outlasts the test,
 // and returns that place.
-func KeepLogs(test, folder string) (string, error) {
+func SaveLogs(test, folder string) (string, error) {
 	root, err := moduleRoot()
 	if err != nil {
 		return "", err
 	}
-	return KeepLogsIn(filepath.Join(root, logsFolder), test, folder)
+	return SaveLogsIn(filepath.Join(root, logsFolder), test, folder)
 }
 
 // KeepLogsIn copies the folder below another one.
-func KeepLogsIn(to, test, folder string) (string, error) {
+func SaveLogsIn(to, test, folder string) (string, error) {
 	place := filepath.Join(to, strings.ReplaceAll(test, "/", "-")+time.Now().Format("-150405.000"))
 	if err := os.CopyFS(place, os.DirFS(folder)); err != nil {
 		return "", fmt.Errorf("keep the logs of %s: %w", test, err)
--- a/internal/standin/keep_test.go
+++ b/internal/standin/keep_test.go
@@ -12,7 +12,7 @@
 func TestLogsAreKeptWhole(t *testing.T) {
 	from, to := t.TempDir(), t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(from, "k1.log"), []byte("one\ntwo\n"), 0o600))
-	place, err := KeepLogsIn(to, "TestA/sub", from)
+	place, err := SaveLogsIn(to, "TestA/sub", from)
 	require.NoError(t, err)
 	require.Equal(t, to, filepath.Dir(place))
 	text, err := os.ReadFile(filepath.Join(place, "k1.log"))
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -24,12 +24,12 @@
 
 // Put sends a configuration to one keeper. It returns the status of the answer, 0 if
 // there was none, and its text or the error.
-func (o *Operator) Put(keeper int, config string) (int, string) {
+func (o *Operator) PutConfig(keeper int, config string) (int, string) {
 	return o.call(http.MethodPut, keeper, configPath, config)
 }
 
 // Get reads the configuration back from one keeper.
-func (o *Operator) Get(keeper int) (int, string) {
+func (o *Operator) GetConfig(keeper int) (int, string) {
 	return o.call(http.MethodGet, keeper, configPath, "")
 }
 
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -13,22 +13,22 @@
 	CallerPort
 	ReadyPort
 	// ProcessPorts is how many ports a process has.
-	ProcessPorts
+	PortsPerProcess
 )
 
 // Grace is how long a process has, by its settings, to stop.
-const Grace = 6
+const GraceSeconds = 6
 
 // ProcessSettings are what the platform tells one process.
 type ProcessSettings struct {
-	Name   string
-	IP     string
-	Zone   string
-	Port   int      // between processes, the same for all of them
-	Seeds  []string // operators' addresses of keepers
-	First  bool     // the whole fleet starts for the first time
-	Folder string   // for a keeper's data
-	List   string   // address of the list of targets
+	Name        string
+	IP          string
+	Zone        string
+	Port        int      // between processes, the same for all of them
+	Seeds       []string // operators' addresses of keepers
+	FirstStart  bool     // the whole fleet starts for the first time
+	DataDir     string   // for a keeper's data
+	ListAddress string   // address of the list of targets
 }
 
 // Address returns one of a process's addresses.
@@ -37,7 +37,7 @@
 }
 
 // Text returns the settings as the platform writes them into a file.
-func (s ProcessSettings) Text() string {
+func (s ProcessSettings) TOML() string {
 	var seeds []string
 	for _, address := range s.Seeds {
 		seeds = append(seeds, strconv.Quote(address))
@@ -64,6 +64,6 @@
 [cloud_api]
 address = %q
 rate_per_s = 40.0
-`, s.Name, s.IP, s.Zone, s.Port, s.Port, strings.Join(seeds, ","), s.First, s.Folder,
-		s.Address(OperatorPort), s.Address(CallerPort), s.Address(ReadyPort), Grace, s.List)
+`, s.Name, s.IP, s.Zone, s.Port, s.Port, strings.Join(seeds, ","), s.FirstStart, s.DataDir,
+		s.Address(OperatorPort), s.Address(CallerPort), s.Address(ReadyPort), GraceSeconds, s.ListAddress)
 }
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -51,14 +51,14 @@
 
 // Alone reports whether a caller's connection reached nobody, since the target did not
 // listen. Without a proxy between, it would have been refused.
-func (p *Proxy) Alone(caller string) bool {
+func (p *Proxy) DialFailed(caller string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.alone[caller]
 }
 
 // Delay holds all bytes up for a time, in both directions.
-func (p *Proxy) Delay(d time.Duration) {
+func (p *Proxy) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
@@ -66,7 +66,7 @@
 
 // Silence holds all bytes of a direction back, of open and new connections, until
 // Heal.
-func (p *Proxy) Silence(d Direction) {
+func (p *Proxy) Block(d Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -77,7 +77,7 @@
 }
 
 // Stall lets the connections that are open now pass nothing more, ever; new ones work.
-func (p *Proxy) Stall() {
+func (p *Proxy) StallOpenConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -86,7 +86,7 @@
 }
 
 // Heal ends all faults, but not those of stalled connections.
-func (p *Proxy) Heal() {
+func (p *Proxy) ClearFaults() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = 0
@@ -100,7 +100,7 @@
 }
 
 // Reset resets all open connections.
-func (p *Proxy) Reset() {
+func (p *Proxy) ResetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
@@ -114,8 +114,8 @@
 // Close ends the proxy and its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close() // ends the accepting
-	p.Heal()
-	p.Reset()
+	p.ClearFaults()
+	p.ResetConnections()
 }
 
 func (p *Proxy) run() {
--- a/internal/standin/proxy_test.go
+++ b/internal/standin/proxy_test.go
@@ -47,24 +47,24 @@
 	p, c := echo(t)
 	require.NoError(t, roundTrip(t, c, 5*time.Second))
 	for _, d := range []Direction{ToTarget, ToCaller} {
-		p.Silence(d)
+		p.Block(d)
 		require.Error(t, roundTrip(t, c, 50*time.Millisecond))
-		p.Heal()
+		p.ClearFaults()
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
 		_, err := io.ReadFull(c, make([]byte, 1))
 		require.NoError(t, err, "what was held back arrives")
 	}
-	p.Delay(60 * time.Millisecond)
+	p.SetDelay(60 * time.Millisecond)
 	require.Error(t, roundTrip(t, c, 50*time.Millisecond))
-	p.Heal()
-	p.Reset()
+	p.ClearFaults()
+	p.ResetConnections()
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err := io.ReadAll(c)
 	require.Error(t, err)
 }
 
 func TestACallerOfNobodyIsAlone(t *testing.T) {
-	address, err := FreeAddress()
+	address, err := ReserveAddress()
 	require.NoError(t, err)
 	p, err := StartProxy("127.0.0.1:0", address)
 	require.NoError(t, err)
@@ -74,8 +74,8 @@
 	t.Cleanup(func() { _ = c.Close() }) // it is closed there already
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	require.True(t, p.Alone(c.LocalAddr().String()))
+	require.True(t, p.DialFailed(c.LocalAddr().String()))
 	other, reached := echo(t)
 	require.NoError(t, roundTrip(t, reached, 5*time.Second))
-	require.False(t, other.Alone(reached.LocalAddr().String()))
+	require.False(t, other.DialFailed(reached.LocalAddr().String()))
 }
--- a/internal/standin/restart_test.go
+++ b/internal/standin/restart_test.go
@@ -15,7 +15,7 @@
 // Cause: between fork and exec, a process that is being started holds a copy of the
 // listening socket that was just closed.
 func TestATargetStartsAgainWhileProcessesStart(t *testing.T) {
-	site, err := StartSite("127.0.0.1:0")
+	site, err := StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
 	defer site.Close()
 	target, err := site.Add("a", "p", "z", "127.0.0.1:0", 6)
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -17,14 +17,14 @@
 // A Site stands in for the users' platform: the list of targets, and targets
 // with incarnations and signatures. Faults are ordered by setting Fault. It
 // speaks the platform's names, so that the adapter is tested against them.
-type Site struct {
+type Platform struct {
 	// Fault, if set, may answer a request in a target's place. It reports
 	// whether it did.
-	Fault func(t *SiteTarget, w http.ResponseWriter, r *http.Request) bool
+	Fault func(t *PlatformTarget, w http.ResponseWriter, r *http.Request) bool
 
 	mu      sync.Mutex
-	targets []*SiteTarget
-	all     []*SiteTarget
+	targets []*PlatformTarget
+	all     []*PlatformTarget
 	damage  damage
 	reads   atomic.Int64
 	server  *http.Server
@@ -32,42 +32,42 @@
 }
 
 // A SiteTarget is one incarnation of a target of a Site.
-type SiteTarget struct {
+type PlatformTarget struct {
 	ID string
 	// Born is the Unix millisecond of its start.
-	Born    int64
-	Pool    string
-	Zone    string
-	Address string
-	Slots   int
+	StartMillis int64
+	Pool        string
+	Zone        string
+	Address     string
+	Slots       int
 
-	site     *Site
+	site     *Platform
 	server   *http.Server
 	listener net.Listener
 	listen   string // where it listens itself
 	shown    string // in place of its entry, if any
 	draining atomic.Bool
 	mu       sync.Mutex
-	runs     []SiteRun
+	runs     []TargetRun
 	conns    atomic.Int64
 }
 
 // A SiteRun is one request that a target ran.
-type SiteRun struct {
-	At     time.Time
-	ID     string
-	Header http.Header
-	Path   string
-	Body   string
+type TargetRun struct {
+	At        time.Time
+	RequestID string
+	Header    http.Header
+	Path      string
+	Body      string
 }
 
 // StartSite serves the list on an address.
-func StartSite(address string) (*Site, error) {
+func StartPlatform(address string) (*Platform, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for the list: %w", err)
 	}
-	s := &Site{address: l.Addr().String()}
+	s := &Platform{address: l.Addr().String()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /instances", s.serveList)
 	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
@@ -76,18 +76,18 @@
 }
 
 // Address returns where the list is served.
-func (s *Site) Address() string {
+func (s *Platform) Address() string {
 	return s.address
 }
 
 // Reads returns how often a page of the list was read.
-func (s *Site) Reads() int {
+func (s *Platform) ListReads() int {
 	return int(s.reads.Load())
 }
 
 // Add starts a target on an address.
-func (s *Site) Add(id, pool, zone, address string, slots int) (*SiteTarget, error) {
-	t := &SiteTarget{ID: id, Pool: pool, Zone: zone, Slots: slots, Born: time.Now().UnixMilli(), site: s}
+func (s *Platform) Add(id, pool, zone, address string, slots int) (*PlatformTarget, error) {
+	t := &PlatformTarget{ID: id, Pool: pool, Zone: zone, Slots: slots, StartMillis: time.Now().UnixMilli(), site: s}
 	if err := t.start(address); err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-func (t *SiteTarget) start(address string) error {
+func (t *PlatformTarget) start(address string) error {
 	l, err := listen(address)
 	if err != nil {
 		return fmt.Errorf("listen for a target: %w", err)
@@ -134,10 +134,10 @@
 // Restart ends a target as in a crash, if it still runs, and starts it again under
 // its ID on its address. The new incarnation takes the place of the former one on the
 // list, or comes back to it.
-func (s *Site) Restart(t *SiteTarget) (*SiteTarget, error) {
+func (s *Platform) Restart(t *PlatformTarget) (*PlatformTarget, error) {
 	s.Remove(t)
-	born := max(time.Now().UnixMilli(), t.Born+1)
-	next := &SiteTarget{ID: t.ID, Pool: t.Pool, Zone: t.Zone, Address: t.Address, Slots: t.Slots, Born: born, site: s}
+	born := max(time.Now().UnixMilli(), t.StartMillis+1)
+	next := &PlatformTarget{ID: t.ID, Pool: t.Pool, Zone: t.Zone, Address: t.Address, Slots: t.Slots, StartMillis: born, site: s}
 	if err := next.startAgain(t.listen); err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 
 // startAgain waits for the address: while nobody listens there, a connection to somewhere
 // else may have taken its port for a moment.
-func (t *SiteTarget) startAgain(address string) error {
+func (t *PlatformTarget) startAgain(address string) error {
 	const tries, pause = 50, 20 * time.Millisecond
 	var err error
 	for range tries {
@@ -162,14 +162,14 @@
 }
 
 // All returns every target that there ever was.
-func (s *Site) All() []*SiteTarget {
+func (s *Platform) AllIncarnations() []*PlatformTarget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*SiteTarget(nil), s.all...)
+	return append([]*PlatformTarget(nil), s.all...)
 }
 
 // Remove stops a target and takes it off the list.
-func (s *Site) Remove(t *SiteTarget) {
+func (s *Platform) Remove(t *PlatformTarget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, other := range s.targets {
@@ -183,7 +183,7 @@
 }
 
 // Close stops everything.
-func (s *Site) Close() {
+func (s *Platform) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.targets {
@@ -195,7 +195,7 @@
 // sitePage is how many targets stand on one page of the list.
 const sitePage = 2
 
-func (s *Site) serveList(w http.ResponseWriter, r *http.Request) {
+func (s *Platform) serveList(w http.ResponseWriter, r *http.Request) {
 	s.reads.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,41 +215,41 @@
 }
 
 // Behind lets the list show another address of the target, as that of a proxy.
-func (t *SiteTarget) Behind(address string) {
+func (t *PlatformTarget) SetListedAddress(address string) {
 	t.site.mu.Lock()
 	defer t.site.mu.Unlock()
 	t.Address = address
 }
 
 // Drain shows the target as leaving.
-func (t *SiteTarget) Drain() {
+func (t *PlatformTarget) Drain() {
 	t.draining.Store(true)
 }
 
 // Runs returns what the target ran.
-func (t *SiteTarget) Runs() []SiteRun {
+func (t *PlatformTarget) Runs() []TargetRun {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]SiteRun(nil), t.runs...)
+	return append([]TargetRun(nil), t.runs...)
 }
 
 // Conns returns how many connections were made to the target.
-func (t *SiteTarget) Conns() int {
+func (t *PlatformTarget) ConnectionCount() int {
 	return int(t.conns.Load())
 }
 
 // Signature returns what the target signs the answer to a request by.
-func (t *SiteTarget) Signature(id string) string {
+func (t *PlatformTarget) Signature(id string) string {
 	return t.ID + "." + id
 }
 
 // SiteEvents is how many events a stream of a SiteTarget has.
-const SiteEvents = 5
+const StreamEvents = 5
 
 // Ran notes a request as run. A Fault that runs a request calls it.
-func (t *SiteTarget) Ran(r *http.Request) SiteRun {
+func (t *PlatformTarget) RecordRun(r *http.Request) TargetRun {
 	body, _ := io.ReadAll(r.Body) // a caller that left sends no more
-	run := SiteRun{At: time.Now(), ID: r.Header.Get("X-Attempt-Id"), Header: r.Header.Clone(), Path: r.RequestURI, Body: string(body)}
+	run := TargetRun{At: time.Now(), RequestID: r.Header.Get("X-Attempt-Id"), Header: r.Header.Clone(), Path: r.RequestURI, Body: string(body)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.runs = append(t.runs, run)
@@ -257,7 +257,7 @@
 }
 
 // Head writes the headers that every answer to a request bears.
-func (t *SiteTarget) Head(w http.ResponseWriter, r *http.Request) {
+func (t *PlatformTarget) WriteHeaders(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Attempt-Id")
 	w.Header().Set("X-Attempt-Id", id)
 	w.Header().Set("X-Server-Signature", t.Signature(id))
@@ -266,7 +266,7 @@
 
 // ServeHTTP runs a request: one that ends in "/stream" is answered by events,
 // any other by its own body.
-func (t *SiteTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (t *PlatformTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if want := r.Header.Get("X-Expect-Instance"); want != "" && want != t.ID {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -275,19 +275,19 @@
 	if fault := t.site.Fault; fault != nil && fault(t, w, r) {
 		return
 	}
-	run := t.Ran(r)
-	t.Head(w, r)
+	run := t.RecordRun(r)
+	t.WriteHeaders(w, r)
 	const suffix = "/stream"
 	if len(run.Path) < len(suffix) || run.Path[len(run.Path)-len(suffix):] != suffix {
-		_, _ = io.WriteString(w, "ran "+run.ID+" "+run.Body) // a caller that left takes none
+		_, _ = io.WriteString(w, "ran "+run.RequestID+" "+run.Body) // a caller that left takes none
 		return
 	}
 	first, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // none is the start
-	t.Stream(w, first+1, SiteEvents)
+	t.WriteEvents(w, first+1, StreamEvents)
 }
 
 // Stream writes the events of a stream from one to another.
-func (t *SiteTarget) Stream(w http.ResponseWriter, from, to int) {
+func (t *PlatformTarget) WriteEvents(w http.ResponseWriter, from, to int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	for i := from; i <= to; i++ {
--- a/internal/standin/site_test.go
+++ b/internal/standin/site_test.go
@@ -16,7 +16,7 @@
 }
 
 // entries reads the whole list of a site.
-func entries(t *testing.T, s *Site) (list []string) {
+func entries(t *testing.T, s *Platform) (list []string) {
 	for token := "0"; token != ""; {
 		resp, err := http.Get("http://" + s.Address() + "/instances?page_token=" + token)
 		require.NoError(t, err)
@@ -32,17 +32,17 @@
 }
 
 func TestATargetStartsAgainUnderItsID(t *testing.T) {
-	site, err := StartSite("127.0.0.1:0")
+	site, err := StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
 	defer site.Close()
 	former, err := site.Add("a", "p", "z", "127.0.0.1:0", 6)
 	require.NoError(t, err)
 	former.Drain()
-	former.Behind("127.0.0.1:9")
+	former.SetListedAddress("127.0.0.1:9")
 	next, err := site.Restart(former)
 	require.NoError(t, err)
 	require.Equal(t, former.ID, next.ID)
-	require.Greater(t, next.Born, former.Born)
+	require.Greater(t, next.StartMillis, former.StartMillis)
 	require.Equal(t, "127.0.0.1:9", next.Address, "it stays behind its proxy")
 	list := entries(t, site)
 	require.Len(t, list, 1)
@@ -56,27 +56,27 @@
 }
 
 func TestAListHoldsDamagedEntries(t *testing.T) {
-	site, err := StartSite("127.0.0.1:0")
+	site, err := StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
 	defer site.Close()
 	target, err := site.Add("a", "p", "z", "127.0.0.1:0", 6)
 	require.NoError(t, err)
 	sound := entries(t, site)
-	site.Damage(DamagedEntries...)
+	site.SetDamagedEntries(DamagedEntries...)
 	require.Equal(t, append(append([]string(nil), DamagedEntries...), sound...), entries(t, site))
-	site.Damage()
-	target.ShowAs("7")
+	site.SetDamagedEntries()
+	target.SetListEntry("7")
 	require.Equal(t, []string{"7"}, entries(t, site))
-	target.ShowAs("")
+	target.SetListEntry("")
 	require.Equal(t, sound, entries(t, site))
 
-	site.Garble("\xff")
+	site.SetListBody("\xff")
 	resp, err := http.Get("http://" + site.Address() + "/instances")
 	require.NoError(t, err)
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	require.Equal(t, "\xff", string(body))
-	site.Garble("")
+	site.SetListBody("")
 	require.Equal(t, sound, entries(t, site))
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -34,17 +34,17 @@
 	Fenced bool             `toml:"fenced"`
 	// Delay is the time to the first token or to a service's answer, Pace the
 	// time between tokens, Tokens how many an answer has unless it asks.
-	Delay  fleet.Duration `toml:"delay"`
-	Pace   fleet.Duration `toml:"pace"`
-	Tokens int            `toml:"tokens"`
-	Cut    float64        `toml:"cut"`
-	Refuse float64        `toml:"refuse"`
-	Late   float64        `toml:"late"`
+	Delay          fleet.Duration `toml:"delay"`
+	TokenInterval  fleet.Duration `toml:"pace"`
+	Tokens         int            `toml:"tokens"`
+	CutFraction    float64        `toml:"cut"`
+	RefuseFraction float64        `toml:"refuse"`
+	LateFraction   float64        `toml:"late"`
 	// Crash is a text that ends the program where a request's body holds it: as soon as
 	// it begins to run, while others run beside it.
-	Crash  string `toml:"crash"`
-	Level  string `toml:"level"`
-	Format string `toml:"format"`
+	CrashText string `toml:"crash"`
+	LogLevel  string `toml:"level"`
+	LogFormat string `toml:"format"`
 }
 
 const (
@@ -56,7 +56,7 @@
 )
 
 // Read reads and checks the settings.
-func Read(file string) (Settings, error) {
+func ReadSettings(file string) (Settings, error) {
 	var s Settings
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -85,26 +85,26 @@
 	runs     map[string]int
 	counts   Counts
 	fence    uint64
-	orders   []Order
+	orders   []Command
 	listener net.Listener
 	vms      []byte // the platform's list, as JSON
 }
 
 // Counts is what a stand-in has seen.
 type Counts struct {
-	Started   int            `json:"started"`
-	Finished  int            `json:"finished"`
-	Cancelled int            `json:"cancelled"`
-	Running   int            `json:"running"`
-	Most      int            `json:"most"` // most running at a time
-	Runs      map[string]int `json:"runs"` // by Idempotency-Key
+	Started    int            `json:"started"`
+	Finished   int            `json:"finished"`
+	Cancelled  int            `json:"cancelled"`
+	Running    int            `json:"running"`
+	MaxRunning int            `json:"most"` // most running at a time
+	RunsByKey  map[string]int `json:"runs"` // by Idempotency-Key
 }
 
 // An Order is an order of the fleet to a target.
-type Order struct {
-	Fence uint64 `json:"fence"`
-	Do    string `json:"do"`
-	Model string `json:"model"`
+type Command struct {
+	FencingToken uint64 `json:"fence"`
+	Action       string `json:"do"`
+	Model        string `json:"model"`
 }
 
 // Listen opens the address, so that it is known before Run.
@@ -142,9 +142,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.counts
-	c.Runs = make(map[string]int, len(s.runs))
+	c.RunsByKey = make(map[string]int, len(s.runs))
 	for k, n := range s.runs {
-		c.Runs[k] = n
+		c.RunsByKey[k] = n
 	}
 	return c
 }
@@ -162,17 +162,17 @@
 		s.serveVMs(ctx)
 		return
 	}
-	if s.hits(s.Settings.Refuse) {
+	if s.hits(s.Settings.RefuseFraction) {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
 	s.begin(string(ctx.Request.Header.Peek("Idempotency-Key")))
 	delay := time.Duration(s.Settings.Delay)
-	if s.hits(s.Settings.Late) {
+	if s.hits(s.Settings.LateFraction) {
 		delay *= lateFactor
 	}
 	time.Sleep(delay)
-	if crash := s.Settings.Crash; crash != "" && bytes.Contains(ctx.PostBody(), []byte(crash)) {
+	if crash := s.Settings.CrashText; crash != "" && bytes.Contains(ctx.PostBody(), []byte(crash)) {
 		os.Exit(crashCode)
 	}
 	switch {
@@ -226,7 +226,7 @@
 		echo = req.Messages[n-1].Content
 	}
 	cutAt := -1
-	if s.hits(s.Settings.Cut) {
+	if s.hits(s.Settings.CutFraction) {
 		cutAt = tokens / 2
 	}
 	if !req.Stream {
@@ -257,7 +257,7 @@
 }
 
 func (s *Standin) completeWhole(ctx *fasthttp.RequestCtx, echo string, tokens, cutAt int) {
-	time.Sleep(time.Duration(tokens) * time.Duration(s.Settings.Pace))
+	time.Sleep(time.Duration(tokens) * time.Duration(s.Settings.TokenInterval))
 	if cutAt >= 0 {
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
@@ -281,7 +281,7 @@
 		if err := w.Flush(); err != nil {
 			return err
 		}
-		time.Sleep(time.Duration(s.Settings.Pace))
+		time.Sleep(time.Duration(s.Settings.TokenInterval))
 	}
 	_, err := fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}],\"usage\":{\"total_tokens\":%d}}\n\ndata: [DONE]\n\n", echo, len(echo)+tokens)
 	if err != nil {
@@ -293,18 +293,18 @@
 // takeOrder carries out an order unless its fencing number is old. A stand-in
 // that is not fenced carries out any.
 func (s *Standin) takeOrder(ctx *fasthttp.RequestCtx) {
-	var o Order
+	var o Command
 	if err := json.Unmarshal(ctx.PostBody(), &o); err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Settings.Fenced && o.Fence < s.fence {
+	if s.Settings.Fenced && o.FencingToken < s.fence {
 		ctx.SetStatusCode(fasthttp.StatusConflict)
 		return
 	}
-	s.fence = max(s.fence, o.Fence)
+	s.fence = max(s.fence, o.FencingToken)
 	s.orders = append(s.orders, o)
 }
 
@@ -337,7 +337,7 @@
 	defer s.mu.Unlock()
 	s.counts.Started++
 	s.counts.Running++
-	s.counts.Most = max(s.counts.Most, s.counts.Running)
+	s.counts.MaxRunning = max(s.counts.MaxRunning, s.counts.Running)
 	if key != "" {
 		s.runs[key]++
 	}
--- a/internal/workload/ablate_test.go
+++ b/internal/workload/ablate_test.go
@@ -15,7 +15,7 @@
 	for _, name := range Ablations()[1:] {
 		r, err := Run(s, name, 1)
 		require.NoError(t, err)
-		require.NotEqual(t, whole.Figures, r.Figures, name)
+		require.NotEqual(t, whole.Metrics, r.Metrics, name)
 	}
 }
 
@@ -43,16 +43,16 @@
 		}},
 		"room": {"catalogue.toml", func(t *testing.T, with, less Result) {
 			require.Less(t, with.Refused, less.Refused)
-			require.Greater(t, with.Worth, less.Worth)
+			require.Greater(t, with.ValueRatio, less.ValueRatio)
 		}},
 		"shares": {"catalogue-grown.toml", func(t *testing.T, with, less Result) {
-			require.Greater(t, with.Worst, less.Worst)
-			require.Greater(t, with.Worth, less.Worth)
+			require.Greater(t, with.WorstAccountShare, less.WorstAccountShare)
+			require.Greater(t, with.ValueRatio, less.ValueRatio)
 		}},
 	} {
 		t.Run(mechanism, func(t *testing.T) {
 			s := scenario(t, c.load, 8*time.Second)
-			c.better(t, Means(runs(t, s, 2, PolicyRouter))[0], Means(runs(t, s, 2, without+mechanism))[0])
+			c.better(t, MeanResults(runs(t, s, 2, PolicyRouter))[0], MeanResults(runs(t, s, 2, without+mechanism))[0])
 		})
 	}
 }
--- a/internal/workload/plot.go
+++ b/internal/workload/plot.go
@@ -11,7 +11,7 @@
 
 // Draw writes the worth of each policy over the load, as the mean of its seeds, to a
 // PNG file.
-func Draw(list []Result, file string) error {
+func WritePlot(list []Result, file string) error {
 	const width, height = 8 * vg.Inch, 5 * vg.Inch
 	p := plot.New()
 	p.Title.Text = "worth by load"
@@ -21,11 +21,11 @@
 	p.Legend.Top = true
 	points := make(map[string]plotter.XYs)
 	var order []string
-	for _, r := range Means(list) {
+	for _, r := range MeanResults(list) {
 		if points[r.Policy] == nil {
 			order = append(order, r.Policy)
 		}
-		points[r.Policy] = append(points[r.Policy], plotter.XY{X: r.Load, Y: r.Worth})
+		points[r.Policy] = append(points[r.Policy], plotter.XY{X: r.Load, Y: r.ValueRatio})
 	}
 	var lines []any
 	for _, name := range order {
--- a/internal/workload/policy.go
+++ b/internal/workload/policy.go
@@ -31,15 +31,15 @@
 
 // The names of the policies.
 const (
-	PolicyRandom = "random"
-	PolicyLeast  = "least"  // requests in flight, through the same router
-	PolicyHash   = "hash"   // of the prompt's shared parts
-	PolicyRouter = "router" // what routers do
-	PolicyQueue  = "queue"  // one queue before all engines that knows all of them
+	PolicyRandom        = "random"
+	PolicyLeastRequests = "least"  // requests in flight, through the same router
+	PolicyPrefixHash    = "hash"   // of the prompt's shared parts
+	PolicyRouter        = "router" // what routers do
+	PolicyCentralQueue  = "queue"  // one queue before all engines that knows all of them
 )
 
 // Policies are the names, in the order in which they are compared.
-var Policies = []string{PolicyRandom, PolicyLeast, PolicyHash, PolicyRouter, PolicyQueue}
+var Policies = []string{PolicyRandom, PolicyLeastRequests, PolicyPrefixHash, PolicyRouter, PolicyCentralQueue}
 
 func newPolicy(name string) (policy, error) {
 	if p, ok := ablation(name); ok {
@@ -48,13 +48,13 @@
 	switch name {
 	case PolicyRandom:
 		return &random{}, nil
-	case PolicyLeast:
+	case PolicyLeastRequests:
 		return &least{}, nil
-	case PolicyHash:
+	case PolicyPrefixHash:
 		return &hash{}, nil
 	case PolicyRouter:
 		return &routers{}, nil
-	case PolicyQueue:
+	case PolicyCentralQueue:
 		return &queue{}, nil
 	default:
 		return nil, fmt.Errorf("there is no policy %q (choose among %v)", name, append(slices.Clone(Policies), Ablations()[1:]...))
--- a/internal/workload/queue.go
+++ b/internal/workload/queue.go
@@ -51,9 +51,9 @@
 	const ahead = 2 // chunks: one is being read, one is on its way
 	e := w.engines[i]
 	for {
-		unread, _ := e.Unread(nil)
+		unread, _ := e.PrefillBacklog(nil)
 		running, waiting := e.Load()
-		if unread+p.flying[i] >= ahead*e.Chunk || running+waiting >= e.Slots {
+		if unread+p.flying[i] >= ahead*e.PrefillChunk || running+waiting >= e.Slots {
 			return
 		}
 		at := p.best(w, i)
@@ -82,10 +82,10 @@
 	best, most := -1, 0.0
 	for at, a := range p.waiting {
 		reads, copying, _ := w.reading(i, a)
-		took := milliseconds(float64(reads)/w.Scenario.Engines.Rate) + w.engines[i].Step + copying/copyPart
-		worth := a.kind.Worth
-		if w.now.Add(took+copying).Sub(a.sentAt) > time.Duration(a.kind.Aim) {
-			worth = a.kind.Late
+		took := milliseconds(float64(reads)/w.Scenario.Engines.PrefillRate) + w.engines[i].BaseStepTime + copying/copyPart
+		worth := a.kind.Value
+		if w.now.Add(took+copying).Sub(a.sentAt) > time.Duration(a.kind.LatencyObjective) {
+			worth = a.kind.LateValue
 		}
 		if gain := worth * (1 + a.size) / float64(took); best < 0 || gain > most {
 			best, most = at, gain
@@ -99,17 +99,17 @@
 // than it would be read.
 func (w *world) reading(i int, a *attempt) (tokens int, copying time.Duration, from int) {
 	e := w.engines[i]
-	_, own := e.Unread(a.parts)
-	if w.Scenario.Engines.Copy <= 0 {
+	_, own := e.PrefillBacklog(a.parts)
+	if w.Scenario.Engines.CopyRate <= 0 {
 		return own, 0, -1
 	}
 	keeper, kept := w.keeper(a.parts)
-	lacking := kept - e.Holds(a.parts)
+	lacking := kept - e.CachedTokens(a.parts)
 	if lacking <= 0 {
 		return own, 0, -1
 	}
-	copying = w.engines[keeper].CopyTime(w.now, lacking, w.Scenario.Engines.Copy)
-	if copying >= milliseconds(float64(lacking)/w.Scenario.Engines.Rate) {
+	copying = w.engines[keeper].CopyTime(w.now, lacking, w.Scenario.Engines.CopyRate)
+	if copying >= milliseconds(float64(lacking)/w.Scenario.Engines.PrefillRate) {
 		return own, 0, -1
 	}
 	return own - lacking, copying, keeper
@@ -123,7 +123,7 @@
 func (w *world) keeper(parts []placement.PromptPart) (best, kept int) {
 	best = -1
 	for i, e := range w.engines {
-		if held := e.Holds(parts); !w.away[i] && held > kept {
+		if held := e.CachedTokens(parts); !w.away[i] && held > kept {
 			best, kept = i, held
 		}
 	}
--- a/internal/workload/reports_test.go
+++ b/internal/workload/reports_test.go
@@ -19,13 +19,13 @@
 	for _, name := range []string{"catalogue.toml", "catalogue-grown.toml"} {
 		t.Run(name, func(t *testing.T) {
 			s := scenario(t, name, 8*time.Second)
-			soon := Means(runs(t, s, 2, PolicyRouter))[0]
-			s.Reports = fleet.Duration(250 * time.Millisecond)
-			late := Means(runs(t, s, 2, PolicyRouter))[0]
+			soon := MeanResults(runs(t, s, 2, PolicyRouter))[0]
+			s.ReportPeriod = fleet.Duration(250 * time.Millisecond)
+			late := MeanResults(runs(t, s, 2, PolicyRouter))[0]
 			require.Less(t, soon.Late, late.Late)
 			require.Greater(t, soon.OnTime, late.OnTime)
-			require.Greater(t, soon.Worth, late.Worth)
-			require.GreaterOrEqual(t, soon.Worst, late.Worst-0.05)
+			require.Greater(t, soon.ValueRatio, late.ValueRatio)
+			require.GreaterOrEqual(t, soon.WorstAccountShare, late.WorstAccountShare-0.05)
 		})
 	}
 }
--- a/internal/workload/request.go
+++ b/internal/workload/request.go
@@ -23,7 +23,7 @@
 type request struct {
 	arrival
 
-	kind     *Kind
+	kind     *RequestKind
 	route    *fleet.Route
 	sentAt   time.Time
 	tries    int // of the caller
@@ -75,7 +75,7 @@
 		r.last = w.now
 		w.watch(r)
 	}
-	w.after(time.Duration(w.Scenario.Door), func() {
+	w.after(time.Duration(w.Scenario.CallerLatency), func() {
 		w.Policy.Ask(w, a)
 		w.send(a)
 	})
@@ -97,7 +97,7 @@
 		}
 		r.fate = left
 		if a := r.held; a != nil && a.sent > 0 && !a.ended {
-			w.after(time.Duration(w.Scenario.Door)+w.hop(a.router, a.engine), func() { w.cancel(a) })
+			w.after(time.Duration(w.Scenario.CallerLatency)+w.hop(a.router, a.engine), func() { w.cancel(a) })
 		}
 	})
 }
@@ -141,12 +141,12 @@
 }
 
 func (w *world) offer(a *attempt) {
-	job := engine.Job{ID: a.id, Parts: a.parts, Output: a.output, From: w.source(a)}
+	job := engine.Request{ID: a.id, Parts: a.parts, OutputTokens: a.output, CopySource: w.source(a)}
 	if w.away[a.engine] {
 		w.after(w.hop(a.router, a.engine), func() { w.elsewhere(a, placement.ConnectFailed) })
 		return
 	}
-	if a.fate != pending || !w.engines[a.engine].Offer(w.now, job) {
+	if a.fate != pending || !w.engines[a.engine].Submit(w.now, job) {
 		w.after(w.hop(a.router, a.engine), func() { w.elsewhere(a, placement.Refused) })
 		return
 	}
@@ -184,13 +184,13 @@
 // refuse answers the caller, who comes back once that is worth it.
 func (w *world) refuse(a *attempt, back time.Duration) {
 	a.withRoom = a.withRoom || w.hasRoom()
-	w.after(time.Duration(w.Scenario.Door), func() {
+	w.after(time.Duration(w.Scenario.CallerLatency), func() {
 		if a.fate != pending {
 			return
 		}
 		// Callers heed the time to come back up to a third of what they have left.
 		const heed = 3
-		if a.tries > a.kind.Retries || back > a.until().Sub(w.now)/heed {
+		if a.tries > a.kind.MaxRetries || back > a.until().Sub(w.now)/heed {
 			a.fate = refused
 			return
 		}
@@ -221,8 +221,8 @@
 		a.begun = true
 		w.after(hop, func() { w.Policy.First(w, a) })
 	}
-	if ev.Made >= a.events*a.kind.Stride || ev.Done {
-		a.event(ev.At.Add(hop + time.Duration(w.Scenario.Door)))
+	if ev.Generated >= a.events*a.kind.TokensPerEvent || ev.Done {
+		a.event(ev.At.Add(hop + time.Duration(w.Scenario.CallerLatency)))
 	}
 	if !ev.Done {
 		return
@@ -255,5 +255,5 @@
 
 // onTime reports whether a request was served as its kind wants it.
 func (r *request) onTime() bool {
-	return r.fate == served && r.first.Sub(r.sentAt) <= time.Duration(r.kind.Aim) && r.pause <= time.Duration(r.kind.Pause)
+	return r.fate == served && r.first.Sub(r.sentAt) <= time.Duration(r.kind.LatencyObjective) && r.pause <= time.Duration(r.kind.MaxEventGap)
 }
--- a/internal/workload/routers.go
+++ b/internal/workload/routers.go
@@ -46,7 +46,7 @@
 
 // Begin implements policy.
 func (p *routers) Begin(w *world) {
-	p.capacity, p.copyRate, p.period, p.sizes = w.Scenario.Capacity, w.Scenario.Engines.Copy, w.Scenario.period(), true
+	p.capacity, p.copyRate, p.period, p.sizes = w.Scenario.Capacity, w.Scenario.Engines.CopyRate, w.Scenario.period(), true
 	if p.change != nil {
 		p.change(p)
 	}
@@ -57,7 +57,7 @@
 		)
 		p.leaveOut(&d.Controller)
 		d.Placer.SetPools(map[string]fleet.Pool{pool: {Name: pool, Engine: &fleet.Engine{
-			Slots: w.Scenario.Engines.Slots, CopyRate: p.copyRate, KVCapacity: w.Scenario.Engines.Memory,
+			Slots: w.Scenario.Engines.Slots, CopyRate: p.copyRate, KVCapacity: w.Scenario.Engines.KVCapacity,
 		}}})
 		p.desks = append(p.desks, d)
 		d.Placer.SetTargets(w.now, w.list())
@@ -107,10 +107,10 @@
 
 func (p *routers) report(w *world, d *desk) {
 	demand, mine := d.Shares.Demand(w.now), d.Placer.Backlog()
-	w.after(time.Duration(w.Scenario.Way), func() {
+	w.after(time.Duration(w.Scenario.CrossZoneLatency), func() {
 		p.board.Report(w.now, d.name, demand, mine)
 		sums, backlog, _ := p.board.Sums(w.now)
-		w.after(time.Duration(w.Scenario.Way), func() {
+		w.after(time.Duration(w.Scenario.CrossZoneLatency), func() {
 			d.Shares.SetFleetDemand(sums)
 			d.Placer.SetRemoteBacklog(w.now, quota.ExcludeOwn(backlog, mine))
 		})
--- a/internal/workload/workload_test.go
+++ b/internal/workload/workload_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	s, err := ReadScenario(examples + name)
 	require.NoError(t, err)
-	s.Length = fleet.Duration(length)
+	s.Duration = fleet.Duration(length)
 	return s
 }
 
@@ -72,16 +72,16 @@
 	for _, name := range []string{"letters.toml", "letters-heavy.toml", "letters-grown.toml", "viewer.toml", "viewer-grown.toml"} {
 		t.Run(name, func(t *testing.T) {
 			s := scenario(t, name, 12*time.Second)
-			s.Warm = fleet.Duration(5 * time.Second)
-			list := Means(runs(t, s, 2, PolicyRandom, PolicyLeast, PolicyHash, PolicyRouter))
+			s.WarmupTime = fleet.Duration(5 * time.Second)
+			list := MeanResults(runs(t, s, 2, PolicyRandom, PolicyLeastRequests, PolicyPrefixHash, PolicyRouter))
 			byName := make(map[string]Result)
 			for _, r := range list {
 				byName[r.Policy] = r
 			}
 			ours := byName[PolicyRouter]
-			for _, other := range []string{PolicyRandom, PolicyLeast, PolicyHash} {
-				require.Greater(t, ours.Worth, byName[other].Worth+0.03, other)
-				require.Greater(t, ours.Worst, byName[other].Worst-0.05, other)
+			for _, other := range []string{PolicyRandom, PolicyLeastRequests, PolicyPrefixHash} {
+				require.Greater(t, ours.ValueRatio, byName[other].ValueRatio+0.03, other)
+				require.Greater(t, ours.WorstAccountShare, byName[other].WorstAccountShare-0.05, other)
 			}
 		})
 	}
@@ -92,23 +92,23 @@
 	for _, p := range Policies {
 		r, err := Run(scenario(t, "letters-heavy.toml", 10*time.Second), p, 3)
 		require.NoError(t, err)
-		require.InDelta(t, 1, r.OnTime+r.Late+r.Refused+r.Left+r.Failed, 1e-9, p)
+		require.InDelta(t, 1, r.OnTime+r.Late+r.Refused+r.Abandoned+r.Failed, 1e-9, p)
 		require.Positive(t, r.Requests)
 	}
 }
 
 func TestChecksOfAScenario(t *testing.T) {
-	s := Scenario{Checks: []Check{{Policy: "router", Figure: "worth", Least: 0.5}, {Policy: "hash", Figure: "late", Most: 0.2}}}
+	s := Scenario{Checks: []Check{{Policy: "router", Metric: "worth", Min: 0.5}, {Policy: "hash", Metric: "late", Max: 0.2}}}
 	list := []Result{
-		{Policy: "router", Seed: 1, Load: 1, Figures: Figures{Worth: 0.4}},
-		{Policy: "router", Seed: 2, Load: 1, Figures: Figures{Worth: 0.6}},
-		{Policy: "router", Seed: 3, Load: 2, Figures: Figures{Worth: 0.1}},
-		{Policy: "hash", Seed: 1, Load: 1, Figures: Figures{Late: 0.3}},
+		{Policy: "router", Seed: 1, Load: 1, Metrics: Metrics{ValueRatio: 0.4}},
+		{Policy: "router", Seed: 2, Load: 1, Metrics: Metrics{ValueRatio: 0.6}},
+		{Policy: "router", Seed: 3, Load: 2, Metrics: Metrics{ValueRatio: 0.1}},
+		{Policy: "hash", Seed: 1, Load: 1, Metrics: Metrics{Late: 0.3}},
 	}
 	require.Equal(t, []string{
 		"router, seed 1: worth is 0.400, not at least 0.5",
 		"hash, seed 1: late is 0.300, not at most 0.2",
-	}, s.Check(list))
+	}, s.FailedChecks(list))
 }
 
 func TestWrongScenarios(t *testing.T) {
--- a/internal/workload/world.go
+++ b/internal/workload/world.go
@@ -68,7 +68,7 @@
 		w.requests = append(w.requests, r)
 		w.at(r.sentAt, func() { w.arrive(r) })
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Disturbances {
 		w.plan(t)
 	}
 	p.Begin(w)
@@ -92,14 +92,14 @@
 
 // over reports whether nothing more comes: what only repeats may end.
 func (w *world) over() bool {
-	return w.now.Sub(start) > time.Duration(w.Scenario.Length)
+	return w.now.Sub(start) > time.Duration(w.Scenario.Duration)
 }
 
 func (w *world) addEngines() {
 	e := w.Scenario.Engines
 	spec := engine.Spec{
-		Slots: e.Slots, Queue: e.Queue, Memory: e.Memory, Step: time.Duration(e.Step), PerSlot: time.Duration(e.Slot),
-		ReadRate: e.Rate, Chunk: e.Chunk, CopyRate: e.Copy,
+		Slots: e.Slots, QueueLimit: e.QueueLimit, KVCapacity: e.KVCapacity, BaseStepTime: time.Duration(e.BaseStepTime), StepTimePerRequest: time.Duration(e.StepTimePerRequest),
+		PrefillRate: e.PrefillRate, PrefillChunk: e.PrefillChunk, CopyRate: e.CopyRate,
 	}
 	for i := range e.Count {
 		w.engines = append(w.engines, &engine.Engine{Spec: spec})
@@ -112,23 +112,23 @@
 // hop is the time from a router to an engine.
 func (w *world) hop(router, engine int) time.Duration {
 	if router%w.Scenario.Zones == engine%w.Scenario.Zones {
-		return time.Duration(w.Scenario.Near)
+		return time.Duration(w.Scenario.InZoneLatency)
 	}
-	return time.Duration(w.Scenario.Way)
+	return time.Duration(w.Scenario.CrossZoneLatency)
 }
 
 // plan schedules a trouble of engines; those of callers are drawn with their requests.
-func (w *world) plan(t Trouble) {
-	from, to := start.Add(time.Duration(t.At)), start.Add(time.Duration(t.At+t.For))
-	count := max(int(t.Share*float64(len(w.engines))), 1)
+func (w *world) plan(t Disturbance) {
+	from, to := start.Add(time.Duration(t.Start)), start.Add(time.Duration(t.Start+t.Duration))
+	count := max(int(t.Fraction*float64(len(w.engines))), 1)
 	switch t.Kind {
 	case troubleCrash:
 		w.at(from, func() { w.crash(count, to) })
 	case troubleSlow:
 		w.at(from, func() {
 			for _, i := range w.random.Perm(len(w.engines))[:count] {
-				w.engines[i].Slow(t.X)
-				w.at(to, func() { w.engines[i].Slow(1) })
+				w.engines[i].SetSlowdown(t.Factor)
+				w.at(to, func() { w.engines[i].SetSlowdown(1) })
 			}
 		})
 	}
@@ -151,7 +151,7 @@
 
 // stir schedules the end of an engine's present step.
 func (w *world) stir(i int) {
-	next, ok := w.engines[i].Next()
+	next, ok := w.engines[i].StepEnd()
 	if !ok || next.Equal(w.due[i]) {
 		return
 	}
@@ -161,8 +161,8 @@
 			return
 		}
 		w.due[i] = time.Time{}
-		for _, ev := range w.engines[i].Advance(w.now) {
-			if a := w.jobs[i][ev.Job]; a != nil {
+		for _, ev := range w.engines[i].FinishStep(w.now) {
+			if a := w.jobs[i][ev.RequestID]; a != nil {
 				w.made(a, ev)
 			}
 		}
