--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,12 +1,13 @@
-// Package engine models a model engine that batches continuously, in simulated
-// time.
+// Package engine simulates a model engine with continuous batching, in simulated time.
 //
-// An Engine admits requests in the order in which they come, up to its slots,
-// and works in steps. A step reads up to a chunk of prompt tokens and makes one
-// token for each running request whose prompt is read; it takes longer the more
-// requests run and the more is read. Parts of prompts stay in memory after their
-// request, as long as there is room, and are not read again. Decisions of routers
-// are measured against it (internal/workload); no program that serves uses it.
+// An Engine admits requests in order of arrival, up to its number of slots, and works in steps. A
+// step prefills up to one chunk of prompt tokens, and generates one token for each running
+// request whose prefill is complete. It takes longer the more requests run and the more tokens
+// are prefilled. Shared parts of prompts stay in the KV cache after their request until they are
+// evicted, and are not prefilled again while cached.
+//
+// The package internal/workload evaluates the routers' decisions against it. No serving program
+// uses it.
 package engine
 
 import (
@@ -16,304 +17,319 @@
 	"laburnumfall/internal/placement"
 )
 
-// A Spec describes an engine. All engines of a pool have the same.
+// A Spec describes an engine. All engines of a pool have the same Spec.
 type Spec struct {
-	// Slots is how many requests run at a time, and Queue how many more may wait.
+	// Slots is how many requests run at the same time, and QueueLimit how many more may wait.
 	Slots      int
 	QueueLimit int
-	// Memory is the tokens that running requests and kept parts share.
+	// KVCapacity is the size in tokens of the KV cache, which running requests and cached parts
+	// share.
 	KVCapacity int
-	// Step is what a step takes at least, and PerSlot what each running request adds.
+	// BaseStepTime is the minimum duration of a step. Each running request adds
+	// StepTimePerRequest.
 	BaseStepTime       time.Duration
 	StepTimePerRequest time.Duration
-	// ReadRate is how many prompt tokens are read in a millisecond.
+	// PrefillRate is how many prompt tokens are prefilled in a millisecond.
 	PrefillRate float64
-	// Chunk is how many prompt tokens a step reads at most.
+	// PrefillChunk is how many prompt tokens a step prefills at most.
 	PrefillChunk int
-	// CopyRate is how many tokens are copied from another engine in a millisecond;
-	// 0 if they cannot be.
+	// CopyRate is how many tokens of KV cache are copied from another engine in a millisecond; 0
+	// if the engine cannot copy.
 	CopyRate float64
 }
 
-// A Job is one request at an engine.
+// A Request is a request to one engine.
 type Request struct {
 	ID uint64
-	// Parts are the prompt. All but the last may be shared with other requests.
+	// Parts make up the prompt. Only the last part is unique to the request; other requests may
+	// share the parts before it.
 	Parts []placement.PromptPart
-	// Output is how many tokens are generated.
+	// OutputTokens is how many tokens the engine generates.
 	OutputTokens int
-	// From is the engine from which parts that are lacking are copied, or nil.
+	// CopySource is the engine from which missing parts are copied, or nil.
 	CopySource *Engine
 }
 
-func (j Request) shared() []placement.PromptPart {
-	return j.Parts[:max(len(j.Parts)-1, 0)]
+func (r Request) sharedParts() []placement.PromptPart {
+	return r.Parts[:max(len(r.Parts)-1, 0)]
 }
 
-func (j Request) own() int {
-	if len(j.Parts) == 0 {
+func (r Request) uniqueTokens() int {
+	if len(r.Parts) == 0 {
 		return 0
 	}
-	return j.Parts[len(j.Parts)-1].Tokens
+	return r.Parts[len(r.Parts)-1].Tokens
 }
 
-// An Event is what an engine did for a job by the end of a step.
+// An Event reports the progress of a request at the end of a step.
 type Event struct {
 	At        time.Time
 	RequestID uint64
-	// Made is how many tokens the job has so far; the first one comes with 1.
+	// Generated is how many tokens the request has so far; it is 1 in the event of the first
+	// token.
 	Generated int
-	// Done says that it has all.
+	// Done is set once all tokens of the request are generated.
 	Done bool
 }
 
-// Counts are sums over an engine's life.
+// Counts are totals since the engine was created.
 type Counts struct {
 	PrefilledTokens  int // prompt tokens
-	RecomputedTokens int // of these, of shared parts that were read here before
-	CopiedTokens     int // tokens of parts copied from other engines
-	GeneratedTokens  int // tokens
-	Preemptions      int // requests that were pushed out of memory and began anew
+	RecomputedTokens int // part of PrefilledTokens: tokens of shared parts that this engine had prefilled before
+	CopiedTokens     int // tokens of shared parts copied from other engines
+	GeneratedTokens  int
+	Preemptions      int // requests that were removed to free memory and started over
 	BusyTime         time.Duration
 }
 
-// An Engine is a model of one engine. Set Spec, then call its methods with times
-// that never go back.
+// An Engine simulates one engine. Set Spec before the first call. The times passed to its methods
+// must not decrease.
 type Engine struct {
 	Spec
 
-	waiting []*run
-	running []*run
-	memory  memory
-	counts  Counts
-	stepEnd time.Time // zero while nothing runs
-	step    step
-	linkEnd time.Time // until when copies from here take
-	slow    float64
+	waiting    []*requestState
+	running    []*requestState
+	cache      kvCache
+	counts     Counts
+	stepEnd    time.Time // zero while no request runs
+	step       step
+	linkFreeAt time.Time // when the copies from this engine to others are complete
+	slowdown   float64
 }
 
-// run is a job at the engine.
-type run struct {
+// requestState is a queued or running request.
+type requestState struct {
 	Request
 
-	unread  int
-	made    int
-	readyAt time.Time // when what it copies is there
+	prefillLeft int
+	generated   int
+	copyDone    time.Time // when the copy of cached parts is complete
 }
 
-// step is what the present step does.
+// step is the work of the current step: the number of prompt tokens by request, and the requests
+// that get a token.
 type step struct {
-	reads map[*run]int
-	makes []*run
+	prefill map[*requestState]int
+	decode  []*requestState
 }
 
-// Offer brings a job. It reports false if the engine is full.
-func (e *Engine) Submit(now time.Time, j Request) bool {
+// Submit queues a request. It returns false if the queue is full or if the request does not fit
+// into the KV cache.
+func (e *Engine) Submit(now time.Time, request Request) bool {
 	if len(e.running)+len(e.waiting) >= e.Slots+e.QueueLimit {
 		return false
 	}
-	if tokens(j.Parts)+j.OutputTokens > e.KVCapacity {
+	if countTokens(request.Parts)+request.OutputTokens > e.KVCapacity {
 		return false
 	}
-	e.waiting = append(e.waiting, &run{Request: j})
-	e.begin(now)
+	e.waiting = append(e.waiting, &requestState{Request: request})
+	e.startStep(now)
 	return true
 }
 
-// Cancel ends a job whose caller has left.
+// Cancel removes a request whose caller has disconnected. It does nothing if the request is
+// unknown.
 func (e *Engine) Cancel(id uint64) {
-	for i, r := range e.waiting {
-		if r.ID == id {
+	for i, req := range e.waiting {
+		if req.ID == id {
 			e.waiting = append(e.waiting[:i:i], e.waiting[i+1:]...)
 			return
 		}
 	}
-	for i, r := range e.running {
-		if r.ID == id {
+	for i, req := range e.running {
+		if req.ID == id {
 			e.running = append(e.running[:i:i], e.running[i+1:]...)
-			e.memory.leave(r)
-			delete(e.step.reads, r)
+			e.cache.release(req)
+			delete(e.step.prefill, req)
 			return
 		}
 	}
 }
 
-// Slow makes steps from the next one on take x times as long.
-func (e *Engine) SetSlowdown(x float64) {
-	e.slow = x
+// SetSlowdown makes every step take factor times as long, from the next step on. A factor of 1 or
+// less has no effect.
+func (e *Engine) SetSlowdown(factor float64) {
+	e.slowdown = factor
 }
 
-// Next returns when the present step ends, and false while nothing runs.
+// StepEnd returns the end time of the current step, or false while no request runs.
 func (e *Engine) StepEnd() (time.Time, bool) {
 	return e.stepEnd, !e.stepEnd.IsZero()
 }
 
-// Advance ends the present step, which is due, and begins the next one.
+// FinishStep ends the current step if it is due, starts the next one, and returns the events of
+// the step that ended.
 func (e *Engine) FinishStep(now time.Time) []Event {
 	if e.stepEnd.IsZero() || now.Before(e.stepEnd) {
 		return nil
 	}
 	now = e.stepEnd
 	e.stepEnd = time.Time{}
-	events := e.finish(now)
-	e.begin(now)
+	events := e.applyStep(now)
+	e.startStep(now)
 	return events
 }
 
-func (e *Engine) finish(now time.Time) []Event {
+// applyStep records the work of the step that ended at a time, and returns its events.
+func (e *Engine) applyStep(now time.Time) []Event {
 	var events []Event
-	for _, r := range slices.Clone(e.running) {
-		if n := e.step.reads[r]; n > 0 {
-			r.unread -= n
-			e.counts.PrefilledTokens += n
-			if r.unread > 0 {
+	for _, req := range slices.Clone(e.running) {
+		if prefilled := e.step.prefill[req]; prefilled > 0 {
+			req.prefillLeft -= prefilled
+			e.counts.PrefilledTokens += prefilled
+			if req.prefillLeft > 0 {
 				continue
 			}
-			e.memory.keep(now, r)
-		} else if !slices.Contains(e.step.makes, r) {
+			e.cache.markPrefilled(now, req)
+		} else if !slices.Contains(e.step.decode, req) {
 			continue
 		}
-		r.made++
+		req.generated++
 		e.counts.GeneratedTokens++
-		done := r.made >= r.OutputTokens
-		events = append(events, Event{At: now, RequestID: r.ID, Generated: r.made, Done: done})
+		done := req.generated >= req.OutputTokens
+		events = append(events, Event{At: now, RequestID: req.ID, Generated: req.generated, Done: done})
 		if done {
-			e.remove(r)
+			e.remove(req)
 		}
 	}
 	e.step = step{}
-	e.fit()
+	e.preemptToFit()
 	return events
 }
 
-// fit pushes the newest request out until memory suffices.
-func (e *Engine) fit() {
-	for e.memory.shrink(e.KVCapacity) > 0 && len(e.running) > 1 {
+// preemptToFit removes the newest running requests until the others fit into the KV cache. It
+// puts them back to the head of the queue.
+func (e *Engine) preemptToFit() {
+	for e.cache.evictTo(e.KVCapacity) > 0 && len(e.running) > 1 {
 		newest := e.running[len(e.running)-1]
 		e.remove(newest)
 		e.counts.Preemptions++
-		e.waiting = append([]*run{{Request: newest.Request}}, e.waiting...)
+		e.waiting = append([]*requestState{{Request: newest.Request}}, e.waiting...)
 	}
 }
 
-func (e *Engine) remove(r *run) {
+func (e *Engine) remove(req *requestState) {
 	for i, other := range e.running {
-		if other == r {
+		if other == req {
 			e.running = append(e.running[:i:i], e.running[i+1:]...)
-			e.memory.leave(r)
+			e.cache.release(req)
 			return
 		}
 	}
 }
 
-// begin admits what there is room for and begins a step, unless one is under way.
-func (e *Engine) begin(now time.Time) {
+// startStep admits the queued requests that fit and starts a step, unless a step is in progress.
+func (e *Engine) startStep(now time.Time) {
 	if !e.stepEnd.IsZero() {
 		return
 	}
 	for len(e.waiting) > 0 && len(e.running) < e.Slots {
-		r := e.waiting[0]
-		if !e.memory.room(e.KVCapacity, tokens(r.Parts)+1) && len(e.running) > 0 {
+		req := e.waiting[0]
+		if !e.cache.fits(e.KVCapacity, countTokens(req.Parts)+1) && len(e.running) > 0 {
 			break
 		}
 		e.waiting = e.waiting[1:]
-		e.admit(now, r)
+		e.admit(now, req)
 	}
 	if len(e.running) > 0 {
-		e.plan(now)
+		e.planStep(now)
 	}
 }
 
-func (e *Engine) admit(now time.Time, r *run) {
-	lacking, again := e.memory.enter(now, r)
-	r.unread = r.own() + lacking
-	r.readyAt = now
-	if r.CopySource != nil && r.CopySource != e && e.CopyRate > 0 {
-		copied := min(r.CopySource.memory.holds(r.shared())-e.memory.holds(r.shared()), lacking)
+// admit starts a request. Shared parts that its source has cached and this engine has not are
+// copied.
+func (e *Engine) admit(now time.Time, req *requestState) {
+	uncached, recomputed := e.cache.add(now, req)
+	req.prefillLeft = req.uniqueTokens() + uncached
+	req.copyDone = now
+	if req.CopySource != nil && req.CopySource != e && e.CopyRate > 0 {
+		copied := min(req.CopySource.cache.cachedTokens(req.sharedParts())-e.cache.cachedTokens(req.sharedParts()), uncached)
 		if copied > 0 {
-			r.unread -= copied
-			again = min(again, lacking-copied)
-			r.readyAt = r.CopySource.send(now, copied, e.CopyRate)
+			req.prefillLeft -= copied
+			recomputed = min(recomputed, uncached-copied)
+			req.copyDone = req.CopySource.scheduleCopy(now, copied, e.CopyRate)
 			e.counts.CopiedTokens += copied
 		}
 	}
-	e.counts.RecomputedTokens += again
-	r.unread = max(r.unread, 1) // the last token of a prompt is always read
-	e.running = append(e.running, r)
+	e.counts.RecomputedTokens += recomputed
+	req.prefillLeft = max(req.prefillLeft, 1) // the last token of a prompt is always prefilled
+	e.running = append(e.running, req)
 }
 
-// send copies tokens to another engine, after what is being copied already.
-func (e *Engine) send(now time.Time, tokens int, rate float64) time.Time {
-	if e.linkEnd.Before(now) {
-		e.linkEnd = now
+// scheduleCopy queues a copy to another engine behind the copies in progress, and returns when it
+// is complete.
+func (e *Engine) scheduleCopy(now time.Time, tokens int, copyRate float64) time.Time {
+	if e.linkFreeAt.Before(now) {
+		e.linkFreeAt = now
 	}
-	e.linkEnd = e.linkEnd.Add(time.Duration(float64(tokens) / rate * float64(time.Millisecond)))
-	return e.linkEnd
+	e.linkFreeAt = e.linkFreeAt.Add(time.Duration(float64(tokens) / copyRate * float64(time.Millisecond)))
+	return e.linkFreeAt
 }
 
-// plan shares the chunk of the next step out in the order of admission.
-func (e *Engine) plan(now time.Time) {
-	e.step.reads = make(map[*run]int)
-	left, soonest := e.PrefillChunk, time.Time{}
-	for _, r := range e.running {
+// planStep divides the chunk of the next step among the running requests in the order of their
+// admission.
+func (e *Engine) planStep(now time.Time) {
+	e.step.prefill = make(map[*requestState]int)
+	chunkLeft, nextCopyDone := e.PrefillChunk, time.Time{}
+	for _, req := range e.running {
 		switch {
-		case r.readyAt.After(now):
-			if soonest.IsZero() || r.readyAt.Before(soonest) {
-				soonest = r.readyAt
+		case req.copyDone.After(now):
+			if nextCopyDone.IsZero() || req.copyDone.Before(nextCopyDone) {
+				nextCopyDone = req.copyDone
 			}
-		case r.unread > 0:
-			if n := min(r.unread, left); n > 0 {
-				e.step.reads[r] = n
-				left -= n
+		case req.prefillLeft > 0:
+			if tokens := min(req.prefillLeft, chunkLeft); tokens > 0 {
+				e.step.prefill[req] = tokens
+				chunkLeft -= tokens
 			}
 		default:
-			e.step.makes = append(e.step.makes, r)
+			e.step.decode = append(e.step.decode, req)
 		}
 	}
-	if len(e.step.reads) == 0 && len(e.step.makes) == 0 {
-		e.stepEnd = soonest // nothing but copies on their way
+	if len(e.step.prefill) == 0 && len(e.step.decode) == 0 {
+		e.stepEnd = nextCopyDone // all running requests wait for copies
 		return
 	}
-	took := e.stepTime(e.PrefillChunk - left)
-	e.counts.BusyTime += took
-	e.stepEnd = now.Add(took)
+	duration := e.stepTime(e.PrefillChunk - chunkLeft)
+	e.counts.BusyTime += duration
+	e.stepEnd = now.Add(duration)
 }
 
-func (e *Engine) stepTime(read int) time.Duration {
-	took := e.BaseStepTime + time.Duration(len(e.running))*e.StepTimePerRequest
-	took += time.Duration(float64(read) / e.PrefillRate * float64(time.Millisecond))
-	if e.slow > 1 {
-		took = time.Duration(float64(took) * e.slow)
+func (e *Engine) stepTime(prefillTokens int) time.Duration {
+	duration := e.BaseStepTime + time.Duration(len(e.running))*e.StepTimePerRequest
+	duration += time.Duration(float64(prefillTokens) / e.PrefillRate * float64(time.Millisecond))
+	if e.slowdown > 1 {
+		duration = time.Duration(float64(duration) * e.slowdown)
 	}
-	return took
+	return duration
 }
 
-// Counts returns the sums so far.
+// Counts returns the totals so far.
 func (e *Engine) Counts() Counts {
 	return e.counts
 }
 
-// Load returns how many requests run and wait.
+// Load returns the numbers of running and of queued requests.
 func (e *Engine) Load() (running, waiting int) {
 	return len(e.running), len(e.waiting)
 }
 
-// Crash loses everything: the jobs that ran or waited, and all that was kept.
+// Crash drops all requests and the KV cache, and returns the IDs of the requests.
 func (e *Engine) Crash() []uint64 {
 	var lost []uint64
-	for _, r := range append(e.running, e.waiting...) {
-		lost = append(lost, r.ID)
+	for _, req := range append(e.running, e.waiting...) {
+		lost = append(lost, req.ID)
 	}
 	e.waiting, e.running = nil, nil
-	e.memory = memory{seen: e.memory.seen}
+	e.cache = kvCache{everPrefilled: e.cache.everPrefilled}
 	e.step, e.stepEnd = step{}, time.Time{}
 	return lost
 }
 
-func tokens(parts []placement.PromptPart) int {
+func countTokens(parts []placement.PromptPart) int {
 	sum := 0
-	for _, p := range parts {
-		sum += p.Tokens
+	for _, part := range parts {
+		sum += part.Tokens
 	}
 	return sum
 }
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -6,142 +6,142 @@
 	"laburnumfall/internal/placement"
 )
 
-// memory is what an engine keeps: shared parts of prompts, and the tokens of
-// running requests. A part that a running request uses cannot yield; of the others
-// the least recently used yields first.
-type memory struct {
-	parts map[uint64]*kept
-	runs  map[*run]bool
-	seen  map[uint64]bool // parts that were ever read here
+// kvCache holds shared parts of prompts and the tokens of running requests. A part that a running
+// request uses cannot be evicted; the least recently used of the other parts is evicted first.
+type kvCache struct {
+	parts         map[uint64]*cachedPart
+	requests      map[*requestState]bool
+	everPrefilled map[uint64]bool // IDs of parts that this engine has ever prefilled
 }
 
-type kept struct {
-	tokens int
-	users  int
-	last   time.Time
-	read   bool // it is whole
+type cachedPart struct {
+	tokens     int
+	references int
+	lastUsed   time.Time
+	complete   bool // whether a request that uses the part has prefilled it
 }
 
-// holds returns how many tokens at the beginning of a prompt are kept: a part counts
-// only if all parts before it are kept.
-func (m *memory) holds(parts []placement.PromptPart) int {
+// cachedTokens returns how many tokens at the beginning of a prompt are cached. A part counts
+// only if all parts before it are cached.
+func (c *kvCache) cachedTokens(parts []placement.PromptPart) int {
 	sum := 0
-	for _, p := range parts {
-		if k := m.parts[p.ID]; k == nil || !k.read {
+	for _, part := range parts {
+		if cached := c.parts[part.ID]; cached == nil || !cached.complete {
 			break
 		}
-		sum += p.Tokens
+		sum += part.Tokens
 	}
 	return sum
 }
 
-// enter takes a request in, and returns how many tokens of its shared parts have to
-// be read, and how many of these had been read here before.
-func (m *memory) enter(now time.Time, r *run) (lacking, again int) {
-	if m.parts == nil {
-		m.parts, m.runs = make(map[uint64]*kept), make(map[*run]bool)
+// add adds a request. It returns how many tokens of the request's shared parts are not cached,
+// and how many of these this engine had prefilled before.
+func (c *kvCache) add(now time.Time, req *requestState) (uncached, recomputed int) {
+	if c.parts == nil {
+		c.parts, c.requests = make(map[uint64]*cachedPart), make(map[*requestState]bool)
 	}
-	if m.seen == nil {
-		m.seen = make(map[uint64]bool)
+	if c.everPrefilled == nil {
+		c.everPrefilled = make(map[uint64]bool)
 	}
-	held := m.holds(r.shared())
-	lacking = tokens(r.shared()) - held
-	for _, p := range r.shared() {
-		if k := m.parts[p.ID]; held <= 0 && m.seen[p.ID] && (k == nil || !k.read) {
-			again += p.Tokens
+	cachedLeft := c.cachedTokens(req.sharedParts())
+	uncached = countTokens(req.sharedParts()) - cachedLeft
+	for _, part := range req.sharedParts() {
+		if cached := c.parts[part.ID]; cachedLeft <= 0 && c.everPrefilled[part.ID] && (cached == nil || !cached.complete) {
+			recomputed += part.Tokens
 		}
-		held -= p.Tokens
-		m.use(now, p)
+		cachedLeft -= part.Tokens
+		c.acquire(now, part)
 	}
-	m.runs[r] = true
-	return lacking, min(again, lacking)
+	c.requests[req] = true
+	return uncached, min(recomputed, uncached)
 }
 
-func (m *memory) use(now time.Time, p placement.PromptPart) {
-	k := m.parts[p.ID]
-	if k == nil {
-		k = &kept{tokens: p.Tokens}
-		m.parts[p.ID] = k
+func (c *kvCache) acquire(now time.Time, part placement.PromptPart) {
+	cached := c.parts[part.ID]
+	if cached == nil {
+		cached = &cachedPart{tokens: part.Tokens}
+		c.parts[part.ID] = cached
 	}
-	k.users++
-	k.last = now
+	cached.references++
+	cached.lastUsed = now
 }
 
-// keep notes that a request's prompt is read: its shared parts are whole.
-func (m *memory) keep(now time.Time, r *run) {
-	for _, p := range r.shared() {
-		m.seen[p.ID] = true
-		if k := m.parts[p.ID]; k != nil {
-			k.read, k.last = true, now
+// markPrefilled marks the shared parts of a request as complete once its prompt is prefilled.
+func (c *kvCache) markPrefilled(now time.Time, req *requestState) {
+	for _, part := range req.sharedParts() {
+		c.everPrefilled[part.ID] = true
+		if cached := c.parts[part.ID]; cached != nil {
+			cached.complete, cached.lastUsed = true, now
 		}
 	}
 }
 
-// leave takes a request out. Parts that it did not get to read go with it.
-func (m *memory) leave(r *run) {
-	delete(m.runs, r)
-	for _, p := range r.shared() {
-		k := m.parts[p.ID]
-		if k == nil {
+// release removes a request, and with it the parts that are incomplete and that no other request
+// uses.
+func (c *kvCache) release(req *requestState) {
+	delete(c.requests, req)
+	for _, part := range req.sharedParts() {
+		cached := c.parts[part.ID]
+		if cached == nil {
 			continue
 		}
-		if k.users--; k.users <= 0 && !k.read {
-			delete(m.parts, p.ID)
+		if cached.references--; cached.references <= 0 && !cached.complete {
+			delete(c.parts, part.ID)
 		}
 	}
 }
 
-// size returns the tokens in memory.
-func (m *memory) size() int {
+// usedTokens returns how many tokens the cache holds.
+func (c *kvCache) usedTokens() int {
 	sum := 0
-	for _, k := range m.parts {
-		sum += k.tokens
+	for _, part := range c.parts {
+		sum += part.tokens
 	}
-	for r := range m.runs {
-		sum += r.own() + r.made
+	for req := range c.requests {
+		sum += req.uniqueTokens() + req.generated
 	}
 	return sum
 }
 
-// shrink lets parts yield until memory suffices, and returns the tokens that are
-// still over.
-func (m *memory) shrink(most int) int {
-	over := m.size() - most
-	for over > 0 {
-		id, ok := m.oldest()
+// evictTo evicts parts until the cache holds at most limit tokens. It returns by how many tokens
+// the cache still exceeds the limit.
+func (c *kvCache) evictTo(limit int) int {
+	excess := c.usedTokens() - limit
+	for excess > 0 {
+		id, ok := c.leastRecentlyUsed()
 		if !ok {
-			return over
+			return excess
 		}
-		over -= m.parts[id].tokens
-		delete(m.parts, id)
+		excess -= c.parts[id].tokens
+		delete(c.parts, id)
 	}
 	return 0
 }
 
-func (m *memory) oldest() (uint64, bool) {
+func (c *kvCache) leastRecentlyUsed() (uint64, bool) {
 	var id uint64
-	var oldest *kept
-	for other, k := range m.parts {
-		if k.users > 0 {
+	var oldest *cachedPart
+	for otherID, part := range c.parts {
+		if part.references > 0 {
 			continue
 		}
-		if oldest == nil || k.last.Before(oldest.last) || k.last.Equal(oldest.last) && other < id {
-			id, oldest = other, k
+		if oldest == nil || part.lastUsed.Before(oldest.lastUsed) || part.lastUsed.Equal(oldest.lastUsed) && otherID < id {
+			id, oldest = otherID, part
 		}
 	}
 	return id, oldest != nil
 }
 
-// room reports whether a prompt finds room once all that may yield has yielded.
-func (m *memory) room(most, more int) bool {
-	sum := more
-	for _, k := range m.parts {
-		if k.users > 0 {
-			sum += k.tokens
+// fits reports whether a prompt fits into the cache if all unused parts are evicted.
+func (c *kvCache) fits(limit, promptTokens int) bool {
+	sum := promptTokens
+	for _, part := range c.parts {
+		if part.references > 0 {
+			sum += part.tokens
 		}
 	}
-	for r := range m.runs {
-		sum += r.own() + r.made
+	for req := range c.requests {
+		sum += req.uniqueTokens() + req.generated
 	}
-	return sum <= most
+	return sum <= limit
 }
