--- a/internal/workload/ablate.go
+++ b/internal/workload/ablate.go
@@ -11,60 +11,63 @@
 )
 
 const (
-	// without begins the name of a policy that does what routers do but for one mechanism.
-	without = PolicyRouter + "-without-"
-	// seldom is how often routers hear of each other where they do not hurry.
-	seldom = 250 * time.Millisecond
-	// usualBack is when any refused caller may come back where aims do not count.
-	usualBack = 300 * time.Millisecond
+	// withoutPrefix begins the names of policies that disable one mechanism of the router policy.
+	withoutPrefix = PolicyRouter + "-without-"
+	// slowReportPeriod is how often routers report their load if fast reports are disabled.
+	slowReportPeriod = 250 * time.Millisecond
+	// fixedRetryAfter is the Retry-After time of all refusals if it does not depend on the
+	// latency objective.
+	fixedRetryAfter = 300 * time.Millisecond
 )
 
-// mechanisms are what routers' decisions are made of, each with what leaves it out.
-var mechanisms = map[string]func(*routers){
-	"brief":  func(p *routers) { p.rules = []admission.Rule{standardRoom} },
-	"chance": func(p *routers) { p.certain = true },
-	"copies": func(p *routers) { p.copyRate = 0 },
-	"intime": func(p *routers) { p.back = always(usualBack) },
-	"reach": func(p *routers) {
+// mechanismDisablers maps the name of each mechanism of the router policy to a function that
+// disables it.
+var mechanismDisablers = map[string]func(*routerPolicy){
+	"brief":  func(p *routerPolicy) { p.rules = []admission.Rule{standardHeadroom} },
+	"chance": func(p *routerPolicy) { p.noJitter = true },
+	"copies": func(p *routerPolicy) { p.copyRate = 0 },
+	"intime": func(p *routerPolicy) { p.retryPolicy = constantRetryAfter(fixedRetryAfter) },
+	"reach": func(p *routerPolicy) {
 		p.rules = []admission.Rule{admission.Headroom{Scales: []admission.HeadroomScale{admission.ShrinkByExcess{}}}, admission.ShortWait{}}
 	},
-	"reports": func(p *routers) { p.period = seldom },
-	"room":    func(p *routers) { p.rules = []admission.Rule{admission.ShortWait{}} },
-	"shares":  func(p *routers) { p.capacity = 0 },
-	"sizes":   func(p *routers) { p.sizes = false },
-	"yield": func(p *routers) {
+	"reports": func(p *routerPolicy) { p.reportPeriod = slowReportPeriod },
+	"room":    func(p *routerPolicy) { p.rules = []admission.Rule{admission.ShortWait{}} },
+	"shares":  func(p *routerPolicy) { p.capacity = 0 },
+	"sizes":   func(p *routerPolicy) { p.sizeFairness = false },
+	"yield": func(p *routerPolicy) {
 		p.rules = []admission.Rule{admission.Headroom{Scales: []admission.HeadroomScale{admission.GrowByDeficit{}}}, admission.ShortWait{}}
 	},
 }
 
-var standardRoom = admission.Headroom{Scales: []admission.HeadroomScale{admission.ShrinkByExcess{}, admission.GrowByDeficit{}}}
+var standardHeadroom = admission.Headroom{Scales: []admission.HeadroomScale{admission.ShrinkByExcess{}, admission.GrowByDeficit{}}}
 
-// Ablations are the policies that leave one mechanism out each, behind the one that leaves
-// out none.
+// Ablations returns the name of the router policy, followed by the names of the policies that
+// disable one of its mechanisms each.
 func Ablations() []string {
-	list := []string{PolicyRouter}
-	for _, name := range slices.Sorted(maps.Keys(mechanisms)) {
-		list = append(list, without+name)
+	policies := []string{PolicyRouter}
+	for _, name := range slices.Sorted(maps.Keys(mechanismDisablers)) {
+		policies = append(policies, withoutPrefix+name)
 	}
-	return list
+	return policies
 }
 
-// ablation returns what routers do without the mechanism that a policy's name tells of.
-func ablation(name string) (policy, bool) {
-	mechanism, ok := strings.CutPrefix(name, without)
-	leaveOut := mechanisms[mechanism]
-	if !ok || leaveOut == nil {
+// ablationPolicy returns the router policy without the mechanism that the policy name gives. It
+// returns false if there is no such mechanism.
+func ablationPolicy(name string) (policy, bool) {
+	mechanism, ok := strings.CutPrefix(name, withoutPrefix)
+	disable := mechanismDisablers[mechanism]
+	if !ok || disable == nil {
 		return nil, false
 	}
-	return &routers{change: leaveOut}, true
+	return &routerPolicy{ablate: disable}, true
 }
 
-// always is a time to come back that depends on nothing.
-type always time.Duration
+// constantRetryAfter is a Retry-After time that does not depend on the request or the load.
+type constantRetryAfter time.Duration
 
-var _ admission.RetryPolicy = always(0)
+var _ admission.RetryPolicy = constantRetryAfter(0)
 
 // RetryAfter implements admission.RetryPolicy.
-func (a always) RetryAfter(time.Time, *quota.Shares, admission.Request) time.Duration {
-	return time.Duration(a)
+func (c constantRetryAfter) RetryAfter(time.Time, *quota.Shares, admission.Request) time.Duration {
+	return time.Duration(c)
 }
--- a/internal/workload/ablate_test.go
+++ b/internal/workload/ablate_test.go
@@ -7,52 +7,51 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each mechanism can be left out, and decides something: a run without it differs.
-func TestEachMechanismDecidesSomething(t *testing.T) {
-	s := scenario(t, "catalogue.toml", 6*time.Second)
-	whole, err := Run(s, PolicyRouter, 1)
+// Guards against a mechanism that has no effect: a run without it must have other metrics.
+func TestEachAblationChangesResults(t *testing.T) {
+	scenario := readExample(t, "catalogue.toml", 6*time.Second)
+	full, err := Run(scenario, PolicyRouter, 1)
 	require.NoError(t, err)
 	for _, name := range Ablations()[1:] {
-		r, err := Run(s, name, 1)
+		ablated, err := Run(scenario, name, 1)
 		require.NoError(t, err)
-		require.NotEqual(t, whole.Metrics, r.Metrics, name)
+		require.NotEqual(t, full.Metrics, ablated.Metrics, name)
 	}
 }
 
-func TestUnknownMechanism(t *testing.T) {
-	_, err := Run(Scenario{}, without+"luck", 1)
-	require.ErrorContains(t, err, without+"brief")
+func TestRejectsUnknownMechanism(t *testing.T) {
+	_, err := Run(Scenario{}, withoutPrefix+"luck", 1)
+	require.ErrorContains(t, err, withoutPrefix+"brief")
 }
 
-// Symptom: callers are refused by engines that stand idle, or late since they were told to
-// come back too late, or the largest accounts take all.
-// Cause: the mechanism that is there against it is missing. Each case plays the load with and
-// without it, and checks what callers get.
-func TestCallersAreServedBetterWithEachRule(t *testing.T) {
-	for mechanism, c := range map[string]struct {
-		load   string
-		better func(t *testing.T, with, less Result)
+// Compares runs with and without a mechanism. Without it, callers are refused although engines
+// are idle, or are told to retry too late to be served in time, or the accounts with the most
+// requests take all capacity.
+func TestMechanismsImproveResults(t *testing.T) {
+	for mechanism, tt := range map[string]struct {
+		scenarioFile string
+		check        func(t *testing.T, with, without Result)
 	}{
-		"brief": {"catalogue.toml", func(t *testing.T, with, less Result) {
-			require.Less(t, with.Refused, less.Refused)
-			require.Greater(t, with.OnTime, less.OnTime)
+		"brief": {"catalogue.toml", func(t *testing.T, with, without Result) {
+			require.Less(t, with.Refused, without.Refused)
+			require.Greater(t, with.OnTime, without.OnTime)
 		}},
-		"intime": {"catalogue-grown.toml", func(t *testing.T, with, less Result) {
-			require.Less(t, with.Late, less.Late)
-			require.Greater(t, with.OnTime, less.OnTime)
+		"intime": {"catalogue-grown.toml", func(t *testing.T, with, without Result) {
+			require.Less(t, with.Late, without.Late)
+			require.Greater(t, with.OnTime, without.OnTime)
 		}},
-		"room": {"catalogue.toml", func(t *testing.T, with, less Result) {
-			require.Less(t, with.Refused, less.Refused)
-			require.Greater(t, with.ValueRatio, less.ValueRatio)
+		"room": {"catalogue.toml", func(t *testing.T, with, without Result) {
+			require.Less(t, with.Refused, without.Refused)
+			require.Greater(t, with.ValueRatio, without.ValueRatio)
 		}},
-		"shares": {"catalogue-grown.toml", func(t *testing.T, with, less Result) {
-			require.Greater(t, with.WorstAccountShare, less.WorstAccountShare)
-			require.Greater(t, with.ValueRatio, less.ValueRatio)
+		"shares": {"catalogue-grown.toml", func(t *testing.T, with, without Result) {
+			require.Greater(t, with.WorstAccountShare, without.WorstAccountShare)
+			require.Greater(t, with.ValueRatio, without.ValueRatio)
 		}},
 	} {
 		t.Run(mechanism, func(t *testing.T) {
-			s := scenario(t, c.load, 8*time.Second)
-			c.better(t, MeanResults(runs(t, s, 2, PolicyRouter))[0], MeanResults(runs(t, s, 2, without+mechanism))[0])
+			scenario := readExample(t, tt.scenarioFile, 8*time.Second)
+			tt.check(t, MeanResults(runAll(t, scenario, 2, PolicyRouter))[0], MeanResults(runAll(t, scenario, 2, withoutPrefix+mechanism))[0])
 		})
 	}
 }
--- a/internal/workload/draw.go
+++ b/internal/workload/draw.go
@@ -12,157 +12,158 @@
 	"laburnumfall/internal/placement"
 )
 
-// An arrival is a request as its caller first sends it.
+// An arrival is a request at the time when its caller first sends it.
 type arrival struct {
-	at      time.Duration // since the start
-	kind    int
-	account int
-	caller  uint64 // who sends it: decides through which routers it comes
-	parts   []placement.PromptPart
-	output  int
-	size    float64 // tokens in, and ten times those out
+	at             time.Duration // since the start of the run
+	kindIndex      int
+	account        int
+	callerID       uint64 // determines the routers that receive the request and its retries
+	parts          []placement.PromptPart
+	outputTokens   int
+	weightedTokens float64 // prompt tokens plus ten times the output tokens
 }
 
-// A drawer draws the arrivals of a scenario. Each kind has a source of its own, so that
-// what one kind draws does not change another.
-type drawer struct {
-	scenario Scenario
-	random   *rand.Rand
-	accounts distuv.Categorical
+// A generator draws the arrivals of a scenario at random. It has a random source for each kind of
+// request, so that a change to one kind does not change the arrivals of another.
+type generator struct {
+	scenario            Scenario
+	random              *rand.Rand
+	accountDistribution distuv.Categorical
 }
 
-// draw returns all arrivals, in order.
-func draw(s Scenario, seed uint64) []arrival {
-	var list []arrival
-	for i := range s.Kinds {
+// generateArrivals returns all arrivals of a scenario in order of time.
+func generateArrivals(scenario Scenario, seed uint64) []arrival {
+	var arrivals []arrival
+	for i := range scenario.Kinds {
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
-		d := &drawer{scenario: s, random: random, accounts: distuv.NewCategorical(s.AccountWeights, random)}
-		list = append(list, d.kind(i)...)
+		gen := &generator{scenario: scenario, random: random, accountDistribution: distuv.NewCategorical(scenario.AccountWeights, random)}
+		arrivals = append(arrivals, gen.generate(i)...)
 	}
-	slices.SortStableFunc(list, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
-	return list
+	slices.SortStableFunc(arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
+	return arrivals
 }
 
-func (d *drawer) kind(i int) []arrival {
-	k := d.scenario.Kinds[i]
-	var pickers []distuv.Categorical
-	for _, sh := range k.SharedParts {
-		weights := make([]float64, sh.Count)
-		for r := range weights {
-			weights[r] = math.Pow(float64(r+1), -sh.Skew)
+func (g *generator) generate(kindIndex int) []arrival {
+	kind := g.scenario.Kinds[kindIndex]
+	var rankDistributions []distuv.Categorical
+	for _, part := range kind.SharedParts {
+		weights := make([]float64, part.Count)
+		for rank := range weights {
+			weights[rank] = math.Pow(float64(rank+1), -part.Skew)
 		}
-		pickers = append(pickers, distuv.NewCategorical(weights, d.random))
+		rankDistributions = append(rankDistributions, distuv.NewCategorical(weights, g.random))
 	}
-	// The fastest rate is drawn, and thinned out to the one of the moment.
-	most := k.Rate * d.peak()
-	gap := distuv.Exponential{Rate: most, Src: d.random}
-	var list []arrival
+	// Candidates are drawn at the highest possible rate. Each is kept with a probability of the
+	// current rate divided by the highest rate.
+	maxRate := kind.Rate * g.maxRateFactor()
+	interval := distuv.Exponential{Rate: maxRate, Src: g.random}
+	var arrivals []arrival
 	for at := time.Duration(0); ; {
-		at += time.Duration(gap.Rand() * float64(time.Second))
-		if at >= time.Duration(d.scenario.Duration) {
-			return list
+		at += time.Duration(interval.Rand() * float64(time.Second))
+		if at >= time.Duration(g.scenario.Duration) {
+			return arrivals
 		}
-		account, x := d.account(at)
-		if d.random.Float64()*most > k.Rate*x {
+		account, rateFactor := g.drawAccount(at)
+		if g.random.Float64()*maxRate > kind.Rate*rateFactor {
 			continue
 		}
-		list = append(list, d.arrival(at, i, account, pickers))
+		arrivals = append(arrivals, g.drawArrival(at, kindIndex, account, rankDistributions))
 	}
 }
 
-// peak bounds how many times as often as usual requests come.
-func (d *drawer) peak() float64 {
-	peak := 1.0
-	for _, t := range d.scenario.Disturbances {
-		switch t.Kind {
-		case troubleBurst:
-			peak *= max(t.Factor, 1)
-		case troubleFlood:
-			peak *= max(1+d.part(t.Account)*(t.Factor-1), 1)
+// maxRateFactor returns an upper bound of the rate factor that disturbances cause.
+func (g *generator) maxRateFactor() float64 {
+	bound := 1.0
+	for _, disturbance := range g.scenario.Disturbances {
+		switch disturbance.Kind {
+		case disturbanceBurst:
+			bound *= max(disturbance.Factor, 1)
+		case disturbanceFlood:
+			bound *= max(1+g.accountShare(disturbance.Account)*(disturbance.Factor-1), 1)
 		}
 	}
-	return peak
+	return bound
 }
 
-// part returns the part of all requests that an account usually sends.
-func (d *drawer) part(account int) float64 {
+// accountShare returns the fraction of all requests that an account sends outside of floods.
+func (g *generator) accountShare(account int) float64 {
 	sum := 0.0
-	for _, a := range d.scenario.AccountWeights {
-		sum += a
+	for _, weight := range g.scenario.AccountWeights {
+		sum += weight
 	}
-	return d.scenario.AccountWeights[account%len(d.scenario.AccountWeights)] / sum
+	return g.scenario.AccountWeights[account%len(g.scenario.AccountWeights)] / sum
 }
 
-// account draws the account of a request, and returns how many times as often as usual
-// requests come at that time.
-func (d *drawer) account(at time.Duration) (account int, x float64) {
-	account, x = int(d.accounts.Rand()), 1
-	for _, t := range d.scenario.Disturbances {
-		if !t.active(at) {
+// drawAccount draws the account of a request. It also returns the factor by which disturbances
+// change the request rate at that time.
+func (g *generator) drawAccount(at time.Duration) (account int, rateFactor float64) {
+	account, rateFactor = int(g.accountDistribution.Rand()), 1
+	for _, disturbance := range g.scenario.Disturbances {
+		if !disturbance.activeAt(at) {
 			continue
 		}
-		switch t.Kind {
-		case troubleBurst:
-			x *= t.Factor
-		case troubleFlood:
-			part := d.part(t.Account)
-			all := 1 + part*(t.Factor-1)
-			if d.random.Float64() < part*(t.Factor-1)/all {
-				account = t.Account
+		switch disturbance.Kind {
+		case disturbanceBurst:
+			rateFactor *= disturbance.Factor
+		case disturbanceFlood:
+			share := g.accountShare(disturbance.Account)
+			floodFactor := 1 + share*(disturbance.Factor-1)
+			if g.random.Float64() < share*(disturbance.Factor-1)/floodFactor {
+				account = disturbance.Account
 			}
-			x *= all
+			rateFactor *= floodFactor
 		}
 	}
-	return account, x
+	return account, rateFactor
 }
 
-func (d *drawer) arrival(at time.Duration, kind, account int, pickers []distuv.Categorical) arrival {
-	k := d.scenario.Kinds[kind]
-	a := arrival{at: at, kind: kind, account: account, caller: d.random.Uint64()}
-	for level, sh := range k.SharedParts {
-		rank := int(pickers[level].Rand())
-		if d.hot(at) {
+func (g *generator) drawArrival(at time.Duration, kindIndex, account int, rankDistributions []distuv.Categorical) arrival {
+	kind := g.scenario.Kinds[kindIndex]
+	drawn := arrival{at: at, kindIndex: kindIndex, account: account, callerID: g.random.Uint64()}
+	for level, part := range kind.SharedParts {
+		rank := int(rankDistributions[level].Rand())
+		if g.drawHotSpot(at) {
 			rank = 0
 		}
-		a.parts = append(a.parts, d.sharedPart(kind, level, rank, sh.Tokens))
+		drawn.parts = append(drawn.parts, g.sharedPart(kindIndex, level, rank, part.Tokens))
 	}
-	own := placement.PromptPart{ID: d.random.Uint64() | 1, Tokens: d.size(k.UniqueTokens, d.random)}
-	a.parts = append(a.parts, own)
-	a.output = d.size(k.OutputTokens, d.random)
-	for _, p := range a.parts {
-		a.size += float64(p.Tokens)
+	unique := placement.PromptPart{ID: g.random.Uint64() | 1, Tokens: g.drawTokens(kind.UniqueTokens, g.random)}
+	drawn.parts = append(drawn.parts, unique)
+	drawn.outputTokens = g.drawTokens(kind.OutputTokens, g.random)
+	for _, part := range drawn.parts {
+		drawn.weightedTokens += float64(part.Tokens)
 	}
-	const generated = 10 // what a generated token counts in a request's size
-	a.size += generated * float64(a.output)
-	return a
+	const outputTokenWeight = 10 // how many prompt tokens an output token counts as
+	drawn.weightedTokens += outputTokenWeight * float64(drawn.outputTokens)
+	return drawn
 }
 
-func (d *drawer) hot(at time.Duration) bool {
-	for _, t := range d.scenario.Disturbances {
-		if t.Kind == troubleHot && t.active(at) && d.random.Float64() < t.Fraction {
+func (g *generator) drawHotSpot(at time.Duration) bool {
+	for _, disturbance := range g.scenario.Disturbances {
+		if disturbance.Kind == disturbanceHot && disturbance.activeAt(at) && g.random.Float64() < disturbance.Fraction {
 			return true
 		}
 	}
 	return false
 }
 
-// sharedPart returns a shared part: the same rank always is the same part.
-func (d *drawer) sharedPart(kind, level, rank int, size TokenDistribution) placement.PromptPart {
-	const kinds, levels = 1 << 20, 1 << 16
-	id := uint64(kind+1)*kinds + uint64(level+1)*levels + uint64(rank)
-	own := rand.New(rand.NewPCG(id, id))
-	return placement.PromptPart{ID: id << 1, Tokens: d.size(size, own)}
+// sharedPart returns the shared part of a rank. Its ID and size depend only on the arguments.
+func (g *generator) sharedPart(kindIndex, level, rank int, tokens TokenDistribution) placement.PromptPart {
+	const kindStride, levelStride = 1 << 20, 1 << 16
+	id := uint64(kindIndex+1)*kindStride + uint64(level+1)*levelStride + uint64(rank)
+	random := rand.New(rand.NewPCG(id, id))
+	return placement.PromptPart{ID: id << 1, Tokens: g.drawTokens(tokens, random)}
 }
 
-func (d *drawer) size(s TokenDistribution, random *rand.Rand) int {
-	value := s.Mean
-	if s.LogStdDev > 0 {
+func (g *generator) drawTokens(distribution TokenDistribution, random *rand.Rand) int {
+	tokens := distribution.Mean
+	if distribution.LogStdDev > 0 {
 		// The mean of a log-normal distribution is exp(mu + sigma^2/2).
-		mu := math.Log(s.Mean) - s.LogStdDev*s.LogStdDev/2
-		value = distuv.LogNormal{Mu: mu, Sigma: s.LogStdDev, Src: random}.Rand()
+		mu := math.Log(distribution.Mean) - distribution.LogStdDev*distribution.LogStdDev/2
+		tokens = distuv.LogNormal{Mu: mu, Sigma: distribution.LogStdDev, Src: random}.Rand()
 	}
-	if s.Max > 0 {
-		value = min(value, s.Max)
+	if distribution.Max > 0 {
+		tokens = min(tokens, distribution.Max)
 	}
-	return max(int(math.Round(value)), 1)
+	return max(int(math.Round(tokens)), 1)
 }
--- a/internal/workload/policy.go
+++ b/internal/workload/policy.go
@@ -11,133 +11,141 @@
 	"laburnumfall/internal/placement"
 )
 
-// A policy decides where requests go. Its calls come in the order of time.
+// A policy decides which engine gets a request. Its methods are called in order of simulated
+// time.
 type policy interface {
 	// Begin is called before the first request.
-	Begin(w *world)
-	// Targets is called when engines go or come back.
-	Targets(w *world)
-	// Ask is called once for each attempt of a caller, before Choose.
-	Ask(w *world, a *attempt)
-	// Choose returns an engine, or -1 and when the caller may come back. If that is 0, the
-	// request waits until the policy sends it.
-	Choose(w *world, a *attempt) (engine int, back time.Duration)
-	// First and Ended tell a router what became of an attempt.
-	First(w *world, a *attempt)
-	Ended(w *world, a *attempt, r placement.Result)
-	// Step is called when an engine has ended a step.
-	Step(w *world, engine int)
+	Begin(sim *simulation)
+	// EnginesChanged is called after engines crash or restart.
+	EnginesChanged(sim *simulation)
+	// RequestArrived is called once for each attempt of a caller, before Choose.
+	RequestArrived(sim *simulation, a *attempt)
+	// Choose returns the index of an engine, or -1 and the time after which the caller may retry.
+	// If that time is 0, the request waits until the policy sends it.
+	Choose(sim *simulation, a *attempt) (engineIndex int, retryAfter time.Duration)
+	// FirstByte is called when the router receives the first token of an attempt, and
+	// AttemptEnded when an attempt at an engine ends.
+	FirstByte(sim *simulation, a *attempt)
+	AttemptEnded(sim *simulation, a *attempt, result placement.Result)
+	// StepEnded is called after an engine finishes a step.
+	StepEnded(sim *simulation, engineIndex int)
 }
 
 // The names of the policies.
 const (
 	PolicyRandom        = "random"
-	PolicyLeastRequests = "least"  // requests in flight, through the same router
-	PolicyPrefixHash    = "hash"   // of the prompt's shared parts
-	PolicyRouter        = "router" // what routers do
-	PolicyCentralQueue  = "queue"  // one queue before all engines that knows all of them
+	PolicyLeastRequests = "least"  // the engine with the fewest requests in flight from the same router
+	PolicyPrefixHash    = "hash"   // by a hash of the prompt's shared parts
+	PolicyRouter        = "router" // the decisions of the real routers
+	PolicyCentralQueue  = "queue"  // one queue in front of all engines, with full knowledge of their state
 )
 
-// Policies are the names, in the order in which they are compared.
+// Policies lists the policy names in the order in which results are compared.
 var Policies = []string{PolicyRandom, PolicyLeastRequests, PolicyPrefixHash, PolicyRouter, PolicyCentralQueue}
 
 func newPolicy(name string) (policy, error) {
-	if p, ok := ablation(name); ok {
-		return p, nil
+	if ablated, ok := ablationPolicy(name); ok {
+		return ablated, nil
 	}
 	switch name {
 	case PolicyRandom:
-		return &random{}, nil
+		return &randomPolicy{}, nil
 	case PolicyLeastRequests:
-		return &least{}, nil
+		return &leastRequestsPolicy{}, nil
 	case PolicyPrefixHash:
-		return &hash{}, nil
+		return &prefixHashPolicy{}, nil
 	case PolicyRouter:
-		return &routers{}, nil
+		return &routerPolicy{}, nil
 	case PolicyCentralQueue:
-		return &queue{}, nil
+		return &centralQueuePolicy{}, nil
 	default:
 		return nil, fmt.Errorf("there is no policy %q (choose among %v)", name, append(slices.Clone(Policies), Ablations()[1:]...))
 	}
 }
 
-func engineID(i int) string {
-	return "e" + strconv.Itoa(i)
+func engineID(index int) string {
+	return "e" + strconv.Itoa(index)
 }
 
-// silent is a policy that heeds nothing that it is told.
-type silent struct{}
+// passive is a policy without Choose that ignores all notifications.
+type passive struct{}
 
-func (silent) Begin(*world)                             {}
-func (silent) Targets(*world)                           {}
-func (silent) Ask(*world, *attempt)                     {}
-func (silent) First(*world, *attempt)                   {}
-func (silent) Ended(*world, *attempt, placement.Result) {}
-func (silent) Step(*world, int)                         {}
+func (passive) Begin(*simulation)                                    {}
+func (passive) EnginesChanged(*simulation)                           {}
+func (passive) RequestArrived(*simulation, *attempt)                 {}
+func (passive) FirstByte(*simulation, *attempt)                      {}
+func (passive) AttemptEnded(*simulation, *attempt, placement.Result) {}
+func (passive) StepEnded(*simulation, int)                           {}
 
-// random sends each request to any engine.
-type random struct{ silent }
+// randomPolicy sends each request to a random engine.
+type randomPolicy struct{ passive }
 
 var (
-	_ policy = &random{}
-	_ policy = &least{}
-	_ policy = &hash{}
-	_ policy = &routers{}
-	_ policy = &queue{}
+	_ policy = &randomPolicy{}
+	_ policy = &leastRequestsPolicy{}
+	_ policy = &prefixHashPolicy{}
+	_ policy = &routerPolicy{}
+	_ policy = &centralQueuePolicy{}
 )
 
 // Choose implements policy.
-func (*random) Choose(w *world, _ *attempt) (int, time.Duration) {
-	return w.pick(func(int) float64 { return w.random.Float64() })
+func (*randomPolicy) Choose(sim *simulation, _ *attempt) (int, time.Duration) {
+	return sim.cheapestEngine(func(int) float64 { return sim.random.Float64() })
 }
 
-// least sends each request to the engine that has the fewest of its router's requests.
-type least struct {
-	silent
+// leastRequestsPolicy sends each request to the engine with the fewest requests in flight from
+// the same router.
+type leastRequestsPolicy struct {
+	passive
 
-	flying map[[2]int]int // by router and engine
+	inFlight map[[2]int]int // by router and engine
 }
 
 // Begin implements policy.
-func (p *least) Begin(*world) { p.flying = make(map[[2]int]int) }
+func (p *leastRequestsPolicy) Begin(*simulation) { p.inFlight = make(map[[2]int]int) }
 
 // Choose implements policy.
-func (p *least) Choose(w *world, a *attempt) (int, time.Duration) {
-	i, back := w.pick(func(i int) float64 { return float64(p.flying[[2]int{a.router, i}]) + w.random.Float64() })
-	if i >= 0 {
-		p.flying[[2]int{a.router, i}]++
+func (p *leastRequestsPolicy) Choose(sim *simulation, a *attempt) (int, time.Duration) {
+	engineIndex, retryAfter := sim.cheapestEngine(func(engineIndex int) float64 {
+		return float64(p.inFlight[[2]int{a.routerIndex, engineIndex}]) + sim.random.Float64()
+	})
+	if engineIndex >= 0 {
+		p.inFlight[[2]int{a.routerIndex, engineIndex}]++
 	}
-	return i, back
+	return engineIndex, retryAfter
 }
 
-// Ended implements policy.
-func (p *least) Ended(_ *world, a *attempt, _ placement.Result) {
-	p.flying[[2]int{a.router, a.engine}]--
+// AttemptEnded implements policy.
+func (p *leastRequestsPolicy) AttemptEnded(_ *simulation, a *attempt, _ placement.Result) {
+	p.inFlight[[2]int{a.routerIndex, a.engineIndex}]--
 }
 
-// hash sends each request to the engine that comes first in the order of a hash of its
-// last shared part.
-type hash struct{ silent }
+// prefixHashPolicy sends each request to the engine that rendezvous hashing of the prompt's last
+// shared part selects.
+type prefixHashPolicy struct{ passive }
 
 // Choose implements policy.
-func (*hash) Choose(w *world, a *attempt) (int, time.Duration) {
+func (*prefixHashPolicy) Choose(sim *simulation, a *attempt) (int, time.Duration) {
 	shared := a.parts[:len(a.parts)-1]
 	if len(shared) == 0 {
-		return w.pick(func(int) float64 { return w.random.Float64() })
+		return sim.cheapestEngine(func(int) float64 { return sim.random.Float64() })
 	}
 	key := shared[len(shared)-1].ID
-	return w.pick(func(i int) float64 { return float64(xxhash.Sum64String(strconv.FormatUint(key, 16) + w.ids[i])) })
+	return sim.cheapestEngine(func(engineIndex int) float64 {
+		return float64(xxhash.Sum64String(strconv.FormatUint(key, 16) + sim.ids[engineIndex]))
+	})
 }
 
-// pick returns the engine of the least cost among those that are there.
-func (w *world) pick(cost func(i int) float64) (int, time.Duration) {
+// cheapestEngine returns the engine with the lowest cost among those that are up. If there is
+// none, it returns -1 and a retry time of one second.
+func (sim *simulation) cheapestEngine(cost func(engineIndex int) float64) (int, time.Duration) {
 	best, bestCost := -1, 0.0
-	for i := range w.engines {
-		if w.away[i] {
+	for engineIndex := range sim.engines {
+		if sim.down[engineIndex] {
 			continue
 		}
-		if c := cost(i); best < 0 || c < bestCost {
-			best, bestCost = i, c
+		if engineCost := cost(engineIndex); best < 0 || engineCost < bestCost {
+			best, bestCost = engineIndex, engineCost
 		}
 	}
 	return best, time.Second
--- a/internal/workload/queue.go
+++ b/internal/workload/queue.go
@@ -7,125 +7,127 @@
 	"laburnumfall/internal/placement"
 )
 
-// copyPart is the part of its time, as a divisor, that a copy counts like reading: it
-// holds no step up, but a slot.
-const copyPart = 4
+// copyCostDivisor reduces the cost of a copy relative to prefill of the same duration: a copy
+// occupies a slot but does not lengthen steps.
+const copyCostDivisor = 4
 
-// queue holds all requests in one queue before all engines, and knows all of every
-// engine at every moment. An engine that has little left to read gets the request that
-// earns most for the time that its reading takes. No fleet of routers can know as much,
-// and shares count for nothing: it shows what better knowledge and order could gain.
-type queue struct {
-	silent
+// centralQueuePolicy holds all requests in one queue in front of all engines and always knows the
+// exact state of every engine. An engine that has little left to prefill gets the request with
+// the highest value for the time that its prefill takes. Real routers cannot know that much, and
+// account shares are ignored: the policy shows how much better knowledge and ordering could gain.
+type centralQueuePolicy struct {
+	passive
 
-	waiting []*attempt
-	flying  []int // tokens on their way to each engine
+	waiting          []*attempt
+	prefillInTransit []int // tokens of requests on the way to each engine
 }
 
 // Begin implements policy.
-func (p *queue) Begin(w *world) {
-	p.flying = make([]int, len(w.engines))
+func (p *centralQueuePolicy) Begin(sim *simulation) {
+	p.prefillInTransit = make([]int, len(sim.engines))
 }
 
 // Choose implements policy.
-func (p *queue) Choose(w *world, a *attempt) (int, time.Duration) {
+func (p *centralQueuePolicy) Choose(sim *simulation, a *attempt) (int, time.Duration) {
 	p.waiting = append(p.waiting, a)
-	for i := range w.engines {
-		p.Step(w, i)
+	for i := range sim.engines {
+		p.StepEnded(sim, i)
 	}
 	return -1, 0
 }
 
-// Targets implements policy.
-func (p *queue) Targets(w *world) {
-	for i := range w.engines {
-		p.Step(w, i)
+// EnginesChanged implements policy.
+func (p *centralQueuePolicy) EnginesChanged(sim *simulation) {
+	for i := range sim.engines {
+		p.StepEnded(sim, i)
 	}
 }
 
-// Step implements policy.
-func (p *queue) Step(w *world, i int) {
-	if w.away[i] {
+// StepEnded implements policy.
+func (p *centralQueuePolicy) StepEnded(sim *simulation, engineIndex int) {
+	if sim.down[engineIndex] {
 		return
 	}
-	const ahead = 2 // chunks: one is being read, one is on its way
-	e := w.engines[i]
+	const maxChunksAhead = 2 // one chunk in prefill and one in transit
+	e := sim.engines[engineIndex]
 	for {
-		unread, _ := e.PrefillBacklog(nil)
+		backlog, _ := e.PrefillBacklog(nil)
 		running, waiting := e.Load()
-		if unread+p.flying[i] >= ahead*e.PrefillChunk || running+waiting >= e.Slots {
+		if backlog+p.prefillInTransit[engineIndex] >= maxChunksAhead*e.PrefillChunk || running+waiting >= e.Slots {
 			return
 		}
-		at := p.best(w, i)
-		if at < 0 {
+		index := p.mostValuable(sim, engineIndex)
+		if index < 0 {
 			return
 		}
-		a := p.waiting[at]
-		p.waiting = slices.Delete(p.waiting, at, at+1)
-		p.send(w, a, i)
+		a := p.waiting[index]
+		p.waiting = slices.Delete(p.waiting, index, index+1)
+		p.send(sim, a, engineIndex)
 	}
 }
 
-func (p *queue) send(w *world, a *attempt, i int) {
-	reads, _, from := w.reading(i, a)
-	if from >= 0 {
-		a.choice = &placement.Choice{CopyFrom: w.ids[from]}
+func (p *centralQueuePolicy) send(sim *simulation, a *attempt, engineIndex int) {
+	prefill, _, source := sim.prefillPlan(engineIndex, a)
+	if source >= 0 {
+		a.choice = &placement.Choice{CopyFrom: sim.ids[source]}
 	}
-	p.flying[i] += reads
-	w.after(w.hop(a.router, i), func() { p.flying[i] -= reads })
-	w.sendTo(a, i)
+	p.prefillInTransit[engineIndex] += prefill
+	sim.scheduleAfter(sim.latency(a.routerIndex, engineIndex), func() { p.prefillInTransit[engineIndex] -= prefill })
+	sim.sendTo(a, engineIndex)
 }
 
-// best returns the place of the request that earns most at an engine, or -1.
-func (p *queue) best(w *world, i int) int {
-	p.waiting = slices.DeleteFunc(p.waiting, func(a *attempt) bool { return a.fate != pending })
-	best, most := -1, 0.0
-	for at, a := range p.waiting {
-		reads, copying, _ := w.reading(i, a)
-		took := milliseconds(float64(reads)/w.Scenario.Engines.PrefillRate) + w.engines[i].BaseStepTime + copying/copyPart
-		worth := a.kind.Value
-		if w.now.Add(took+copying).Sub(a.sentAt) > time.Duration(a.kind.LatencyObjective) {
-			worth = a.kind.LateValue
+// mostValuable returns the index of the queued request with the highest value per time at an
+// engine, or -1 if the queue is empty.
+func (p *centralQueuePolicy) mostValuable(sim *simulation, engineIndex int) int {
+	p.waiting = slices.DeleteFunc(p.waiting, func(a *attempt) bool { return a.outcome != outcomePending })
+	best, maxGain := -1, 0.0
+	for index, a := range p.waiting {
+		prefill, copyTime, _ := sim.prefillPlan(engineIndex, a)
+		cost := milliseconds(float64(prefill)/sim.scenario.Engines.PrefillRate) + sim.engines[engineIndex].BaseStepTime + copyTime/copyCostDivisor
+		value := a.kind.Value
+		if sim.now.Add(cost+copyTime).Sub(a.sentAt) > time.Duration(a.kind.LatencyObjective) {
+			value = a.kind.LateValue
 		}
-		if gain := worth * (1 + a.size) / float64(took); best < 0 || gain > most {
-			best, most = at, gain
+		if gain := value * (1 + a.weightedTokens) / float64(cost); best < 0 || gain > maxGain {
+			best, maxGain = index, gain
 		}
 	}
 	return best
 }
 
-// reading returns the tokens that an engine would have to read for an attempt, and how
-// long it would copy the rest, from which engine. It copies only what is there sooner
-// than it would be read.
-func (w *world) reading(i int, a *attempt) (tokens int, copying time.Duration, from int) {
-	e := w.engines[i]
-	_, own := e.PrefillBacklog(a.parts)
-	if w.Scenario.Engines.CopyRate <= 0 {
-		return own, 0, -1
+// prefillPlan returns how many tokens of an attempt an engine would have to prefill, how long it
+// would copy cached tokens from another engine, and the index of that engine or -1. Tokens are
+// copied only if that takes less time than prefill.
+func (sim *simulation) prefillPlan(engineIndex int, a *attempt) (prefill int, copyTime time.Duration, source int) {
+	e := sim.engines[engineIndex]
+	_, uncached := e.PrefillBacklog(a.parts)
+	if sim.scenario.Engines.CopyRate <= 0 {
+		return uncached, 0, -1
 	}
-	keeper, kept := w.keeper(a.parts)
-	lacking := kept - e.CachedTokens(a.parts)
-	if lacking <= 0 {
-		return own, 0, -1
+	holder, cached := sim.bestCopySource(a.parts)
+	copied := cached - e.CachedTokens(a.parts)
+	if copied <= 0 {
+		return uncached, 0, -1
 	}
-	copying = w.engines[keeper].CopyTime(w.now, lacking, w.Scenario.Engines.CopyRate)
-	if copying >= milliseconds(float64(lacking)/w.Scenario.Engines.PrefillRate) {
-		return own, 0, -1
+	copyTime = sim.engines[holder].CopyTime(sim.now, copied, sim.scenario.Engines.CopyRate)
+	if copyTime >= milliseconds(float64(copied)/sim.scenario.Engines.PrefillRate) {
+		return uncached, 0, -1
 	}
-	return own - lacking, copying, keeper
+	return uncached - copied, copyTime, holder
 }
 
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// keeper returns the engine that keeps most of a prompt, and how many tokens.
-func (w *world) keeper(parts []placement.PromptPart) (best, kept int) {
+// bestCopySource returns the engine that has cached most tokens of a prompt, and how many. It
+// returns -1 if no engine has any.
+func (sim *simulation) bestCopySource(parts []placement.PromptPart) (best, cached int) {
 	best = -1
-	for i, e := range w.engines {
-		if held := e.CachedTokens(parts); !w.away[i] && held > kept {
-			best, kept = i, held
+	for i, e := range sim.engines {
+		if tokens := e.CachedTokens(parts); !sim.down[i] && tokens > cached {
+			best, cached = i, tokens
 		}
 	}
-	return best, kept
+	return best, cached
 }
--- a/internal/workload/request.go
+++ b/internal/workload/request.go
@@ -8,252 +8,258 @@
 	"laburnumfall/internal/placement"
 )
 
-// A fate is how a request ended for its caller.
-type fate uint8
+// An outcome is how a request ended for its caller.
+type outcome uint8
 
 const (
-	pending fate = iota
-	served
-	refused // and did not come back, or was refused again
-	left    // nothing came for too long
-	failed  // its engine was lost
+	outcomePending outcome = iota
+	outcomeServed
+	outcomeRefused   // the caller did not retry, or was refused again
+	outcomeAbandoned // the caller left at its deadline or after a long wait without an event
+	outcomeFailed    // the engine crashed
 )
 
-// A request is one of a caller, with all its attempts.
+// A request is a caller's request with all its attempts.
 type request struct {
 	arrival
 
-	kind     *RequestKind
-	route    *fleet.Route
-	sentAt   time.Time
-	tries    int // of the caller
-	fate     fate
-	first    time.Time // first event at the caller
-	last     time.Time // last event there
-	pause    time.Duration
-	events   int
-	withRoom bool // refused while engines had room
-	held     *attempt
+	kind                *RequestKind
+	route               *fleet.Route
+	sentAt              time.Time
+	callerAttempts      int // attempts by the caller, each through one router
+	outcome             outcome
+	firstEventAt        time.Time // when the caller received its first event
+	lastEventAt         time.Time // when the caller received its last event, or began to wait
+	longestGap          time.Duration
+	events              int
+	refusedWithCapacity bool // refused at least once while engines had free capacity
+	current             *attempt
 }
 
-// An attempt is a request at one router.
+// An attempt is a caller's attempt through one router.
 type attempt struct {
 	*request
 
-	id     uint64
-	router int
-	sent   int // targets
-	tried  []fleet.Incarnation
-	engine int
-	within bool
-	choice *placement.Choice
-	ended  bool
-	begun  bool // the router has seen its first event
+	id                  uint64
+	routerIndex         int
+	sends               int // how many engines the router sent it to
+	tried               []fleet.Incarnation
+	engineIndex         int
+	withinShare         bool
+	choice              *placement.Choice
+	ended               bool
+	firstTokenGenerated bool
 }
 
-func (r *request) until() time.Time {
+func (r *request) deadline() time.Time {
 	return r.sentAt.Add(time.Duration(r.kind.Deadline))
 }
 
-// tokens is what a request costs: one each to read, two to generate, at most.
-func (r *request) tokens() float64 {
-	const generated = 2
-	sum := generated * r.output
-	for _, p := range r.parts {
-		sum += p.Tokens
+// cost returns the cost of a request in tokens: a prompt token costs one, an output token two.
+// Cached prompt tokens are not subtracted.
+func (r *request) cost() float64 {
+	const outputTokenCost = 2
+	tokens := outputTokenCost * r.outputTokens
+	for _, part := range r.parts {
+		tokens += part.Tokens
 	}
-	return float64(sum)
+	return float64(tokens)
 }
 
-// arrive brings a request to a router.
-func (w *world) arrive(r *request) {
-	w.attempts++
-	a := &attempt{request: r, id: w.attempts, router: int((r.caller + uint64(r.tries)*7) % uint64(w.Scenario.Routers))}
-	r.tries++
-	r.held = a
-	if r.tries == 1 {
-		r.last = w.now
-		w.watch(r)
+// arrive starts an attempt of a caller at one of the routers.
+func (sim *simulation) arrive(r *request) {
+	sim.attempts++
+	a := &attempt{request: r, id: sim.attempts, routerIndex: int((r.callerID + uint64(r.callerAttempts)*7) % uint64(sim.scenario.Routers))}
+	r.callerAttempts++
+	r.current = a
+	if r.callerAttempts == 1 {
+		r.lastEventAt = sim.now
+		sim.watchCaller(r)
 	}
-	w.after(time.Duration(w.Scenario.CallerLatency), func() {
-		w.Policy.Ask(w, a)
-		w.send(a)
+	sim.scheduleAfter(time.Duration(sim.scenario.CallerLatency), func() {
+		sim.policy.RequestArrived(sim, a)
+		sim.dispatch(a)
 	})
 }
 
-// watch lets a caller leave once nothing has come for too long.
-func (w *world) watch(r *request) {
-	gone := r.last.Add(r.route.AbandonAfter())
-	if until := r.until(); until.Before(gone) {
-		gone = until
+// watchCaller makes the caller leave at its deadline, or earlier if it receives no event for the
+// route's AbandonAfter time.
+func (sim *simulation) watchCaller(r *request) {
+	leaveAt := r.lastEventAt.Add(r.route.AbandonAfter())
+	if deadline := r.deadline(); deadline.Before(leaveAt) {
+		leaveAt = deadline
 	}
-	w.at(gone, func() {
-		if r.fate != pending {
+	sim.schedule(leaveAt, func() {
+		if r.outcome != outcomePending {
 			return
 		}
-		if w.now.Before(r.last.Add(r.route.AbandonAfter())) && w.now.Before(r.until()) {
-			w.watch(r)
+		if sim.now.Before(r.lastEventAt.Add(r.route.AbandonAfter())) && sim.now.Before(r.deadline()) {
+			sim.watchCaller(r)
 			return
 		}
-		r.fate = left
-		if a := r.held; a != nil && a.sent > 0 && !a.ended {
-			w.after(time.Duration(w.Scenario.CallerLatency)+w.hop(a.router, a.engine), func() { w.cancel(a) })
+		r.outcome = outcomeAbandoned
+		if a := r.current; a != nil && a.sends > 0 && !a.ended {
+			sim.scheduleAfter(time.Duration(sim.scenario.CallerLatency)+sim.latency(a.routerIndex, a.engineIndex), func() { sim.cancel(a) })
 		}
 	})
 }
 
-func (w *world) cancel(a *attempt) {
+func (sim *simulation) cancel(a *attempt) {
 	if a.ended {
 		return
 	}
-	w.engines[a.engine].Cancel(a.id)
-	delete(w.jobs[a.engine], a.id)
-	w.end(a, placement.Canceled)
+	sim.engines[a.engineIndex].Cancel(a.id)
+	delete(sim.attemptsOnEngine[a.engineIndex], a.id)
+	sim.endAttempt(a, placement.Canceled)
 }
 
-// end tells the policy once how an attempt ended.
-func (w *world) end(a *attempt, r placement.Result) {
+// endAttempt reports the end of an attempt at an engine to the policy, once.
+func (sim *simulation) endAttempt(a *attempt, result placement.Result) {
 	if !a.ended {
 		a.ended = true
-		w.Policy.Ended(w, a, r)
+		sim.policy.AttemptEnded(sim, a, result)
 	}
 }
 
-// send sends an attempt to the engine that the policy chooses, or refuses it.
-func (w *world) send(a *attempt) {
-	if a.fate != pending {
+// dispatch sends an attempt to the engine that the policy chooses, or refuses it.
+func (sim *simulation) dispatch(a *attempt) {
+	if a.outcome != outcomePending {
 		return
 	}
-	i, back := w.Policy.Choose(w, a)
+	engineIndex, retryAfter := sim.policy.Choose(sim, a)
 	switch {
-	case i >= 0:
-		w.sendTo(a, i)
-	case back > 0:
-		w.refuse(a, back)
+	case engineIndex >= 0:
+		sim.sendTo(a, engineIndex)
+	case retryAfter > 0:
+		sim.refuse(a, retryAfter)
 	}
 }
 
-func (w *world) sendTo(a *attempt, i int) {
-	a.engine, a.ended = i, false
-	a.sent++
-	a.tried = append(a.tried, fleet.Incarnation{ID: w.ids[i]})
-	w.after(w.hop(a.router, i), func() { w.offer(a) })
+func (sim *simulation) sendTo(a *attempt, engineIndex int) {
+	a.engineIndex, a.ended = engineIndex, false
+	a.sends++
+	a.tried = append(a.tried, fleet.Incarnation{ID: sim.ids[engineIndex]})
+	sim.scheduleAfter(sim.latency(a.routerIndex, engineIndex), func() { sim.submit(a) })
 }
 
-func (w *world) offer(a *attempt) {
-	job := engine.Request{ID: a.id, Parts: a.parts, OutputTokens: a.output, CopySource: w.source(a)}
-	if w.away[a.engine] {
-		w.after(w.hop(a.router, a.engine), func() { w.elsewhere(a, placement.ConnectFailed) })
+func (sim *simulation) submit(a *attempt) {
+	engineRequest := engine.Request{ID: a.id, Parts: a.parts, OutputTokens: a.outputTokens, CopySource: sim.copySource(a)}
+	if sim.down[a.engineIndex] {
+		sim.scheduleAfter(sim.latency(a.routerIndex, a.engineIndex), func() { sim.retryElsewhere(a, placement.ConnectFailed) })
 		return
 	}
-	if a.fate != pending || !w.engines[a.engine].Submit(w.now, job) {
-		w.after(w.hop(a.router, a.engine), func() { w.elsewhere(a, placement.Refused) })
+	if a.outcome != outcomePending || !sim.engines[a.engineIndex].Submit(sim.now, engineRequest) {
+		sim.scheduleAfter(sim.latency(a.routerIndex, a.engineIndex), func() { sim.retryElsewhere(a, placement.Refused) })
 		return
 	}
-	w.jobs[a.engine][a.id] = a
-	w.stir(a.engine)
+	sim.attemptsOnEngine[a.engineIndex][a.id] = a
+	sim.scheduleStepEnd(a.engineIndex)
 }
 
-// source returns the engine that an attempt's parts are copied from, or nil.
-func (w *world) source(a *attempt) *engine.Engine {
+// copySource returns the engine from which an attempt copies cached parts, or nil.
+func (sim *simulation) copySource(a *attempt) *engine.Engine {
 	if a.choice == nil || a.choice.CopyFrom == "" {
 		return nil
 	}
-	for i, id := range w.ids {
-		if id == a.choice.CopyFrom && !w.away[i] {
-			return w.engines[i]
+	for index, id := range sim.ids {
+		if id == a.choice.CopyFrom && !sim.down[index] {
+			return sim.engines[index]
 		}
 	}
 	return nil
 }
 
-// elsewhere goes on after an engine that did not take the request.
-func (w *world) elsewhere(a *attempt, r placement.Result) {
-	w.end(a, r)
-	if a.fate != pending {
+// retryElsewhere handles an engine that did not accept an attempt: it sends the attempt to
+// another engine, or refuses it after the route's maximum number of attempts.
+func (sim *simulation) retryElsewhere(a *attempt, result placement.Result) {
+	sim.endAttempt(a, result)
+	if a.outcome != outcomePending {
 		return
 	}
-	if a.sent < a.route.MaxAttempts {
-		w.send(a)
+	if a.sends < a.route.MaxAttempts {
+		sim.dispatch(a)
 		return
 	}
-	const moment = 300 * time.Millisecond
-	w.refuse(a, moment)
+	const noCapacityRetryAfter = 300 * time.Millisecond
+	sim.refuse(a, noCapacityRetryAfter)
 }
 
-// refuse answers the caller, who comes back once that is worth it.
-func (w *world) refuse(a *attempt, back time.Duration) {
-	a.withRoom = a.withRoom || w.hasRoom()
-	w.after(time.Duration(w.Scenario.CallerLatency), func() {
-		if a.fate != pending {
+// refuse answers the caller with a retry time. The caller retries if it has retries and enough
+// time left.
+func (sim *simulation) refuse(a *attempt, retryAfter time.Duration) {
+	a.refusedWithCapacity = a.refusedWithCapacity || sim.hasCapacity()
+	sim.scheduleAfter(time.Duration(sim.scenario.CallerLatency), func() {
+		if a.outcome != outcomePending {
 			return
 		}
-		// Callers heed the time to come back up to a third of what they have left.
-		const heed = 3
-		if a.tries > a.kind.MaxRetries || back > a.until().Sub(w.now)/heed {
-			a.fate = refused
+		// Callers wait for at most a third of the time left until their deadline.
+		const maxWaitDivisor = 3
+		if a.callerAttempts > a.kind.MaxRetries || retryAfter > a.deadline().Sub(sim.now)/maxWaitDivisor {
+			a.outcome = outcomeRefused
 			return
 		}
-		a.held = nil
-		a.last = w.now.Add(back)
-		w.after(back, func() {
-			if a.fate == pending {
-				w.arrive(a.request)
+		a.current = nil
+		a.lastEventAt = sim.now.Add(retryAfter)
+		sim.scheduleAfter(retryAfter, func() {
+			if a.outcome == outcomePending {
+				sim.arrive(a.request)
 			}
 		})
 	})
 }
 
-// hasRoom reports whether under half of the engines' slots are taken, and nothing waits.
-func (w *world) hasRoom() bool {
-	taken, waiting := 0, 0
-	for _, e := range w.engines {
-		r, q := e.Load()
-		taken, waiting = taken+r, waiting+q
+// hasCapacity reports whether less than half of the engines' slots are in use and no request
+// waits at an engine.
+func (sim *simulation) hasCapacity() bool {
+	running, waiting := 0, 0
+	for _, e := range sim.engines {
+		engineRunning, engineWaiting := e.Load()
+		running, waiting = running+engineRunning, waiting+engineWaiting
 	}
-	return waiting == 0 && taken*2 < w.Scenario.Engines.Slots*len(w.engines)
+	return waiting == 0 && running*2 < sim.scenario.Engines.Slots*len(sim.engines)
 }
 
-// made brings what an engine made to the router and the caller.
-func (w *world) made(a *attempt, ev engine.Event) {
-	hop := w.hop(a.router, a.engine)
-	if !a.begun {
-		a.begun = true
-		w.after(hop, func() { w.Policy.First(w, a) })
+// deliver sends an event of an engine to the router and the caller.
+func (sim *simulation) deliver(a *attempt, event engine.Event) {
+	latency := sim.latency(a.routerIndex, a.engineIndex)
+	if !a.firstTokenGenerated {
+		a.firstTokenGenerated = true
+		sim.scheduleAfter(latency, func() { sim.policy.FirstByte(sim, a) })
 	}
-	if ev.Generated >= a.events*a.kind.TokensPerEvent || ev.Done {
-		a.event(ev.At.Add(hop + time.Duration(w.Scenario.CallerLatency)))
+	if event.Generated >= a.events*a.kind.TokensPerEvent || event.Done {
+		a.recordEvent(event.At.Add(latency + time.Duration(sim.scenario.CallerLatency)))
 	}
-	if !ev.Done {
+	if !event.Done {
 		return
 	}
-	delete(w.jobs[a.engine], a.id)
-	if a.fate == pending {
-		a.fate = served
+	delete(sim.attemptsOnEngine[a.engineIndex], a.id)
+	if a.outcome == outcomePending {
+		a.outcome = outcomeServed
 	}
-	w.after(hop, func() { w.end(a, placement.Served) })
+	sim.scheduleAfter(latency, func() { sim.endAttempt(a, placement.Served) })
 }
 
-// event notes an event at the caller.
-func (r *request) event(at time.Time) {
+// recordEvent records an event that reaches the caller.
+func (r *request) recordEvent(at time.Time) {
 	r.events++
-	if r.first.IsZero() {
-		r.first = at
+	if r.firstEventAt.IsZero() {
+		r.firstEventAt = at
 	} else {
-		r.pause = max(r.pause, at.Sub(r.last))
+		r.longestGap = max(r.longestGap, at.Sub(r.lastEventAt))
 	}
-	r.last = at
+	r.lastEventAt = at
 }
 
-// broken ends an attempt whose engine was lost.
-func (w *world) broken(a *attempt) {
-	w.after(w.hop(a.router, a.engine), func() { w.end(a, placement.Failed) })
-	if a.fate == pending {
-		a.fate = failed
+// failAttempt ends an attempt whose engine crashed.
+func (sim *simulation) failAttempt(a *attempt) {
+	sim.scheduleAfter(sim.latency(a.routerIndex, a.engineIndex), func() { sim.endAttempt(a, placement.Failed) })
+	if a.outcome == outcomePending {
+		a.outcome = outcomeFailed
 	}
 }
 
-// onTime reports whether a request was served as its kind wants it.
+// onTime reports whether a request was served within the latency objective and the maximum event
+// gap of its kind.
 func (r *request) onTime() bool {
-	return r.fate == served && r.first.Sub(r.sentAt) <= time.Duration(r.kind.LatencyObjective) && r.pause <= time.Duration(r.kind.MaxEventGap)
+	return r.outcome == outcomeServed && r.firstEventAt.Sub(r.sentAt) <= time.Duration(r.kind.LatencyObjective) && r.longestGap <= time.Duration(r.kind.MaxEventGap)
 }
--- a/internal/workload/result.go
+++ b/internal/workload/result.go
@@ -12,84 +12,86 @@
 	"laburnumfall/internal/quota"
 )
 
-// Figures are what the callers of some requests got. Parts are of all these requests
-// unless said, from 0 to 1; times are in milliseconds.
+// Metrics describe the outcomes of a set of requests. Rates are fractions of all these requests,
+// from 0 to 1, unless stated otherwise; times are in milliseconds.
 type Metrics struct {
 	Name                string  `json:"name"`
 	Requests            int     `json:"requests"`
-	ValueRatio          float64 `json:"worth"` // earned, of what was owed
+	ValueRatio          float64 `json:"worth"` // earned value divided by the value if all responses were on time
 	OnTime              float64 `json:"ontime"`
 	Late                float64 `json:"late"`
 	Refused             float64 `json:"refused"`
-	Abandoned           float64 `json:"left"` // for want of any sign
+	Abandoned           float64 `json:"left"` // the caller received no event for too long
 	Failed              float64 `json:"failed"`
-	RefusedWithCapacity float64 `json:"roomy"`  // refused, once or for good, while engines had room
-	LongGaps            float64 `json:"paused"` // of those served, with a pause over their kind's
+	RefusedWithCapacity float64 `json:"roomy"`  // refused at least once while engines had free capacity
+	LongGaps            float64 `json:"paused"` // fraction of the served requests with an event gap over the maximum of their kind
 	P50                 float64 `json:"p50"`    // time to the first event
 	P95                 float64 `json:"p95"`
 	P99                 float64 `json:"p99"`
 }
 
-// A Result is what a run gave.
+// A Result holds the metrics of one run.
 type Result struct {
 	Scenario string  `json:"scenario"`
 	Policy   string  `json:"policy"`
 	Seed     uint64  `json:"seed"`
 	Load     float64 `json:"load"`
 	Metrics
-	// Again is the part of the prompt tokens read that were of shared parts which the
-	// same engine had read before, Copied what was copied, of all prompt tokens.
+	// Recomputed is the fraction of the prefilled tokens that belong to shared parts that the
+	// same engine had prefilled before. Copied is the fraction of all prompt tokens that were
+	// copied from another engine.
 	Recomputed float64 `json:"again"`
 	Copied     float64 `json:"copied"`
-	// Busy is the part of the time in which engines worked.
+	// Busy is the mean fraction of time in which engines worked.
 	Busy float64 `json:"busy"`
-	// Worst is the least that an account got of what is due to it: of its max-min
-	// share of the capacity, or of what it asked for if that is less.
+	// WorstAccountShare is the lowest fraction that an account received of its entitlement: its
+	// max-min fair share of the capacity, or the tokens it requested if these are fewer.
 	WorstAccountShare float64   `json:"worst"`
 	ByKind            []Metrics `json:"kinds"`
-	// Sizes are the tenths of all requests by size, relative to the mean of their kind.
+	// BySize holds the metrics of each decile of the requests by size, relative to the mean size
+	// of their kind.
 	BySize []Metrics `json:"sizes"`
 }
 
-func (w *world) result(name string, seed uint64) Result {
-	ran := w.now.Sub(start)
-	w.requests = slices.DeleteFunc(w.requests, func(r *request) bool { return r.at < time.Duration(w.Scenario.WarmupTime) })
-	r := Result{Scenario: w.Scenario.Name, Policy: name, Seed: seed, Load: 1, Metrics: figures("all", w.requests, w.means())}
-	r.WorstAccountShare = w.worst()
-	var read, again, copied int
-	var busy time.Duration
-	for _, e := range w.engines {
-		c := e.Counts()
-		read, again, copied = read+c.PrefilledTokens, again+c.RecomputedTokens, copied+c.CopiedTokens
-		busy += c.BusyTime
+func (sim *simulation) result(name string, seed uint64) Result {
+	duration := sim.now.Sub(start)
+	sim.requests = slices.DeleteFunc(sim.requests, func(r *request) bool { return r.at < time.Duration(sim.scenario.WarmupTime) })
+	result := Result{Scenario: sim.scenario.Name, Policy: name, Seed: seed, Load: 1, Metrics: computeMetrics("all", sim.requests, sim.meanSizes())}
+	result.WorstAccountShare = sim.worstAccountShare()
+	var prefilled, recomputed, copied int
+	var busyTime time.Duration
+	for _, e := range sim.engines {
+		counts := e.Counts()
+		prefilled, recomputed, copied = prefilled+counts.PrefilledTokens, recomputed+counts.RecomputedTokens, copied+counts.CopiedTokens
+		busyTime += counts.BusyTime
 	}
-	if read > 0 {
-		r.Recomputed, r.Copied = float64(again)/float64(read), float64(copied)/float64(read+copied)
+	if prefilled > 0 {
+		result.Recomputed, result.Copied = float64(recomputed)/float64(prefilled), float64(copied)/float64(prefilled+copied)
 	}
-	r.Busy = float64(busy) / float64(ran) / float64(len(w.engines))
-	for i, k := range w.Scenario.Kinds {
-		r.ByKind = append(r.ByKind, figures(k.Name, w.of(i), w.means()))
+	result.Busy = float64(busyTime) / float64(duration) / float64(len(sim.engines))
+	for i, kind := range sim.scenario.Kinds {
+		result.ByKind = append(result.ByKind, computeMetrics(kind.Name, sim.requestsOfKind(i), sim.meanSizes()))
 	}
-	r.BySize = w.sizes()
-	return r
+	result.BySize = sim.metricsBySize()
+	return result
 }
 
-func (w *world) of(kind int) []*request {
-	var list []*request
-	for _, r := range w.requests {
-		if r.arrival.kind == kind {
-			list = append(list, r)
+func (sim *simulation) requestsOfKind(kindIndex int) []*request {
+	var requests []*request
+	for _, req := range sim.requests {
+		if req.arrival.kindIndex == kindIndex {
+			requests = append(requests, req)
 		}
 	}
-	return list
+	return requests
 }
 
-// means returns the mean size of each kind.
-func (w *world) means() []float64 {
-	sums, counts := make([]float64, len(w.Scenario.Kinds)), make([]float64, len(w.Scenario.Kinds))
-	for _, r := range w.requests {
-		sums[r.arrival.kind] += r.size
-		counts[r.arrival.kind]++
+// meanSizes returns the mean request size of each kind.
+func (sim *simulation) meanSizes() []float64 {
+	sums, counts := make([]float64, len(sim.scenario.Kinds)), make([]float64, len(sim.scenario.Kinds))
+	for _, req := range sim.requests {
+		sums[req.arrival.kindIndex] += req.weightedTokens
+		counts[req.arrival.kindIndex]++
 	}
 	for i := range sums {
 		sums[i] /= max(counts[i], 1)
@@ -97,160 +99,161 @@
 	return sums
 }
 
-// sizes returns the figures of each tenth of the requests by size.
-func (w *world) sizes() []Metrics {
-	const tenths = 10
-	means := w.means()
-	list := slices.Clone(w.requests)
-	sort.SliceStable(list, func(i, j int) bool {
-		return list[i].size/means[list[i].arrival.kind] < list[j].size/means[list[j].arrival.kind]
+// metricsBySize returns the metrics of each decile of the requests by size.
+func (sim *simulation) metricsBySize() []Metrics {
+	const groups = 10
+	meanSizes := sim.meanSizes()
+	requests := slices.Clone(sim.requests)
+	sort.SliceStable(requests, func(i, j int) bool {
+		return requests[i].weightedTokens/meanSizes[requests[i].arrival.kindIndex] < requests[j].weightedTokens/meanSizes[requests[j].arrival.kindIndex]
 	})
-	var out []Metrics
-	for i := range tenths {
-		from, to := len(list)*i/tenths, len(list)*(i+1)/tenths
-		out = append(out, figures(fmt.Sprintf("size %d", i+1), list[from:to], means))
+	var deciles []Metrics
+	for i := range groups {
+		from, to := len(requests)*i/groups, len(requests)*(i+1)/groups
+		deciles = append(deciles, computeMetrics(fmt.Sprintf("size %d", i+1), requests[from:to], meanSizes))
 	}
-	return out
+	return deciles
 }
 
-func figures(name string, list []*request, means []float64) Metrics {
-	f := Metrics{Name: name, Requests: len(list)}
-	if len(list) == 0 {
-		return f
+func computeMetrics(name string, requests []*request, meanSizes []float64) Metrics {
+	metrics := Metrics{Name: name, Requests: len(requests)}
+	if len(requests) == 0 {
+		return metrics
 	}
-	var earned, owed, paused, done float64
-	var firsts []float64
-	one := 1 / float64(len(list))
-	for _, r := range list {
-		// A request counts by its size against the mean of its kind, four times at most.
-		const base, most = 0.3, 4
-		weight := base + (1-base)*min(r.size/means[r.arrival.kind], most)
-		owed += r.kind.Value * weight
-		if !r.first.IsZero() {
-			firsts = append(firsts, float64(r.first.Sub(r.sentAt))/float64(time.Millisecond))
+	var earned, owed, longGaps, served float64
+	var firstEventTimes []float64
+	requestFraction := 1 / float64(len(requests))
+	for _, req := range requests {
+		// The weight of a request depends on its size relative to the mean of its kind, of which
+		// four times the mean counts at most.
+		const baseWeight, maxRelativeSize = 0.3, 4
+		weight := baseWeight + (1-baseWeight)*min(req.weightedTokens/meanSizes[req.arrival.kindIndex], maxRelativeSize)
+		owed += req.kind.Value * weight
+		if !req.firstEventAt.IsZero() {
+			firstEventTimes = append(firstEventTimes, float64(req.firstEventAt.Sub(req.sentAt))/float64(time.Millisecond))
 		}
-		if r.withRoom {
-			f.RefusedWithCapacity += one
+		if req.refusedWithCapacity {
+			metrics.RefusedWithCapacity += requestFraction
 		}
 		switch {
-		case r.onTime():
-			f.OnTime += one
-			earned += r.kind.Value * weight
-		case r.fate == served:
-			f.Late += one
-			earned += r.kind.LateValue * weight
-		case r.fate == refused:
-			f.Refused += one
-		case r.fate == left:
-			f.Abandoned += one
+		case req.onTime():
+			metrics.OnTime += requestFraction
+			earned += req.kind.Value * weight
+		case req.outcome == outcomeServed:
+			metrics.Late += requestFraction
+			earned += req.kind.LateValue * weight
+		case req.outcome == outcomeRefused:
+			metrics.Refused += requestFraction
+		case req.outcome == outcomeAbandoned:
+			metrics.Abandoned += requestFraction
 		default:
-			f.Failed += one
+			metrics.Failed += requestFraction
 		}
-		if r.fate == served {
-			done++
-			if r.pause > time.Duration(r.kind.MaxEventGap) {
-				paused++
+		if req.outcome == outcomeServed {
+			served++
+			if req.longestGap > time.Duration(req.kind.MaxEventGap) {
+				longGaps++
 			}
 		}
 	}
-	f.ValueRatio = earned / owed
-	f.LongGaps = paused / max(done, 1)
-	f.P50, f.P95, f.P99 = quantiles(firsts)
-	return f
+	metrics.ValueRatio = earned / owed
+	metrics.LongGaps = longGaps / max(served, 1)
+	metrics.P50, metrics.P95, metrics.P99 = quantiles(firstEventTimes)
+	return metrics
 }
 
-func quantiles(list []float64) (p50, p95, p99 float64) {
-	if len(list) == 0 {
+func quantiles(values []float64) (p50, p95, p99 float64) {
+	if len(values) == 0 {
 		return 0, 0, 0
 	}
-	slices.Sort(list)
-	at := func(p float64) float64 { return stat.Quantile(p, stat.Empirical, list, nil) }
-	return at(0.50), at(0.95), at(0.99)
+	slices.Sort(values)
+	quantile := func(probability float64) float64 { return stat.Quantile(probability, stat.Empirical, values, nil) }
+	return quantile(0.50), quantile(0.95), quantile(0.99)
 }
 
-// worst returns the least that an account got of what is due to it, of those that
-// sent enough for that to be no chance.
-func (w *world) worst() float64 {
-	const enough = 20
-	asked, got, counts := make([]float64, len(w.Scenario.AccountWeights)), make([]float64, len(w.Scenario.AccountWeights)), make([]int, len(w.Scenario.AccountWeights))
-	for _, r := range w.requests {
-		cost := (&attempt{request: r}).tokens()
-		asked[r.account] += cost
-		counts[r.account]++
-		if r.fate == served {
-			got[r.account] += cost
+// worstAccountShare returns the lowest fraction that an account received of its entitlement.
+// Accounts with fewer than minRequests requests are left out, since their fraction depends on
+// chance.
+func (sim *simulation) worstAccountShare() float64 {
+	const minRequests = 20
+	requested, received, counts := make([]float64, len(sim.scenario.AccountWeights)), make([]float64, len(sim.scenario.AccountWeights)), make([]int, len(sim.scenario.AccountWeights))
+	for _, req := range sim.requests {
+		cost := (&attempt{request: req}).cost()
+		requested[req.account] += cost
+		counts[req.account]++
+		if req.outcome == outcomeServed {
+			received[req.account] += cost
 		}
 	}
-	seconds := time.Duration(w.Scenario.Duration - w.Scenario.WarmupTime).Seconds()
-	level := quota.MaxMinLevel(w.Scenario.Capacity*seconds, asked)
-	worst := 1.0
-	for i := range asked {
-		due := asked[i]
-		if level > 0 {
-			due = min(due, level)
+	seconds := time.Duration(sim.scenario.Duration - sim.scenario.WarmupTime).Seconds()
+	maxMinLevel := quota.MaxMinLevel(sim.scenario.Capacity*seconds, requested)
+	worstShare := 1.0
+	for i := range requested {
+		entitled := requested[i]
+		if maxMinLevel > 0 {
+			entitled = min(entitled, maxMinLevel)
 		}
-		if counts[i] >= enough {
-			worst = min(worst, got[i]/due)
+		if counts[i] >= minRequests {
+			worstShare = min(worstShare, received[i]/entitled)
 		}
 	}
-	return worst
+	return worstShare
 }
 
-// Table returns results as a Markdown table. Where several seeds were played the
-// figures are the means of each policy and load.
-func Table(list []Result) string {
-	var b strings.Builder
-	b.WriteString("| policy | load | seeds | worth | on time | late | refused | left | failed | p50 | p95 | p99 ms | paused | read again | copied | busy | worst account | refused with room |\n")
-	b.WriteString("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|\n")
-	for _, r := range MeanResults(list) {
-		fmt.Fprintf(&b, "| %s | %g | %d | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.0f | %.0f | %.0f | %.3f | %.3f | %.3f | %.2f | %.2f | %.3f |\n",
-			r.Policy, r.Load, r.Seed, r.ValueRatio, r.OnTime, r.Late, r.Refused, r.Abandoned, r.Failed, r.P50, r.P95, r.P99, r.LongGaps, r.Recomputed, r.Copied, r.Busy, r.WorstAccountShare, r.RefusedWithCapacity)
+// Table returns results as a Markdown table of the means over the seeds of each policy and load.
+func Table(results []Result) string {
+	var table strings.Builder
+	table.WriteString("| policy | load | seeds | worth | on time | late | refused | left | failed | p50 | p95 | p99 ms | paused | read again | copied | busy | worst account | refused with room |\n")
+	table.WriteString("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|\n")
+	for _, result := range MeanResults(results) {
+		fmt.Fprintf(&table, "| %s | %g | %d | %.3f | %.3f | %.3f | %.3f | %.3f | %.3f | %.0f | %.0f | %.0f | %.3f | %.3f | %.3f | %.2f | %.2f | %.3f |\n",
+			result.Policy, result.Load, result.Seed, result.ValueRatio, result.OnTime, result.Late, result.Refused, result.Abandoned, result.Failed, result.P50, result.P95, result.P99, result.LongGaps, result.Recomputed, result.Copied, result.Busy, result.WorstAccountShare, result.RefusedWithCapacity)
 	}
-	return b.String()
+	return table.String()
 }
 
-// Means returns the means over the seeds of each policy and load, in the order in which
-// these come first. Seed then is how many seeds there were; kinds and sizes are left out.
-func MeanResults(list []Result) []Result {
+// MeanResults returns the means over the seeds of each policy and load, in the order of their
+// first result. The field Seed holds the number of seeds. ByKind and BySize are left empty.
+func MeanResults(results []Result) []Result {
 	type key struct {
 		policy string
 		load   float64
 	}
-	var order []key
+	var groupKeys []key
 	groups := make(map[key][]Result)
-	for _, r := range list {
-		k := key{r.Policy, r.Load}
-		if groups[k] == nil {
-			order = append(order, k)
+	for _, result := range results {
+		groupKey := key{result.Policy, result.Load}
+		if groups[groupKey] == nil {
+			groupKeys = append(groupKeys, groupKey)
 		}
-		groups[k] = append(groups[k], r)
+		groups[groupKey] = append(groups[groupKey], result)
 	}
-	var out []Result
-	for _, k := range order {
-		out = append(out, mean(groups[k]))
+	var means []Result
+	for _, groupKey := range groupKeys {
+		means = append(means, meanResult(groups[groupKey]))
 	}
-	return out
+	return means
 }
 
-func mean(list []Result) Result {
-	m := Result{Scenario: list[0].Scenario, Policy: list[0].Policy, Load: list[0].Load, Seed: uint64(len(list))}
-	for _, figure := range figureNames {
+func meanResult(results []Result) Result {
+	means := Result{Scenario: results[0].Scenario, Policy: results[0].Policy, Load: results[0].Load, Seed: uint64(len(results))}
+	for _, metric := range metricNames {
 		sum := 0.0
-		for i := range list {
-			sum += *list[i].figure(figure)
+		for i := range results {
+			sum += *results[i].metric(metric)
 		}
-		*m.figure(figure) = sum / float64(len(list))
+		*means.metric(metric) = sum / float64(len(results))
 	}
-	return m
+	return means
 }
 
-// figureNames are the figures that a check may bound.
-var figureNames = []string{
+// metricNames are the names of the metrics that a check may bound.
+var metricNames = []string{
 	"worth", "ontime", "late", "refused", "left", "failed", "roomy", "paused", "p50", "p95", "p99", "again", "copied", "busy", "worst",
 }
 
-// figure returns the place of a figure, or nil if there is none of that name.
-func (r *Result) figure(name string) *float64 {
+// metric returns a pointer to the metric with a name, or nil if there is none.
+func (r *Result) metric(name string) *float64 {
 	return map[string]*float64{
 		"worth": &r.ValueRatio, "ontime": &r.OnTime, "late": &r.Late, "refused": &r.Refused, "left": &r.Abandoned, "failed": &r.Failed,
 		"roomy": &r.RefusedWithCapacity, "paused": &r.LongGaps, "p50": &r.P50, "p95": &r.P95, "p99": &r.P99, "again": &r.Recomputed,
@@ -258,22 +261,22 @@
 	}[name]
 }
 
-// Check returns what of the scenario's checks the results at its own load fail.
-func (s Scenario) FailedChecks(list []Result) []string {
-	var broken []string
-	for _, c := range s.Checks {
-		for _, r := range list {
-			if r.Policy != c.Policy || r.Load != 1 {
+// FailedChecks returns a message for each check of the scenario that a result at load 1 fails.
+func (s Scenario) FailedChecks(results []Result) []string {
+	var failures []string
+	for _, check := range s.Checks {
+		for _, result := range results {
+			if result.Policy != check.Policy || result.Load != 1 {
 				continue
 			}
-			value := *r.figure(c.Metric)
-			if value < c.Min {
-				broken = append(broken, fmt.Sprintf("%s, seed %d: %s is %.3f, not at least %g", c.Policy, r.Seed, c.Metric, value, c.Min))
+			value := *result.metric(check.Metric)
+			if value < check.Min {
+				failures = append(failures, fmt.Sprintf("%s, seed %d: %s is %.3f, not at least %g", check.Policy, result.Seed, check.Metric, value, check.Min))
 			}
-			if c.Max > 0 && value > c.Max {
-				broken = append(broken, fmt.Sprintf("%s, seed %d: %s is %.3f, not at most %g", c.Policy, r.Seed, c.Metric, value, c.Max))
+			if check.Max > 0 && value > check.Max {
+				failures = append(failures, fmt.Sprintf("%s, seed %d: %s is %.3f, not at most %g", check.Policy, result.Seed, check.Metric, value, check.Max))
 			}
 		}
 	}
-	return broken
+	return failures
 }
--- a/internal/workload/routers.go
+++ b/internal/workload/routers.go
@@ -11,135 +11,135 @@
 )
 
 const (
-	// listLag is how long routers do not know that an engine is gone or back: the
-	// platform's list shows it late, and is read every 600 ms.
-	listLag = 1500 * time.Millisecond
-	pool    = "engines"
+	// listDelay is how long it takes routers to notice that an engine crashed or restarted. The
+	// platform updates its list with a delay, and routers read it every 600 ms.
+	listDelay  = 1500 * time.Millisecond
+	enginePool = "engines"
 )
 
-// routers is what routers do: each has its own view, and learns of the others through
-// the leader.
-type routers struct {
-	// change, if set, leaves a mechanism out.
-	change func(*routers)
-
-	desks    []*desk
-	board    quota.Aggregator
-	rules    []admission.Rule
-	back     admission.RetryPolicy
-	sizes    bool
-	certain  bool
-	capacity float64       // tokens a second that accounts share
-	copyRate float64       // tokens copied between engines in a millisecond
-	period   time.Duration // in which routers hear of each other
+// routerPolicy makes the decisions of the real routers. Each router has its own view of the
+// engines and receives the load of the other routers through the leader.
+type routerPolicy struct {
+	// ablate disables a mechanism; it may be nil.
+	ablate func(*routerPolicy)
+
+	routers      []*router
+	aggregator   quota.Aggregator
+	rules        []admission.Rule
+	retryPolicy  admission.RetryPolicy
+	sizeFairness bool
+	noJitter     bool
+	capacity     float64       // tokens per second that accounts share
+	copyRate     float64       // tokens copied between engines in a millisecond
+	reportPeriod time.Duration // how often a router reports its load
 }
 
-// Step implements policy.
-func (*routers) Step(*world, int) {}
+// StepEnded implements policy.
+func (*routerPolicy) StepEnded(*simulation, int) {}
 
-// desk is the decisions of one router.
-type desk struct {
+// router holds the admission control and the placement of one router.
+type router struct {
 	admission.Controller
 
 	name string
 }
 
 // Begin implements policy.
-func (p *routers) Begin(w *world) {
-	p.capacity, p.copyRate, p.period, p.sizes = w.Scenario.Capacity, w.Scenario.Engines.CopyRate, w.Scenario.period(), true
-	if p.change != nil {
-		p.change(p)
+func (p *routerPolicy) Begin(sim *simulation) {
+	p.capacity, p.copyRate, p.reportPeriod, p.sizeFairness = sim.scenario.Capacity, sim.scenario.Engines.CopyRate, sim.scenario.reportPeriod(), true
+	if p.ablate != nil {
+		p.ablate(p)
 	}
-	for i := range w.Scenario.Routers {
-		d := &desk{name: "r" + strconv.Itoa(i)}
-		d.Controller = admission.NewController(
-			&placement.Placer{Zone: zone(i % w.Scenario.Zones), Routers: w.Scenario.Routers, NoJitter: p.certain}, &quota.Shares{Capacity: p.capacity},
+	for i := range sim.scenario.Routers {
+		r := &router{name: "r" + strconv.Itoa(i)}
+		r.Controller = admission.NewController(
+			&placement.Placer{Zone: zoneName(i % sim.scenario.Zones), Routers: sim.scenario.Routers, NoJitter: p.noJitter}, &quota.Shares{Capacity: p.capacity},
 		)
-		p.leaveOut(&d.Controller)
-		d.Placer.SetPools(map[string]fleet.Pool{pool: {Name: pool, Engine: &fleet.Engine{
-			Slots: w.Scenario.Engines.Slots, CopyRate: p.copyRate, KVCapacity: w.Scenario.Engines.KVCapacity,
+		p.overrideController(&r.Controller)
+		r.Placer.SetPools(map[string]fleet.Pool{enginePool: {Name: enginePool, Engine: &fleet.Engine{
+			Slots: sim.scenario.Engines.Slots, CopyRate: p.copyRate, KVCapacity: sim.scenario.Engines.KVCapacity,
 		}}})
-		p.desks = append(p.desks, d)
-		d.Placer.SetTargets(w.now, w.list())
-		offset := p.period * time.Duration(i) / time.Duration(w.Scenario.Routers)
-		w.after(offset, func() { p.report(w, d) })
+		p.routers = append(p.routers, r)
+		r.Placer.SetTargets(sim.now, sim.availableInstances())
+		offset := p.reportPeriod * time.Duration(i) / time.Duration(sim.scenario.Routers)
+		sim.scheduleAfter(offset, func() { p.report(sim, r) })
 	}
 }
 
-// leaveOut replaces what a desk decides by where that is to be another.
-func (p *routers) leaveOut(d *admission.Controller) {
+// overrideController replaces the parts of a router's admission control that an ablation changes.
+func (p *routerPolicy) overrideController(controller *admission.Controller) {
 	if p.rules != nil {
-		d.Rules = p.rules
+		controller.Rules = p.rules
 	}
-	if p.back != nil {
-		d.RetryPolicy = p.back
+	if p.retryPolicy != nil {
+		controller.RetryPolicy = p.retryPolicy
 	}
-	if !p.sizes {
-		d.SizeFairness = nil
+	if !p.sizeFairness {
+		controller.SizeFairness = nil
 	}
 }
 
-// Targets implements policy.
-func (p *routers) Targets(w *world) {
-	w.after(listLag, func() {
-		for _, d := range p.desks {
-			d.Placer.SetTargets(w.now, w.list())
+// EnginesChanged implements policy.
+func (p *routerPolicy) EnginesChanged(sim *simulation) {
+	sim.scheduleAfter(listDelay, func() {
+		for _, r := range p.routers {
+			r.Placer.SetTargets(sim.now, sim.availableInstances())
 		}
 	})
 }
 
-// list returns the engines that are there.
-func (w *world) list() []fleet.Instance {
-	var list []fleet.Instance
-	for i, id := range w.ids {
-		if !w.away[i] {
-			list = append(list, fleet.Instance{
-				Incarnation: fleet.Incarnation{ID: id}, Pool: pool, Address: id, Zone: zone(i % w.Scenario.Zones), Slots: w.Scenario.Engines.Slots,
+// availableInstances returns the engines that are up.
+func (sim *simulation) availableInstances() []fleet.Instance {
+	var instances []fleet.Instance
+	for i, id := range sim.ids {
+		if !sim.down[i] {
+			instances = append(instances, fleet.Instance{
+				Incarnation: fleet.Incarnation{ID: id}, Pool: enginePool, Address: id, Zone: zoneName(i % sim.scenario.Zones), Slots: sim.scenario.Engines.Slots,
 			})
 		}
 	}
-	return list
+	return instances
 }
 
-func zone(i int) fleet.Zone {
-	return fleet.Zone("z" + strconv.Itoa(i))
+func zoneName(index int) fleet.Zone {
+	return fleet.Zone("z" + strconv.Itoa(index))
 }
 
-func (p *routers) report(w *world, d *desk) {
-	demand, mine := d.Shares.Demand(w.now), d.Placer.Backlog()
-	w.after(time.Duration(w.Scenario.CrossZoneLatency), func() {
-		p.board.Report(w.now, d.name, demand, mine)
-		sums, backlog, _ := p.board.Sums(w.now)
-		w.after(time.Duration(w.Scenario.CrossZoneLatency), func() {
-			d.Shares.SetFleetDemand(sums)
-			d.Placer.SetRemoteBacklog(w.now, quota.ExcludeOwn(backlog, mine))
+func (p *routerPolicy) report(sim *simulation, r *router) {
+	demand, ownBacklog := r.Shares.Demand(sim.now), r.Placer.Backlog()
+	sim.scheduleAfter(time.Duration(sim.scenario.CrossZoneLatency), func() {
+		p.aggregator.Report(sim.now, r.name, demand, ownBacklog)
+		fleetDemand, backlog, _ := p.aggregator.Sums(sim.now)
+		sim.scheduleAfter(time.Duration(sim.scenario.CrossZoneLatency), func() {
+			r.Shares.SetFleetDemand(fleetDemand)
+			r.Placer.SetRemoteBacklog(sim.now, quota.ExcludeOwn(backlog, ownBacklog))
 		})
 	})
-	if !w.over() {
-		w.after(p.period, func() { p.report(w, d) })
+	if !sim.arrivalsOver() {
+		sim.scheduleAfter(p.reportPeriod, func() { p.report(sim, r) })
 	}
 }
 
-// Ask implements policy.
-func (p *routers) Ask(w *world, a *attempt) {
-	a.within = p.desks[a.router].Shares.CountRequest(w.now, account(a), a.tokens())
+// RequestArrived implements policy.
+func (p *routerPolicy) RequestArrived(sim *simulation, a *attempt) {
+	a.withinShare = p.routers[a.routerIndex].Shares.CountRequest(sim.now, accountName(a), a.cost())
 }
 
-func account(a *attempt) string {
+func accountName(a *attempt) string {
 	return "a" + strconv.Itoa(a.account)
 }
 
 // Choose implements policy.
-func (p *routers) Choose(w *world, a *attempt) (int, time.Duration) {
-	choice, no := p.desks[a.router].Decide(w.now, admission.Request{
-		Placement: placement.Request{Pool: pool, Parts: a.parts, Avoid: a.tried}, Route: a.route, Account: account(a),
-		Cost: a.tokens(), Deadline: a.until(), WithinShare: a.within, SentBefore: a.sent > 0, Charged: a.sent > 0,
+func (p *routerPolicy) Choose(sim *simulation, a *attempt) (int, time.Duration) {
+	choice, refusal := p.routers[a.routerIndex].Decide(sim.now, admission.Request{
+		Placement: placement.Request{Pool: enginePool, Parts: a.parts, Avoid: a.tried}, Route: a.route, Account: accountName(a),
+		Cost: a.cost(), Deadline: a.deadline(), WithinShare: a.withinShare, SentBefore: a.sends > 0, Charged: a.sends > 0,
 	})
-	if no != nil {
-		return -1, no.RetryAfter
+	if refusal != nil {
+		return -1, refusal.RetryAfter
 	}
 	a.choice = choice
-	for i, id := range w.ids {
+	for i, id := range sim.ids {
 		if id == choice.Target.ID {
 			return i, 0
 		}
@@ -147,14 +147,14 @@
 	return -1, admission.NoCapacityRetryAfter
 }
 
-// First implements policy.
-func (p *routers) First(w *world, a *attempt) {
+// FirstByte implements policy.
+func (p *routerPolicy) FirstByte(sim *simulation, a *attempt) {
 	if !a.ended {
-		p.desks[a.router].Placer.RecordFirstByte(w.now, a.choice)
+		p.routers[a.routerIndex].Placer.RecordFirstByte(sim.now, a.choice)
 	}
 }
 
-// Ended implements policy.
-func (p *routers) Ended(w *world, a *attempt, r placement.Result) {
-	p.desks[a.router].Placer.EndAttempt(w.now, a.choice, r)
+// AttemptEnded implements policy.
+func (p *routerPolicy) AttemptEnded(sim *simulation, a *attempt, result placement.Result) {
+	p.routers[a.routerIndex].Placer.EndAttempt(sim.now, a.choice, result)
 }
--- a/internal/workload/scenario.go
+++ b/internal/workload/scenario.go
@@ -1,10 +1,8 @@
-// Package workload plays kinds of requests of accounts against engines in simulated
-// time, with the decisions of routers or with simpler policies, and tells what callers
-// got.
+// Package workload simulates the requests of accounts to a pool of engines, with the decisions of
+// the real routers or with simpler policies, and measures the responses that callers get.
 //
-// The same decision code runs here and in routers (internal/admission, placement,
-// quota); the engines are models (internal/engine). A run is determined by its
-// scenario, policy and seed.
+// Real routers run the same decision code (the packages admission, placement and quota); the
+// engines are simulated (package engine). A run depends only on its scenario, policy and seed.
 package workload
 
 import (
@@ -17,177 +15,181 @@
 	"laburnumfall/internal/tomlfile"
 )
 
-// A Scenario is a load and what happens under it.
+// A Scenario describes a fleet, its load, and the disturbances during a run.
 type Scenario struct {
 	Name     string         `toml:"name"`
 	Duration fleet.Duration `toml:"length"`
-	// Warm is how long engines get to read what is asked for often before requests
-	// count in the figures.
+	// WarmupTime is how long engines fill their prefix caches. Requests sent during that time are
+	// not counted in the metrics.
 	WarmupTime fleet.Duration `toml:"warm"`
-	// Routers are spread evenly over Zones, and so are engines.
+	// Routers and engines are spread evenly over the zones.
 	Routers int `toml:"routers"`
 	Zones   int `toml:"zones"`
-	// Way is the time of a message between two zones, Near within one, and Door
-	// between a caller and a router, one way.
+	// CrossZoneLatency is the one-way latency between two zones, InZoneLatency within a zone, and
+	// CallerLatency between a caller and a router.
 	CrossZoneLatency fleet.Duration `toml:"way"`
 	InZoneLatency    fleet.Duration `toml:"near"`
 	CallerLatency    fleet.Duration `toml:"door"`
-	// Reports is how often routers hear of each other; as often as they do if it is 0.
+	// ReportPeriod is how often each router reports its load. If it is 0, the period of real
+	// routers applies.
 	ReportPeriod fleet.Duration `toml:"reports"`
-	// Capacity is the tokens a second that accounts share.
+	// Capacity is the throughput in tokens per second that accounts share.
 	Capacity       float64        `toml:"capacity"`
 	Engines        EngineSettings `toml:"engines"`
-	AccountWeights []float64      `toml:"accounts"` // how much each asks for, relative to the others
+	AccountWeights []float64      `toml:"accounts"` // relative request rates of the accounts
 	Kinds          []RequestKind  `toml:"kind"`
 	Disturbances   []Disturbance  `toml:"trouble"`
 	Checks         []Check        `toml:"check"`
 }
 
-// Engines are those of a pool.
+// EngineSettings describe the engines of the pool.
 type EngineSettings struct {
 	Count              int            `toml:"count"`
 	Slots              int            `toml:"slots"`
 	QueueLimit         int            `toml:"queue"`
-	KVCapacity         int            `toml:"memory"` // tokens
-	BaseStepTime       fleet.Duration `toml:"step"`   // of a batch
-	StepTimePerRequest fleet.Duration `toml:"slot"`   // what each running request adds to a step
-	PrefillRate        float64        `toml:"rate"`   // prompt tokens read in a millisecond
-	PrefillChunk       int            `toml:"chunk"`  // prompt tokens read in a step
-	CopyRate           float64        `toml:"copy"`   // tokens copied from another engine in a millisecond
+	KVCapacity         int            `toml:"memory"` // in tokens
+	BaseStepTime       fleet.Duration `toml:"step"`   // minimum duration of a step
+	StepTimePerRequest fleet.Duration `toml:"slot"`   // added to a step by each running request
+	PrefillRate        float64        `toml:"rate"`   // prompt tokens per millisecond
+	PrefillChunk       int            `toml:"chunk"`  // prompt tokens per step
+	CopyRate           float64        `toml:"copy"`   // tokens per millisecond copied from another engine
 }
 
-// A Kind is a kind of request.
+// A RequestKind describes requests of one kind. On time, a response earns Value, and later
+// LateValue.
 type RequestKind struct {
 	Name             string            `toml:"name"`
-	Rate             float64           `toml:"rate"` // a second, of all accounts
+	Rate             float64           `toml:"rate"` // requests per second of all accounts together
 	LatencyObjective fleet.Duration    `toml:"aim"`
 	Deadline         fleet.Duration    `toml:"deadline"`
-	MaxEventGap      fleet.Duration    `toml:"pause"` // the longest between two events that is on time
+	MaxEventGap      fleet.Duration    `toml:"pause"` // the longest gap between two events that counts as on time
 	Value            float64           `toml:"worth"`
 	LateValue        float64           `toml:"late"`
-	MaxAttempts      int               `toml:"attempts"` // targets that one request may be sent to
-	MaxRetries       int               `toml:"retries"`  // of its caller after a refusal
-	UniqueTokens     TokenDistribution `toml:"own"`      // tokens of its prompt
-	OutputTokens     TokenDistribution `toml:"output"`   // tokens
-	TokensPerEvent   int               `toml:"stride"`   // tokens an event holds
+	MaxAttempts      int               `toml:"attempts"` // how many engines a router may send one request to
+	MaxRetries       int               `toml:"retries"`  // how often a caller retries after a refusal
+	UniqueTokens     TokenDistribution `toml:"own"`      // prompt tokens not shared with other requests
+	OutputTokens     TokenDistribution `toml:"output"`
+	TokensPerEvent   int               `toml:"stride"` // how many tokens one event contains
 	SharedParts      []SharedPart      `toml:"shared"`
 }
 
-// A Size is drawn from a log-normal distribution, and is Most at most.
+// A TokenDistribution is a log-normal distribution of a number of tokens, limited to Max if that
+// is not 0.
 type TokenDistribution struct {
 	Mean      float64 `toml:"mean"`
-	LogStdDev float64 `toml:"spread"` // of the logarithm
+	LogStdDev float64 `toml:"spread"` // standard deviation of the logarithm
 	Max       float64 `toml:"most"`
 }
 
-// A Shared is a part of prompts that many requests have. The part of rank r is asked
-// for in proportion to r to the power of minus Skew.
+// A SharedPart is a prompt part that many requests share. There are Count of them; the one of
+// rank r is requested in proportion to r to the power of -Skew.
 type SharedPart struct {
 	Tokens TokenDistribution `toml:"size"`
 	Count  int               `toml:"count"`
 	Skew   float64           `toml:"skew"`
 }
 
-// The kinds of trouble.
+// The kinds of disturbance.
 const (
-	troubleBurst = "burst" // all requests come X times as often
-	troubleFlood = "flood" // an account sends X times its usual
-	troubleHot   = "hot"   // Share of a kind's requests have the same part
-	troubleCrash = "crash" // Share of the engines lose all and are away
-	troubleSlow  = "slow"  // Share of the engines take X times as long
+	disturbanceBurst = "burst" // all requests arrive Factor times as often
+	disturbanceFlood = "flood" // one account sends Factor times as many requests as usual
+	disturbanceHot   = "hot"   // a Fraction of the requests has the most popular shared parts
+	disturbanceCrash = "crash" // a Fraction of the engines loses all requests and caches and stays down
+	disturbanceSlow  = "slow"  // a Fraction of the engines takes Factor times as long for each step
 )
 
-// A Trouble is something that happens for a while.
+// A Disturbance is a change of the load or a fault of engines for a limited time.
 type Disturbance struct {
 	Kind     string         `toml:"kind"`
 	Start    fleet.Duration `toml:"at"`
 	Duration fleet.Duration `toml:"for"`
 	Factor   float64        `toml:"x"`
 	Fraction float64        `toml:"share"`
-	Account  int            `toml:"account"` // of a flood
+	Account  int            `toml:"account"` // the account that sends a flood
 }
 
-// A Check bounds a figure of a policy.
+// A Check bounds a metric of a policy.
 type Check struct {
 	Policy string  `toml:"policy"`
 	Metric string  `toml:"figure"`
 	Min    float64 `toml:"least"`
-	Max    float64 `toml:"most"` // not checked if 0
+	Max    float64 `toml:"most"` // no upper bound if 0
 }
 
-// ReadScenario reads and checks a scenario file.
+// ReadScenario reads and validates a scenario file.
 func ReadScenario(file string) (Scenario, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return Scenario{}, fmt.Errorf("read the scenario (name a readable file): %w", err)
 	}
-	var s Scenario
-	lines, err := tomlfile.Decode(file, data, &s)
+	var scenario Scenario
+	lines, err := tomlfile.Decode(file, data, &scenario)
 	if err != nil {
 		return Scenario{}, err
 	}
-	if key, message := s.wrong(); key != "" {
-		return Scenario{}, lines.Errorf(key, "mend the scenario", "%s", message)
+	if key, message := scenario.problem(); key != "" {
+		return Scenario{}, lines.Errorf(key, "correct the scenario", "%s", message)
 	}
-	return s, nil
+	return scenario, nil
 }
 
-// wrong returns the key of a value that makes no sense, and what is wrong with it.
-func (s Scenario) wrong() (key, message string) {
-	e := s.Engines
+// problem returns the key of the first invalid value and a message, or "" if the scenario is
+// valid.
+func (s Scenario) problem() (key, message string) {
+	engines := s.Engines
 	switch {
 	case s.Duration <= 0:
-		return "length", "it must be above 0"
+		return "length", "it must be greater than 0"
 	case s.Routers < 1 || s.Zones < 1:
-		return "routers", "there must be a router and a zone"
-	case e.Count < 1 || e.Slots < 1 || e.KVCapacity < 1 || e.PrefillChunk < 1 || e.PrefillRate <= 0 || e.BaseStepTime <= 0:
-		return "engines", "count, slots, memory, chunk, rate and step must be above 0"
+		return "routers", "there must be at least one router and one zone"
+	case engines.Count < 1 || engines.Slots < 1 || engines.KVCapacity < 1 || engines.PrefillChunk < 1 || engines.PrefillRate <= 0 || engines.BaseStepTime <= 0:
+		return "engines", "count, slots, memory, chunk, rate and step must be greater than 0"
 	case len(s.AccountWeights) == 0 || len(s.Kinds) == 0:
-		return "accounts", "there must be an account and a kind of request"
+		return "accounts", "there must be at least one account and one kind of request"
 	}
-	for _, k := range s.Kinds {
-		if k.Rate <= 0 || k.LatencyObjective <= 0 || k.Deadline <= 0 || k.UniqueTokens.Mean < 1 || k.OutputTokens.Mean < 1 || k.TokensPerEvent < 1 {
-			return "kind", k.Name + ": rate, aim, deadline, own, output and stride must be above 0"
+	for _, kind := range s.Kinds {
+		if kind.Rate <= 0 || kind.LatencyObjective <= 0 || kind.Deadline <= 0 || kind.UniqueTokens.Mean < 1 || kind.OutputTokens.Mean < 1 || kind.TokensPerEvent < 1 {
+			return "kind", kind.Name + ": rate, aim, deadline, own, output and stride must be greater than 0"
 		}
 	}
-	for _, t := range s.Disturbances {
-		switch t.Kind {
-		case troubleBurst, troubleFlood, troubleHot, troubleCrash, troubleSlow:
+	for _, disturbance := range s.Disturbances {
+		switch disturbance.Kind {
+		case disturbanceBurst, disturbanceFlood, disturbanceHot, disturbanceCrash, disturbanceSlow:
 		default:
-			return "trouble", fmt.Sprintf("there is no kind %q", t.Kind)
+			return "trouble", fmt.Sprintf("there is no kind %q", disturbance.Kind)
 		}
-		if t.Account < 0 || t.Account >= len(s.AccountWeights) {
-			return "trouble", fmt.Sprintf("there is no account %d", t.Account)
+		if disturbance.Account < 0 || disturbance.Account >= len(s.AccountWeights) {
+			return "trouble", fmt.Sprintf("there is no account %d", disturbance.Account)
 		}
 	}
-	for _, c := range s.Checks {
-		if (&Result{}).figure(c.Metric) == nil {
-			return "check", fmt.Sprintf("there is no figure %q (choose among %v)", c.Metric, figureNames)
+	for _, check := range s.Checks {
+		if (&Result{}).metric(check.Metric) == nil {
+			return "check", fmt.Sprintf("there is no figure %q (choose among %v)", check.Metric, metricNames)
 		}
 	}
 	return "", ""
 }
 
-// WithLoad returns the scenario with requests x times as often.
-func (s Scenario) WithLoad(x float64) Scenario {
+// WithLoad returns the scenario with the rate of all requests multiplied by a factor.
+func (s Scenario) WithLoad(factor float64) Scenario {
 	kinds := make([]RequestKind, len(s.Kinds))
-	for i, k := range s.Kinds {
-		k.Rate *= x
-		kinds[i] = k
+	for i, kind := range s.Kinds {
+		kind.Rate *= factor
+		kinds[i] = kind
 	}
 	s.Kinds = kinds
 	return s
 }
 
-// period returns how often routers hear of each other.
-func (s Scenario) period() time.Duration {
+// reportPeriod returns how often each router reports its load.
+func (s Scenario) reportPeriod() time.Duration {
 	if s.ReportPeriod > 0 {
 		return time.Duration(s.ReportPeriod)
 	}
 	return quota.ReportPeriod(s.Routers)
 }
 
-// route returns the route of a kind, as routers know it.
+// route returns the route that routers use for requests of the kind.
 func (k RequestKind) route() *fleet.Route {
 	return &fleet.Route{
 		Name: k.Name, Kind: fleet.RouteStream, LatencyObjective: time.Duration(k.LatencyObjective), Timeout: time.Duration(k.Deadline),
@@ -195,6 +197,6 @@
 	}
 }
 
-func (t Disturbance) active(since time.Duration) bool {
-	return since >= time.Duration(t.Start) && since < time.Duration(t.Start+t.Duration)
+func (d Disturbance) activeAt(elapsed time.Duration) bool {
+	return elapsed >= time.Duration(d.Start) && elapsed < time.Duration(d.Start+d.Duration)
 }
--- a/internal/workload/world.go
+++ b/internal/workload/world.go
@@ -9,164 +9,168 @@
 	"laburnumfall/internal/fleet"
 )
 
-// start is when every run starts; only differences count.
+// start is the simulated start time of every run; only differences to it matter.
 var start = time.Unix(1e9, 0)
 
-// A world is one run of a scenario under a policy.
-type world struct {
-	Scenario Scenario
-	Policy   policy
-
-	now      time.Time
-	queue    timeline
-	count    int // of scheduled calls
-	engines  []*engine.Engine
-	ids      []string
-	away     []bool // crashed engines
-	jobs     []map[uint64]*attempt
-	due      []time.Time // for which step ends the engines are scheduled
-	routes   []*fleet.Route
-	random   *rand.Rand
-	requests []*request
-	attempts uint64
+// A simulation is one run of a scenario under a policy.
+type simulation struct {
+	scenario Scenario
+	policy   policy
+
+	now              time.Time
+	calls            callQueue
+	lastSeq          int // sequence number of the last scheduled call
+	engines          []*engine.Engine
+	ids              []string
+	down             []bool // by engine
+	attemptsOnEngine []map[uint64]*attempt
+	stepEndScheduled []time.Time // by engine: the step end for which a call is scheduled, zero if there is none
+	routes           []*fleet.Route
+	random           *rand.Rand
+	requests         []*request
+	attempts         uint64
 }
 
-// A scheduled call is carried out at its time.
-type scheduled struct {
-	at  time.Time
-	seq int
-	do  func()
+// A scheduledCall is a function that runs at a simulated time.
+type scheduledCall struct {
+	at   time.Time
+	seq  int
+	call func()
 }
 
-type timeline []scheduled
+type callQueue []scheduledCall
 
-func (t timeline) Len() int { return len(t) }
-func (t timeline) Less(i, j int) bool {
-	return t[i].at.Before(t[j].at) || t[i].at.Equal(t[j].at) && t[i].seq < t[j].seq
+func (q callQueue) Len() int { return len(q) }
+func (q callQueue) Less(i, j int) bool {
+	return q[i].at.Before(q[j].at) || q[i].at.Equal(q[j].at) && q[i].seq < q[j].seq
 }
-func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timeline) Push(x any)   { *t = append(*t, x.(scheduled)) }
-func (t *timeline) Pop() any {
-	last := (*t)[len(*t)-1]
-	*t = (*t)[:len(*t)-1]
+func (q callQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *callQueue) Push(x any)   { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// Run plays a scenario under a policy.
-func Run(s Scenario, name string, seed uint64) (Result, error) {
-	p, err := newPolicy(name)
+// Run simulates a scenario under the policy with a name. It returns an error if there is no such
+// policy.
+func Run(scenario Scenario, name string, seed uint64) (Result, error) {
+	policy, err := newPolicy(name)
 	if err != nil {
 		return Result{}, err
 	}
-	w := &world{Scenario: s, Policy: p, now: start, random: rand.New(rand.NewPCG(seed, 1<<32))}
-	for _, k := range s.Kinds {
-		w.routes = append(w.routes, k.route())
+	sim := &simulation{scenario: scenario, policy: policy, now: start, random: rand.New(rand.NewPCG(seed, 1<<32))}
+	for _, kind := range scenario.Kinds {
+		sim.routes = append(sim.routes, kind.route())
 	}
-	w.addEngines()
-	for _, a := range draw(s, seed) {
-		r := &request{arrival: a, kind: &s.Kinds[a.kind], route: w.routes[a.kind], sentAt: start.Add(a.at)}
-		w.requests = append(w.requests, r)
-		w.at(r.sentAt, func() { w.arrive(r) })
+	sim.addEngines()
+	for _, arrival := range generateArrivals(scenario, seed) {
+		r := &request{arrival: arrival, kind: &scenario.Kinds[arrival.kindIndex], route: sim.routes[arrival.kindIndex], sentAt: start.Add(arrival.at)}
+		sim.requests = append(sim.requests, r)
+		sim.schedule(r.sentAt, func() { sim.arrive(r) })
 	}
-	for _, t := range s.Disturbances {
-		w.plan(t)
+	for _, disturbance := range scenario.Disturbances {
+		sim.scheduleDisturbance(disturbance)
 	}
-	p.Begin(w)
-	for len(w.queue) > 0 {
-		next := heap.Pop(&w.queue).(scheduled)
-		w.now = next.at
-		next.do()
+	policy.Begin(sim)
+	for len(sim.calls) > 0 {
+		next := heap.Pop(&sim.calls).(scheduledCall)
+		sim.now = next.at
+		next.call()
 	}
-	return w.result(name, seed), nil
+	return sim.result(name, seed), nil
 }
 
-// at schedules a call.
-func (w *world) at(at time.Time, do func()) {
-	w.count++
-	heap.Push(&w.queue, scheduled{at: at, seq: w.count, do: do})
+// schedule runs a function at a simulated time. Functions scheduled for the same time run in the
+// order in which they were scheduled.
+func (sim *simulation) schedule(at time.Time, call func()) {
+	sim.lastSeq++
+	heap.Push(&sim.calls, scheduledCall{at: at, seq: sim.lastSeq, call: call})
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.at(w.now.Add(d), do)
+func (sim *simulation) scheduleAfter(delay time.Duration, call func()) {
+	sim.schedule(sim.now.Add(delay), call)
 }
 
-// over reports whether nothing more comes: what only repeats may end.
-func (w *world) over() bool {
-	return w.now.Sub(start) > time.Duration(w.Scenario.Duration)
+// arrivalsOver reports whether no more requests arrive. Periodic calls end then, so that the run
+// ends.
+func (sim *simulation) arrivalsOver() bool {
+	return sim.now.Sub(start) > time.Duration(sim.scenario.Duration)
 }
 
-func (w *world) addEngines() {
-	e := w.Scenario.Engines
+func (sim *simulation) addEngines() {
+	settings := sim.scenario.Engines
 	spec := engine.Spec{
-		Slots: e.Slots, QueueLimit: e.QueueLimit, KVCapacity: e.KVCapacity, BaseStepTime: time.Duration(e.BaseStepTime), StepTimePerRequest: time.Duration(e.StepTimePerRequest),
-		PrefillRate: e.PrefillRate, PrefillChunk: e.PrefillChunk, CopyRate: e.CopyRate,
+		Slots: settings.Slots, QueueLimit: settings.QueueLimit, KVCapacity: settings.KVCapacity, BaseStepTime: time.Duration(settings.BaseStepTime), StepTimePerRequest: time.Duration(settings.StepTimePerRequest),
+		PrefillRate: settings.PrefillRate, PrefillChunk: settings.PrefillChunk, CopyRate: settings.CopyRate,
 	}
-	for i := range e.Count {
-		w.engines = append(w.engines, &engine.Engine{Spec: spec})
-		w.ids = append(w.ids, engineID(i))
-		w.jobs = append(w.jobs, make(map[uint64]*attempt))
+	for i := range settings.Count {
+		sim.engines = append(sim.engines, &engine.Engine{Spec: spec})
+		sim.ids = append(sim.ids, engineID(i))
+		sim.attemptsOnEngine = append(sim.attemptsOnEngine, make(map[uint64]*attempt))
 	}
-	w.due, w.away = make([]time.Time, e.Count), make([]bool, e.Count)
+	sim.stepEndScheduled, sim.down = make([]time.Time, settings.Count), make([]bool, settings.Count)
 }
 
-// hop is the time from a router to an engine.
-func (w *world) hop(router, engine int) time.Duration {
-	if router%w.Scenario.Zones == engine%w.Scenario.Zones {
-		return time.Duration(w.Scenario.InZoneLatency)
+// latency returns the one-way latency between a router and an engine.
+func (sim *simulation) latency(routerIndex, engineIndex int) time.Duration {
+	if routerIndex%sim.scenario.Zones == engineIndex%sim.scenario.Zones {
+		return time.Duration(sim.scenario.InZoneLatency)
 	}
-	return time.Duration(w.Scenario.CrossZoneLatency)
+	return time.Duration(sim.scenario.CrossZoneLatency)
 }
 
-// plan schedules a trouble of engines; those of callers are drawn with their requests.
-func (w *world) plan(t Disturbance) {
-	from, to := start.Add(time.Duration(t.Start)), start.Add(time.Duration(t.Start+t.Duration))
-	count := max(int(t.Fraction*float64(len(w.engines))), 1)
-	switch t.Kind {
-	case troubleCrash:
-		w.at(from, func() { w.crash(count, to) })
-	case troubleSlow:
-		w.at(from, func() {
-			for _, i := range w.random.Perm(len(w.engines))[:count] {
-				w.engines[i].SetSlowdown(t.Factor)
-				w.at(to, func() { w.engines[i].SetSlowdown(1) })
+// scheduleDisturbance schedules a fault of engines. Disturbances of the load are part of the
+// arrivals.
+func (sim *simulation) scheduleDisturbance(disturbance Disturbance) {
+	from, to := start.Add(time.Duration(disturbance.Start)), start.Add(time.Duration(disturbance.Start+disturbance.Duration))
+	count := max(int(disturbance.Fraction*float64(len(sim.engines))), 1)
+	switch disturbance.Kind {
+	case disturbanceCrash:
+		sim.schedule(from, func() { sim.crashEngines(count, to) })
+	case disturbanceSlow:
+		sim.schedule(from, func() {
+			for _, i := range sim.random.Perm(len(sim.engines))[:count] {
+				sim.engines[i].SetSlowdown(disturbance.Factor)
+				sim.schedule(to, func() { sim.engines[i].SetSlowdown(1) })
 			}
 		})
 	}
 }
 
-func (w *world) crash(count int, until time.Time) {
-	for _, i := range w.random.Perm(len(w.engines))[:count] {
-		w.away[i] = true
-		lost := w.jobs[i]
-		w.jobs[i] = make(map[uint64]*attempt)
-		for _, id := range w.engines[i].Crash() {
+func (sim *simulation) crashEngines(count int, until time.Time) {
+	for _, i := range sim.random.Perm(len(sim.engines))[:count] {
+		sim.down[i] = true
+		lost := sim.attemptsOnEngine[i]
+		sim.attemptsOnEngine[i] = make(map[uint64]*attempt)
+		for _, id := range sim.engines[i].Crash() {
 			if a := lost[id]; a != nil {
-				w.broken(a)
+				sim.failAttempt(a)
 			}
 		}
-		w.at(until, func() { w.away[i] = false; w.Policy.Targets(w) })
+		sim.schedule(until, func() { sim.down[i] = false; sim.policy.EnginesChanged(sim) })
 	}
-	w.Policy.Targets(w)
+	sim.policy.EnginesChanged(sim)
 }
 
-// stir schedules the end of an engine's present step.
-func (w *world) stir(i int) {
-	next, ok := w.engines[i].StepEnd()
-	if !ok || next.Equal(w.due[i]) {
+// scheduleStepEnd schedules the end of an engine's current step.
+func (sim *simulation) scheduleStepEnd(engineIndex int) {
+	stepEnd, ok := sim.engines[engineIndex].StepEnd()
+	if !ok || stepEnd.Equal(sim.stepEndScheduled[engineIndex]) {
 		return
 	}
-	w.due[i] = next
-	w.at(next, func() {
-		if !next.Equal(w.due[i]) {
+	sim.stepEndScheduled[engineIndex] = stepEnd
+	sim.schedule(stepEnd, func() {
+		if !stepEnd.Equal(sim.stepEndScheduled[engineIndex]) {
 			return
 		}
-		w.due[i] = time.Time{}
-		for _, ev := range w.engines[i].FinishStep(w.now) {
-			if a := w.jobs[i][ev.RequestID]; a != nil {
-				w.made(a, ev)
+		sim.stepEndScheduled[engineIndex] = time.Time{}
+		for _, event := range sim.engines[engineIndex].FinishStep(sim.now) {
+			if a := sim.attemptsOnEngine[engineIndex][event.RequestID]; a != nil {
+				sim.deliver(a, event)
 			}
 		}
-		w.stir(i)
-		w.Policy.Step(w, i)
+		sim.scheduleStepEnd(engineIndex)
+		sim.policy.StepEnded(sim, engineIndex)
 	})
 }
