--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -9,86 +9,85 @@
 )
 
 const (
-	// firstPort and lastPort bound the ports that are given out. They lie below
-	// those that the system itself gives to whoever asks for any port (32768 and up
-	// on Linux, 49152 and up elsewhere) and above those of well-known services.
+	// firstPort and lastPort bound the reserved ports. They are below the ephemeral ports that
+	// the operating system assigns itself (from 32768 on Linux, from 49152 on other systems), and
+	// above the ports of well-known services.
 	firstPort = 15000
 	lastPort  = 32000
-	// portTries bounds the search; a machine with that many ports in a row taken
-	// has none to spare.
-	portTries = 1000
+	// maxPortTries bounds the search. On a machine where so many port ranges are taken, hardly
+	// any port is free.
+	maxPortTries = 1000
 )
 
-// claims holds the ports that this process has given out.
-var claims struct {
+// reservations holds the ports that this process has reserved.
+var reservations struct {
 	sync.Mutex
-	held []net.PacketConn // open until the process ends
+	sockets []net.PacketConn // open until the process ends
 }
 
-// FreeAddress returns a loopback address for a listener of this process or of one
-// that it tells of it. See [FreePorts].
+// ReserveAddress reserves a loopback address for a listener of this process or of one that it
+// starts. See [ReservePorts].
 func ReserveAddress() (string, error) {
 	port, err := ReservePorts(1)
 	if err != nil {
 		return "", err
 	}
-	return loopback(port), nil
+	return loopbackAddress(port), nil
 }
 
-// FreePorts returns the first of count ports in a row to listen on.
+// ReservePorts reserves count consecutive ports to listen on, and returns the first one.
 //
-// A port that was free a moment ago may be given to another process, or to an
-// outgoing connection, before its listener starts: a process then fails to start,
-// or its callers reach a stranger. So each port is claimed until this process
-// ends, by the datagram socket of the same number, which nothing else here uses;
-// and it is none of those that the system gives out by itself.
+// A port that is only checked to be free may be assigned to another process or to an outgoing
+// connection before its listener starts. The process then fails to start, or its callers connect
+// to another server. So each port is reserved until this process ends by a UDP socket with the
+// same number, which nothing else here uses, and no port is in the ephemeral range.
 func ReservePorts(count int) (int, error) {
-	var last error
-	for range portTries {
+	var lastErr error
+	for range maxPortTries {
 		port := firstPort + rand.IntN(lastPort-firstPort-count)
-		held, err := claim(port, count)
+		sockets, err := reserveRange(port, count)
 		if err == nil {
-			claims.Lock()
-			claims.held = append(claims.held, held...)
-			claims.Unlock()
+			reservations.Lock()
+			reservations.sockets = append(reservations.sockets, sockets...)
+			reservations.Unlock()
 			return port, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return 0, fmt.Errorf("find %d free ports in a row (end what listens between %d and %d): %w", count, firstPort, lastPort, last)
+	return 0, fmt.Errorf("find %d consecutive free ports (stop programs that listen on ports between %d and %d): %w", count, firstPort, lastPort, lastErr)
 }
 
-// claim returns what holds count ports from the first on, or an error where one
-// is taken.
-func claim(first, count int) ([]net.PacketConn, error) {
-	var held []net.PacketConn
+// reserveRange returns the sockets that reserve count ports beginning with first. It returns an
+// error if one of them is taken.
+func reserveRange(first, count int) ([]net.PacketConn, error) {
+	var sockets []net.PacketConn
 	for port := first; port < first+count; port++ {
-		c, err := claimOne(port)
+		socket, err := reservePort(port)
 		if err != nil {
-			for _, h := range held {
-				_ = h.Close() // the row is of no use
+			for _, other := range sockets {
+				_ = other.Close() // the range is not used
 			}
 			return nil, err
 		}
-		held = append(held, c)
+		sockets = append(sockets, socket)
 	}
-	return held, nil
+	return sockets, nil
 }
 
-func claimOne(port int) (net.PacketConn, error) {
-	c, err := net.ListenPacket("udp4", loopback(port))
+func reservePort(port int) (net.PacketConn, error) {
+	socket, err := net.ListenPacket("udp4", loopbackAddress(port))
 	if err != nil {
-		return nil, fmt.Errorf("claim a port: %w", err)
+		return nil, fmt.Errorf("reserve a port: %w", err)
 	}
-	l, err := net.Listen("tcp4", loopback(port))
+	listener, err := net.Listen("tcp4", loopbackAddress(port))
 	if err != nil {
-		_ = c.Close() // the port is taken
-		return nil, fmt.Errorf("try a port: %w", err)
+		_ = socket.Close() // the port is taken
+		return nil, fmt.Errorf("check that a port is free: %w", err)
 	}
-	_ = l.Close() // it only had to be tried
-	return c, nil
+	_ = listener.Close() // only opened to check that the port is free
+	return socket, nil
 }
 
-func loopback(port int) string {
+func loopbackAddress(port int) string {
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 }
--- a/internal/standin/address_test.go
+++ b/internal/standin/address_test.go
@@ -12,62 +12,61 @@
 	"laburnumfall/internal/standin"
 )
 
-// addressesOf is how many addresses each process of the test below takes.
-const addressesOf = 150
+// addressCount is how many addresses each process of the tests below reserves.
+const addressCount = 150
 
-// Symptom: a router never gets ready, or its caller reaches a stranger's.
-// Sequence: two processes look for free addresses; both get the same before
-// either listens.
-// Cause: an address that was free a moment ago was held by nobody.
-func TestFreeAddressIsOfOneProcess(t *testing.T) {
+// Guards against two processes that get the same free address before either of them listens on
+// it. A router then never becomes ready, or its callers connect to another server.
+func TestReservedAddressIsUniqueAcrossProcesses(t *testing.T) {
 	if os.Getenv("LF_TEST_ADDRESSES") != "" {
-		for _, a := range take(t) {
-			_, _ = os.Stdout.WriteString("address " + a + "\n") // the parent misses it
+		for _, address := range reserveAddresses(t) {
+			_, _ = os.Stdout.WriteString("address " + address + "\n") // if the write fails, the parent process counts too few addresses
 		}
 		return
 	}
 	seen := map[string]bool{}
-	for _, a := range take(t) {
-		require.False(t, seen[a], "given out twice: %s", a)
-		seen[a] = true
-		l, err := net.Listen("tcp4", a)
-		require.NoError(t, err, "it must be free")
-		require.NoError(t, l.Close())
+	for _, address := range reserveAddresses(t) {
+		require.False(t, seen[address], "reserved twice: %s", address)
+		seen[address] = true
+		listener, err := net.Listen("tcp4", address)
+		require.NoError(t, err, "the reserved address must be free")
+		require.NoError(t, listener.Close())
 	}
-	other := exec.Command(os.Args[0], "-test.run=^TestFreeAddressIsOfOneProcess$")
-	other.Env = append(os.Environ(), "LF_TEST_ADDRESSES=1")
-	out, err := other.Output()
+	otherProcess := exec.Command(os.Args[0], "-test.run=^TestReservedAddressIsUniqueAcrossProcesses$")
+	otherProcess.Env = append(os.Environ(), "LF_TEST_ADDRESSES=1")
+	output, err := otherProcess.Output()
 	require.NoError(t, err)
 	count := 0
-	for line := range strings.Lines(string(out)) {
-		a, ok := strings.CutPrefix(strings.TrimSpace(line), "address ")
+	for line := range strings.Lines(string(output)) {
+		address, ok := strings.CutPrefix(strings.TrimSpace(line), "address ")
 		if !ok {
 			continue
 		}
 		count++
-		require.False(t, seen[a], "given out to two processes: %s", a)
+		require.False(t, seen[address], "reserved by two processes: %s", address)
 	}
-	require.Equal(t, addressesOf, count)
+	require.Equal(t, addressCount, count)
 }
 
-// The system gives these out by itself: a claim does not bind it.
-func TestFreeAddressIsNoneOfTheSystem(t *testing.T) {
-	for range addressesOf {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
+// The operating system ignores reservations when it assigns ephemeral ports, so reserved ports
+// must be outside that range.
+func TestReservedPortsAreBelowEphemeralRange(t *testing.T) {
+	for range addressCount {
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		require.NoError(t, err)
-		defer func() { require.NoError(t, l.Close()) }()
-		first, err := standin.ReservePorts(3)
+		defer func() { require.NoError(t, listener.Close()) }()
+		firstPort, err := standin.ReservePorts(3)
 		require.NoError(t, err)
-		require.Less(t, first+2, l.Addr().(*net.TCPAddr).Port)
+		require.Less(t, firstPort+2, listener.Addr().(*net.TCPAddr).Port)
 	}
 }
 
-func take(t *testing.T) []string {
-	var list []string
-	for range addressesOf {
-		a, err := standin.ReserveAddress()
+func reserveAddresses(t *testing.T) []string {
+	var addresses []string
+	for range addressCount {
+		address, err := standin.ReserveAddress()
 		require.NoError(t, err)
-		list = append(list, a)
+		addresses = append(addresses, address)
 	}
-	return list
+	return addresses
 }
--- a/internal/standin/balancer.go
+++ b/internal/standin/balancer.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// mostMisses is how many times in a row a router may not be ready before it gets no
-	// new connections.
-	mostMisses = 2
-	// askTime bounds a question whether a router is ready.
-	askTime = 500 * time.Millisecond
+	// maxFailedChecks is after how many consecutive failed readiness checks a router gets no new
+	// connections.
+	maxFailedChecks = 2
+	// checkTimeout bounds a readiness check.
+	checkTimeout = 500 * time.Millisecond
 )
 
-// A Door is one router as a balancer sees it.
+// A BalancedRouter is a router behind a LoadBalancer.
 type BalancedRouter struct {
-	ReadinessAddress string // where it tells whether it is ready, HOST:PORT
-	CallerAddress    string // where it takes callers
+	ReadinessAddress string // HOST:PORT of the readiness check
+	CallerAddress    string // HOST:PORT for callers
 }
 
-// A Balancer stands in for the platform's: it passes each new connection on to a router
-// that is ready, by a hash of the caller, and leaves open ones alone. Set the exported
-// fields, then call Start.
+// A LoadBalancer stands in for the platform's load balancer. It forwards each new connection to a
+// ready router, by a hash of the caller's address, and does not touch open connections. Set the
+// exported fields, then call Start.
 type LoadBalancer struct {
 	Routers []BalancedRouter
-	// Period is how often it asks the routers whether they are ready.
+	// CheckPeriod is how often it checks the readiness of all routers.
 	CheckPeriod time.Duration
 
 	listener net.Listener
@@ -40,52 +40,52 @@
 	rotation rotation
 }
 
-// Start listens for callers.
+// Start listens for callers and starts the readiness checks.
 func (b *LoadBalancer) Start(address string) error {
-	l, err := net.Listen("tcp4", address)
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	b.listener = l
-	b.rotation.misses = make([]int, len(b.Routers))
+	b.listener = listener
+	b.rotation.failedChecks = make([]int, len(b.Routers))
 	ctx, cancel := context.WithCancel(context.Background())
 	b.stop = cancel
-	go b.watch(ctx)
+	go b.checkReadiness(ctx)
 	go b.accept()
 	return nil
 }
 
-// Address returns where callers connect.
+// Address returns the address for callers.
 func (b *LoadBalancer) Address() string {
 	return b.listener.Addr().String()
 }
 
-// Close takes no more connections.
+// Close stops accepting connections. Open connections stay.
 func (b *LoadBalancer) Close() {
 	b.stop()
-	_ = b.listener.Close() // ends the accepting
+	_ = b.listener.Close() // ends accept
 }
 
-// Rotation returns the routers that get new connections, as places among the doors.
+// Rotation returns the indexes of the routers that get new connections.
 func (b *LoadBalancer) Rotation() []int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.rotation.in()
+	return b.rotation.inRotation()
 }
 
-func (b *LoadBalancer) watch(ctx context.Context) {
-	client := &http.Client{Timeout: askTime, Transport: &http.Transport{DisableKeepAlives: true}}
+func (b *LoadBalancer) checkReadiness(ctx context.Context) {
+	client := &http.Client{Timeout: checkTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	ticker := time.NewTicker(b.CheckPeriod)
 	defer ticker.Stop()
 	for {
-		for i, d := range b.Routers {
-			resp, err := client.Get("http://" + d.ReadinessAddress + "/laburnumfall/readyz")
+		for i, router := range b.Routers {
+			resp, err := client.Get("http://" + router.ReadinessAddress + "/laburnumfall/readyz")
 			ready := err == nil && resp.StatusCode == http.StatusOK
 			if err == nil {
-				_ = resp.Body.Close() // only the status counts
+				_ = resp.Body.Close() // only the status matters
 			}
 			b.mu.Lock()
-			b.rotation.seen(i, ready)
+			b.rotation.recordCheck(i, ready)
 			b.mu.Unlock()
 		}
 		select {
@@ -98,58 +98,59 @@
 
 func (b *LoadBalancer) accept() {
 	for {
-		c, err := b.listener.Accept()
+		caller, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
-		go b.pass(c)
+		go b.forward(caller)
 	}
 }
 
-func (b *LoadBalancer) pass(caller net.Conn) {
+func (b *LoadBalancer) forward(caller net.Conn) {
 	b.mu.Lock()
-	i := b.rotation.pick(caller.RemoteAddr().String())
+	index := b.rotation.pickRouter(caller.RemoteAddr().String())
 	b.mu.Unlock()
-	router, err := net.Dial("tcp4", b.Routers[i].CallerAddress)
+	router, err := net.Dial("tcp4", b.Routers[index].CallerAddress)
 	if err != nil {
-		_ = caller.Close() // nobody is there
+		_ = caller.Close() // the router is not reachable
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { forward(router, caller) })
-	both.Go(func() { forward(caller, router) })
-	both.Wait()
-	_ = caller.Close() // both ways are done
-	_ = router.Close() // as above
+	var copies sync.WaitGroup
+	copies.Go(func() { copyStream(router, caller) })
+	copies.Go(func() { copyStream(caller, router) })
+	copies.Wait()
+	_ = caller.Close() // both directions have ended
+	_ = router.Close() // both directions have ended
 }
 
-// forward copies one way, and passes its end on.
-func forward(to, from net.Conn) {
+// copyStream copies one direction of a connection until it ends, and then closes that direction.
+func copyStream(to, from net.Conn) {
 	_, _ = io.Copy(to, from) // ends with either connection
 	if tcp, ok := to.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // the other end may be gone
+		_ = tcp.CloseWrite() // the peer may have closed the connection
 	}
 }
 
-// A rotation is which routers get new connections.
+// A rotation keeps track of the routers that get new connections.
 type rotation struct {
-	misses []int // in a row, by router
+	failedChecks []int // consecutive, by router
 }
 
-func (r *rotation) seen(i int, ready bool) {
+func (r *rotation) recordCheck(index int, ready bool) {
 	if ready {
-		r.misses[i] = 0
+		r.failedChecks[index] = 0
 		return
 	}
-	r.misses[i]++
+	r.failedChecks[index]++
 }
 
-// in returns the routers in rotation: all, where fewer than half would be.
-func (r *rotation) in() []int {
+// inRotation returns the indexes of the ready routers, or of all routers if less than half of
+// them are ready.
+func (r *rotation) inRotation() []int {
 	var ready, all []int
-	for i, misses := range r.misses {
+	for i, failed := range r.failedChecks {
 		all = append(all, i)
-		if misses < mostMisses {
+		if failed < maxFailedChecks {
 			ready = append(ready, i)
 		}
 	}
@@ -159,9 +160,9 @@
 	return ready
 }
 
-func (r *rotation) pick(caller string) int {
-	list := r.in()
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(caller)) // a hash takes all
-	return list[int(h.Sum32()%uint32(len(list)))]
+func (r *rotation) pickRouter(caller string) int {
+	routers := r.inRotation()
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(caller)) // never returns an error
+	return routers[int(hash.Sum32()%uint32(len(routers)))]
 }
--- a/internal/standin/balancer_test.go
+++ b/internal/standin/balancer_test.go
@@ -7,33 +7,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRotation(t *testing.T) {
+func TestRotationLeavesOutUnreadyRouters(t *testing.T) {
 	tests := []struct {
-		misses []int
-		want   []int
+		failedChecks []int
+		want         []int
 	}{
 		{[]int{0, 0, 0, 0}, []int{0, 1, 2, 3}},
 		{[]int{1, 0, 0, 0}, []int{0, 1, 2, 3}},
 		{[]int{2, 0, 7, 0}, []int{1, 3}},
-		{[]int{2, 2, 2, 0}, []int{0, 1, 2, 3}}, // fewer than half are ready
+		{[]int{2, 2, 2, 0}, []int{0, 1, 2, 3}}, // less than half are ready
 		{[]int{9, 9, 9, 9}, []int{0, 1, 2, 3}},
 	}
 	for _, tt := range tests {
-		r := rotation{misses: tt.misses}
-		require.Equal(t, tt.want, r.in(), "%v", tt.misses)
+		rot := rotation{failedChecks: tt.failedChecks}
+		require.Equal(t, tt.want, rot.inRotation(), "%v", tt.failedChecks)
 		for i := range 20 {
 			caller := fmt.Sprint("caller ", i)
-			require.Contains(t, tt.want, r.pick(caller))
-			require.Equal(t, r.pick(caller), r.pick(caller))
+			require.Contains(t, tt.want, rot.pickRouter(caller))
+			require.Equal(t, rot.pickRouter(caller), rot.pickRouter(caller))
 		}
 	}
 }
 
-func TestRotationForgetsMissesOnceReady(t *testing.T) {
-	r := rotation{misses: make([]int, 2)}
-	r.seen(0, false)
-	r.seen(0, false)
-	require.Equal(t, []int{1}, r.in())
-	r.seen(0, true)
-	require.Equal(t, []int{0, 1}, r.in())
+func TestReadyRouterReturnsToRotation(t *testing.T) {
+	rot := rotation{failedChecks: make([]int, 2)}
+	rot.recordCheck(0, false)
+	rot.recordCheck(0, false)
+	require.Equal(t, []int{1}, rot.inRotation())
+	rot.recordCheck(0, true)
+	require.Equal(t, []int{0, 1}, rot.inRotation())
 }
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -14,170 +14,173 @@
 	"time"
 )
 
-// CallerTime is how long a caller waits for an answer.
+// CallerTimeout is how long a caller waits for a response; callers send it as the deadline of
+// each request.
 const CallerTimeout = 2 * time.Second
 
-// callerPause is kept between two requests of one caller.
-const callerPause = 10 * time.Millisecond
+// requestInterval is the pause between two requests of a caller.
+const requestInterval = 10 * time.Millisecond
 
-// An Attempt is one request of a caller, as the caller saw it.
+// An Attempt is a request of a caller, with the result that the caller saw.
 type Attempt struct {
 	ID, Path, Key string
-	Router        int // as the caller's door names it
+	Router        int // as returned by ChooseRouter
 	Sent, Ended   time.Time
-	Status        int // 0: no answer, or none that is whole
+	Status        int // 0 without a complete response
 	Refused       bool
-	Abandoned     bool   // the caller left before the end
-	Violation     string // what no caller may see
+	Abandoned     bool   // the caller disconnected before the end of the response
+	Violation     string // what was wrong with the response, or ""
 }
 
-// A Manner is how a caller sends a request and takes its answer.
+// A CallerBehavior says how a caller sends a request and reads its response.
 type CallerBehavior int
 
-// The manners.
+// The behaviors of callers.
 const (
 	BehaviorNormal      CallerBehavior = iota
-	BehaviorChunkedBody                // the body comes in pieces, with pauses
-	BehaviorSlowReader                 // the answer is read in pieces, with pauses
-	BehaviorAbandon                    // the caller leaves while the answer is on its way
+	BehaviorChunkedBody                // the body is sent in chunks, with pauses
+	BehaviorSlowReader                 // the response is read in chunks, with pauses
+	BehaviorAbandon                    // the caller disconnects during the response
 )
 
-// The pauses of manners.
+// The timing of the behaviors.
 const (
-	piecePause = 80 * time.Millisecond
-	leaveAfter = 90 * time.Millisecond
-	// bodyPieces is in how many pieces a body or an answer is taken.
-	bodyPieces = 4
+	chunkPause   = 80 * time.Millisecond
+	abandonAfter = 90 * time.Millisecond
+	// bodyChunks is the number of chunks of a body.
+	bodyChunks = 4
 )
 
-// Callers stand in for the platform's: they send requests with IDs of their own, one
-// after the other on kept connections, until they are told to stop. Set the exported
-// fields, then call Run.
+// Callers stand in for the platform's callers. Each sends requests with unique IDs, one after the
+// other on a keep-alive connection. Set the exported fields, then call Run for each caller.
 type Callers struct {
-	// Paths are asked for by turns.
+	// Paths are requested in turn.
 	Paths []string
-	// Key is the key of a caller's account.
+	// Key returns the API key of a caller.
 	Key func(caller int) string
-	// Door is where the n-th request of a caller goes, and by what name.
-	ChooseRouter func(caller, n int) (router int, address string)
-	// Alone, if set, tells of a caller's own address that its connection reached nobody.
-	DialFailed func(router int, local string) bool
-	// Manner, if set, is the manner of a caller's n-th request.
-	Behavior func(caller, n int) CallerBehavior
-	// Patience is how long after its deadline a caller goes on waiting; half a second
-	// if it isn't set.
+	// ChooseRouter returns the router for a request, and the address to send it to.
+	ChooseRouter func(caller, requestIndex int) (router int, address string)
+	// DialFailed, if set, reports whether a proxy could not connect a caller to its router. The
+	// caller is identified by the local address of its connection.
+	DialFailed func(router int, localAddress string) bool
+	// Behavior, if set, returns the behavior of a caller for a request.
+	Behavior func(caller, requestIndex int) CallerBehavior
+	// ExtraWait is how long a caller waits for a response after its deadline. It is at least 500
+	// ms.
 	ExtraWait time.Duration
 
 	mu       sync.Mutex
 	attempts []Attempt
 }
 
-// Run has one caller send requests until ctx ends.
+// Run sends the requests of one caller until ctx ends.
 func (c *Callers) Run(ctx context.Context, caller int) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	for n := 0; ctx.Err() == nil; n++ {
-		router, address := c.ChooseRouter(caller, n)
-		a := Attempt{
-			ID: fmt.Sprintf("c%d-%d", caller, n), Path: c.Paths[(caller+n)%len(c.Paths)], Key: c.Key(caller),
+	for requestIndex := 0; ctx.Err() == nil; requestIndex++ {
+		router, address := c.ChooseRouter(caller, requestIndex)
+		attempt := Attempt{
+			ID: fmt.Sprintf("c%d-%d", caller, requestIndex), Path: c.Paths[(caller+requestIndex)%len(c.Paths)], Key: c.Key(caller),
 			Router: router, Sent: time.Now(),
 		}
-		manner := BehaviorNormal
+		behavior := BehaviorNormal
 		if c.Behavior != nil {
-			manner = c.Behavior(caller, n)
+			behavior = c.Behavior(caller, requestIndex)
 		}
-		c.send(client, address, manner, &a)
-		a.Ended = time.Now()
+		c.send(client, address, behavior, &attempt)
+		attempt.Ended = time.Now()
 		c.mu.Lock()
-		c.attempts = append(c.attempts, a)
+		c.attempts = append(c.attempts, attempt)
 		c.mu.Unlock()
-		time.Sleep(callerPause)
+		time.Sleep(requestInterval)
 	}
 }
 
-// Taken returns the attempts so far.
+// Attempts returns a copy of all attempts that have ended.
 func (c *Callers) Attempts() []Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Attempt(nil), c.attempts...)
 }
 
-// send makes one attempt. It is a POST: the client would by itself send others again.
-func (c *Callers) send(client *http.Client, address string, manner CallerBehavior, a *Attempt) {
-	const slack = 500 * time.Millisecond
-	ctx, cancel := context.WithTimeout(context.Background(), CallerTimeout+max(c.ExtraWait, slack))
+// send makes one attempt. It sends a POST, since http.Client retries idempotent methods by
+// itself.
+func (c *Callers) send(client *http.Client, address string, behavior CallerBehavior, attempt *Attempt) {
+	const defaultExtraWait = 500 * time.Millisecond
+	ctx, cancel := context.WithTimeout(context.Background(), CallerTimeout+max(c.ExtraWait, defaultExtraWait))
 	defer cancel()
-	if manner == BehaviorAbandon {
-		time.AfterFunc(leaveAfter, cancel)
+	if behavior == BehaviorAbandon {
+		time.AfterFunc(abandonAfter, cancel)
 	}
-	local := ""
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { local = i.Conn.LocalAddr().String() }})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+a.Path, body(manner, "body of "+a.ID))
+	localAddress := ""
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { localAddress = info.Conn.LocalAddr().String() }})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+attempt.Path, requestBody(behavior, "body of "+attempt.ID))
 	if err != nil {
-		a.Violation = err.Error()
+		attempt.Violation = err.Error()
 		return
 	}
 	req.Host = "h.example"
-	req.Header.Set("X-Attempt-Id", a.ID)
+	req.Header.Set("X-Attempt-Id", attempt.ID)
 	req.Header.Set("X-Deadline-Ms", fmt.Sprint(CallerTimeout.Milliseconds()))
-	req.Header.Set("Authorization", "Bearer "+a.Key)
+	req.Header.Set("Authorization", "Bearer "+attempt.Key)
 	resp, err := client.Do(req)
 	if err != nil {
-		a.Refused = errors.Is(err, syscall.ECONNREFUSED) || c.DialFailed != nil && c.DialFailed(a.Router, local)
-		a.Abandoned = manner == BehaviorAbandon && errors.Is(err, context.Canceled)
+		attempt.Refused = errors.Is(err, syscall.ECONNREFUSED) || c.DialFailed != nil && c.DialFailed(attempt.Router, localAddress)
+		attempt.Abandoned = behavior == BehaviorAbandon && errors.Is(err, context.Canceled)
 		return
 	}
-	defer func() { _ = resp.Body.Close() }() // it is read
-	answer := io.Reader(resp.Body)
-	if manner == BehaviorSlowReader {
-		answer = &pausing{Reader: answer}
+	defer func() { _ = resp.Body.Close() }() // the body has been read
+	bodyReader := io.Reader(resp.Body)
+	if behavior == BehaviorSlowReader {
+		bodyReader = &pausingReader{Reader: bodyReader}
 	}
-	text, err := io.ReadAll(answer)
+	responseBody, err := io.ReadAll(bodyReader)
 	if err == nil {
-		a.Status = resp.StatusCode
+		attempt.Status = resp.StatusCode
 	}
-	a.Abandoned = manner == BehaviorAbandon && errors.Is(err, context.Canceled)
+	attempt.Abandoned = behavior == BehaviorAbandon && errors.Is(err, context.Canceled)
 	if resp.StatusCode == http.StatusOK {
-		a.Violation = wrongAnswer(a.ID, a.Path, resp.Header, text, err == nil)
+		attempt.Violation = findViolation(attempt.ID, attempt.Path, resp.Header, responseBody, err == nil)
 	}
 }
 
-// body returns a request's body. One in pieces has no length that is known before.
-func body(manner CallerBehavior, text string) io.Reader {
-	if manner != BehaviorChunkedBody {
+// requestBody returns the body of a request. A chunked body has no Content-Length.
+func requestBody(behavior CallerBehavior, text string) io.Reader {
+	if behavior != BehaviorChunkedBody {
 		return strings.NewReader(text)
 	}
-	return &pausing{Reader: strings.NewReader(text), most: len(text)/bodyPieces + 1}
+	return &pausingReader{Reader: strings.NewReader(text), chunkSize: len(text)/bodyChunks + 1}
 }
 
-// pausing reads with a pause before each piece, of a size at most if one is set.
-type pausing struct {
+// pausingReader pauses before each read. If chunkSize is not 0, it limits the size of a read.
+type pausingReader struct {
 	io.Reader
-	most int
+	chunkSize int
 }
 
-func (p *pausing) Read(b []byte) (int, error) {
-	time.Sleep(piecePause)
-	if p.most > 0 {
-		b = b[:min(p.most, len(b))]
+func (p *pausingReader) Read(buf []byte) (int, error) {
+	time.Sleep(chunkPause)
+	if p.chunkSize > 0 {
+		buf = buf[:min(p.chunkSize, len(buf))]
 	}
-	return p.Reader.Read(b)
+	return p.Reader.Read(buf)
 }
 
-// wrongAnswer tells what is wrong with a success, which may have broken off.
-func wrongAnswer(id, path string, h http.Header, text []byte, whole bool) string {
-	if !strings.HasSuffix(h.Get("X-Server-Signature"), "."+id) {
-		return "signed for another request: " + h.Get("X-Server-Signature")
+// findViolation returns what is wrong with a response of status 200, or "". The response may be
+// incomplete.
+func findViolation(attemptID, path string, header http.Header, body []byte, complete bool) string {
+	if !strings.HasSuffix(header.Get("X-Server-Signature"), "."+attemptID) {
+		return "signature of another request: " + header.Get("X-Server-Signature")
 	}
-	want := []byte(fmt.Sprintf("ran %s body of %s", id, id))
+	want := []byte(fmt.Sprintf("ran %s body of %s", attemptID, attemptID))
 	if strings.HasSuffix(path, "/stream") {
 		want = nil
 		for i := 1; i <= StreamEvents; i++ {
 			want = fmt.Appendf(want, "id: %d\ndata: piece %d\n\n", i, i)
 		}
 	}
-	if whole && !bytes.Equal(text, want) || !bytes.HasPrefix(want, text) {
-		return fmt.Sprintf("body %q (whole: %t)", text, whole)
+	if complete && !bytes.Equal(body, want) || !bytes.HasPrefix(want, body) {
+		return fmt.Sprintf("unexpected body %q (complete: %t)", body, complete)
 	}
 	return ""
 }
--- a/internal/standin/damage.go
+++ b/internal/standin/damage.go
@@ -2,15 +2,16 @@
 
 import "encoding/json"
 
-// damage is what a Site's list holds that no sound platform writes.
-type damage struct {
-	entries []string
-	body    string
+// listDamage replaces parts of the list of targets by content that an intact platform never
+// returns.
+type listDamage struct {
+	entries   []string
+	wholeBody string
 }
 
-// DamagedEntries are entries of a list that name no target to use: fields that are
-// missing or of another type, a state or service that nobody knows, and bytes that
-// are no text.
+// DamagedEntries are list entries that do not describe a usable target: with fields that are
+// missing or of the wrong type, with an unknown state or service, or with bytes that are not
+// valid text.
 var DamagedEntries = []string{
 	`{"id":7,"service":"plain","address":"127.0.0.1:1","zone":"z1","slots":4,"state":"ready","born":1}`,
 	`{"id":"d-1","service":"plain","address":"127.0.0.1:1","zone":"z1","slots":"many","state":"ready","born":1}`,
@@ -25,59 +26,59 @@
 	`[]`,
 }
 
-// Damage lets the list hold these entries, each a JSON text, before those of its
-// targets. None takes them away again.
-func (s *Platform) SetDamagedEntries(entries ...string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.damage.entries = entries
+// SetDamagedEntries makes the list begin with these JSON texts, before the entries of its
+// targets. Without arguments it removes them.
+func (p *Platform) SetDamagedEntries(entries ...string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.damage.entries = entries
 }
 
-// Garble answers readers of the list by these bytes; "" ends that.
-func (s *Platform) SetListBody(body string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.damage.body = body
+// SetListBody replaces the body of all responses with the list; "" restores the list.
+func (p *Platform) SetListBody(body string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.damage.wholeBody = body
 }
 
-// ShowAs lets the list show a JSON text in place of the target's entry; "" ends that.
+// SetListEntry replaces the target's entry in the list by a JSON text; "" restores the entry.
 func (t *PlatformTarget) SetListEntry(entry string) {
-	t.site.mu.Lock()
-	defer t.site.mu.Unlock()
-	t.shown = entry
+	t.platform.mu.Lock()
+	defer t.platform.mu.Unlock()
+	t.listEntry = entry
 }
 
-// siteEntry is a target's entry on the list.
-type siteEntry struct {
-	ID      string `json:"id"`
-	Born    int64  `json:"born"`
-	Service string `json:"service"`
-	Address string `json:"address"`
-	Zone    string `json:"zone"`
-	Slots   int    `json:"slots"`
-	State   string `json:"state"`
+// listEntryJSON is a target's entry in the list.
+type listEntryJSON struct {
+	ID          string `json:"id"`
+	StartMillis int64  `json:"born"`
+	Service     string `json:"service"`
+	Address     string `json:"address"`
+	Zone        string `json:"zone"`
+	Slots       int    `json:"slots"`
+	State       string `json:"state"`
 }
 
-func (t *PlatformTarget) entry() string {
-	if t.shown != "" {
-		return t.shown
+func (t *PlatformTarget) entryText() string {
+	if t.listEntry != "" {
+		return t.listEntry
 	}
-	e := siteEntry{ID: t.ID, Born: t.StartMillis, Service: t.Pool, Address: t.Address, Zone: t.Zone, Slots: t.Slots, State: "ready"}
+	entry := listEntryJSON{ID: t.ID, StartMillis: t.StartMillis, Service: t.Pool, Address: t.Address, Zone: t.Zone, Slots: t.Slots, State: "ready"}
 	if t.draining.Load() {
-		e.State = "draining"
+		entry.State = "draining"
 	}
-	text, err := json.Marshal(e)
+	text, err := json.Marshal(entry)
 	if err != nil {
-		panic(err) // it holds strings and numbers only
+		panic(err) // cannot fail: the entry contains only strings and integers
 	}
 	return string(text)
 }
 
-// entries returns the list, as JSON texts.
-func (s *Platform) entries() []string {
-	list := append([]string(nil), s.damage.entries...)
-	for _, t := range s.targets {
-		list = append(list, t.entry())
+// entryTexts returns the entries of the list as JSON texts.
+func (p *Platform) entryTexts() []string {
+	texts := append([]string(nil), p.damage.entries...)
+	for _, target := range p.targets {
+		texts = append(texts, target.entryText())
 	}
-	return list
+	return texts
 }
--- a/internal/standin/keep.go
+++ b/internal/standin/keep.go
@@ -8,42 +8,44 @@
 	"time"
 )
 
-// logsFolder is where the logs of failed tests are kept, in the module's root.
-const logsFolder = "logs"
+// logsDir is the directory in the module root for the logs of failed tests.
+const logsDir = "logs"
 
-// KeepLogs copies the folder of a failed test's processes to where it outlasts the test,
-// and returns that place.
-func SaveLogs(test, folder string) (string, error) {
+// SaveLogs copies the directory of a failed test's processes to a directory that is not removed
+// after the test. It returns the path of the copy.
+func SaveLogs(test, dir string) (string, error) {
 	root, err := moduleRoot()
 	if err != nil {
 		return "", err
 	}
-	return SaveLogsIn(filepath.Join(root, logsFolder), test, folder)
+	return SaveLogsIn(filepath.Join(root, logsDir), test, dir)
 }
 
-// KeepLogsIn copies the folder below another one.
-func SaveLogsIn(to, test, folder string) (string, error) {
-	place := filepath.Join(to, strings.ReplaceAll(test, "/", "-")+time.Now().Format("-150405.000"))
-	if err := os.CopyFS(place, os.DirFS(folder)); err != nil {
-		return "", fmt.Errorf("keep the logs of %s: %w", test, err)
+// SaveLogsIn copies the directory to a new directory in parentDir. It returns the path of the
+// copy.
+func SaveLogsIn(parentDir, test, dir string) (string, error) {
+	savedDir := filepath.Join(parentDir, strings.ReplaceAll(test, "/", "-")+time.Now().Format("-150405.000"))
+	if err := os.CopyFS(savedDir, os.DirFS(dir)); err != nil {
+		return "", fmt.Errorf("save the logs of %s: %w", test, err)
 	}
-	return place, nil
+	return savedDir, nil
 }
 
-// moduleRoot returns the nearest folder above the working directory that holds a go.mod.
+// moduleRoot returns the nearest directory, from the working directory upward, that contains a
+// go.mod file.
 func moduleRoot() (string, error) {
-	folder, err := os.Getwd()
+	dir, err := os.Getwd()
 	if err != nil {
-		return "", fmt.Errorf("find the module: %w", err)
+		return "", fmt.Errorf("find the module root: %w", err)
 	}
 	for {
-		if _, err := os.Stat(filepath.Join(folder, "go.mod")); err == nil {
-			return folder, nil
+		if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
+			return dir, nil
 		}
-		parent := filepath.Dir(folder)
-		if parent == folder {
-			return "", fmt.Errorf("no go.mod above the working directory (run the test inside the module)")
+		parent := filepath.Dir(dir)
+		if parent == dir {
+			return "", fmt.Errorf("no go.mod in the working directory or its parents (run the test inside the module)")
 		}
-		folder = parent
+		dir = parent
 	}
 }
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// operatorTime bounds one call of an operator.
-	operatorTime = 2 * time.Second
+	// operatorTimeout bounds one request of an operator.
+	operatorTimeout = 2 * time.Second
 
 	configPath     = "/laburnumfall/config"
 	evacuationPath = "/laburnumfall/evacuation/"
 )
 
-// An Operator stands in for the platform's: it sends configurations to keepers and
-// reads them back.
+// An Operator stands in for the platform's operator: it sends configurations to keepers and reads
+// them back.
 type Operator struct {
-	// Keepers are the addresses at which keepers take operators' calls.
+	// Keepers are the addresses at which keepers accept requests of operators.
 	Keepers []string
 }
 
-// Put sends a configuration to one keeper. It returns the status of the answer, 0 if
-// there was none, and its text or the error.
+// PutConfig sends a configuration to a keeper. It returns the status and body of the response, or
+// 0 and the error text if there was none.
 func (o *Operator) PutConfig(keeper int, config string) (int, string) {
 	return o.call(http.MethodPut, keeper, configPath, config)
 }
 
-// Get reads the configuration back from one keeper.
+// GetConfig reads the configuration from a keeper. It returns the same as PutConfig.
 func (o *Operator) GetConfig(keeper int) (int, string) {
 	return o.call(http.MethodGet, keeper, configPath, "")
 }
 
-// Evacuate sends a zone's evacuation, or its end, to one keeper.
+// Evacuate starts the evacuation of a zone at a keeper, or ends it if end is set. It returns the
+// same as PutConfig.
 func (o *Operator) Evacuate(keeper int, zone string, end bool) (int, string) {
 	method := http.MethodPost
 	if end {
@@ -47,15 +48,15 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	client := &http.Client{Timeout: operatorTime, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: operatorTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer func() { _ = resp.Body.Close() }() // it is read
-	text, err := io.ReadAll(resp.Body)
+	defer func() { _ = resp.Body.Close() }() // the body has been read
+	responseBody, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	return resp.StatusCode, string(text)
+	return resp.StatusCode, string(responseBody)
 }
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -7,36 +7,37 @@
 	"strings"
 )
 
-// The ports of a process on the platform, counted from the one between processes.
+// The ports of a process, as offsets from the port for connections between processes.
 const (
 	OperatorPort = 1 + iota
 	CallerPort
 	ReadyPort
-	// ProcessPorts is how many ports a process has.
+	// PortsPerProcess is how many consecutive ports a process uses.
 	PortsPerProcess
 )
 
-// Grace is how long a process has, by its settings, to stop.
+// GraceSeconds is the grace period in the settings of a process: how long its graceful shutdown
+// may take.
 const GraceSeconds = 6
 
-// ProcessSettings are what the platform tells one process.
+// ProcessSettings are the settings that the platform gives to one process.
 type ProcessSettings struct {
 	Name        string
 	IP          string
 	Zone        string
-	Port        int      // between processes, the same for all of them
-	Seeds       []string // operators' addresses of keepers
-	FirstStart  bool     // the whole fleet starts for the first time
-	DataDir     string   // for a keeper's data
+	Port        int      // for connections between processes, the same for all processes
+	Seeds       []string // addresses of keepers for operators
+	FirstStart  bool     // set if the whole fleet starts for the first time
+	DataDir     string   // data directory of a keeper
 	ListAddress string   // address of the list of targets
 }
 
-// Address returns one of a process's addresses.
+// Address returns the address of a process at a port offset.
 func (s ProcessSettings) Address(port int) string {
 	return net.JoinHostPort(s.IP, strconv.Itoa(s.Port+port))
 }
 
-// Text returns the settings as the platform writes them into a file.
+// TOML returns the settings file as the platform writes it.
 func (s ProcessSettings) TOML() string {
 	var seeds []string
 	for _, address := range s.Seeds {
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A Direction is one way through a Proxy.
+// A Direction is one of the two directions of a connection through a Proxy.
 type Direction int
 
 // The directions.
@@ -16,180 +16,181 @@
 	ToCaller
 )
 
-// A Proxy is a faulty network between loopback addresses: it passes connections on
-// to a target, and delays, resets or silences them when told to.
+// A Proxy simulates a faulty network between loopback addresses. It forwards connections to a
+// target, and on request delays, blocks, stalls or resets them.
 type Proxy struct {
 	target   string
 	listener net.Listener
 
-	mu    sync.Mutex
-	delay time.Duration
-	open  [2]chan struct{}  // by direction; closed while bytes pass
-	conns map[net.Conn]bool // whether bytes pass
-	alone map[string]bool   // callers that reached nobody, by their addresses
+	mu         sync.Mutex
+	delay      time.Duration
+	gates      [2]chan struct{}  // by direction; a closed channel lets bytes pass
+	forwarding map[net.Conn]bool // false for stalled connections
+	dialFailed map[string]bool   // addresses of callers for which the connection to the target failed
 }
 
-// StartProxy passes connections to an address on to a target.
+// StartProxy forwards connections to an address to a target.
 func StartProxy(address, target string) (*Proxy, error) {
-	l, err := net.Listen("tcp4", address)
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, fmt.Errorf("listen for a proxy: %w", err)
+		return nil, fmt.Errorf("start a proxy: %w", err)
 	}
-	p := &Proxy{target: target, listener: l, conns: make(map[net.Conn]bool), alone: make(map[string]bool)}
-	for d := range p.open {
-		p.open[d] = make(chan struct{})
-		close(p.open[d])
+	p := &Proxy{target: target, listener: listener, forwarding: make(map[net.Conn]bool), dialFailed: make(map[string]bool)}
+	for direction := range p.gates {
+		p.gates[direction] = make(chan struct{})
+		close(p.gates[direction])
 	}
-	go p.run()
+	go p.accept()
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string {
 	return p.listener.Addr().String()
 }
 
-// Alone reports whether a caller's connection reached nobody, since the target did not
-// listen. Without a proxy between, it would have been refused.
+// DialFailed reports whether the proxy could not connect a caller to the target. Without the
+// proxy, that caller's connection would have been refused.
 func (p *Proxy) DialFailed(caller string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.alone[caller]
+	return p.dialFailed[caller]
 }
 
-// Delay holds all bytes up for a time, in both directions.
-func (p *Proxy) SetDelay(d time.Duration) {
+// SetDelay delays all bytes in both directions.
+func (p *Proxy) SetDelay(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.delay = d
+	p.delay = delay
 }
 
-// Silence holds all bytes of a direction back, of open and new connections, until
-// Heal.
-func (p *Proxy) Block(d Direction) {
+// Block holds back all bytes of a direction, on open and on new connections, until ClearFaults.
+func (p *Proxy) Block(direction Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.open[d]:
-		p.open[d] = make(chan struct{})
-	default: // it is silent
+	case <-p.gates[direction]:
+		p.gates[direction] = make(chan struct{})
+	default: // already blocked
 	}
 }
 
-// Stall lets the connections that are open now pass nothing more, ever; new ones work.
+// StallOpenConnections makes all open connections discard their bytes for good. New connections
+// work.
 func (p *Proxy) StallOpenConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.conns {
-		p.conns[c] = false
+	for conn := range p.forwarding {
+		p.forwarding[conn] = false
 	}
 }
 
-// Heal ends all faults, but not those of stalled connections.
+// ClearFaults removes the delay and unblocks both directions. Stalled connections stay stalled.
 func (p *Proxy) ClearFaults() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = 0
-	for _, open := range p.open {
+	for _, gate := range p.gates {
 		select {
-		case <-open:
+		case <-gate:
 		default:
-			close(open)
+			close(gate)
 		}
 	}
 }
 
-// Reset resets all open connections.
+// ResetConnections closes all open connections with a TCP reset.
 func (p *Proxy) ResetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.conns {
-		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // the close below then resets
+	for conn := range p.forwarding {
+		if tcp, ok := conn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // makes Close send a reset
 		}
-		_ = c.Close() // its copier sees it
+		_ = conn.Close() // ends copyStream for this connection
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
-	_ = p.listener.Close() // ends the accepting
+	_ = p.listener.Close() // ends accept
 	p.ClearFaults()
 	p.ResetConnections()
 }
 
-func (p *Proxy) run() {
+func (p *Proxy) accept() {
 	for {
 		caller, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.pass(caller)
+		go p.forward(caller)
 	}
 }
 
-func (p *Proxy) pass(caller net.Conn) {
+func (p *Proxy) forward(caller net.Conn) {
 	target, err := net.Dial("tcp4", p.target)
 	if err != nil {
 		p.mu.Lock()
-		p.alone[caller.RemoteAddr().String()] = true
+		p.dialFailed[caller.RemoteAddr().String()] = true
 		p.mu.Unlock()
-		_ = caller.Close() // nobody is there
+		_ = caller.Close() // the target is not reachable
 		return
 	}
-	p.keep(caller, target)
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(target, caller, ToTarget) })
-	both.Go(func() { p.copy(caller, target, ToCaller) })
-	both.Wait()
+	p.track(caller, target)
+	var copies sync.WaitGroup
+	copies.Go(func() { p.copyStream(target, caller, ToTarget) })
+	copies.Go(func() { p.copyStream(caller, target, ToCaller) })
+	copies.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range []net.Conn{caller, target} {
-		delete(p.conns, c)
-		_ = c.Close() // both ends are done
+	for _, conn := range []net.Conn{caller, target} {
+		delete(p.forwarding, conn)
+		_ = conn.Close() // both directions have ended
 	}
 }
 
-func (p *Proxy) keep(conns ...net.Conn) {
+func (p *Proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range conns {
-		p.conns[c] = true
+	for _, conn := range conns {
+		p.forwarding[conn] = true
 	}
 }
 
-// copy passes one direction on until its source ends, and ends its sink likewise.
-func (p *Proxy) copy(to, from net.Conn, d Direction) {
+// copyStream copies one direction until its source ends, and then closes that direction of its
+// destination.
+func (p *Proxy) copyStream(to, from net.Conn, direction Direction) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, readErr := from.Read(buf)
-		p.hold(d)
-		if n > 0 && p.passes(from) {
+		p.waitForFaults(direction)
+		if n > 0 && p.isForwarding(from) {
 			if _, err := to.Write(buf[:n]); err != nil {
-				_ = from.Close() // its other end must not wait for this one
+				_ = from.Close() // ends the other direction too
 				return
 			}
 		}
 		if readErr != nil {
 			if tcp, ok := to.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // it may be closed already
+				_ = tcp.CloseWrite() // the connection may be closed already
 			}
 			return
 		}
 	}
 }
 
-func (p *Proxy) passes(c net.Conn) bool {
+func (p *Proxy) isForwarding(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conns[c]
+	return p.forwarding[conn]
 }
 
-// hold waits as long as the faults of a direction say.
-func (p *Proxy) hold(d Direction) {
+// waitForFaults blocks for the current delay and while the direction is blocked.
+func (p *Proxy) waitForFaults(direction Direction) {
 	p.mu.Lock()
-	delay, open := p.delay, p.open[d]
+	delay, gate := p.delay, p.gates[direction]
 	p.mu.Unlock()
 	time.Sleep(delay)
-	<-open
+	<-gate
 }
--- a/internal/standin/proxy_test.go
+++ b/internal/standin/proxy_test.go
@@ -9,73 +9,74 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo starts a server that sends back what it gets, behind a proxy.
-func echo(t *testing.T) (*Proxy, net.Conn) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// startEcho starts an echo server behind a proxy. It returns the proxy and a connection through
+// it.
+func startEcho(t *testing.T) (*Proxy, net.Conn) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() }) // nothing is on it
+	t.Cleanup(func() { _ = listener.Close() }) // no connection depends on it
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				_, _ = io.Copy(c, c) // ends with its other end
-				_ = c.Close()        // as that did
+				_, _ = io.Copy(conn, conn) // ends with the peer
+				_ = conn.Close()           // the peer has closed the connection
 			}()
 		}
 	}()
-	p, err := StartProxy("127.0.0.1:0", l.Addr().String())
+	proxy, err := StartProxy("127.0.0.1:0", listener.Addr().String())
 	require.NoError(t, err)
-	t.Cleanup(p.Close)
-	c, err := net.Dial("tcp4", p.Address())
+	t.Cleanup(proxy.Close)
+	conn, err := net.Dial("tcp4", proxy.Address())
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = c.Close() }) // it may be reset
-	return p, c
+	t.Cleanup(func() { _ = conn.Close() }) // the connection may have been reset
+	return proxy, conn
 }
 
-func roundTrip(t *testing.T, c net.Conn, within time.Duration) error {
-	_, err := c.Write([]byte("x"))
+func roundTrip(t *testing.T, conn net.Conn, timeout time.Duration) error {
+	_, err := conn.Write([]byte("x"))
 	require.NoError(t, err)
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(within)))
-	_, err = io.ReadFull(c, make([]byte, 1))
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(timeout)))
+	_, err = io.ReadFull(conn, make([]byte, 1))
 	return err
 }
 
 func TestProxyFaults(t *testing.T) {
-	p, c := echo(t)
-	require.NoError(t, roundTrip(t, c, 5*time.Second))
-	for _, d := range []Direction{ToTarget, ToCaller} {
-		p.Block(d)
-		require.Error(t, roundTrip(t, c, 50*time.Millisecond))
-		p.ClearFaults()
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
-		_, err := io.ReadFull(c, make([]byte, 1))
-		require.NoError(t, err, "what was held back arrives")
+	proxy, conn := startEcho(t)
+	require.NoError(t, roundTrip(t, conn, 5*time.Second))
+	for _, direction := range []Direction{ToTarget, ToCaller} {
+		proxy.Block(direction)
+		require.Error(t, roundTrip(t, conn, 50*time.Millisecond))
+		proxy.ClearFaults()
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
+		_, err := io.ReadFull(conn, make([]byte, 1))
+		require.NoError(t, err, "blocked bytes arrive once the fault is cleared")
 	}
-	p.SetDelay(60 * time.Millisecond)
-	require.Error(t, roundTrip(t, c, 50*time.Millisecond))
-	p.ClearFaults()
-	p.ResetConnections()
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
-	_, err := io.ReadAll(c)
+	proxy.SetDelay(60 * time.Millisecond)
+	require.Error(t, roundTrip(t, conn, 50*time.Millisecond))
+	proxy.ClearFaults()
+	proxy.ResetConnections()
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
+	_, err := io.ReadAll(conn)
 	require.Error(t, err)
 }
 
-func TestACallerOfNobodyIsAlone(t *testing.T) {
+func TestProxyReportsFailedDial(t *testing.T) {
 	address, err := ReserveAddress()
 	require.NoError(t, err)
-	p, err := StartProxy("127.0.0.1:0", address)
+	proxy, err := StartProxy("127.0.0.1:0", address)
 	require.NoError(t, err)
-	t.Cleanup(p.Close)
-	c, err := net.Dial("tcp4", p.Address())
+	t.Cleanup(proxy.Close)
+	conn, err := net.Dial("tcp4", proxy.Address())
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = c.Close() }) // it is closed there already
-	_, err = c.Read(make([]byte, 1))
+	t.Cleanup(func() { _ = conn.Close() }) // the proxy has closed the connection
+	_, err = conn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	require.True(t, p.DialFailed(c.LocalAddr().String()))
-	other, reached := echo(t)
-	require.NoError(t, roundTrip(t, reached, 5*time.Second))
-	require.False(t, other.DialFailed(reached.LocalAddr().String()))
+	require.True(t, proxy.DialFailed(conn.LocalAddr().String()))
+	otherProxy, otherConn := startEcho(t)
+	require.NoError(t, roundTrip(t, otherConn, 5*time.Second))
+	require.False(t, otherProxy.DialFailed(otherConn.LocalAddr().String()))
 }
--- a/internal/standin/restart_test.go
+++ b/internal/standin/restart_test.go
@@ -10,30 +10,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a target of a soak does not start again, its address is in use (seed 1026).
-// Sequence: it ends and starts again while keepers are started.
-// Cause: between fork and exec, a process that is being started holds a copy of the
-// listening socket that was just closed.
-func TestATargetStartsAgainWhileProcessesStart(t *testing.T) {
-	site, err := StartPlatform("127.0.0.1:0")
+// Guards against a target that fails to restart because its address is in use. Between fork and
+// exec, a child process holds a copy of the listening socket that the target has just closed;
+// that happens when keepers start at the same time.
+func TestTargetRestartsWhileProcessesStart(t *testing.T) {
+	platform, err := StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
-	defer site.Close()
-	target, err := site.Add("a", "p", "z", "127.0.0.1:0", 6)
+	defer platform.Close()
+	target, err := platform.Add("a", "p", "z", "127.0.0.1:0", 6)
 	require.NoError(t, err)
-	var over atomic.Bool
-	var starting sync.WaitGroup
-	starting.Go(func() {
-		for !over.Load() {
-			_ = exec.Command(os.Args[0], "-test.run=^$").Run() // that it is started counts
+	var stop atomic.Bool
+	var starters sync.WaitGroup
+	starters.Go(func() {
+		for !stop.Load() {
+			_ = exec.Command(os.Args[0], "-test.run=^$").Run() // only the start matters
 		}
 	})
 	const restarts = 300
 	for range restarts {
-		if target, err = site.Restart(target); err != nil {
+		if target, err = platform.Restart(target); err != nil {
 			break
 		}
 	}
-	over.Store(true)
-	starting.Wait()
+	stop.Store(true)
+	starters.Wait()
 	require.NoError(t, err)
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -14,45 +14,44 @@
 	"time"
 )
 
-// A Site stands in for the users' platform: the list of targets, and targets
-// with incarnations and signatures. Faults are ordered by setting Fault. It
-// speaks the platform's names, so that the adapter is tested against them.
+// A Platform stands in for the users' platform. It serves the list of targets and runs targets
+// with incarnations and signatures. It uses the platform's own names for paths, headers and
+// fields, so that the platform adapter is tested against them. Set Fault to inject faults.
 type Platform struct {
-	// Fault, if set, may answer a request in a target's place. It reports
-	// whether it did.
-	Fault func(t *PlatformTarget, w http.ResponseWriter, r *http.Request) bool
+	// Fault, if set, may respond to a request in place of the target. It returns whether it did.
+	Fault func(target *PlatformTarget, w http.ResponseWriter, r *http.Request) bool
 
-	mu      sync.Mutex
-	targets []*PlatformTarget
-	all     []*PlatformTarget
-	damage  damage
-	reads   atomic.Int64
-	server  *http.Server
-	address string
+	mu              sync.Mutex
+	targets         []*PlatformTarget
+	allIncarnations []*PlatformTarget
+	damage          listDamage
+	listReads       atomic.Int64
+	server          *http.Server
+	address         string
 }
 
-// A SiteTarget is one incarnation of a target of a Site.
+// A PlatformTarget is one incarnation of a target of a Platform.
 type PlatformTarget struct {
 	ID string
-	// Born is the Unix millisecond of its start.
+	// StartMillis is the start time in Unix milliseconds.
 	StartMillis int64
 	Pool        string
 	Zone        string
 	Address     string
 	Slots       int
 
-	site     *Platform
-	server   *http.Server
-	listener net.Listener
-	listen   string // where it listens itself
-	shown    string // in place of its entry, if any
-	draining atomic.Bool
-	mu       sync.Mutex
-	runs     []TargetRun
-	conns    atomic.Int64
+	platform        *Platform
+	server          *http.Server
+	listener        net.Listener
+	ownAddress      string // the address on which the target listens
+	listEntry       string // replaces the entry in the list unless ""
+	draining        atomic.Bool
+	mu              sync.Mutex
+	runs            []TargetRun
+	connectionCount atomic.Int64
 }
 
-// A SiteRun is one request that a target ran.
+// A TargetRun is a request that a target executed.
 type TargetRun struct {
 	At        time.Time
 	RequestID string
@@ -61,98 +60,97 @@
 	Body      string
 }
 
-// StartSite serves the list on an address.
+// StartPlatform starts a platform that serves its list of targets on an address.
 func StartPlatform(address string) (*Platform, error) {
-	l, err := net.Listen("tcp4", address)
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, fmt.Errorf("listen for the list: %w", err)
+		return nil, fmt.Errorf("listen for requests of the target list: %w", err)
 	}
-	s := &Platform{address: l.Addr().String()}
+	platform := &Platform{address: listener.Addr().String()}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /instances", s.serveList)
-	s.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-	go func() { _ = s.server.Serve(l) }() // ends at Close
-	return s, nil
+	mux.HandleFunc("GET /instances", platform.serveList)
+	platform.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
+	go func() { _ = platform.server.Serve(listener) }() // ends with Close
+	return platform, nil
 }
 
-// Address returns where the list is served.
-func (s *Platform) Address() string {
-	return s.address
+// Address returns the address of the list of targets.
+func (p *Platform) Address() string {
+	return p.address
 }
 
-// Reads returns how often a page of the list was read.
-func (s *Platform) ListReads() int {
-	return int(s.reads.Load())
+// ListReads returns how many pages of the list were read.
+func (p *Platform) ListReads() int {
+	return int(p.listReads.Load())
 }
 
-// Add starts a target on an address.
-func (s *Platform) Add(id, pool, zone, address string, slots int) (*PlatformTarget, error) {
-	t := &PlatformTarget{ID: id, Pool: pool, Zone: zone, Slots: slots, StartMillis: time.Now().UnixMilli(), site: s}
-	if err := t.start(address); err != nil {
+// Add starts a target on an address and adds it to the list.
+func (p *Platform) Add(id, pool, zone, address string, slots int) (*PlatformTarget, error) {
+	target := &PlatformTarget{ID: id, Pool: pool, Zone: zone, Slots: slots, StartMillis: time.Now().UnixMilli(), platform: p}
+	if err := target.start(address); err != nil {
 		return nil, err
 	}
-	t.Address = t.listen
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.targets, s.all = append(s.targets, t), append(s.all, t)
-	return t, nil
+	target.Address = target.ownAddress
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.targets, p.allIncarnations = append(p.targets, target), append(p.allIncarnations, target)
+	return target, nil
 }
 
 const (
-	// listenTime bounds how long a target waits for its address; a process takes some
-	// milliseconds to start.
-	listenTime = time.Second
-	listenPoll = time.Millisecond
+	// maxListenWait bounds how long a target waits until its address is free. A child process
+	// takes some milliseconds from fork to exec.
+	maxListenWait      = time.Second
+	listenPollInterval = time.Millisecond
 )
 
-// listen listens at an address that may just have been given up: a process that is being
-// started holds a copy of each socket until it runs its program.
-func listen(address string) (net.Listener, error) {
-	for end := time.Now().Add(listenTime); ; time.Sleep(listenPoll) {
-		l, err := net.Listen("tcp4", address)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
-			return l, err
+// listenWhenFree listens on an address, and retries while it is in use: between fork and exec, a
+// child process holds copies of sockets that this process has closed.
+func listenWhenFree(address string) (net.Listener, error) {
+	for deadline := time.Now().Add(maxListenWait); ; time.Sleep(listenPollInterval) {
+		listener, err := net.Listen("tcp4", address)
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
+			return listener, err
 		}
 	}
 }
 
 func (t *PlatformTarget) start(address string) error {
-	l, err := listen(address)
+	listener, err := listenWhenFree(address)
 	if err != nil {
-		return fmt.Errorf("listen for a target: %w", err)
+		return fmt.Errorf("start a target: %w", err)
 	}
-	t.listener, t.listen = l, l.Addr().String()
-	t.server = &http.Server{Handler: t, ReadHeaderTimeout: time.Second, ConnState: func(_ net.Conn, st http.ConnState) {
-		if st == http.StateNew {
-			t.conns.Add(1)
+	t.listener, t.ownAddress = listener, listener.Addr().String()
+	t.server = &http.Server{Handler: t, ReadHeaderTimeout: time.Second, ConnState: func(_ net.Conn, state http.ConnState) {
+		if state == http.StateNew {
+			t.connectionCount.Add(1)
 		}
 	}}
-	go func() { _ = t.server.Serve(l) }() // ends at Close
+	go func() { _ = t.server.Serve(listener) }() // ends with Close or Remove
 	return nil
 }
 
-// Restart ends a target as in a crash, if it still runs, and starts it again under
-// its ID on its address. The new incarnation takes the place of the former one on the
-// list, or comes back to it.
-func (s *Platform) Restart(t *PlatformTarget) (*PlatformTarget, error) {
-	s.Remove(t)
-	born := max(time.Now().UnixMilli(), t.StartMillis+1)
-	next := &PlatformTarget{ID: t.ID, Pool: t.Pool, Zone: t.Zone, Address: t.Address, Slots: t.Slots, StartMillis: born, site: s}
-	if err := next.startAgain(t.listen); err != nil {
+// Restart stops a target as in a crash, unless it has stopped, and starts a new incarnation with
+// the same ID and address. The new incarnation replaces the previous one in the list.
+func (p *Platform) Restart(target *PlatformTarget) (*PlatformTarget, error) {
+	p.Remove(target)
+	startMillis := max(time.Now().UnixMilli(), target.StartMillis+1)
+	restarted := &PlatformTarget{ID: target.ID, Pool: target.Pool, Zone: target.Zone, Address: target.Address, Slots: target.Slots, StartMillis: startMillis, platform: p}
+	if err := restarted.startWithRetries(target.ownAddress); err != nil {
 		return nil, err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.targets, s.all = append(s.targets, next), append(s.all, next)
-	return next, nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.targets, p.allIncarnations = append(p.targets, restarted), append(p.allIncarnations, restarted)
+	return restarted, nil
 }
 
-// startAgain waits for the address: while nobody listens there, a connection to somewhere
-// else may have taken its port for a moment.
-func (t *PlatformTarget) startAgain(address string) error {
-	const tries, pause = 50, 20 * time.Millisecond
+// startWithRetries retries while the port is taken. An outgoing connection may use it for a short
+// time while no listener is open.
+func (t *PlatformTarget) startWithRetries(address string) error {
+	const maxTries, pause = 50, 20 * time.Millisecond
 	var err error
-	for range tries {
+	for range maxTries {
 		if err = t.start(address); err == nil {
 			return nil
 		}
@@ -161,94 +159,95 @@
 	return err
 }
 
-// All returns every target that there ever was.
-func (s *Platform) AllIncarnations() []*PlatformTarget {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]*PlatformTarget(nil), s.all...)
+// AllIncarnations returns all targets since the start, also those that were removed.
+func (p *Platform) AllIncarnations() []*PlatformTarget {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]*PlatformTarget(nil), p.allIncarnations...)
 }
 
-// Remove stops a target and takes it off the list.
-func (s *Platform) Remove(t *PlatformTarget) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i, other := range s.targets {
-		if other == t {
-			s.targets = append(s.targets[:i:i], s.targets[i+1:]...)
+// Remove stops a target and removes it from the list.
+func (p *Platform) Remove(target *PlatformTarget) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i, other := range p.targets {
+		if other == target {
+			p.targets = append(p.targets[:i:i], p.targets[i+1:]...)
 			break
 		}
 	}
-	_ = t.listener.Close() // the server may not hold it yet
-	_ = t.server.Close()   // what it runs is cut, as in a crash
+	_ = target.listener.Close() // the server may not have registered it yet
+	_ = target.server.Close()   // interrupts running requests, as in a crash
 }
 
-// Close stops everything.
-func (s *Platform) Close() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, t := range s.targets {
-		_ = t.server.Close() // nothing is left to lose
+// Close stops all targets and the list.
+func (p *Platform) Close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, target := range p.targets {
+		_ = target.server.Close() // all requests have ended
 	}
-	_ = s.server.Close() // nothing is left to lose
+	_ = p.server.Close() // all requests have ended
 }
 
-// sitePage is how many targets stand on one page of the list.
-const sitePage = 2
+// listPageSize is the number of targets on a page of the list.
+const listPageSize = 2
 
-func (s *Platform) serveList(w http.ResponseWriter, r *http.Request) {
-	s.reads.Add(1)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.damage.body != "" {
-		_, _ = io.WriteString(w, s.damage.body) // a reader that left reads again
+func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
+	p.listReads.Add(1)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.damage.wholeBody != "" {
+		_, _ = io.WriteString(w, p.damage.wholeBody) // a disconnected client reads the list again
 		return
 	}
-	entries := s.entries()
-	from, _ := strconv.Atoi(r.URL.Query().Get("page_token")) // none is the first page
-	to := min(from+sitePage, len(entries))
+	entries := p.entryTexts()
+	from, _ := strconv.Atoi(r.URL.Query().Get("page_token")) // without a token, the first page
+	to := min(from+listPageSize, len(entries))
 	next := "null"
 	if to < len(entries) {
 		next = strconv.Quote(strconv.Itoa(to))
 	}
 	list := strings.Join(entries[min(from, to):to], ",")
-	_, _ = io.WriteString(w, `{"instances":[`+list+`],"next":`+next+`}`) // a reader that left reads again
+	_, _ = io.WriteString(w, `{"instances":[`+list+`],"next":`+next+`}`) // a disconnected client reads the list again
 }
 
-// Behind lets the list show another address of the target, as that of a proxy.
+// SetListedAddress changes the address of the target in the list, for example to that of a proxy.
 func (t *PlatformTarget) SetListedAddress(address string) {
-	t.site.mu.Lock()
-	defer t.site.mu.Unlock()
+	t.platform.mu.Lock()
+	defer t.platform.mu.Unlock()
 	t.Address = address
 }
 
-// Drain shows the target as leaving.
+// Drain marks the target as draining in the list.
 func (t *PlatformTarget) Drain() {
 	t.draining.Store(true)
 }
 
-// Runs returns what the target ran.
+// Runs returns a copy of the requests that the target has executed.
 func (t *PlatformTarget) Runs() []TargetRun {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]TargetRun(nil), t.runs...)
 }
 
-// Conns returns how many connections were made to the target.
+// ConnectionCount returns how many connections the target has accepted.
 func (t *PlatformTarget) ConnectionCount() int {
-	return int(t.conns.Load())
+	return int(t.connectionCount.Load())
 }
 
-// Signature returns what the target signs the answer to a request by.
-func (t *PlatformTarget) Signature(id string) string {
-	return t.ID + "." + id
+// Signature returns the target's signature of the response to a request.
+func (t *PlatformTarget) Signature(requestID string) string {
+	return t.ID + "." + requestID
 }
 
-// SiteEvents is how many events a stream of a SiteTarget has.
+// StreamEvents is the number of events of a complete stream.
 const StreamEvents = 5
 
-// Ran notes a request as run. A Fault that runs a request calls it.
+// RecordRun records that the target executed a request. A Fault that executes a request has to
+// call it.
 func (t *PlatformTarget) RecordRun(r *http.Request) TargetRun {
-	body, _ := io.ReadAll(r.Body) // a caller that left sends no more
+	body, _ := io.ReadAll(r.Body) // the client may have disconnected
 	run := TargetRun{At: time.Now(), RequestID: r.Header.Get("X-Attempt-Id"), Header: r.Header.Clone(), Path: r.RequestURI, Body: string(body)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -256,42 +255,42 @@
 	return run
 }
 
-// Head writes the headers that every answer to a request bears.
+// WriteHeaders sets the headers that every response of a target has.
 func (t *PlatformTarget) WriteHeaders(w http.ResponseWriter, r *http.Request) {
-	id := r.Header.Get("X-Attempt-Id")
-	w.Header().Set("X-Attempt-Id", id)
-	w.Header().Set("X-Server-Signature", t.Signature(id))
+	requestID := r.Header.Get("X-Attempt-Id")
+	w.Header().Set("X-Attempt-Id", requestID)
+	w.Header().Set("X-Server-Signature", t.Signature(requestID))
 	w.Header().Set("X-Server-Load", "1,0,"+strconv.Itoa(t.Slots))
 }
 
-// ServeHTTP runs a request: one that ends in "/stream" is answered by events,
-// any other by its own body.
+// ServeHTTP executes a request. If its path ends in "/stream", the response is a stream of
+// events, and otherwise repeats the request's body.
 func (t *PlatformTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if want := r.Header.Get("X-Expect-Instance"); want != "" && want != t.ID {
+	if expectedID := r.Header.Get("X-Expect-Instance"); expectedID != "" && expectedID != t.ID {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if fault := t.site.Fault; fault != nil && fault(t, w, r) {
+	if fault := t.platform.Fault; fault != nil && fault(t, w, r) {
 		return
 	}
 	run := t.RecordRun(r)
 	t.WriteHeaders(w, r)
-	const suffix = "/stream"
-	if len(run.Path) < len(suffix) || run.Path[len(run.Path)-len(suffix):] != suffix {
-		_, _ = io.WriteString(w, "ran "+run.RequestID+" "+run.Body) // a caller that left takes none
+	const streamSuffix = "/stream"
+	if len(run.Path) < len(streamSuffix) || run.Path[len(run.Path)-len(streamSuffix):] != streamSuffix {
+		_, _ = io.WriteString(w, "ran "+run.RequestID+" "+run.Body) // the client may have disconnected
 		return
 	}
-	first, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // none is the start
-	t.WriteEvents(w, first+1, StreamEvents)
+	lastEventID, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // without the header, the stream begins at event 1
+	t.WriteEvents(w, lastEventID+1, StreamEvents)
 }
 
-// Stream writes the events of a stream from one to another.
+// WriteEvents writes the events of a stream numbered from one number to another, both included.
 func (t *PlatformTarget) WriteEvents(w http.ResponseWriter, from, to int) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	rc := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	for i := from; i <= to; i++ {
-		_, _ = fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", i, i) // a caller that left takes none
-		_ = rc.Flush()
+		_, _ = fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", i, i) // the client may have disconnected
+		_ = controller.Flush()
 	}
 }
--- a/internal/standin/site_test.go
+++ b/internal/standin/site_test.go
@@ -9,74 +9,74 @@
 	"github.com/stretchr/testify/require"
 )
 
-// page is a page of the list, its entries as they are.
-type page struct {
+// listPage is a page of the list with its entries as JSON texts.
+type listPage struct {
 	Instances []json.RawMessage `json:"instances"`
 	Next      string            `json:"next"`
 }
 
-// entries reads the whole list of a site.
-func entries(t *testing.T, s *Platform) (list []string) {
+// readEntries reads all pages of the list.
+func readEntries(t *testing.T, platform *Platform) (texts []string) {
 	for token := "0"; token != ""; {
-		resp, err := http.Get("http://" + s.Address() + "/instances?page_token=" + token)
+		resp, err := http.Get("http://" + platform.Address() + "/instances?page_token=" + token)
 		require.NoError(t, err)
-		var p page
-		require.NoError(t, json.NewDecoder(resp.Body).Decode(&p))
+		var page listPage
+		require.NoError(t, json.NewDecoder(resp.Body).Decode(&page))
 		require.NoError(t, resp.Body.Close())
-		for _, e := range p.Instances {
-			list = append(list, string(e))
+		for _, entry := range page.Instances {
+			texts = append(texts, string(entry))
 		}
-		token = p.Next
+		token = page.Next
 	}
-	return list
+	return texts
 }
 
-func TestATargetStartsAgainUnderItsID(t *testing.T) {
-	site, err := StartPlatform("127.0.0.1:0")
+func TestRestartKeepsIDAndListedAddress(t *testing.T) {
+	platform, err := StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
-	defer site.Close()
-	former, err := site.Add("a", "p", "z", "127.0.0.1:0", 6)
+	defer platform.Close()
+	previous, err := platform.Add("a", "p", "z", "127.0.0.1:0", 6)
 	require.NoError(t, err)
-	former.Drain()
-	former.SetListedAddress("127.0.0.1:9")
-	next, err := site.Restart(former)
+	previous.Drain()
+	previous.SetListedAddress("127.0.0.1:9")
+	restarted, err := platform.Restart(previous)
 	require.NoError(t, err)
-	require.Equal(t, former.ID, next.ID)
-	require.Greater(t, next.StartMillis, former.StartMillis)
-	require.Equal(t, "127.0.0.1:9", next.Address, "it stays behind its proxy")
-	list := entries(t, site)
-	require.Len(t, list, 1)
-	require.Contains(t, list[0], `"state":"ready"`)
+	require.Equal(t, previous.ID, restarted.ID)
+	require.Greater(t, restarted.StartMillis, previous.StartMillis)
+	require.Equal(t, "127.0.0.1:9", restarted.Address, "the list keeps the address of the proxy")
+	texts := readEntries(t, platform)
+	require.Len(t, texts, 1)
+	require.Contains(t, texts[0], `"state":"ready"`)
 
-	resp, err := http.Get("http://" + next.listen + "/x")
+	resp, err := http.Get("http://" + restarted.ownAddress + "/x")
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
-	require.Empty(t, former.Runs())
-	require.Len(t, next.Runs(), 1)
+	require.Empty(t, previous.Runs())
+	require.Len(t, restarted.Runs(), 1)
 }
 
-func TestAListHoldsDamagedEntries(t *testing.T) {
-	site, err := StartPlatform("127.0.0.1:0")
+func TestListShowsDamagedEntries(t *testing.T) {
+	platform, err := StartPlatform("127.0.0.1:0")
 	require.NoError(t, err)
-	defer site.Close()
-	target, err := site.Add("a", "p", "z", "127.0.0.1:0", 6)
+	defer platform.Close()
+	target, err := platform.Add("a", "p", "z", "127.0.0.1:0", 6)
 	require.NoError(t, err)
-	sound := entries(t, site)
-	site.SetDamagedEntries(DamagedEntries...)
-	require.Equal(t, append(append([]string(nil), DamagedEntries...), sound...), entries(t, site))
-	site.SetDamagedEntries()
+	undamaged := readEntries(t, platform)
+	platform.SetDamagedEntries(DamagedEntries...)
+	require.Equal(t, append(append([]string(nil), DamagedEntries...), undamaged...), readEntries(t, platform))
+	platform.SetDamagedEntries()
 	target.SetListEntry("7")
-	require.Equal(t, []string{"7"}, entries(t, site))
+	require.Equal(t, []string{"7"}, readEntries(t, platform))
 	target.SetListEntry("")
-	require.Equal(t, sound, entries(t, site))
+	require.Equal(t, undamaged, readEntries(t, platform))
 
-	site.SetListBody("\xff")
-	resp, err := http.Get("http://" + site.Address() + "/instances")
+	platform.SetListBody("\xff")
+	resp, err := http.Get("http://" + platform.Address() + "/instances")
 	require.NoError(t, err)
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	require.Equal(t, "\xff", string(body))
-	site.SetListBody("")
-	require.Equal(t, sound, entries(t, site))
+	platform.SetListBody("")
+	require.Equal(t, undamaged, readEntries(t, platform))
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,9 @@
-// Package standin is a stand-in for a model engine or a plain service, with
-// faults to order. It counts the runs of each key, so that a test can see a
-// request that ran twice.
+// Package standin provides stand-ins for the surroundings of a fleet, for tests and
+// demonstrations: model engines and plain services, the platform with its list of targets,
+// callers, an operator, a load balancer, and a proxy that simulates a faulty network.
+//
+// A Standin is a model engine or a plain service with configurable faults. It counts the runs of
+// each idempotency key, so that a test can detect a request that ran twice.
 package standin
 
 import (
@@ -24,109 +27,110 @@
 	"laburnumfall/internal/tomlfile"
 )
 
-// A Settings is the settings of lf-standin. Cut, Refuse and Late are the parts
-// of requests, from 0 to 1, that meet the fault.
+// Settings are the settings of lf-standin. CutFraction, RefuseFraction and LateFraction are the
+// fractions of requests, from 0 to 1, that get the fault.
 type Settings struct {
 	Name   string           `toml:"name"`
 	Listen string           `toml:"listen"`
 	Kind   fleet.TargetKind `toml:"kind"`
 	Seed   uint64           `toml:"seed"`
 	Fenced bool             `toml:"fenced"`
-	// Delay is the time to the first token or to a service's answer, Pace the
-	// time between tokens, Tokens how many an answer has unless it asks.
+	// Delay is the time to the first token of an engine or to the response of a service.
+	// TokenInterval is the time between tokens, and Tokens the number of tokens of a response
+	// unless the request sets it.
 	Delay          fleet.Duration `toml:"delay"`
 	TokenInterval  fleet.Duration `toml:"pace"`
 	Tokens         int            `toml:"tokens"`
 	CutFraction    float64        `toml:"cut"`
 	RefuseFraction float64        `toml:"refuse"`
 	LateFraction   float64        `toml:"late"`
-	// Crash is a text that ends the program where a request's body holds it: as soon as
-	// it begins to run, while others run beside it.
+	// CrashText makes the process exit when it starts to execute a request whose body contains
+	// the text, while other requests may be in progress.
 	CrashText string `toml:"crash"`
 	LogLevel  string `toml:"level"`
 	LogFormat string `toml:"format"`
 }
 
 const (
-	defaultTokens = 24
-	lateFactor    = 20
-	thumbSize     = 4096
-	// crashCode is the exit code of one that ends to order.
-	crashCode = 7
+	defaultTokens   = 24
+	lateDelayFactor = 20
+	thumbnailSize   = 4096
+	// crashExitCode is the exit code of a process that CrashText ends.
+	crashExitCode = 7
 )
 
-// Read reads and checks the settings.
+// ReadSettings reads and validates a settings file.
 func ReadSettings(file string) (Settings, error) {
-	var s Settings
+	var settings Settings
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return s, &tomlfile.Error{File: file, Message: err.Error(), Remedy: "name a readable settings file with --config"}
+		return settings, &tomlfile.Error{File: file, Message: err.Error(), Remedy: "name a readable settings file with --config"}
 	}
-	lines, err := tomlfile.Decode(file, data, &s)
+	lines, err := tomlfile.Decode(file, data, &settings)
 	if err != nil {
-		return s, err
+		return settings, err
 	}
-	if _, _, err := net.SplitHostPort(s.Listen); err != nil {
-		return s, lines.Errorf("listen", `write "IP:PORT"`, "%q is no address", s.Listen)
+	if _, _, err := net.SplitHostPort(settings.Listen); err != nil {
+		return settings, lines.Errorf("listen", `write "IP:PORT"`, "%q is not an address", settings.Listen)
 	}
-	if s.Kind != fleet.TargetEngine && s.Kind != fleet.TargetService {
-		return s, lines.Errorf("kind", `write "engine" or "service"`, "%q is no kind", s.Kind)
+	if settings.Kind != fleet.TargetEngine && settings.Kind != fleet.TargetService {
+		return settings, lines.Errorf("kind", `write "engine" or "service"`, "%q is not a kind of target", settings.Kind)
 	}
-	return s, nil
+	return settings, nil
 }
 
-// A Standin is one stand-in. Set the exported fields, then call Run.
+// A Standin is a model engine or a plain service. Set the exported fields, then call Run.
 type Standin struct {
 	Settings Settings
 	Log      hclog.Logger
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	runs     map[string]int
-	counts   Counts
-	fence    uint64
-	orders   []Command
-	listener net.Listener
-	vms      []byte // the platform's list, as JSON
+	mu           sync.Mutex
+	random       *rand.Rand
+	runsByKey    map[string]int
+	counts       Counts
+	fencingToken uint64
+	commands     []Command
+	listener     net.Listener
+	vmList       []byte // the platform's list of VMs as JSON
 }
 
-// Counts is what a stand-in has seen.
+// Counts are the numbers of requests since the start.
 type Counts struct {
 	Started    int            `json:"started"`
 	Finished   int            `json:"finished"`
 	Cancelled  int            `json:"cancelled"`
 	Running    int            `json:"running"`
-	MaxRunning int            `json:"most"` // most running at a time
+	MaxRunning int            `json:"most"` // highest number of concurrent requests
 	RunsByKey  map[string]int `json:"runs"` // by Idempotency-Key
 }
 
-// An Order is an order of the fleet to a target.
+// A Command is a command of the control plane to a target.
 type Command struct {
 	FencingToken uint64 `json:"fence"`
 	Action       string `json:"do"`
 	Model        string `json:"model"`
 }
 
-// Listen opens the address, so that it is known before Run.
+// Listen opens the listener, so that the address is known before Run. It returns that address.
 func (s *Standin) Listen() (string, error) {
-	l, err := net.Listen("tcp", s.Settings.Listen)
+	listener, err := net.Listen("tcp", s.Settings.Listen)
 	if err != nil {
 		return "", fmt.Errorf("listen (free the address or change listen): %w", err)
 	}
-	s.listener = l
-	return l.Addr().String(), nil
+	s.listener = listener
+	return listener.Addr().String(), nil
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx ends.
 func (s *Standin) Run(ctx context.Context) error {
 	s.random = rand.New(rand.NewPCG(s.Settings.Seed, 1))
-	s.runs = make(map[string]int)
+	s.runsByKey = make(map[string]int)
 	if s.listener == nil {
 		if _, err := s.Listen(); err != nil {
 			return err
 		}
 	}
-	server := &fasthttp.Server{Handler: s.serve, NoDefaultServerHeader: true, CloseOnShutdown: true}
+	server := &fasthttp.Server{Handler: s.handle, NoDefaultServerHeader: true, CloseOnShutdown: true}
 	errs := make(chan error, 1)
 	go func() { errs <- server.Serve(s.listener) }()
 	select {
@@ -137,75 +141,76 @@
 	}
 }
 
-// Counts returns what the stand-in has seen.
+// Counts returns a copy of the current counts.
 func (s *Standin) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.counts
-	c.RunsByKey = make(map[string]int, len(s.runs))
-	for k, n := range s.runs {
-		c.RunsByKey[k] = n
+	counts := s.counts
+	counts.RunsByKey = make(map[string]int, len(s.runsByKey))
+	for key, runs := range s.runsByKey {
+		counts.RunsByKey[key] = runs
 	}
-	return c
+	return counts
 }
 
-func (s *Standin) serve(ctx *fasthttp.RequestCtx) {
+func (s *Standin) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch path {
 	case "/-/counts":
 		writeJSON(ctx, s.Counts())
 		return
 	case "/-/order":
-		s.takeOrder(ctx)
+		s.handleCommand(ctx)
 		return
 	case "/vms":
-		s.serveVMs(ctx)
+		s.handleVMList(ctx)
 		return
 	}
-	if s.hits(s.Settings.RefuseFraction) {
+	if s.drawFault(s.Settings.RefuseFraction) {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	s.begin(string(ctx.Request.Header.Peek("Idempotency-Key")))
+	s.recordStart(string(ctx.Request.Header.Peek("Idempotency-Key")))
 	delay := time.Duration(s.Settings.Delay)
-	if s.hits(s.Settings.LateFraction) {
-		delay *= lateFactor
+	if s.drawFault(s.Settings.LateFraction) {
+		delay *= lateDelayFactor
 	}
 	time.Sleep(delay)
-	if crash := s.Settings.CrashText; crash != "" && bytes.Contains(ctx.PostBody(), []byte(crash)) {
-		os.Exit(crashCode)
+	if crashText := s.Settings.CrashText; crashText != "" && bytes.Contains(ctx.PostBody(), []byte(crashText)) {
+		os.Exit(crashExitCode)
 	}
 	switch {
 	case s.Settings.Kind == fleet.TargetEngine:
-		s.complete(ctx)
+		s.handleCompletion(ctx)
 	case strings.HasPrefix(path, "/thumbs/"):
 		ctx.SetContentType("image/png")
-		ctx.SetBody(thumb(path))
-		s.finish(true)
+		ctx.SetBody(thumbnail(path))
+		s.recordEnd(true)
 	default:
-		writeJSON(ctx, sheetList{Path: path, Sheets: []string{"A-101", "A-102", "S-201"}})
-		s.finish(true)
+		writeJSON(ctx, serviceResponse{Path: path, Sheets: []string{"A-101", "A-102", "S-201"}})
+		s.recordEnd(true)
 	}
 }
 
-// sheetList is a plain service's answer.
-type sheetList struct {
+// serviceResponse is the response of a plain service.
+type serviceResponse struct {
 	Path   string   `json:"path"`
 	Sheets []string `json:"sheets"`
 }
 
-// thumb returns bytes that depend on the path, so that a crossed answer shows.
-func thumb(path string) []byte {
-	r := rand.New(rand.NewPCG(uint64(len(path)), uint64(path[len(path)-1])))
-	b := make([]byte, thumbSize)
-	for i := range b {
-		b[i] = byte(r.Uint32())
+// thumbnail returns bytes that depend on the path, so that a response to another request is
+// detected.
+func thumbnail(path string) []byte {
+	random := rand.New(rand.NewPCG(uint64(len(path)), uint64(path[len(path)-1])))
+	image := make([]byte, thumbnailSize)
+	for i := range image {
+		image[i] = byte(random.Uint32())
 	}
-	return b
+	return image
 }
 
-// chatRequest is the part of a chat completion that a stand-in heeds.
-type chatRequest struct {
+// completionRequest holds the fields of a chat completion request that a Standin uses.
+type completionRequest struct {
 	Stream    bool `json:"stream"`
 	MaxTokens int  `json:"max_tokens"`
 	Messages  []struct {
@@ -213,42 +218,42 @@
 	} `json:"messages"`
 }
 
-func (s *Standin) complete(ctx *fasthttp.RequestCtx) {
-	var req chatRequest
-	if err := json.Unmarshal(ctx.PostBody(), &req); err != nil {
+func (s *Standin) handleCompletion(ctx *fasthttp.RequestCtx) {
+	var request completionRequest
+	if err := json.Unmarshal(ctx.PostBody(), &request); err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
-		s.finish(true)
+		s.recordEnd(true)
 		return
 	}
-	tokens := s.tokens(req)
+	tokens := s.tokenCount(request)
 	echo := ""
-	if n := len(req.Messages); n > 0 {
-		echo = req.Messages[n-1].Content
+	if count := len(request.Messages); count > 0 {
+		echo = request.Messages[count-1].Content
 	}
 	cutAt := -1
-	if s.hits(s.Settings.CutFraction) {
+	if s.drawFault(s.Settings.CutFraction) {
 		cutAt = tokens / 2
 	}
-	if !req.Stream {
-		s.completeWhole(ctx, echo, tokens, cutAt)
+	if !request.Stream {
+		s.respondWhole(ctx, echo, tokens, cutAt)
 		return
 	}
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		err := s.stream(w, echo, tokens, cutAt)
-		if errors.Is(err, errCut) {
-			_ = ctx.Conn().Close() // the fault that was ordered
+		err := s.writeStream(w, echo, tokens, cutAt)
+		if errors.Is(err, errCutByFault) {
+			_ = ctx.Conn().Close() // the injected fault
 		}
-		s.finish(err == nil)
+		s.recordEnd(err == nil)
 	})
 }
 
-var errCut = errors.New("cut to order")
+var errCutByFault = errors.New("response cut by an injected fault")
 
-func (s *Standin) tokens(req chatRequest) int {
+func (s *Standin) tokenCount(request completionRequest) int {
 	switch {
-	case req.MaxTokens > 0:
-		return req.MaxTokens
+	case request.MaxTokens > 0:
+		return request.MaxTokens
 	case s.Settings.Tokens > 0:
 		return s.Settings.Tokens
 	default:
@@ -256,24 +261,24 @@
 	}
 }
 
-func (s *Standin) completeWhole(ctx *fasthttp.RequestCtx, echo string, tokens, cutAt int) {
+func (s *Standin) respondWhole(ctx *fasthttp.RequestCtx, echo string, tokens, cutAt int) {
 	time.Sleep(time.Duration(tokens) * time.Duration(s.Settings.TokenInterval))
 	if cutAt >= 0 {
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
-		s.finish(false)
+		s.recordEnd(false)
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBodyString(fmt.Sprintf(`{"object":"chat.completion","choices":[{"index":0,"message":{"role":"assistant","content":%q},"finish_reason":"stop"}],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`,
 		strings.Repeat("tok ", tokens)+echo, len(echo), tokens, len(echo)+tokens))
-	s.finish(true)
+	s.recordEnd(true)
 }
 
-func (s *Standin) stream(w *bufio.Writer, echo string, tokens, cutAt int) error {
+func (s *Standin) writeStream(w *bufio.Writer, echo string, tokens, cutAt int) error {
 	for i := range tokens {
 		if i == cutAt {
-			return errCut
+			return errCutByFault
 		}
 		if _, err := fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t%d \"}}]}\n\n", i); err != nil {
 			return err
@@ -290,72 +295,72 @@
 	return w.Flush()
 }
 
-// takeOrder carries out an order unless its fencing number is old. A stand-in
-// that is not fenced carries out any.
-func (s *Standin) takeOrder(ctx *fasthttp.RequestCtx) {
-	var o Command
-	if err := json.Unmarshal(ctx.PostBody(), &o); err != nil {
+// handleCommand executes a command unless its fencing token is lower than one seen before.
+// Without the setting Fenced it executes every command.
+func (s *Standin) handleCommand(ctx *fasthttp.RequestCtx) {
+	var command Command
+	if err := json.Unmarshal(ctx.PostBody(), &command); err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Settings.Fenced && o.FencingToken < s.fence {
+	if s.Settings.Fenced && command.FencingToken < s.fencingToken {
 		ctx.SetStatusCode(fasthttp.StatusConflict)
 		return
 	}
-	s.fence = max(s.fence, o.FencingToken)
-	s.orders = append(s.orders, o)
+	s.fencingToken = max(s.fencingToken, command.FencingToken)
+	s.commands = append(s.commands, command)
 }
 
-// serveVMs stands in for the platform's list of VMs. A PUT sets it.
-func (s *Standin) serveVMs(ctx *fasthttp.RequestCtx) {
+// handleVMList stands in for the platform's list of VMs. A PUT replaces the list.
+func (s *Standin) handleVMList(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ctx.IsPut() {
-		s.vms = append([]byte(nil), ctx.PostBody()...)
+		s.vmList = append([]byte(nil), ctx.PostBody()...)
 		return
 	}
 	ctx.SetContentType("application/json")
-	ctx.SetBody(append([]byte(nil), s.vms...))
-	if len(s.vms) == 0 {
+	ctx.SetBody(append([]byte(nil), s.vmList...))
+	if len(s.vmList) == 0 {
 		ctx.SetBodyString("[]")
 	}
 }
 
-func (s *Standin) hits(part float64) bool {
-	if part <= 0 {
+func (s *Standin) drawFault(fraction float64) bool {
+	if fraction <= 0 {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.random.Float64() < part
+	return s.random.Float64() < fraction
 }
 
-func (s *Standin) begin(key string) {
+func (s *Standin) recordStart(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Started++
 	s.counts.Running++
 	s.counts.MaxRunning = max(s.counts.MaxRunning, s.counts.Running)
 	if key != "" {
-		s.runs[key]++
+		s.runsByKey[key]++
 	}
 }
 
-func (s *Standin) finish(whole bool) {
+func (s *Standin) recordEnd(complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Running--
-	if whole {
+	if complete {
 		s.counts.Finished++
 		return
 	}
 	s.counts.Cancelled++
 }
 
-func writeJSON(ctx *fasthttp.RequestCtx, v any) {
-	data, err := json.Marshal(v)
+func writeJSON(ctx *fasthttp.RequestCtx, value any) {
+	data, err := json.Marshal(value)
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
