--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -39,7 +39,7 @@
 }
 
 func freeAddress(t testing.TB) string {
-	address, err := standin.FreeAddress()
+	address, err := standin.ReserveAddress()
 	require.NoError(t, err)
 	return address
 }
@@ -257,7 +257,7 @@
 // Guards against slots held for callers that have disconnected while their streams run. The HTTP
 // library does not report disconnects to a handler.
 func TestDisconnectCancelsStreamAtTarget(t *testing.T) {
-	engine, target := startStandin(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, Pace: fleet.Duration(5 * time.Millisecond)})
+	engine, target := startStandin(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, TokenInterval: fleet.Duration(5 * time.Millisecond)})
 	target.Slots = 2
 	f := startFleet(t, target)
 	for _, body := range []string{`{"stream":true}`, `{"stream":true}`, `{"stream":true}`} {
@@ -279,7 +279,7 @@
 // Guards against a slot held for a caller that disconnects before an unstreamed response has
 // begun, while another request waits for the slot.
 func TestDisconnectFreesSlotOfUnstreamedRequest(t *testing.T) {
-	engine, target := startStandin(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, Pace: fleet.Duration(5 * time.Millisecond)})
+	engine, target := startStandin(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, TokenInterval: fleet.Duration(5 * time.Millisecond)})
 	target.Slots = 1
 	f := startFleet(t, target)
 	for range 2 {
