--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -12,100 +12,100 @@
 
 const (
 	// crashMark begins the body of a request that ends each target that runs it.
-	crashMark = "crash-"
+	crashBodyPrefix = "crash-"
 	// crashPause is between two sends of it, and crashAway how long a target is away.
-	crashPause = 150 * time.Millisecond
-	crashAway  = 500 * time.Millisecond
+	crashRequestInterval = 150 * time.Millisecond
+	crashDowntime        = 500 * time.Millisecond
 	// crashesAllowed is how many targets may end under it, and crashesLater how many sends may
 	// follow once all routers in touch can know, knownTime later.
-	crashesAllowed = 3
-	crashesLater   = 3
-	knownTime      = 3 * time.Second
+	maxCrashedTargets = 3
+	maxLateCrashRuns  = 3
+	propagationTime   = 3 * time.Second
 )
 
 // crash sends a request again and again, through all routers by turns.
-func (p *player) crash(e event) {
-	body := fmt.Sprint(crashMark, e.Victim)
-	for end, n := time.Now().Add(time.Duration(e.For)), 0; time.Now().Before(end); n++ {
-		router := n % len(p.routers)
-		req, err := http.NewRequest(http.MethodPost, "http://"+p.doors[router].Address()+"/keyed/x", strings.NewReader(body))
+func (p *player) playCrashRequests(ev event) {
+	body := fmt.Sprint(crashBodyPrefix, ev.Victim)
+	for deadline, i := time.Now().Add(time.Duration(ev.Duration)), 0; time.Now().Before(deadline); i++ {
+		router := i % len(p.routers)
+		req, err := http.NewRequest(http.MethodPost, "http://"+p.routerProxies[router].Address()+"/keyed/x", strings.NewReader(body))
 		if err != nil {
-			p.notes.add("%s: %v", e, err)
+			p.violations.add("%s: %v", ev, err)
 			return
 		}
 		req.Host = "h.example"
-		req.Header.Set("X-Attempt-Id", fmt.Sprintf(askID, router, time.Now().UnixNano()))
+		req.Header.Set("X-Attempt-Id", fmt.Sprintf(probeIDFormat, router, time.Now().UnixNano()))
 		req.Header.Set("Authorization", "Bearer "+memberKey)
-		if resp, err := askClient.Do(req); err == nil {
+		if resp, err := probeClient.Do(req); err == nil {
 			_ = resp.Body.Close() // what targets ran is judged
-			p.notes.check(resp.StatusCode != http.StatusOK, "%s was answered in whole", body)
+			p.violations.check(resp.StatusCode != http.StatusOK, "%s was answered in whole", body)
 		}
-		time.Sleep(crashPause)
+		time.Sleep(crashRequestInterval)
 	}
 }
 
 // crashes ends a target as in a crash if it has begun a request that does that. Another start
 // follows under its ID, if it still stands as ready.
-func (p *player) crashes(t *standin.SiteTarget, run standin.SiteRun) bool {
-	if !strings.HasPrefix(run.Body, crashMark) {
+func (p *player) crashIfRequested(target *standin.SiteTarget, run standin.SiteRun) bool {
+	if !strings.HasPrefix(run.Body, crashBodyPrefix) {
 		return false
 	}
 	now := time.Now()
-	p.history.faultAt(anyRouter, span{now, now.Add(crashAway + healTime)})
-	p.site.Remove(t)
-	p.playing.Go(func() {
-		time.Sleep(crashAway)
-		p.restarts.Lock() // an event may start it again as well
-		defer p.restarts.Unlock()
+	p.history.recordCutSpan(anyRouter, span{now, now.Add(crashDowntime + recoveryTime)})
+	p.site.Remove(target)
+	p.pending.Go(func() {
+		time.Sleep(crashDowntime)
+		p.restartMu.Lock() // an event may start it again as well
+		defer p.restartMu.Unlock()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		place := slices.Index(p.live, t)
-		if place < 0 {
+		index := slices.Index(p.liveTargets, target)
+		if index < 0 {
 			return // it left, or was started again
 		}
-		next, err := p.site.Restart(t)
+		restarted, err := p.site.Restart(target)
 		if err != nil {
-			p.notes.add("%s does not start again: %v", t.ID, err)
+			p.violations.add("%s does not start again: %v", target.ID, err)
 			return
 		}
-		p.live[place] = next
+		p.liveTargets[index] = restarted
 	})
 	panic(http.ErrAbortHandler)
 }
 
 // judgeCrashes holds the runs of each request that ends targets against what is allowed.
-func (h *history) judgeCrashes(site *standin.Site, n *notes) {
-	ends := make(map[string][]time.Time) // of targets, by body
-	runs := make(map[string][]standin.SiteRun)
-	for _, t := range site.All() {
-		ended := make(map[string]bool)
-		for _, run := range t.Runs() {
-			if !strings.HasPrefix(run.Body, crashMark) {
+func (h *history) checkCrashRequests(site *standin.Site, found *violations) {
+	crashTimes := make(map[string][]time.Time) // of targets, by body
+	runsByBody := make(map[string][]standin.SiteRun)
+	for _, target := range site.All() {
+		crashed := make(map[string]bool)
+		for _, run := range target.Runs() {
+			if !strings.HasPrefix(run.Body, crashBodyPrefix) {
 				continue
 			}
-			runs[run.Body] = append(runs[run.Body], run)
-			if !ended[run.Body] {
-				ends[run.Body] = append(ends[run.Body], run.At)
+			runsByBody[run.Body] = append(runsByBody[run.Body], run)
+			if !crashed[run.Body] {
+				crashTimes[run.Body] = append(crashTimes[run.Body], run.At)
 			}
-			ended[run.Body] = true
+			crashed[run.Body] = true
 		}
 	}
-	h.judgeEnds(ends, runs, n)
+	h.checkCrashCounts(crashTimes, runsByBody, found)
 }
 
-func (h *history) judgeEnds(ends map[string][]time.Time, runs map[string][]standin.SiteRun, n *notes) {
-	for body, list := range ends {
-		slices.SortFunc(list, time.Time.Compare)
-		if len(list) < crashesAllowed {
+func (h *history) checkCrashCounts(crashTimes map[string][]time.Time, runsByBody map[string][]standin.SiteRun, found *violations) {
+	for body, times := range crashTimes {
+		slices.SortFunc(times, time.Time.Compare)
+		if len(times) < maxCrashedTargets {
 			continue
 		}
-		known := list[crashesAllowed-1].Add(knownTime)
-		later := 0
-		for _, run := range runs[body] {
-			if run.At.After(known) && h.inTouch(askedRouter(run.ID), run.At) {
-				later++
+		knownAt := times[maxCrashedTargets-1].Add(propagationTime)
+		lateRuns := 0
+		for _, run := range runsByBody[body] {
+			if run.At.After(knownAt) && h.isHealthy(probedRouter(run.ID), run.At) {
+				lateRuns++
 			}
 		}
-		n.check(later <= crashesLater, "%s ran %d times after all routers could know, %d in all", body, later, len(runs[body]))
+		found.check(lateRuns <= maxLateCrashRuns, "%s ran %d times after all routers could know, %d in all", body, lateRuns, len(runsByBody[body]))
 	}
 }
--- a/internal/soak/draw_test.go
+++ b/internal/soak/draw_test.go
@@ -11,273 +11,273 @@
 )
 
 // usual is the size that CI plays.
-var usual = size{Keepers: 4, Routers: 2, Targets: 3, Callers: 16, Zones: 2}
+var defaultSize = fleetSize{Keepers: 4, Routers: 2, Targets: 3, Callers: 16, Zones: 2}
 
 const (
 	// stopTime is about how long a router takes to stop.
-	stopTime = 3 * time.Second
+	stopDuration = 3 * time.Second
 	// rejoinTime is kept around the loss of a keeper's disk: two that are lost before
 	// the group is whole again may take what was accepted with them.
-	rejoinTime = 10 * time.Second
+	rejoinDuration = 10 * time.Second
 )
 
 var (
-	linkFaults = []string{doDelay, doReset, doIn, doOut, doBoth}
-	clocks     = []string{howAhead, howBehind, howFast, howSlow}
+	linkActions   = []string{actionDelay, actionReset, actionBlockInbound, actionBlockOutbound, actionBlockBoth}
+	clockVariants = []string{variantClockAhead, variantClockBehind, variantClockFast, variantClockSlow}
 )
 
 // A drawing is a scenario in the making. Times are counted from its start.
-type drawing struct {
+type generator struct {
 	*rand.Rand
 	scenario
-	now time.Duration
+	at time.Duration
 	// busy is until when a victim is in trouble: faults of different victims overlap,
 	// those of one follow each other.
-	busy map[string]time.Duration
+	busyUntil map[string]time.Duration
 	// lost is until when no keeper may be in trouble beside one whose disk is lost.
-	lost      time.Duration
-	withdrawn bool
+	diskLossUntil time.Duration
+	keyRevoked    bool
 }
 
 // draw draws a scenario of a number of steps, each a fault, a change or a series.
-func draw(seed uint64, of size, steps int) scenario {
-	d := &drawing{Rand: rand.New(rand.NewPCG(seed, 1)), scenario: scenario{Seed: seed, Size: of}, busy: make(map[string]time.Duration)}
-	kinds := []func(){
-		d.change, d.change, d.withdraw, d.replace, d.restart, d.damage,
-		d.keeperFault, d.keeperFault, d.routerFault, d.routerFault, d.settings, d.half,
-		func() { d.linkFault(onLink, of.Targets) }, func() { d.linkFault(onDoor, of.Routers) },
-		func() { d.linkFault(onPeer, of.Keepers) },
-		d.crash, d.rolling, d.together, d.beside, d.blackout, d.forgotten, d.evacuate,
+func generateScenario(seed uint64, size fleetSize, steps int) scenario {
+	g := &generator{Rand: rand.New(rand.NewPCG(seed, 1)), scenario: scenario{Seed: seed, Size: size}, busyUntil: make(map[string]time.Duration)}
+	stepFuncs := []func(){
+		g.changeConfig, g.changeConfig, g.revokeKey, g.replaceTarget, g.restartTarget, g.damageList,
+		g.keeperFault, g.keeperFault, g.routerFault, g.routerFault, g.reloadSettings, g.partialRequests,
+		func() { g.linkFault(kindTargetLink, size.Targets) }, func() { g.linkFault(kindRouterLink, size.Routers) },
+		func() { g.linkFault(kindKeeperLink, size.Keepers) },
+		g.crashRequests, g.rollingRestart, g.stopSeveralRouters, g.restartRouterDuringKeeperOutage, g.killAllKeepers, g.revokeKeyDuringPause, g.evacuateZone,
 	}
 	for range steps {
-		kinds[d.IntN(len(kinds))]()
-		d.now += d.between(100, 1000)
+		stepFuncs[g.IntN(len(stepFuncs))]()
+		g.at += g.randomDuration(100, 1000)
 	}
-	slices.SortStableFunc(d.Events, func(a, b event) int { return int(a.At - b.At) })
-	return d.scenario
+	slices.SortStableFunc(g.Events, func(a, b event) int { return int(a.At - b.At) })
+	return g.scenario
 }
 
-func (d *drawing) between(from, to int) time.Duration {
-	return time.Duration(from+d.IntN(to-from)) * time.Millisecond
+func (g *generator) randomDuration(minMillis, maxMillis int) time.Duration {
+	return time.Duration(minMillis+g.IntN(maxMillis-minMillis)) * time.Millisecond
 }
 
-func (d *drawing) add(at time.Duration, k kind, victim int, do, how string, length time.Duration) {
-	d.Events = append(d.Events, event{At: fleet.Duration(at), Kind: k, Victim: victim, Do: do, How: how, For: fleet.Duration(length)})
+func (g *generator) addEvent(at time.Duration, kind eventKind, victim int, action, variant string, duration time.Duration) {
+	g.Events = append(g.Events, event{At: fleet.Duration(at), Kind: kind, Victim: victim, Action: action, Variant: variant, Duration: fleet.Duration(duration)})
 }
 
 // take reports whether a victim is free at a time, and takes it for a while.
-func (d *drawing) take(k kind, victim int, at, length time.Duration) bool {
-	key := string(k) + strconv.Itoa(victim)
-	if d.busy[key] > at {
+func (g *generator) reserve(kind eventKind, victim int, at, duration time.Duration) bool {
+	key := string(kind) + strconv.Itoa(victim)
+	if g.busyUntil[key] > at {
 		return false
 	}
-	d.busy[key] = at + length
+	g.busyUntil[key] = at + duration
 	return true
 }
 
 // takeKeeper does so for a keeper, and leaves most keepers alone.
-func (d *drawing) takeKeeper(victim int, length time.Duration) bool {
-	others := 0
-	for i := range d.Size.Keepers {
-		if i != victim && (d.busy[string(onKeeper)+strconv.Itoa(i)] > d.now || d.busy[string(onPeer)+strconv.Itoa(i)] > d.now) {
-			others++
+func (g *generator) reserveKeeper(victim int, duration time.Duration) bool {
+	otherBusy := 0
+	for i := range g.Size.Keepers {
+		if i != victim && (g.busyUntil[string(kindKeeper)+strconv.Itoa(i)] > g.at || g.busyUntil[string(kindKeeperLink)+strconv.Itoa(i)] > g.at) {
+			otherBusy++
 		}
 	}
-	return d.lost <= d.now && others < (d.Size.Keepers-1)/2 && d.take(onKeeper, victim, d.now, length)
+	return g.diskLossUntil <= g.at && otherBusy < (g.Size.Keepers-1)/2 && g.reserve(kindKeeper, victim, g.at, duration)
 }
 
-func (d *drawing) change() { d.add(d.now, onConfig, 0, doChange, "", 0) }
+func (g *generator) changeConfig() { g.addEvent(g.at, kindConfig, 0, actionChangeConfig, "", 0) }
 
-func (d *drawing) withdraw() {
-	if !d.withdrawn {
-		d.withdrawn = true
-		d.add(d.now, onConfig, 0, doWithdraw, "", 0)
+func (g *generator) revokeKey() {
+	if !g.keyRevoked {
+		g.keyRevoked = true
+		g.addEvent(g.at, kindConfig, 0, actionRevokeKey, "", 0)
 	}
 }
 
-func (d *drawing) replace() { d.add(d.now, onTarget, 0, doReplace, "", 0) }
+func (g *generator) replaceTarget() { g.addEvent(g.at, kindTarget, 0, actionReplace, "", 0) }
 
-func (d *drawing) restart() {
-	victim, length := d.IntN(d.Size.Targets), d.between(100, 4000)
-	how := []string{"", howAway, howDrain}[d.IntN(3)]
-	if d.take(onTarget, victim, d.now, length+time.Second) {
-		d.add(d.now, onTarget, victim, doRestart, how, length)
+func (g *generator) restartTarget() {
+	victim, duration := g.IntN(g.Size.Targets), g.randomDuration(100, 4000)
+	variant := []string{"", variantUnlisted, variantDrain}[g.IntN(3)]
+	if g.reserve(kindTarget, victim, g.at, duration+time.Second) {
+		g.addEvent(g.at, kindTarget, victim, actionRestart, variant, duration)
 	}
 }
 
-func (d *drawing) damage() {
-	if length := d.between(500, 4000); d.take(onList, 0, d.now, length) {
-		d.add(d.now, onList, 0, []string{doDamage, doDamage, doGarble}[d.IntN(3)], "", length)
+func (g *generator) damageList() {
+	if duration := g.randomDuration(500, 4000); g.reserve(kindTargetList, 0, g.at, duration) {
+		g.addEvent(g.at, kindTargetList, 0, []string{actionDamageEntries, actionDamageEntries, actionGarbleList}[g.IntN(3)], "", duration)
 	}
 }
 
-func (d *drawing) keeperFault() {
-	victim, length := d.IntN(d.Size.Keepers), d.between(300, 2800)
-	do := []string{doPause, doKill, doKill, doKill, doStop, doDisk}[d.IntN(6)]
-	how := ""
-	switch do {
-	case doKill:
-		how = []string{"", howLost, howTorn, clocks[d.IntN(len(clocks))]}[d.IntN(4)]
-	case doDisk:
-		how = []string{howFull, howSync}[d.IntN(2)]
+func (g *generator) keeperFault() {
+	victim, duration := g.IntN(g.Size.Keepers), g.randomDuration(300, 2800)
+	action := []string{actionPause, actionKill, actionKill, actionKill, actionStop, actionFailDisk}[g.IntN(6)]
+	variant := ""
+	switch action {
+	case actionKill:
+		variant = []string{"", variantDiskLost, variantTornWrite, clockVariants[g.IntN(len(clockVariants))]}[g.IntN(4)]
+	case actionFailDisk:
+		variant = []string{variantDiskFull, variantSyncError}[g.IntN(2)]
 	}
-	if !d.takeKeeper(victim, length+2*time.Second) {
+	if !g.reserveKeeper(victim, duration+2*time.Second) {
 		return
 	}
-	if how == howLost {
-		for _, until := range d.keepersBusy(victim) {
-			if until+rejoinTime > d.now {
+	if variant == variantDiskLost {
+		for _, busyUntil := range g.otherKeepersBusyUntil(victim) {
+			if busyUntil+rejoinDuration > g.at {
 				return
 			}
 		}
-		d.lost = d.now + length + rejoinTime
+		g.diskLossUntil = g.at + duration + rejoinDuration
 	}
-	d.add(d.now, onKeeper, victim, do, how, length)
+	g.addEvent(g.at, kindKeeper, victim, action, variant, duration)
 }
 
 // keepersBusy returns until when other keepers are or were in trouble.
-func (d *drawing) keepersBusy(but int) []time.Duration {
-	var list []time.Duration
-	for i := range d.Size.Keepers {
-		for _, k := range []kind{onKeeper, onPeer} {
-			if until := d.busy[string(k)+strconv.Itoa(i)]; i != but && until > 0 {
-				list = append(list, until)
+func (g *generator) otherKeepersBusyUntil(except int) []time.Duration {
+	var times []time.Duration
+	for i := range g.Size.Keepers {
+		for _, kind := range []eventKind{kindKeeper, kindKeeperLink} {
+			if busyUntil := g.busyUntil[string(kind)+strconv.Itoa(i)]; i != except && busyUntil > 0 {
+				times = append(times, busyUntil)
 			}
 		}
 	}
-	return list
+	return times
 }
 
-func (d *drawing) routerFault() {
-	victim, length := d.IntN(d.Size.Routers), d.between(300, 2800)
-	do := []string{doPause, doKill, doStop, doStop}[d.IntN(4)]
-	how := ""
-	switch do {
-	case doKill:
-		how = []string{"", clocks[d.IntN(len(clocks))]}[d.IntN(2)]
-	case doStop:
-		how = []string{"", howTwice, howFrozen}[d.IntN(3)]
+func (g *generator) routerFault() {
+	victim, duration := g.IntN(g.Size.Routers), g.randomDuration(300, 2800)
+	action := []string{actionPause, actionKill, actionStop, actionStop}[g.IntN(4)]
+	variant := ""
+	switch action {
+	case actionKill:
+		variant = []string{"", clockVariants[g.IntN(len(clockVariants))]}[g.IntN(2)]
+	case actionStop:
+		variant = []string{"", variantTwice, variantThenPause}[g.IntN(3)]
 	}
-	if d.take(onRouter, victim, d.now, length+stopTime) {
-		d.add(d.now, onRouter, victim, do, how, length)
+	if g.reserve(kindRouter, victim, g.at, duration+stopDuration) {
+		g.addEvent(g.at, kindRouter, victim, action, variant, duration)
 	}
 }
 
 // settings sends a process SIGHUP, or writes it other settings, whatever happens to it.
-func (d *drawing) settings() {
-	k, of := onRouter, d.Size.Routers
-	if d.IntN(3) == 0 {
-		k, of = onKeeper, d.Size.Keepers
+func (g *generator) reloadSettings() {
+	kind, count := kindRouter, g.Size.Routers
+	if g.IntN(3) == 0 {
+		kind, count = kindKeeper, g.Size.Keepers
 	}
-	do := []string{doHangup, doReseed, doReseed}[d.IntN(3)]
-	how := ""
-	if do == doReseed {
-		how = []string{"", howSignal}[d.IntN(2)]
+	action := []string{actionSIGHUP, actionChangeSeeds, actionChangeSeeds}[g.IntN(3)]
+	variant := ""
+	if action == actionChangeSeeds {
+		variant = []string{"", variantSIGHUP}[g.IntN(2)]
 	}
-	d.add(d.now, k, d.IntN(of), do, how, 0)
+	g.addEvent(g.at, kind, g.IntN(count), action, variant, 0)
 }
 
 // half has somebody send halves of requests to a process that may be told to stop
 // meanwhile.
-func (d *drawing) half() {
-	k, victim, length := onRouter, d.IntN(d.Size.Routers), d.between(500, 9000)
-	if d.IntN(2) == 0 {
-		k, victim = onKeeper, d.IntN(d.Size.Keepers)
+func (g *generator) partialRequests() {
+	kind, victim, duration := kindRouter, g.IntN(g.Size.Routers), g.randomDuration(500, 9000)
+	if g.IntN(2) == 0 {
+		kind, victim = kindKeeper, g.IntN(g.Size.Keepers)
 	}
-	d.add(d.now, k, victim, doHalf, "", length)
-	stops := k == onRouter || d.takeKeeper(victim, stopTime)
-	if at := d.now + d.between(100, 700); stops && d.IntN(2) == 0 && (k == onKeeper || d.take(k, victim, at, stopTime)) {
-		d.add(at, k, victim, doStop, "", 0)
+	g.addEvent(g.at, kind, victim, actionPartialRequests, "", duration)
+	mayStop := kind == kindRouter || g.reserveKeeper(victim, stopDuration)
+	if stopAt := g.at + g.randomDuration(100, 700); mayStop && g.IntN(2) == 0 && (kind == kindKeeper || g.reserve(kind, victim, stopAt, stopDuration)) {
+		g.addEvent(stopAt, kind, victim, actionStop, "", 0)
 	}
 }
 
-func (d *drawing) linkFault(k kind, of int) {
-	victim, length := d.IntN(of), d.between(300, 2300)
-	do := linkFaults[d.IntN(len(linkFaults))]
-	if k == onPeer && (d.lost > d.now || !d.takeKeeper(victim, length+time.Second)) {
+func (g *generator) linkFault(kind eventKind, count int) {
+	victim, duration := g.IntN(count), g.randomDuration(300, 2300)
+	action := linkActions[g.IntN(len(linkActions))]
+	if kind == kindKeeperLink && (g.diskLossUntil > g.at || !g.reserveKeeper(victim, duration+time.Second)) {
 		return
 	}
-	if d.take(k, victim, d.now, length) {
-		d.add(d.now, k, victim, do, "", length)
+	if g.reserve(kind, victim, g.at, duration) {
+		g.addEvent(g.at, kind, victim, action, "", duration)
 	}
 }
 
 // rolling stops all routers in turn, sooner than one has ended, with configurations and
 // SIGHUPs between.
-func (d *drawing) rolling() {
-	at, step := d.now, d.between(400, 1500)
-	for i := range d.Size.Routers {
-		if d.take(onRouter, i, at, stopTime) {
-			d.add(at, onRouter, i, doStop, []string{"", "", howTwice}[d.IntN(3)], d.between(0, 800))
+func (g *generator) rollingRestart() {
+	at, interval := g.at, g.randomDuration(400, 1500)
+	for i := range g.Size.Routers {
+		if g.reserve(kindRouter, i, at, stopDuration) {
+			g.addEvent(at, kindRouter, i, actionStop, []string{"", "", variantTwice}[g.IntN(3)], g.randomDuration(0, 800))
 		}
-		d.add(at+step/3, onConfig, 0, doChange, "", 0)
-		d.add(at+step/2, onRouter, d.IntN(d.Size.Routers), doHangup, "", 0)
-		at += step
+		g.addEvent(at+interval/3, kindConfig, 0, actionChangeConfig, "", 0)
+		g.addEvent(at+interval/2, kindRouter, g.IntN(g.Size.Routers), actionSIGHUP, "", 0)
+		at += interval
 	}
 }
 
 // together stops several routers at once, with a configuration on the way.
-func (d *drawing) together() {
-	d.add(d.now+d.between(0, 300), onConfig, 0, doChange, "", 0)
-	for range 1 + d.Size.Routers/3 {
-		if i := d.IntN(d.Size.Routers); d.take(onRouter, i, d.now, stopTime) {
-			d.add(d.now, onRouter, i, doStop, "", d.between(0, 1500))
+func (g *generator) stopSeveralRouters() {
+	g.addEvent(g.at+g.randomDuration(0, 300), kindConfig, 0, actionChangeConfig, "", 0)
+	for range 1 + g.Size.Routers/3 {
+		if i := g.IntN(g.Size.Routers); g.reserve(kindRouter, i, g.at, stopDuration) {
+			g.addEvent(g.at, kindRouter, i, actionStop, "", g.randomDuration(0, 1500))
 		}
 	}
 }
 
 // beside restarts a router while a keeper is away.
-func (d *drawing) beside() {
-	keeper, router, length := d.IntN(d.Size.Keepers), d.IntN(d.Size.Routers), d.between(2000, 4000)
-	if d.takeKeeper(keeper, length+time.Second) {
-		d.add(d.now, onKeeper, keeper, doKill, "", length)
+func (g *generator) restartRouterDuringKeeperOutage() {
+	keeper, router, duration := g.IntN(g.Size.Keepers), g.IntN(g.Size.Routers), g.randomDuration(2000, 4000)
+	if g.reserveKeeper(keeper, duration+time.Second) {
+		g.addEvent(g.at, kindKeeper, keeper, actionKill, "", duration)
 	}
-	if d.take(onRouter, router, d.now+300*time.Millisecond, stopTime) {
-		d.add(d.now+300*time.Millisecond, onRouter, router, doStop, "", 0)
-		d.add(d.now+500*time.Millisecond, onRouter, router, doReseed, howSignal, 0)
+	if g.reserve(kindRouter, router, g.at+300*time.Millisecond, stopDuration) {
+		g.addEvent(g.at+300*time.Millisecond, kindRouter, router, actionStop, "", 0)
+		g.addEvent(g.at+500*time.Millisecond, kindRouter, router, actionChangeSeeds, variantSIGHUP, 0)
 	}
 }
 
 // crash has a request come again and again that ends each target that runs it, or two such.
-func (d *drawing) crash() {
-	for range 1 + d.IntN(2) {
-		d.add(d.now, onRequest, d.IntN(1000), doCrash, "", d.between(6000, 12000))
+func (g *generator) crashRequests() {
+	for range 1 + g.IntN(2) {
+		g.addEvent(g.at, kindRequest, g.IntN(1000), actionCrashTargets, "", g.randomDuration(6000, 12000))
 	}
 }
 
 // forgotten has a router stand still while a key is withdrawn, for longer than it may
 // count.
-func (d *drawing) forgotten() {
-	victim, length := d.IntN(d.Size.Routers), revokeTime+standin.CallerTime+d.between(500, 2500)
-	if !d.withdrawn && d.take(onRouter, victim, d.now, length+time.Second) {
-		d.add(d.now, onRouter, victim, doPause, "", length)
-		d.now += d.between(50, 300)
-		d.withdraw()
+func (g *generator) revokeKeyDuringPause() {
+	victim, duration := g.IntN(g.Size.Routers), maxRevocationLag+standin.CallerTime+g.randomDuration(500, 2500)
+	if !g.keyRevoked && g.reserve(kindRouter, victim, g.at, duration+time.Second) {
+		g.addEvent(g.at, kindRouter, victim, actionPause, "", duration)
+		g.at += g.randomDuration(50, 300)
+		g.revokeKey()
 	}
 }
 
 // blackout kills all keepers at once; their disks stay.
-func (d *drawing) blackout() {
-	for i := range d.Size.Keepers {
-		if d.lost > d.now || d.busy[string(onKeeper)+strconv.Itoa(i)] > d.now {
+func (g *generator) killAllKeepers() {
+	for i := range g.Size.Keepers {
+		if g.diskLossUntil > g.at || g.busyUntil[string(kindKeeper)+strconv.Itoa(i)] > g.at {
 			return
 		}
 	}
-	length := d.between(200, 2000)
-	for i := range d.Size.Keepers {
-		d.take(onKeeper, i, d.now, length+2*time.Second)
-		d.add(d.now, onKeeper, i, doKill, "", length)
+	duration := g.randomDuration(200, 2000)
+	for i := range g.Size.Keepers {
+		g.reserve(kindKeeper, i, g.at, duration+2*time.Second)
+		g.addEvent(g.at, kindKeeper, i, actionKill, "", duration)
 	}
 }
 
 // evacuate has nothing sent to the targets of a zone for a while. Another zone stays.
-func (d *drawing) evacuate() {
-	if d.Size.Zones < 2 {
+func (g *generator) evacuateZone() {
+	if g.Size.Zones < 2 {
 		return
 	}
-	victim, length := d.IntN(d.Size.Zones), d.between(1000, 12000)
-	how := []string{"", howTwice}[d.IntN(2)]
-	if d.take(onZone, 0, d.now, length+stopTime) {
-		d.add(d.now, onZone, victim, doEvacuate, how, length)
+	victim, duration := g.IntN(g.Size.Zones), g.randomDuration(1000, 12000)
+	variant := []string{"", variantTwice}[g.IntN(2)]
+	if g.reserve(kindZone, 0, g.at, duration+stopDuration) {
+		g.addEvent(g.at, kindZone, victim, actionEvacuate, variant, duration)
 	}
 }
--- a/internal/soak/evacuation_test.go
+++ b/internal/soak/evacuation_test.go
@@ -13,7 +13,7 @@
 )
 
 // A clearing is an evacuation, from when it was accepted until its end was asked for.
-type clearing struct {
+type evacuation struct {
 	span
 	zone string
 }
@@ -21,86 +21,86 @@
 func zoneName(victim int) string { return fmt.Sprintf("z%d", 1+victim) }
 
 // evacuate plays the evacuation of a zone of targets, and its end.
-func (p *player) evacuate(e event) {
-	zone := zoneName(e.Victim)
-	if !p.evacuation(zone, false) {
+func (p *player) playEvacuation(ev event) {
+	zone := zoneName(ev.Victim)
+	if !p.orderEvacuation(zone, false) {
 		return
 	}
-	c := clearing{span{from: time.Now()}, zone}
-	rest := time.Duration(e.For)
-	if e.How == howTwice {
-		time.Sleep(rest / 2)
-		p.evacuation(zone, false)
-		rest -= time.Since(c.from)
+	evac := evacuation{span{start: time.Now()}, zone}
+	remaining := time.Duration(ev.Duration)
+	if ev.Variant == variantTwice {
+		time.Sleep(remaining / 2)
+		p.orderEvacuation(zone, false)
+		remaining -= time.Since(evac.start)
 	}
-	time.Sleep(rest)
-	c.to = time.Now()
-	p.evacuation(zone, true)
+	time.Sleep(remaining)
+	evac.end = time.Now()
+	p.orderEvacuation(zone, true)
 	p.history.mu.Lock()
 	defer p.history.mu.Unlock()
-	p.history.cleared = append(p.history.cleared, c)
+	p.history.evacuations = append(p.history.evacuations, evac)
 }
 
 // evacuation sends an order to one keeper after the other until one accepts it.
-func (p *player) evacuation(zone string, end bool) bool {
-	for until, n := time.Now().Add(patience), 0; time.Now().Before(until); n++ {
-		if status, _ := p.operator().Evacuate(n%len(p.keepers), zone, end); status == http.StatusOK {
+func (p *player) orderEvacuation(zone string, end bool) bool {
+	for deadline, i := time.Now().Add(waitTimeout), 0; time.Now().Before(deadline); i++ {
+		if status, _ := p.operator().Evacuate(i%len(p.keepers), zone, end); status == http.StatusOK {
 			return true
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
-	p.notes.add("the evacuation of %s (end %t) was not accepted in %s", zone, end, patience)
+	p.violations.add("the evacuation of %s (end %t) was not accepted in %s", zone, end, waitTimeout)
 	return false
 }
 
 // judgeCleared holds the time of a run, sent by a router, against evacuations: it keeps to one
 // once it and all keepers were well for long enough to hear of it.
-func (h *history) judgeCleared(t *standin.SiteTarget, run standin.SiteRun, router int, n *notes) {
-	for _, c := range h.cleared {
-		if c.zone != t.Zone || !c.overlaps(run.At, run.At) || h.held(run) {
+func (h *history) checkEvacuatedZone(target *standin.SiteTarget, run standin.SiteRun, router int, found *violations) {
+	for _, evac := range h.evacuations {
+		if evac.zone != target.Zone || !evac.overlaps(run.At, run.At) || h.mayBeDelayed(run) {
 			continue
 		}
-		n.check(h.calm(router, c.from, run.At) <= knownTime, "%s ran at %s, %s after its zone was evacuated", run.ID, t.ID, run.At.Sub(c.from))
+		found.check(h.longestHealthySpan(router, evac.start, run.At) <= propagationTime, "%s ran at %s, %s after its zone was evacuated", run.ID, target.ID, run.At.Sub(evac.start))
 	}
 }
 
 // calm returns the longest stretch of a span in which neither a router nor a keeper was away.
-func (h *history) calm(router int, from, to time.Time) time.Duration {
-	away := slices.Clone(h.absent)
-	slices.SortFunc(away, func(a, b hurt) int { return a.from.Compare(b.from) })
+func (h *history) longestHealthySpan(router int, start, end time.Time) time.Duration {
+	outages := slices.Clone(h.outages)
+	slices.SortFunc(outages, func(a, b routerSpan) int { return a.start.Compare(b.start) })
 	var longest time.Duration
-	for _, a := range away {
-		if a.router != anyRouter && a.router != router || a.to.Before(from) || a.from.After(to) {
+	for _, outage := range outages {
+		if outage.router != anyRouter && outage.router != router || outage.end.Before(start) || outage.start.After(end) {
 			continue
 		}
-		longest = max(longest, a.from.Sub(from))
-		from = a.to
+		longest = max(longest, outage.start.Sub(start))
+		start = outage.end
 	}
-	return max(longest, to.Sub(from))
+	return max(longest, end.Sub(start))
 }
 
 // TestJudgeKnowsWorkInEvacuatedZones holds what is judged of evacuations.
-func TestJudgeKnowsWorkInEvacuatedZones(t *testing.T) {
-	zero := time.Now()
-	at := func(s float64) time.Time { return zero.Add(time.Duration(s * float64(time.Second))) }
+func TestDetectsRunsInEvacuatedZone(t *testing.T) {
+	start := time.Now()
+	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	h := newHistory()
-	h.cleared = []clearing{{span{at(0), at(10)}, "z1"}}
-	judge := func(zone string, second float64) int {
-		var n notes
-		h.judgeCleared(&standin.SiteTarget{ID: "t-0", Zone: zone}, standin.SiteRun{At: at(second)}, 1, &n)
-		return len(n.list)
+	h.evacuations = []evacuation{{span{at(0), at(10)}, "z1"}}
+	violationCount := func(zone string, seconds float64) int {
+		var found violations
+		h.checkEvacuatedZone(&standin.SiteTarget{ID: "t-0", Zone: zone}, standin.SiteRun{At: at(seconds)}, 1, &found)
+		return len(found.list)
 	}
-	require.Zero(t, judge("z1", 2))
-	require.Equal(t, 1, judge("z1", 5))
-	require.Zero(t, judge("z2", 5), "another zone")
-	require.Zero(t, judge("z1", 11), "it is over")
-	h.away(event{Kind: onRouter, Victim: 0}, span{at(2), at(3)})
-	require.Equal(t, 1, judge("z1", 5), "another router was away")
-	h.away(event{Kind: onKeeper}, span{at(2.5), at(3)})
-	require.Zero(t, judge("z1", 5), "no keeper could tell of it")
-	require.Equal(t, 1, judge("z1", 7), "it had the time")
-	h.away(event{Kind: onKeeper}, span{at(6.5), at(8)})
-	require.Equal(t, 1, judge("z1", 9), "it had the time before")
-	h.links = []span{{at(6.5), at(7.5)}}
-	require.Zero(t, judge("z1", 7), "it was held on the way")
+	require.Zero(t, violationCount("z1", 2))
+	require.Equal(t, 1, violationCount("z1", 5))
+	require.Zero(t, violationCount("z2", 5), "another zone")
+	require.Zero(t, violationCount("z1", 11), "it is over")
+	h.recordEventOutage(event{Kind: kindRouter, Victim: 0}, span{at(2), at(3)})
+	require.Equal(t, 1, violationCount("z1", 5), "another router was away")
+	h.recordEventOutage(event{Kind: kindKeeper}, span{at(2.5), at(3)})
+	require.Zero(t, violationCount("z1", 5), "no keeper could tell of it")
+	require.Equal(t, 1, violationCount("z1", 7), "it had the time")
+	h.recordEventOutage(event{Kind: kindKeeper}, span{at(6.5), at(8)})
+	require.Equal(t, 1, violationCount("z1", 9), "it had the time before")
+	h.linkFaults = []span{{at(6.5), at(7.5)}}
+	require.Zero(t, violationCount("z1", 7), "it was held on the way")
 }
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -12,99 +12,99 @@
 // machines, beside each other.
 const (
 	// leaveTime is how long after the list shows a target as leaving new work may reach it.
-	leaveTime = 4 * time.Second
+	maxDrainLag = 4 * time.Second
 	// revokeTime is how long after a withdrawal was accepted a key may count.
-	revokeTime = 5 * time.Second
+	maxRevocationLag = 5 * time.Second
 	// waitMargin is how long after its deadline a request may go without any end.
-	waitMargin = 4 * time.Second
+	overdueMargin = 4 * time.Second
 	// unreadTime is how long after its signal a router still has to read what comes in.
 	// Later, what was never passed on may have crossed the close.
-	unreadTime = 2 * time.Second
+	readAfterStopTime = 2 * time.Second
 	// lateTime and lastTime, counted from the signal, bound what may outlast the grace:
 	// what was sent no later than the one and is at work after the other.
-	lateTime = 3 * time.Second
-	lastTime = standin.Grace * time.Second * 5 / 6
+	graceSendLimit = 3 * time.Second
+	graceCutStart  = standin.Grace * time.Second * 5 / 6
 )
 
 // Whom a fault may hurt, where it is not one router.
 const (
 	anyRouter = -1
-	nobody    = -2
+	noRouter  = -2
 )
 
 // A span is a stretch of time.
 type span struct {
-	from, to time.Time
+	start, end time.Time
 }
 
-func (s span) overlaps(from, to time.Time) bool {
-	return !s.from.After(to) && !from.After(s.to)
+func (s span) overlaps(start, end time.Time) bool {
+	return !s.start.After(end) && !start.After(s.end)
 }
 
 // A hurt is a span in which answers by a router may be cut.
-type hurt struct {
+type routerSpan struct {
 	span
 	router int
 }
 
 // A history is what was done to a world, for what follows from it.
 type history struct {
-	mu      sync.Mutex
-	hurts   []hurt
-	asleep  []hurt                            // in which a router is out of touch
-	absent  []hurt                            // in which a router, or the keepers (anyRouter), were in trouble
-	links   []span                            // in which requests may come late to targets
-	blind   []span                            // in which the list could not be read
-	stops   map[int][]span                    // of routers, from the signal to the exit
-	left    map[*standin.SiteTarget]time.Time // since when the list shows them leaving
-	stalls  []span                            // in which the soak itself did not run
-	cleared []clearing                        // evacuations
-	asked   time.Time                         // when the withdrawal of the guest's key was first sent
-	revoked time.Time                         // when it was accepted
+	mu               sync.Mutex
+	cutSpans         []routerSpan
+	pauses           []routerSpan                      // in which a router is out of touch
+	outages          []routerSpan                      // in which a router, or the keepers (anyRouter), were in trouble
+	linkFaults       []span                            // in which requests may come late to targets
+	listOutages      []span                            // in which the list could not be read
+	stops            map[int][]span                    // of routers, from the signal to the exit
+	drainedAt        map[*standin.SiteTarget]time.Time // since when the list shows them leaving
+	ownStalls        []span                            // in which the soak itself did not run
+	evacuations      []evacuation                      // evacuations
+	revocationSentAt time.Time                         // when the withdrawal of the guest's key was first sent
+	revokedAt        time.Time                         // when it was accepted
 }
 
 func newHistory() *history {
-	return &history{stops: make(map[int][]span), left: make(map[*standin.SiteTarget]time.Time)}
+	return &history{stops: make(map[int][]span), drainedAt: make(map[*standin.SiteTarget]time.Time)}
 }
 
 // fault notes what was done to a process. Keepers' faults cut no answer.
-func (h *history) fault(e event, s span) {
-	if e.Kind == onRouter {
-		h.faultAt(e.Victim, s)
+func (h *history) recordRouterFault(ev event, during span) {
+	if ev.Kind == kindRouter {
+		h.recordCutSpan(ev.Victim, during)
 	}
 }
 
 // sleep notes that a router stood still and may know old things until the end of the span.
-func (h *history) sleep(router int, s span) {
+func (h *history) recordPause(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asleep = append(h.asleep, hurt{s, router})
+	h.pauses = append(h.pauses, routerSpan{during, router})
 }
 
 // away notes that a router, or a keeper, was in trouble.
-func (h *history) away(e event, s span) {
+func (h *history) recordEventOutage(ev event, during span) {
 	router := anyRouter
-	switch e.Kind {
-	case onRouter:
-		router = e.Victim
-	case onKeeper, onPeer:
+	switch ev.Kind {
+	case kindRouter:
+		router = ev.Victim
+	case kindKeeper, kindKeeperLink:
 	default:
 		return
 	}
-	h.outOfTouch(router, s)
+	h.recordOutage(router, during)
 }
 
-func (h *history) outOfTouch(router int, s span) {
+func (h *history) recordOutage(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.absent = append(h.absent, hurt{s, router})
+	h.outages = append(h.outages, routerSpan{during, router})
 }
 
 // inTouch reports whether a router and all keepers were well at a time and for long enough
 // before, so that it knows what the fleet does.
-func (h *history) inTouch(router int, at time.Time) bool {
-	for _, a := range h.absent {
-		if (a.router == anyRouter || a.router == router) && a.overlaps(at.Add(-knownTime), at) {
+func (h *history) isHealthy(router int, at time.Time) bool {
+	for _, outage := range h.outages {
+		if (outage.router == anyRouter || outage.router == router) && outage.overlaps(at.Add(-propagationTime), at) {
 			return false
 		}
 	}
@@ -112,101 +112,101 @@
 }
 
 // keepersWell reports whether all keepers were well at a time and for long enough before.
-func (h *history) keepersWell(at time.Time) bool {
-	return h.inTouch(nobody, at)
+func (h *history) keepersHealthy(at time.Time) bool {
+	return h.isHealthy(noRouter, at)
 }
 
-func (h *history) faultAt(router int, s span) {
+func (h *history) recordCutSpan(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hurts = append(h.hurts, hurt{s, router})
+	h.cutSpans = append(h.cutSpans, routerSpan{during, router})
 	if router == anyRouter {
-		h.links = append(h.links, s)
+		h.linkFaults = append(h.linkFaults, during)
 	}
 }
 
-func (h *history) stop(router int, s span) {
+func (h *history) recordStop(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.stops[router] = append(h.stops[router], s)
+	h.stops[router] = append(h.stops[router], during)
 }
 
-func (h *history) leaves(t *standin.SiteTarget) {
+func (h *history) recordDrain(target *standin.SiteTarget) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.left[t] = time.Now()
+	h.drainedAt[target] = time.Now()
 }
 
-func (h *history) unread(s span) {
+func (h *history) recordListOutage(during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.blind = append(h.blind, s)
+	h.listOutages = append(h.listOutages, during)
 }
 
 // judge notes what callers and targets saw against the promises.
-func (h *history) judge(attempts []standin.Attempt, site *standin.Site, n *notes) {
-	runs, keys, by := make(map[string]int), make(map[string]string), make(map[string]int)
-	for _, a := range attempts {
-		keys[a.ID], by[a.ID] = a.Key, a.Router
+func (h *history) checkPromises(attempts []standin.Attempt, site *standin.Site, found *violations) {
+	runCounts, keyByID, routerByID := make(map[string]int), make(map[string]string), make(map[string]int)
+	for _, attempt := range attempts {
+		keyByID[attempt.ID], routerByID[attempt.ID] = attempt.Key, attempt.Router
 	}
-	for _, t := range site.All() {
-		for _, run := range t.Runs() {
-			runs[run.ID]++
-			router, known := by[run.ID]
+	for _, target := range site.All() {
+		for _, run := range target.Runs() {
+			runCounts[run.ID]++
+			router, known := routerByID[run.ID]
 			if !known {
-				router = askedRouter(run.ID)
+				router = probedRouter(run.ID)
 			}
-			h.judgeRun(t, run, router, n)
-			h.judgeCleared(t, run, router, n)
-			h.judgeKey(run, keys[run.ID], n)
+			h.checkDrainedTarget(target, run, router, found)
+			h.checkEvacuatedZone(target, run, router, found)
+			h.checkRevokedKey(run, keyByID[run.ID], found)
 		}
 	}
-	for _, a := range attempts {
-		h.judgeAttempt(a, runs[a.ID], n)
+	for _, attempt := range attempts {
+		h.checkAttempt(attempt, runCounts[attempt.ID], found)
 	}
-	h.judgeCrashes(site, n)
+	h.checkCrashRequests(site, found)
 }
 
 // judgeAttempt holds an attempt that ran so many times against the promises.
-func (h *history) judgeAttempt(a standin.Attempt, ran int, n *notes) {
-	check := func(ok bool, what string) {
-		n.check(ok, "%s %s by router %d, sent %s, ended %s, status %d, ran %d times: %s",
-			a.ID, a.Path, a.Router, clockTime(a.Sent), clockTime(a.Ended), a.Status, ran, what)
+func (h *history) checkAttempt(attempt standin.Attempt, runCount int, found *violations) {
+	check := func(ok bool, violation string) {
+		found.check(ok, "%s %s by router %d, sent %s, ended %s, status %d, ran %d times: %s",
+			attempt.ID, attempt.Path, attempt.Router, formatTime(attempt.Sent), formatTime(attempt.Ended), attempt.Status, runCount, violation)
 	}
-	check(a.Wrong == "", a.Wrong)
-	check(ran <= 1 || a.Path == "/keyed/x", "it may run only once")
-	h.judgeStatus(a, ran, check)
-	if a.Status == 0 && !a.Refused && !a.Left {
-		h.judgeCut(a, ran, check)
+	check(attempt.Wrong == "", attempt.Wrong)
+	check(runCount <= 1 || attempt.Path == "/keyed/x", "it may run only once")
+	h.checkStatus(attempt, runCount, check)
+	if attempt.Status == 0 && !attempt.Refused && !attempt.Left {
+		h.checkUnanswered(attempt, runCount, check)
 	}
 }
 
 // judgeRun holds the time of a run, sent by a router, against the target's leaving.
-func (h *history) judgeRun(t *standin.SiteTarget, run standin.SiteRun, router int, n *notes) {
-	left, leaves := h.left[t]
-	if !leaves {
+func (h *history) checkDrainedTarget(target *standin.SiteTarget, run standin.SiteRun, router int, found *violations) {
+	drainedAt, drained := h.drainedAt[target]
+	if !drained {
 		return
 	}
-	for _, b := range h.blind {
-		if b.overlaps(left, left.Add(leaveTime)) {
-			left = b.to // nobody could see it
+	for _, outage := range h.listOutages {
+		if outage.overlaps(drainedAt, drainedAt.Add(maxDrainLag)) {
+			drainedAt = outage.end // nobody could see it
 		}
 	}
-	for _, a := range h.asleep {
-		if a.router == router && a.overlaps(run.At, run.At) && !h.keepersWell(run.At) {
+	for _, pause := range h.pauses {
+		if pause.router == router && pause.overlaps(run.At, run.At) && !h.keepersHealthy(run.At) {
 			return // there was nobody whom it could have asked
 		}
 	}
-	if h.held(run) {
+	if h.mayBeDelayed(run) {
 		return
 	}
-	n.check(run.At.Sub(left) <= leaveTime, "%s ran at %s, %s after that was shown as leaving", run.ID, t.ID, run.At.Sub(left))
+	found.check(run.At.Sub(drainedAt) <= maxDrainLag, "%s ran at %s, %s after that was shown as leaving", run.ID, target.ID, run.At.Sub(drainedAt))
 }
 
 // held reports whether a request may have been held on its way to the target.
-func (h *history) held(run standin.SiteRun) bool {
-	for _, l := range h.links {
-		if l.overlaps(run.At, run.At) {
+func (h *history) mayBeDelayed(run standin.SiteRun) bool {
+	for _, fault := range h.linkFaults {
+		if fault.overlaps(run.At, run.At) {
 			return true
 		}
 	}
@@ -215,53 +215,53 @@
 
 // judgeKey holds the time of a run against the withdrawal of its key: what was let in
 // before it waits no longer than its deadline.
-func (h *history) judgeKey(run standin.SiteRun, key string, n *notes) {
-	if key == guestKey && !h.revoked.IsZero() && !h.held(run) {
-		late := run.At.Sub(h.revoked)
-		n.check(late <= revokeTime+standin.CallerTime, "%s ran %s after its key was withdrawn", run.ID, late)
+func (h *history) checkRevokedKey(run standin.SiteRun, key string, found *violations) {
+	if key == guestKey && !h.revokedAt.IsZero() && !h.mayBeDelayed(run) {
+		lag := run.At.Sub(h.revokedAt)
+		found.check(lag <= maxRevocationLag+standin.CallerTime, "%s ran %s after its key was withdrawn", run.ID, lag)
 	}
 }
 
 // judgeStatus tells whether an answer's status is true.
-func (h *history) judgeStatus(a standin.Attempt, ran int, check func(ok bool, what string)) {
-	guest := a.Key == guestKey
-	switch a.Status {
+func (h *history) checkStatus(attempt standin.Attempt, runCount int, check func(ok bool, violation string)) {
+	isGuest := attempt.Key == guestKey
+	switch attempt.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		check(ran == 0, "told that it did not run")
+		check(runCount == 0, "told that it did not run")
 	case http.StatusUnauthorized:
-		check(guest && !h.asked.IsZero() && a.Ended.After(h.asked), "its key counts")
+		check(isGuest && !h.revocationSentAt.IsZero() && attempt.Ended.After(h.revocationSentAt), "its key counts")
 	case http.StatusForbidden, http.StatusNotFound:
 		check(false, "its route is there")
 	default:
 	}
-	if guest && !h.revoked.IsZero() && a.Sent.Sub(h.revoked) > revokeTime {
-		check(ran == 0, "its key was withdrawn")
+	if isGuest && !h.revokedAt.IsZero() && attempt.Sent.Sub(h.revokedAt) > maxRevocationLag {
+		check(runCount == 0, "its key was withdrawn")
 	}
 }
 
 // judgeCut tells whether a request may have ended without an answer.
-func (h *history) judgeCut(a standin.Attempt, ran int, check func(ok bool, what string)) {
-	for _, f := range h.hurts {
-		if (f.router == anyRouter || f.router == a.Router) && f.overlaps(a.Sent, a.Ended) {
+func (h *history) checkUnanswered(attempt standin.Attempt, runCount int, check func(ok bool, violation string)) {
+	for _, fault := range h.cutSpans {
+		if (fault.router == anyRouter || fault.router == attempt.Router) && fault.overlaps(attempt.Sent, attempt.Ended) {
 			return
 		}
 	}
-	stalled := h.stalled(a.Sent, a.Ended)
-	if a.Ended.Sub(a.Sent)-stalled >= standin.CallerTime+waitMargin {
+	stalled := h.stalledDuring(attempt.Sent, attempt.Ended)
+	if attempt.Ended.Sub(attempt.Sent)-stalled >= standin.CallerTime+overdueMargin {
 		check(false, "nobody ended it")
 		return
 	}
-	if a.Path == flowPath && a.Ended.Sub(a.Sent) >= standin.CallerTime && stalled > standin.CallerTime-flowTime {
+	if attempt.Path == streamPath && attempt.Ended.Sub(attempt.Sent) >= standin.CallerTime && stalled > standin.CallerTime-streamTime {
 		return // its deadline passed while its target stood still
 	}
-	for _, s := range h.stops[a.Router] {
-		if !s.overlaps(a.Sent, a.Ended) {
+	for _, stop := range h.stops[attempt.Router] {
+		if !stop.overlaps(attempt.Sent, attempt.Ended) {
 			continue
 		}
-		sent, ended := a.Sent.Sub(s.from), a.Ended.Sub(s.from)
-		crossed := ran == 0 && sent > unreadTime
-		outlasted := sent <= lateTime && ended >= lastTime
-		check(crossed || outlasted, "cut by a graceful stop")
+		sent, ended := attempt.Sent.Sub(stop.start), attempt.Ended.Sub(stop.start)
+		unread := runCount == 0 && sent > readAfterStopTime
+		cutByGrace := sent <= graceSendLimit && ended >= graceCutStart
+		check(unread || cutByGrace, "cut by a graceful stop")
 		return
 	}
 	check(false, "cut without a fault")
--- a/internal/soak/play_test.go
+++ b/internal/soak/play_test.go
@@ -15,300 +15,300 @@
 )
 
 // healTime is how long after the end of a fault an answer may still suffer from it.
-const healTime = time.Second
+const recoveryTime = time.Second
 
 // A player plays the events of a scenario on a world.
 type player struct {
-	*world
+	*testFleet
 	history *history
-	changes *changes
-	playing sync.WaitGroup
+	configs *configUpdater
+	pending sync.WaitGroup
 	// restarts is held while a target starts again.
-	restarts sync.Mutex
+	restartMu sync.Mutex
 }
 
 // play plays all events at their times, and returns when each is over.
 func (p *player) play(events []event) {
 	start := time.Now()
-	for _, e := range events {
-		time.Sleep(time.Until(start.Add(time.Duration(e.At))))
-		p.t.Logf("%s %s", clockTime(time.Now()), e)
-		p.playing.Go(func() { p.event(e) })
+	for _, ev := range events {
+		time.Sleep(time.Until(start.Add(time.Duration(ev.At))))
+		p.t.Logf("%s %s", formatTime(time.Now()), ev)
+		p.pending.Go(func() { p.playEvent(ev) })
 	}
-	p.playing.Wait()
+	p.pending.Wait()
 }
 
-func (p *player) event(e event) {
-	switch e.Kind {
-	case onRouter:
-		p.process(e, p.routers[e.Victim])
-	case onKeeper:
-		p.process(e, p.keepers[e.Victim])
-	case onDoor:
-		p.link(e, p.doors[e.Victim], e.Victim)
-	case onPeer:
-		p.link(e, p.peers[e.Victim], nobody)
-	case onLink:
-		p.link(e, p.world.link(e.Victim), anyRouter)
-	case onTarget:
-		p.target(e)
-	case onList:
-		p.list(e)
-	case onRequest:
-		p.crash(e)
-	case onZone:
-		p.evacuate(e)
-	case onMachine:
-		p.standStill(e)
-	case onConfig:
-		p.changes.order(e.Do == doWithdraw)
+func (p *player) playEvent(ev event) {
+	switch ev.Kind {
+	case kindRouter:
+		p.playProcessEvent(ev, p.routers[ev.Victim])
+	case kindKeeper:
+		p.playProcessEvent(ev, p.keepers[ev.Victim])
+	case kindRouterLink:
+		p.playLinkEvent(ev, p.routerProxies[ev.Victim], ev.Victim)
+	case kindKeeperLink:
+		p.playLinkEvent(ev, p.keeperProxies[ev.Victim], noRouter)
+	case kindTargetLink:
+		p.playLinkEvent(ev, p.testFleet.targetProxy(ev.Victim), anyRouter)
+	case kindTarget:
+		p.playTargetEvent(ev)
+	case kindTargetList:
+		p.playListEvent(ev)
+	case kindRequest:
+		p.playCrashRequests(ev)
+	case kindZone:
+		p.playEvacuation(ev)
+	case kindHost:
+		p.pauseHost(ev)
+	case kindConfig:
+		p.configs.apply(ev.Action == actionRevokeKey)
 	default:
-		p.notes.add("nobody knows how to play %s", e)
+		p.violations.add("nobody knows how to play %s", ev)
 	}
 }
 
 // process plays what happens to a process. Signals that do not end it come at any
 // moment, beside its other faults.
-func (p *player) process(e event, on *process) {
-	switch e.Do {
-	case doHangup:
-		on.hangup()
+func (p *player) playProcessEvent(ev event, proc *process) {
+	switch ev.Action {
+	case actionSIGHUP:
+		proc.sendSIGHUP()
 		return
-	case doReseed:
-		p.reseed(e, on)
+	case actionChangeSeeds:
+		p.changeSeeds(ev, proc)
 		return
-	case doHalf:
-		p.half(e, on)
+	case actionPartialRequests:
+		p.sendPartialRequests(ev, proc)
 		return
 	}
-	on.turn.Lock()
-	defer on.turn.Unlock()
-	from := time.Now()
-	defer func() { p.history.away(e, span{from, time.Now()}) }()
-	switch e.Do {
-	case doPause:
-		on.signal(syscall.SIGSTOP, false)
-		time.Sleep(time.Duration(e.For))
-		on.signal(syscall.SIGCONT, false)
-		still := span{from, time.Now().Add(healTime)}
-		p.history.fault(e, still)
-		if e.Kind == onRouter {
-			p.history.sleep(e.Victim, still)
+	proc.faultMu.Lock()
+	defer proc.faultMu.Unlock()
+	start := time.Now()
+	defer func() { p.history.recordEventOutage(ev, span{start, time.Now()}) }()
+	switch ev.Action {
+	case actionPause:
+		proc.signal(syscall.SIGSTOP, false)
+		time.Sleep(time.Duration(ev.Duration))
+		proc.signal(syscall.SIGCONT, false)
+		pause := span{start, time.Now().Add(recoveryTime)}
+		p.history.recordRouterFault(ev, pause)
+		if ev.Kind == kindRouter {
+			p.history.recordPause(ev.Victim, pause)
 		}
-	case doKill:
-		on.kill()
-		p.notes.check(p.wreck(e, on) == nil, "%s could not be played", e)
-		p.again(e, on)
-		p.history.fault(e, span{from, time.Now()})
-	case doStop:
-		s := on.stop(e.How)
-		if e.How == howFrozen {
-			p.history.fault(e, span{s.from, s.from.Add(frozenAfter + frozenTime + healTime)})
+	case actionKill:
+		proc.kill()
+		p.violations.check(p.damageDisk(ev, proc) == nil, "%s could not be played", ev)
+		p.restartProcess(ev, proc)
+		p.history.recordRouterFault(ev, span{start, time.Now()})
+	case actionStop:
+		stop := proc.stop(ev.Variant)
+		if ev.Variant == variantThenPause {
+			p.history.recordRouterFault(ev, span{stop.start, stop.start.Add(stopPauseDelay + stopPauseDuration + recoveryTime)})
 		}
-		if e.Kind == onRouter {
-			p.history.stop(e.Victim, s)
+		if ev.Kind == kindRouter {
+			p.history.recordStop(ev.Victim, stop)
 		}
-		p.again(e, on)
-	case doDisk:
-		p.failDisk(e, on)
+		p.restartProcess(ev, proc)
+	case actionFailDisk:
+		p.failDisk(ev, proc)
 	default:
-		p.notes.add("nobody knows how to play %s", e)
+		p.violations.add("nobody knows how to play %s", ev)
 	}
 }
 
 // wreck does to a killed process's disk what the event says.
-func (p *player) wreck(e event, on *process) error {
-	switch e.How {
-	case howLost:
-		return os.RemoveAll(on.settings.Folder)
-	case howTorn:
-		return on.tear()
+func (p *player) damageDisk(ev event, proc *process) error {
+	switch ev.Variant {
+	case variantDiskLost:
+		return os.RemoveAll(proc.settings.Folder)
+	case variantTornWrite:
+		return proc.tearLog()
 	}
 	return nil
 }
 
 // again starts a process that ended, after the event's time.
-func (p *player) again(e event, on *process) {
-	time.Sleep(time.Duration(e.For))
-	clock := ""
-	if e.Do == doKill && e.How != howLost && e.How != howTorn {
-		clock = e.How
+func (p *player) restartProcess(ev event, proc *process) {
+	time.Sleep(time.Duration(ev.Duration))
+	clockVariant := ""
+	if ev.Action == actionKill && ev.Variant != variantDiskLost && ev.Variant != variantTornWrite {
+		clockVariant = ev.Variant
 	}
-	on.settings.First = e.Kind == onRouter
-	if err := on.start(clock); err != nil {
-		p.notes.add("%s: %v", e, err)
+	proc.settings.First = ev.Kind == kindRouter
+	if err := proc.start(clockVariant); err != nil {
+		p.violations.add("%s: %v", ev, err)
 	}
 }
 
 // failDisk has a keeper's disk fail for a while. It may end over that; then the platform
 // starts it again.
-func (p *player) failDisk(e event, on *process) {
-	on.mayEnd()
-	p.notes.check(os.WriteFile(on.file(".disk"), []byte(e.How), 0o600) == nil, "%s could not be played", e)
-	time.Sleep(time.Duration(e.For))
-	p.notes.check(os.Remove(on.file(".disk")) == nil, "%s could not be ended", e)
-	on.kill()
-	on.settings.First = false
-	if err := on.start(""); err != nil {
-		p.notes.add("%s: %v", e, err)
+func (p *player) failDisk(ev event, keeper *process) {
+	keeper.allowExit()
+	p.violations.check(os.WriteFile(keeper.path(".disk"), []byte(ev.Variant), 0o600) == nil, "%s could not be played", ev)
+	time.Sleep(time.Duration(ev.Duration))
+	p.violations.check(os.Remove(keeper.path(".disk")) == nil, "%s could not be ended", ev)
+	keeper.kill()
+	keeper.settings.First = false
+	if err := keeper.start(""); err != nil {
+		p.violations.add("%s: %v", ev, err)
 	}
 }
 
 // reseed names other keepers in a process's settings, and may tell it so.
-func (p *player) reseed(e event, on *process) {
-	n := len(p.keepers)
-	first := int(time.Duration(e.At)/time.Millisecond) % n
-	settings := on.settings
-	settings.Seeds = p.seeds(first, (first+1)%n, (first+2)%n)
-	err := os.WriteFile(on.file(".new"), []byte(settings.Text()), 0o600)
+func (p *player) changeSeeds(ev event, proc *process) {
+	count := len(p.keepers)
+	first := int(time.Duration(ev.At)/time.Millisecond) % count
+	settings := proc.settings
+	settings.Seeds = p.seedAddresses(first, (first+1)%count, (first+2)%count)
+	err := os.WriteFile(proc.path(".new"), []byte(settings.Text()), 0o600)
 	if err == nil {
-		err = os.Rename(on.file(".new"), on.file(".toml"))
+		err = os.Rename(proc.path(".new"), proc.path(".toml"))
 	}
-	p.notes.check(err == nil, "%s could not be played: %v", e, err)
-	if e.How == howSignal {
-		on.hangup()
+	p.violations.check(err == nil, "%s could not be played: %v", ev, err)
+	if ev.Variant == variantSIGHUP {
+		proc.sendSIGHUP()
 	}
 }
 
 // half sends halves of requests to a process, of the head and of the body, and holds
 // their connections.
-func (p *player) half(e event, on *process) {
-	const some = 4
+func (p *player) sendPartialRequests(ev event, proc *process) {
+	const count = 4
 	port, head := standin.CallerPort, "POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: half\r\nAuthorization: Bearer "+memberKey
-	if e.Kind == onKeeper {
+	if ev.Kind == kindKeeper {
 		port, head = standin.OperatorPort, "PUT /laburnumfall/config HTTP/1.1\r\nHost: k"
 	}
-	for i := range some {
-		c, err := net.DialTimeout("tcp4", on.settings.Address(port), time.Second)
+	for i := range count {
+		conn, err := net.DialTimeout("tcp4", proc.settings.Address(port), time.Second)
 		if err != nil {
 			return // nobody is there
 		}
-		defer func() { _ = c.Close() }() // it is never answered
+		defer func() { _ = conn.Close() }() // it is never answered
 		text := head
 		if i%2 == 0 {
 			text += "\r\nContent-Length: 100\r\n\r\n{"
 		}
-		_, _ = io.WriteString(c, text) // the process may just end
+		_, _ = io.WriteString(conn, text) // the process may just end
 	}
-	time.Sleep(time.Duration(e.For))
+	time.Sleep(time.Duration(ev.Duration))
 }
 
 // link plays a fault of the connections through a proxy.
-func (p *player) link(e event, proxy *standin.Proxy, router int) {
-	const late = 150 * time.Millisecond
-	from := time.Now()
-	switch e.Do {
-	case doDelay:
-		proxy.Delay(late)
-	case doReset:
+func (p *player) playLinkEvent(ev event, proxy *standin.Proxy, router int) {
+	const delay = 150 * time.Millisecond
+	start := time.Now()
+	switch ev.Action {
+	case actionDelay:
+		proxy.Delay(delay)
+	case actionReset:
 		proxy.Reset()
-	case doIn:
+	case actionBlockInbound:
 		proxy.Silence(standin.ToTarget)
-	case doOut:
+	case actionBlockOutbound:
 		proxy.Silence(standin.ToCaller)
-	case doBoth:
+	case actionBlockBoth:
 		proxy.Silence(standin.ToTarget)
 		proxy.Silence(standin.ToCaller)
 	default:
-		p.notes.add("nobody knows how to play %s", e)
+		p.violations.add("nobody knows how to play %s", ev)
 	}
-	time.Sleep(time.Duration(e.For))
+	time.Sleep(time.Duration(ev.Duration))
 	proxy.Heal()
-	p.history.away(e, span{from, time.Now()})
-	p.history.faultAt(router, span{from, time.Now().Add(healTime)})
+	p.history.recordEventOutage(ev, span{start, time.Now()})
+	p.history.recordCutSpan(router, span{start, time.Now().Add(recoveryTime)})
 }
 
 // target plays the comings and goings of targets.
-func (p *player) target(e event) {
-	if e.Do == doReplace {
-		p.notes.check(p.addTarget() == nil, "%s could not be played", e)
+func (p *player) playTargetEvent(ev event) {
+	if ev.Action == actionReplace {
+		p.violations.check(p.addTarget() == nil, "%s could not be played", ev)
 		p.mu.Lock()
-		oldest := p.live[0]
-		p.live = p.live[1:]
+		replaced := p.liveTargets[0]
+		p.liveTargets = p.liveTargets[1:]
 		p.mu.Unlock()
-		oldest.Drain()
-		p.history.leaves(oldest)
+		replaced.Drain()
+		p.history.recordDrain(replaced)
 		return
 	}
-	p.restarts.Lock() // one target at a time, so that there is another
-	defer p.restarts.Unlock()
+	p.restartMu.Lock() // one target at a time, so that there is another
+	defer p.restartMu.Unlock()
 	p.mu.Lock()
-	place := len(p.live) - 1 - e.Victim
-	former := p.live[place]
+	index := len(p.liveTargets) - 1 - ev.Victim
+	former := p.liveTargets[index]
 	p.mu.Unlock()
-	from := time.Now()
-	switch e.How {
-	case howAway:
+	start := time.Now()
+	switch ev.Variant {
+	case variantUnlisted:
 		p.site.Remove(former)
-	case howDrain:
+	case variantDrain:
 		former.Drain()
-		p.history.leaves(former)
+		p.history.recordDrain(former)
 	}
-	if e.How != "" {
-		time.Sleep(time.Duration(e.For))
+	if ev.Variant != "" {
+		time.Sleep(time.Duration(ev.Duration))
 	}
-	next, err := p.site.Restart(former)
-	p.notes.check(err == nil, "%s could not be played: %v", e, err)
-	p.history.faultAt(anyRouter, span{from, time.Now().Add(healTime)})
+	restarted, err := p.site.Restart(former)
+	p.violations.check(err == nil, "%s could not be played: %v", ev, err)
+	p.history.recordCutSpan(anyRouter, span{start, time.Now().Add(recoveryTime)})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if i := slices.Index(p.live, former); i >= 0 && err == nil {
-		p.live[i] = next
+	if i := slices.Index(p.liveTargets, former); i >= 0 && err == nil {
+		p.liveTargets[i] = restarted
 	}
 }
 
 // list plays what is wrong with the list of targets.
-func (p *player) list(e event) {
-	from := time.Now()
-	if e.Do == doGarble {
+func (p *player) playListEvent(ev event) {
+	start := time.Now()
+	if ev.Action == actionGarbleList {
 		p.site.Garble("\xff{")
 	} else {
 		p.site.Damage(standin.DamagedEntries...)
 	}
-	time.Sleep(time.Duration(e.For))
-	if e.Do == doGarble {
+	time.Sleep(time.Duration(ev.Duration))
+	if ev.Action == actionGarbleList {
 		p.site.Garble("")
-		p.history.unread(span{from, time.Now()})
+		p.history.recordListOutage(span{start, time.Now()})
 	} else {
 		p.site.Damage()
 	}
 }
 
 // served reports whether a router serves a configuration, keyed requests included.
-func (p *player) served(router, version int) bool {
+func (p *player) serves(router, version int) bool {
 	for _, path := range []string{fmt.Sprintf("/open%d/x", version), "/keyed/x"} {
-		if p.ask(router, path) != http.StatusOK {
+		if p.sendProbe(router, path) != http.StatusOK {
 			return false
 		}
 	}
 	return true
 }
 
-var askClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var probeClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // askID is the form of the IDs of what the soak itself asks: router, time.
-const askID = "ask-%d-%d"
+const probeIDFormat = "ask-%d-%d"
 
 // askedRouter returns the router that the soak itself asked by an ID.
-func askedRouter(id string) int {
-	var router, at int
-	if _, err := fmt.Sscanf(id, askID, &router, &at); err != nil {
-		return nobody
+func probedRouter(id string) int {
+	var router, sentAt int
+	if _, err := fmt.Sscanf(id, probeIDFormat, &router, &sentAt); err != nil {
+		return noRouter
 	}
 	return router
 }
 
 // ask sends a request past the proxies and returns the status, 0 without an answer.
-func (p *player) ask(router int, path string) int {
+func (p *player) sendProbe(router int, path string) int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.routers[router].settings.Address(standin.CallerPort)+path, nil)
 	if err != nil {
-		p.notes.add("ask for %s: %v", path, err)
+		p.violations.add("ask for %s: %v", path, err)
 		return 0
 	}
 	req.Host = "h.example"
-	req.Header.Set("X-Attempt-Id", fmt.Sprintf(askID, router, time.Now().UnixNano()))
+	req.Header.Set("X-Attempt-Id", fmt.Sprintf(probeIDFormat, router, time.Now().UnixNano()))
 	req.Header.Set("Authorization", "Bearer "+memberKey)
-	resp, err := askClient.Do(req)
+	resp, err := probeClient.Do(req)
 	if err != nil {
 		return 0
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,39 +19,39 @@
 )
 
 var (
-	first   = flag.Uint64("soak.first", 1, "first seed of TestSoak")
-	seeds   = flag.Uint64("soak.seeds", 2, "number of seeds of TestSoak")
-	steps   = flag.Int("soak.steps", 12, "faults, changes and series of each seed of TestSoak")
-	keepers = flag.Int("soak.keepers", usual.Keepers, "keepers of TestSoak")
-	routers = flag.Int("soak.routers", usual.Routers, "routers of TestSoak")
-	targets = flag.Int("soak.targets", usual.Targets, "targets of TestSoak")
-	zones   = flag.Int("soak.zones", usual.Zones, "availability zones of the targets of TestSoak")
-	callers = flag.Int("soak.callers", usual.Callers, "callers of TestSoak")
-	play    = flag.String("soak.play", "", "file of a scenario that TestSoak plays in place of seeds")
-	write   = flag.String("soak.write", "", "folder where TestSoak writes its scenarios")
-	keep    = flag.String("soak.keep", "", "folder where logs of failed scenarios are kept; logs in the module's root by default")
-	beside  = flag.Int("soak.beside", 3, "scenarios that are played beside each other")
+	firstSeed    = flag.Uint64("soak.first", 1, "first seed of TestSoak")
+	seedCount    = flag.Uint64("soak.seeds", 2, "number of seeds of TestSoak")
+	stepCount    = flag.Int("soak.steps", 12, "faults, changes and series of each seed of TestSoak")
+	keeperCount  = flag.Int("soak.keepers", defaultSize.Keepers, "keepers of TestSoak")
+	routerCount  = flag.Int("soak.routers", defaultSize.Routers, "routers of TestSoak")
+	targetCount  = flag.Int("soak.targets", defaultSize.Targets, "targets of TestSoak")
+	zoneCount    = flag.Int("soak.zones", defaultSize.Zones, "availability zones of the targets of TestSoak")
+	callerCount  = flag.Int("soak.callers", defaultSize.Callers, "callers of TestSoak")
+	scenarioFile = flag.String("soak.play", "", "file of a scenario that TestSoak plays in place of seeds")
+	outputFolder = flag.String("soak.write", "", "folder where TestSoak writes its scenarios")
+	logFolder    = flag.String("soak.keep", "", "folder where logs of failed scenarios are kept; logs in the module's root by default")
+	maxParallel  = flag.Int("soak.beside", 3, "scenarios that are played beside each other")
 )
 
 // places bounds the scenarios that are played beside each other.
-var places = sync.OnceValue(func() chan struct{} { return make(chan struct{}, *beside) })
+var scenarioSlots = sync.OnceValue(func() chan struct{} { return make(chan struct{}, *maxParallel) })
 
 // TestSoak plays scenarios that are drawn from seeds, or one as written, and checks the
 // promises by what callers and targets saw.
 func TestSoak(t *testing.T) {
-	if *play != "" {
-		playScenario(t, readScenario(t, *play))
+	if *scenarioFile != "" {
+		runScenario(t, readScenario(t, *scenarioFile))
 		return
 	}
-	of := size{Keepers: *keepers, Routers: *routers, Targets: *targets, Callers: *callers, Zones: *zones}
-	for seed := *first; seed < *first+*seeds; seed++ {
+	size := fleetSize{Keepers: *keeperCount, Routers: *routerCount, Targets: *targetCount, Callers: *callerCount, Zones: *zoneCount}
+	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := draw(seed, of, *steps)
-			if *write != "" {
-				require.NoError(t, os.WriteFile(filepath.Join(*write, fmt.Sprintf("%d.toml", seed)), []byte(s.String()), 0o600))
+			s := generateScenario(seed, size, *stepCount)
+			if *outputFolder != "" {
+				require.NoError(t, os.WriteFile(filepath.Join(*outputFolder, fmt.Sprintf("%d.toml", seed)), []byte(s.String()), 0o600))
 			}
-			playScenario(t, s)
+			runScenario(t, s)
 		})
 	}
 }
@@ -65,7 +65,7 @@
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".toml"), func(t *testing.T) {
 			t.Parallel()
-			playScenario(t, readScenario(t, file))
+			runScenario(t, readScenario(t, file))
 		})
 	}
 }
@@ -78,121 +78,121 @@
 	return s
 }
 
-func playScenario(t *testing.T, s scenario) {
-	places() <- struct{}{}
-	t.Cleanup(func() { <-places() })
-	w := newWorld(t, s.Size)
+func runScenario(t *testing.T, s scenario) {
+	scenarioSlots() <- struct{}{}
+	t.Cleanup(func() { <-scenarioSlots() })
+	f := newTestFleet(t, s.Size)
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Logf("the scenario, to be played again by -soak.play or shrunk:\n%s", s)
 		}
 	})
-	p := &player{world: w, history: newHistory()}
-	w.site.Fault = p.slowly
-	p.changes = &changes{world: w, history: p.history, guest: true}
+	p := &player{testFleet: f, history: newHistory()}
+	f.site.Fault = p.delayResponse
+	p.configs = &configUpdater{testFleet: f, history: p.history, guestHasKey: true}
 	t.Cleanup(func() {
 		if t.Failed() {
-			p.tellStalls()
+			p.logStalls()
 		}
 	})
-	watching, endWatch := context.WithCancel(context.Background())
-	defer endWatch()
-	go p.watchStalls(watching)
+	watchCtx, stopWatch := context.WithCancel(context.Background())
+	defer stopWatch()
+	go p.watchStalls(watchCtx)
 	p.startAll()
-	p.changes.order(false)
-	p.requireServed()
-	c := p.callers()
+	p.configs.apply(false)
+	p.requireConfigServed()
+	callers := p.newCallers()
 	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range s.Size.Callers {
-		running.Go(func() { c.Run(ctx, i) })
+		workers.Go(func() { callers.Run(ctx, i) })
 	}
-	running.Go(func() { p.changes.watchKeepers(ctx) })
-	running.Go(func() { p.changes.watchRouters(ctx, p) })
+	workers.Go(func() { p.configs.watchKeepers(ctx) })
+	workers.Go(func() { p.configs.watchRouters(ctx, p) })
 	p.play(s.Events)
-	p.phase("events are over")
-	p.changes.order(false)
-	p.requireServed() // it recovers
-	p.phase("all routers serve")
+	p.logPhase("events are over")
+	p.configs.apply(false)
+	p.requireConfigServed() // it recovers
+	p.logPhase("all routers serve")
 	for i := range targetSlots * s.Size.Targets { // now each target is needed
-		running.Go(func() { c.Run(ctx, s.Size.Callers+i) })
+		workers.Go(func() { callers.Run(ctx, s.Size.Callers+i) })
 	}
-	p.requireWork()
-	p.phase("all targets work")
+	p.requireTargetsServe()
+	p.logPhase("all targets work")
 	cancel()
-	running.Wait()
+	workers.Wait()
 	p.stopAll()
-	p.requirePromises(c.Taken())
+	p.requirePromises(callers.Taken())
 }
 
-func (p *player) phase(what string) {
-	p.t.Logf("%s %s", clockTime(time.Now()), what)
+func (p *player) logPhase(phase string) {
+	p.t.Logf("%s %s", formatTime(time.Now()), phase)
 }
 
 // startAll starts all processes at once.
 func (p *player) startAll() {
-	var g errgroup.Group
-	for _, process := range p.all() {
-		g.Go(func() error { return process.start("") })
+	var group errgroup.Group
+	for _, proc := range p.processes() {
+		group.Go(func() error { return proc.start("") })
 	}
-	require.NoError(p.t, g.Wait())
+	require.NoError(p.t, group.Wait())
 }
 
 // stopAll stops all processes, routers before keepers.
 func (p *player) stopAll() {
-	for _, list := range [][]*process{p.routers, p.keepers} {
-		var all sync.WaitGroup
-		for _, process := range list {
-			all.Go(func() { process.stop("") })
+	for _, processes := range [][]*process{p.routers, p.keepers} {
+		var stopping sync.WaitGroup
+		for _, proc := range processes {
+			stopping.Go(func() { proc.stop("") })
 		}
-		all.Wait()
+		stopping.Wait()
 	}
 }
 
-func (p *player) requireServed() {
+func (p *player) requireConfigServed() {
 	for i := range p.routers {
-		require.Eventually(p.t, func() bool { return p.served(i, p.changes.newest()) }, patience, poll,
-			"router %d does not serve configuration %d", i, p.changes.newest())
+		require.Eventually(p.t, func() bool { return p.serves(i, p.configs.latestVersion()) }, waitTimeout, pollInterval,
+			"router %d does not serve configuration %d", i, p.configs.latestVersion())
 	}
 }
 
 // requireWork checks that each target that stands as ready in the list gets work, while
 // there is enough for all.
-func (p *player) requireWork() {
-	for _, target := range p.live {
-		before := len(target.Runs())
-		require.Eventually(p.t, func() bool { return len(target.Runs()) > before }, patience, poll,
-			"%s, born at %s, gets no work", target.ID, clockTime(time.UnixMilli(target.Born)))
+func (p *player) requireTargetsServe() {
+	for _, target := range p.liveTargets {
+		runCount := len(target.Runs())
+		require.Eventually(p.t, func() bool { return len(target.Runs()) > runCount }, waitTimeout, pollInterval,
+			"%s, born at %s, gets no work", target.ID, formatTime(time.UnixMilli(target.Born)))
 	}
 }
 
 // callers returns callers of all routers by turns, of all manners.
-func (p *player) callers() *standin.Callers {
+func (p *player) newCallers() *standin.Callers {
 	return &standin.Callers{
-		Paths: []string{"/once/x", "/keyed/x", flowPath},
+		Paths: []string{"/once/x", "/keyed/x", streamPath},
 		Key: func(caller int) string {
 			if caller%4 == 0 {
 				return guestKey
 			}
 			return memberKey
 		},
-		Door: func(caller, n int) (int, string) {
-			i := (caller + n/20) % len(p.doors)
-			return i, p.doors[i].Address()
+		Door: func(caller, request int) (int, string) {
+			router := (caller + request/20) % len(p.routerProxies)
+			return router, p.routerProxies[router].Address()
 		},
-		Alone: func(i int, local string) bool { return p.doors[i].Alone(local) },
-		Manner: func(_, n int) standin.Manner {
+		Alone: func(router int, local string) bool { return p.routerProxies[router].Alone(local) },
+		Manner: func(_, request int) standin.Manner {
 			switch {
-			case n%7 == 3:
+			case request%7 == 3:
 				return standin.Pieces
-			case n%7 == 5:
+			case request%7 == 5:
 				return standin.Slow
-			case n%11 == 6:
+			case request%11 == 6:
 				return standin.Leaving
 			}
 			return standin.Prompt
 		},
-		Patience: waitMargin + time.Second,
+		Patience: overdueMargin + time.Second,
 	}
 }
 
@@ -201,24 +201,24 @@
 // takes milliseconds, and callers come back at once. Of two routers one may stand still for
 // most of a run while the other one stops: then 16 callers, of whom 12 are such, got 98 to 106 in
 // all (five runs, the first beside load).
-const leastServed = 4
+const minServedPerCaller = 4
 
 func (p *player) requirePromises(attempts []standin.Attempt) {
 	statuses := make(map[int]int)
 	served := 0 // of callers whose key counts all along
-	for _, a := range attempts {
-		statuses[a.Status]++
-		if a.Key == memberKey && a.Status == http.StatusOK {
+	for _, attempt := range attempts {
+		statuses[attempt.Status]++
+		if attempt.Key == memberKey && attempt.Status == http.StatusOK {
 			served++
 		}
 	}
-	leaders := 0
-	for _, k := range p.keepers {
-		leaders += k.logged(`"@message":"leading"`)
+	leaderCount := 0
+	for _, keeper := range p.keepers {
+		leaderCount += keeper.countInLog(`"@message":"leading"`)
 	}
 	p.t.Logf("%d attempts by status: %v; %d configurations; %d processes; led %d times",
-		len(attempts), statuses, p.changes.newest(), len(p.all()), leaders)
-	p.history.judge(attempts, p.site, p.notes)
-	require.Empty(p.t, p.notes.list)
-	require.Greater(p.t, served, leastServed*p.size.Callers*3/4, "a soak without service proves little")
+		len(attempts), statuses, p.configs.latestVersion(), len(p.processes()), leaderCount)
+	p.history.checkPromises(attempts, p.site, p.violations)
+	require.Empty(p.t, p.violations.list)
+	require.Greater(p.t, served, minServedPerCaller*p.size.Callers*3/4, "a soak without service proves little")
 }
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -20,180 +20,180 @@
 
 // Hosts within a world's loopback network.
 const (
-	firstKeeper = 1   // as the fleet knows it
-	firstHidden = 51  // behind its proxy
-	firstRouter = 101 // routers follow to 254
+	firstKeeperHost       = 1   // as the fleet knows it
+	firstKeeperListenHost = 51  // behind its proxy
+	firstRouterHost       = 101 // routers follow to 254
 )
 
 // A world is a fleet of real processes, each on a loopback address of its own, before a
 // stand-in of the platform, with proxies before keepers, routers and targets.
-type world struct {
-	t       *testing.T
-	size    size
-	folder  string
-	port    int
-	site    *standin.Site
-	keepers []*process
-	routers []*process
-	peers   []*standin.Proxy // before keepers
-	doors   []*standin.Proxy // before routers
-	notes   *notes
-
-	mu    sync.Mutex
-	links []*standin.Proxy // before targets, the oldest first
-	live  []*standin.SiteTarget
-	added int
+type testFleet struct {
+	t             *testing.T
+	size          fleetSize
+	folder        string
+	port          int
+	site          *standin.Site
+	keepers       []*process
+	routers       []*process
+	keeperProxies []*standin.Proxy // before keepers
+	routerProxies []*standin.Proxy // before routers
+	violations    *violations
+
+	mu            sync.Mutex
+	targetProxies []*standin.Proxy // before targets, the oldest first
+	liveTargets   []*standin.SiteTarget
+	addedTargets  int
 }
 
-func newWorld(t *testing.T, of size) *world {
-	w := &world{t: t, size: of, folder: t.TempDir(), notes: &notes{}}
+func newTestFleet(t *testing.T, size fleetSize) *testFleet {
+	f := &testFleet{t: t, size: size, folder: t.TempDir(), violations: &violations{}}
 	var err error
-	w.port, err = standin.FreePorts(standin.ProcessPorts)
+	f.port, err = standin.FreePorts(standin.ProcessPorts)
 	require.NoError(t, err)
-	w.site, err = standin.StartSite(w.ip(firstKeeper) + ":0")
+	f.site, err = standin.StartSite(f.ip(firstKeeperHost) + ":0")
 	require.NoError(t, err)
-	t.Cleanup(w.close)
-	for i := range of.Keepers {
-		w.addKeeper(i)
+	t.Cleanup(f.close)
+	for i := range size.Keepers {
+		f.addKeeper(i)
 	}
-	for i := range of.Routers {
-		p := w.process("lf-router", fmt.Sprintf("r%d", i), firstRouter+i)
-		w.routers = append(w.routers, p)
-		w.doors = append(w.doors, w.proxy(w.ip(firstKeeper)+":0", p.settings.Address(standin.CallerPort)))
+	for i := range size.Routers {
+		proc := f.newProcess("lf-router", fmt.Sprintf("r%d", i), firstRouterHost+i)
+		f.routers = append(f.routers, proc)
+		f.routerProxies = append(f.routerProxies, f.startProxy(f.ip(firstKeeperHost)+":0", proc.settings.Address(standin.CallerPort)))
 	}
-	for range of.Targets {
-		require.NoError(t, w.addTarget())
+	for range size.Targets {
+		require.NoError(t, f.addTarget())
 	}
-	return w
+	return f
 }
 
-func (w *world) addKeeper(i int) {
-	p := w.process("lf-keeper", fmt.Sprintf("k%d", i), firstKeeper+i)
-	p.listen = fmt.Sprintf("%s:%d", w.ip(firstHidden+i), w.port)
-	w.keepers = append(w.keepers, p)
-	w.peers = append(w.peers, w.proxy(p.settings.Address(0), p.listen))
+func (f *testFleet) addKeeper(i int) {
+	proc := f.newProcess("lf-keeper", fmt.Sprintf("k%d", i), firstKeeperHost+i)
+	proc.listenAddress = fmt.Sprintf("%s:%d", f.ip(firstKeeperListenHost+i), f.port)
+	f.keepers = append(f.keepers, proc)
+	f.keeperProxies = append(f.keeperProxies, f.startProxy(proc.settings.Address(0), proc.listenAddress))
 }
 
 // ip is a loopback address of this world alone: the port is claimed for it.
-func (w *world) ip(host int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 1+w.port>>8, w.port&0xff, host)
+func (f *testFleet) ip(host int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 1+f.port>>8, f.port&0xff, host)
 }
 
-func (w *world) proxy(address, target string) *standin.Proxy {
-	p, err := standin.StartProxy(address, target)
-	require.NoError(w.t, err)
-	return p
+func (f *testFleet) startProxy(address, target string) *standin.Proxy {
+	proxy, err := standin.StartProxy(address, target)
+	require.NoError(f.t, err)
+	return proxy
 }
 
-func (w *world) process(program, name string, host int) *process {
-	return &process{program: program, folder: w.folder, notes: w.notes, settings: standin.ProcessSettings{
-		Name: name, IP: w.ip(host), Zone: fmt.Sprintf("z%d", 1+host%2), Port: w.port, Seeds: w.seeds(0, 1, 2), First: true,
-		Folder: filepath.Join(w.folder, name), List: w.site.Address(),
+func (f *testFleet) newProcess(program, name string, host int) *process {
+	return &process{program: program, folder: f.folder, violations: f.violations, settings: standin.ProcessSettings{
+		Name: name, IP: f.ip(host), Zone: fmt.Sprintf("z%d", 1+host%2), Port: f.port, Seeds: f.seedAddresses(0, 1, 2), First: true,
+		Folder: filepath.Join(f.folder, name), List: f.site.Address(),
 	}}
 }
 
 // seeds returns the operators' addresses of some keepers.
-func (w *world) seeds(keepers ...int) []string {
-	var list []string
+func (f *testFleet) seedAddresses(keepers ...int) []string {
+	var addresses []string
 	for _, i := range keepers {
-		list = append(list, standin.ProcessSettings{IP: w.ip(firstKeeper + i), Port: w.port}.Address(standin.OperatorPort))
+		addresses = append(addresses, standin.ProcessSettings{IP: f.ip(firstKeeperHost + i), Port: f.port}.Address(standin.OperatorPort))
 	}
-	return list
+	return addresses
 }
 
-func (w *world) operator() *standin.Operator {
-	o := &standin.Operator{}
-	for i := range w.keepers {
-		o.Keepers = append(o.Keepers, w.seeds(i)...)
+func (f *testFleet) operator() *standin.Operator {
+	operator := &standin.Operator{}
+	for i := range f.keepers {
+		operator.Keepers = append(operator.Keepers, f.seedAddresses(i)...)
 	}
-	return o
+	return operator
 }
 
-func (w *world) addTarget() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	target, err := w.site.Add(fmt.Sprintf("t-%d", w.added), "plain", zoneName(w.added%max(w.size.Zones, 1)), w.ip(firstKeeper)+":0", targetSlots)
+func (f *testFleet) addTarget() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	target, err := f.site.Add(fmt.Sprintf("t-%d", f.addedTargets), "plain", zoneName(f.addedTargets%max(f.size.Zones, 1)), f.ip(firstKeeperHost)+":0", targetSlots)
 	if err != nil {
 		return err
 	}
-	link, err := standin.StartProxy(w.ip(firstKeeper)+":0", target.Address)
+	proxy, err := standin.StartProxy(f.ip(firstKeeperHost)+":0", target.Address)
 	if err != nil {
 		return err
 	}
-	target.Behind(link.Address())
-	w.added++
-	w.live, w.links = append(w.live, target), append(w.links, link)
+	target.Behind(proxy.Address())
+	f.addedTargets++
+	f.liveTargets, f.targetProxies = append(f.liveTargets, target), append(f.targetProxies, proxy)
 	return nil
 }
 
 // link is the proxy before a target, counted from the one added last.
-func (w *world) link(i int) *standin.Proxy {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.links[len(w.links)-1-i]
+func (f *testFleet) targetProxy(i int) *standin.Proxy {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.targetProxies[len(f.targetProxies)-1-i]
 }
 
 const (
 	// workTime is how long a target works on a request, so that faults find some at work.
-	workTime = 120 * time.Millisecond
+	serviceTime = 120 * time.Millisecond
 	// flowPath is where callers ask for streams.
-	flowPath = "/flow/stream"
+	streamPath = "/flow/stream"
 	// eventTime is between two events of a stream.
-	eventTime = 60 * time.Millisecond
+	streamEventInterval = 60 * time.Millisecond
 )
 
 // slowly has targets answer as they do, but not at once. Routes that show which
 // configuration is in force are answered at once, and some requests end their target.
-func (p *player) slowly(t *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+func (p *player) delayResponse(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
 	switch r.URL.Path {
-	case flowPath:
-		t.Ran(r)
-		t.Head(w, r)
+	case streamPath:
+		target.Ran(r)
+		target.Head(w, r)
 		for i := 1; i <= standin.SiteEvents; i++ {
-			t.Stream(w, i, i)
-			time.Sleep(eventTime)
+			target.Stream(w, i, i)
+			time.Sleep(streamEventInterval)
 		}
 		return true
 	case "/once/x", "/keyed/x":
-		run := t.Ran(r)
-		if p.crashes(t, run) {
+		run := target.Ran(r)
+		if p.crashIfRequested(target, run) {
 			return true
 		}
-		time.Sleep(workTime)
-		t.Head(w, r)
+		time.Sleep(serviceTime)
+		target.Head(w, r)
 		_, _ = io.WriteString(w, "ran "+run.ID+" "+run.Body) // a router that left takes none
 		return true
 	}
 	return false
 }
 
-func (w *world) all() []*process {
-	return append(append([]*process(nil), w.keepers...), w.routers...)
+func (f *testFleet) processes() []*process {
+	return append(append([]*process(nil), f.keepers...), f.routers...)
 }
 
 // close ends what is left, and keeps what a failure has to be traced by.
-func (w *world) close() {
-	for _, p := range w.all() {
-		p.signal(syscall.SIGCONT, true) // one that stands still cannot end
-		p.kill()
+func (f *testFleet) close() {
+	for _, proc := range f.processes() {
+		proc.signal(syscall.SIGCONT, true) // one that stands still cannot end
+		proc.kill()
 	}
-	w.site.Close()
-	for _, list := range [][]*standin.Proxy{w.peers, w.doors, w.links} {
-		for _, p := range list {
-			p.Close()
+	f.site.Close()
+	for _, proxies := range [][]*standin.Proxy{f.keeperProxies, f.routerProxies, f.targetProxies} {
+		for _, proxy := range proxies {
+			proxy.Close()
 		}
 	}
-	if w.t.Failed() {
-		w.keepLogs()
+	if f.t.Failed() {
+		f.keepLogs()
 	}
 }
 
-func (w *world) keepLogs() {
-	place, err := "", error(nil)
-	if *keep == "" {
-		place, err = standin.KeepLogs(w.t.Name(), w.folder)
+func (f *testFleet) keepLogs() {
+	folder, err := "", error(nil)
+	if *logFolder == "" {
+		folder, err = standin.KeepLogs(f.t.Name(), f.folder)
 	} else {
-		place, err = standin.KeepLogsIn(*keep, w.t.Name(), w.folder)
+		folder, err = standin.KeepLogsIn(*logFolder, f.t.Name(), f.folder)
 	}
-	w.t.Logf("logs are in %q: %v", place, err)
+	f.t.Logf("logs are in %q: %v", folder, err)
 }
