--- a/internal/soak/changes_test.go
+++ b/internal/soak/changes_test.go
@@ -9,12 +9,14 @@
 	"time"
 )
 
-// The keys of a soak's two accounts; the guest's is withdrawn on the way.
+// The API keys of the two accounts. A scenario may revoke the guest's key.
 const (
 	memberKey = "member-key"
 	guestKey  = "guest-key"
 )
 
+// configTemplate takes the version twice and the guest's tenant entry. The path of its last route
+// contains the version, so that a request can find out which version a router serves.
 const configTemplate = `{"version":%d,"routes":[
 {"name":"once","hostname":"h.example","path_prefix":"/once/","route_type":"non_idempotent","timeout_ms":2000,"target_latency_ms":500,"service":"plain","max_attempts":2},
 {"name":"keyed","hostname":"h.example","path_prefix":"/keyed/","route_type":"idempotent","timeout_ms":2000,"target_latency_ms":500,"service":"plain","max_attempts":2},
@@ -26,28 +28,28 @@
 
 const guestTenant = `,{"name":"guest","api_keys":["` + guestKey + `"],"priority":1}`
 
-// changes put one configuration after the other in force, and hold what keepers and
-// routers show against what was accepted.
+// A configUpdater applies one configuration after the other and checks the versions that keepers
+// and routers show against the versions that were accepted.
 type configUpdater struct {
 	*testFleet
 	history    *history
-	applyMu    sync.Mutex // configurations follow each other
-	nextKeeper int        // keeper that is asked next
+	applyMu    sync.Mutex // held while a configuration is applied: one at a time
+	nextKeeper int        // index of the keeper that the last request went to
 
 	mu          sync.Mutex
-	lastVersion int // sent last
+	lastVersion int // the version sent last, accepted or not
 	accepted    []acceptedConfig
-	guestHasKey bool // has a key
+	guestHasKey bool
 }
 
-// An acceptance is a configuration that was acknowledged.
+// An acceptedConfig is a configuration that a keeper acknowledged at a time.
 type acceptedConfig struct {
 	at      time.Time
 	version int
 }
 
-// order puts the next configuration in force, one that withdraws the guest's key if told.
-// It tries one keeper after the other until one accepts.
+// apply sends the next configuration to one keeper after the other until one accepts it. If
+// revokeGuestKey is set, this and all later configurations lack the guest's key.
 func (u *configUpdater) apply(revokeGuestKey bool) {
 	u.applyMu.Lock()
 	defer u.applyMu.Unlock()
@@ -77,7 +79,7 @@
 	u.accepted = append(u.accepted, acceptedConfig{time.Now(), version})
 }
 
-// withdrawn notes the time once the guest has no key.
+// recordRevocation sets at to the current time if the guest has no key and at is not set yet.
 func (h *history) recordRevocation(guestHasKey bool, at *time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,14 +88,15 @@
 	}
 }
 
-// newest is the version that was sent last.
+// latestVersion returns the version that was sent last.
 func (u *configUpdater) latestVersion() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.lastVersion
 }
 
-// watchKeepers reads the configuration at all keepers by turns and notes older ones.
+// watchKeepers reads the configuration from all keepers in turn until ctx ends, and checks that no
+// read returns an older version than one that was accepted before the read started.
 func (u *configUpdater) watchKeepers(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		readStart := time.Now()
@@ -106,17 +109,20 @@
 	}
 }
 
+// checkKeeperRead checks the version that a keeper returned to a read that started at readStart.
 func (u *configUpdater) checkKeeperRead(readStart time.Time, keeper, version int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, config := range u.accepted {
 		u.violations.check(!config.at.Before(readStart) || config.version <= version,
-			"keeper %d read configuration %d at %s, %d was accepted", keeper, version, formatTime(readStart), config.version)
+			"keeper %d returned configuration %d to a read started at %s, after configuration %d was accepted", keeper, version, formatTime(readStart), config.version)
 	}
 }
 
-// watchRouters asks routers by turns which configuration they serve by, and notes those
-// that go back from one to an older one. Each has a route that no other has.
+// watchRouters probes the routers in turn until ctx ends, and checks that none returns to an older
+// configuration within one run of its process. Each configuration has a route that no other one
+// has; a probe finds the newest version whose route the router serves, back to two before the newest
+// one seen.
 func (u *configUpdater) watchRouters(ctx context.Context, prober *player) {
 	newestSeen := make(map[*processRun]int)
 	for i := 0; ctx.Err() == nil; i++ {
@@ -127,7 +133,7 @@
 				continue
 			}
 			if u.routers[router].currentRun() == running {
-				u.violations.check(version >= newestSeen[running], "router %d went back from configuration %d to %d", router, newestSeen[running], version)
+				u.violations.check(version >= newestSeen[running], "router %d returned from configuration %d to configuration %d", router, newestSeen[running], version)
 				newestSeen[running] = max(newestSeen[running], version)
 			}
 			break
@@ -136,7 +142,7 @@
 	}
 }
 
-// current is the run that is there now.
+// currentRun returns the run that is in progress, or nil.
 func (p *process) currentRun() *processRun {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// crashMark begins the body of a request that ends each target that runs it.
+	// crashBodyPrefix is the prefix of the body of a request that crashes each target that runs it.
 	crashBodyPrefix = "crash-"
-	// crashPause is between two sends of it, and crashAway how long a target is away.
+	// crashRequestInterval is the pause between two requests that crash targets, and crashDowntime
+	// the time after which a crashed target restarts.
 	crashRequestInterval = 150 * time.Millisecond
 	crashDowntime        = 500 * time.Millisecond
-	// crashesAllowed is how many targets may end under it, and crashesLater how many sends may
-	// follow once all routers in touch can know, knownTime later.
+	// Once a request has crashed maxCrashedTargets targets, propagationTime is the time after which
+	// each healthy router must know of it, and maxLateCrashRuns the number of times that it may still
+	// run after that.
 	maxCrashedTargets = 3
 	maxLateCrashRuns  = 3
 	propagationTime   = 3 * time.Second
 )
 
-// crash sends a request again and again, through all routers by turns.
+// playCrashRequests sends a request that crashes targets repeatedly, through all routers in turn.
 func (p *player) playCrashRequests(ev event) {
 	body := fmt.Sprint(crashBodyPrefix, ev.Victim)
 	for deadline, i := time.Now().Add(time.Duration(ev.Duration)), 0; time.Now().Before(deadline); i++ {
@@ -37,15 +39,17 @@
 		req.Header.Set("X-Attempt-Id", fmt.Sprintf(probeIDFormat, router, time.Now().UnixNano()))
 		req.Header.Set("Authorization", "Bearer "+memberKey)
 		if resp, err := probeClient.Do(req); err == nil {
-			_ = resp.Body.Close() // what targets ran is judged
-			p.violations.check(resp.StatusCode != http.StatusOK, "%s was answered in whole", body)
+			_ = resp.Body.Close() // only the runs recorded by targets are checked
+			p.violations.check(resp.StatusCode != http.StatusOK, "%s was answered with status 200 instead of crashing its target", body)
 		}
 		time.Sleep(crashRequestInterval)
 	}
 }
 
-// crashes ends a target as in a crash if it has begun a request that does that. Another start
-// follows under its ID, if it still stands as ready.
+// crashIfRequested crashes the target if the body of the request that it has started asks for that:
+// it closes the target and aborts the handler by a panic. The target restarts under the same ID
+// after crashDowntime, unless it was drained or restarted meanwhile. It returns false for any other
+// request.
 func (p *player) crashIfRequested(target *standin.SiteTarget, run standin.SiteRun) bool {
 	if !strings.HasPrefix(run.Body, crashBodyPrefix) {
 		return false
@@ -55,17 +59,17 @@
 	p.site.Remove(target)
 	p.pending.Go(func() {
 		time.Sleep(crashDowntime)
-		p.restartMu.Lock() // an event may start it again as well
+		p.restartMu.Lock() // an event of the scenario may restart it as well
 		defer p.restartMu.Unlock()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		index := slices.Index(p.liveTargets, target)
 		if index < 0 {
-			return // it left, or was started again
+			return // it was drained, or an event restarted it
 		}
 		restarted, err := p.site.Restart(target)
 		if err != nil {
-			p.violations.add("%s does not start again: %v", target.ID, err)
+			p.violations.add("%s cannot be restarted after a crash: %v", target.ID, err)
 			return
 		}
 		p.liveTargets[index] = restarted
@@ -73,9 +77,10 @@
 	panic(http.ErrAbortHandler)
 }
 
-// judgeCrashes holds the runs of each request that ends targets against what is allowed.
+// checkCrashRequests checks that requests which crash targets are quarantined in time. It counts one
+// crash for each target that ran a request of the same body.
 func (h *history) checkCrashRequests(site *standin.Site, found *violations) {
-	crashTimes := make(map[string][]time.Time) // of targets, by body
+	crashTimes := make(map[string][]time.Time) // of targets, by request body
 	runsByBody := make(map[string][]standin.SiteRun)
 	for _, target := range site.All() {
 		crashed := make(map[string]bool)
@@ -93,6 +98,8 @@
 	h.checkCrashCounts(crashTimes, runsByBody, found)
 }
 
+// checkCrashCounts checks, for each request body that crashed maxCrashedTargets targets, how often
+// healthy routers still sent it once they must have known.
 func (h *history) checkCrashCounts(crashTimes map[string][]time.Time, runsByBody map[string][]standin.SiteRun, found *violations) {
 	for body, times := range crashTimes {
 		slices.SortFunc(times, time.Time.Compare)
@@ -106,6 +113,6 @@
 				lateRuns++
 			}
 		}
-		found.check(lateRuns <= maxLateCrashRuns, "%s ran %d times after all routers could know, %d in all", body, lateRuns, len(runsByBody[body]))
+		found.check(lateRuns <= maxLateCrashRuns, "%s ran %d times after all routers must have known that it crashes targets, %d times in total", body, lateRuns, len(runsByBody[body]))
 	}
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,5 +1,4 @@
-// Package soak plays series of overlapping faults and changes on a fleet of real
-// processes, under callers that never stop, and holds what callers and targets saw
-// against the promises of docs/PROMISES.md. It consists of tests: the test binary is
-// the programs as well.
+// Package soak contains soak tests: they inject overlapping faults and changes into a fleet of real
+// processes under continuous load, and check the promises of docs/PROMISES.md against what callers and
+// targets recorded. It consists of tests only; the test binary also serves as the fleet's programs.
 package soak
--- a/internal/soak/draw_test.go
+++ b/internal/soak/draw_test.go
@@ -10,14 +10,14 @@
 	"laburnumfall/internal/standin"
 )
 
-// usual is the size that CI plays.
+// defaultSize is the size of fleet that CI tests.
 var defaultSize = fleetSize{Keepers: 4, Routers: 2, Targets: 3, Callers: 16, Zones: 2}
 
 const (
-	// stopTime is about how long a router takes to stop.
+	// stopDuration is about the time that a router takes to stop.
 	stopDuration = 3 * time.Second
-	// rejoinTime is kept around the loss of a keeper's disk: two that are lost before
-	// the group is whole again may take what was accepted with them.
+	// rejoinDuration is the least time between the loss of a keeper's disk and other faults of
+	// keepers: if a second disk is lost before the group is complete again, accepted data may be lost.
 	rejoinDuration = 10 * time.Second
 )
 
@@ -26,20 +26,22 @@
 	clockVariants = []string{variantClockAhead, variantClockBehind, variantClockFast, variantClockSlow}
 )
 
-// A drawing is a scenario in the making. Times are counted from its start.
+// A generator builds a random scenario. Its times are offsets from the start of the scenario.
 type generator struct {
 	*rand.Rand
 	scenario
-	at time.Duration
-	// busy is until when a victim is in trouble: faults of different victims overlap,
-	// those of one follow each other.
+	at time.Duration // of the next step
+	// busyUntil is the end of each victim's last fault, by kind and index: faults of different victims
+	// may overlap, faults of the same victim do not.
 	busyUntil map[string]time.Duration
-	// lost is until when no keeper may be in trouble beside one whose disk is lost.
+	// diskLossUntil is the end of the time in which a keeper recovers from the loss of its disk and no
+	// other keeper may fail.
 	diskLossUntil time.Duration
 	keyRevoked    bool
 }
 
-// draw draws a scenario of a number of steps, each a fault, a change or a series.
+// generateScenario returns the scenario of a seed. Each of its steps is a fault, a change or a
+// series of both; some kinds of step are listed twice to be chosen more often.
 func generateScenario(seed uint64, size fleetSize, steps int) scenario {
 	g := &generator{Rand: rand.New(rand.NewPCG(seed, 1)), scenario: scenario{Seed: seed, Size: size}, busyUntil: make(map[string]time.Duration)}
 	stepFuncs := []func(){
@@ -57,6 +59,7 @@
 	return g.scenario
 }
 
+// randomDuration returns a duration from minMillis to maxMillis-1 milliseconds.
 func (g *generator) randomDuration(minMillis, maxMillis int) time.Duration {
 	return time.Duration(minMillis+g.IntN(maxMillis-minMillis)) * time.Millisecond
 }
@@ -65,7 +68,8 @@
 	g.Events = append(g.Events, event{At: fleet.Duration(at), Kind: kind, Victim: victim, Action: action, Variant: variant, Duration: fleet.Duration(duration)})
 }
 
-// take reports whether a victim is free at a time, and takes it for a while.
+// reserve marks a victim as busy from at for duration, and reports false if it is busy at that time
+// already.
 func (g *generator) reserve(kind eventKind, victim int, at, duration time.Duration) bool {
 	key := string(kind) + strconv.Itoa(victim)
 	if g.busyUntil[key] > at {
@@ -75,7 +79,8 @@
 	return true
 }
 
-// takeKeeper does so for a keeper, and leaves most keepers alone.
+// reserveKeeper does the same for a keeper. It also fails if a majority of the keepers would no
+// longer be healthy, or while a keeper recovers from the loss of its disk.
 func (g *generator) reserveKeeper(victim int, duration time.Duration) bool {
 	otherBusy := 0
 	for i := range g.Size.Keepers {
@@ -135,7 +140,7 @@
 	g.addEvent(g.at, kindKeeper, victim, action, variant, duration)
 }
 
-// keepersBusy returns until when other keepers are or were in trouble.
+// otherKeepersBusyUntil returns the ends of the last faults of all keepers except one.
 func (g *generator) otherKeepersBusyUntil(except int) []time.Duration {
 	var times []time.Duration
 	for i := range g.Size.Keepers {
@@ -156,14 +161,14 @@
 	case actionKill:
 		variant = []string{"", clockVariants[g.IntN(len(clockVariants))]}[g.IntN(2)]
 	case actionStop:
-		variant = []string{"", variantTwice, variantThenPause}[g.IntN(3)]
+		variant = []string{"", variantTwice, variantPauseAfterStop}[g.IntN(3)]
 	}
 	if g.reserve(kindRouter, victim, g.at, duration+stopDuration) {
 		g.addEvent(g.at, kindRouter, victim, action, variant, duration)
 	}
 }
 
-// settings sends a process SIGHUP, or writes it other settings, whatever happens to it.
+// reloadSettings sends SIGHUP to a process or changes its settings, regardless of its other faults.
 func (g *generator) reloadSettings() {
 	kind, count := kindRouter, g.Size.Routers
 	if g.IntN(3) == 0 {
@@ -177,8 +182,8 @@
 	g.addEvent(g.at, kind, g.IntN(count), action, variant, 0)
 }
 
-// half has somebody send halves of requests to a process that may be told to stop
-// meanwhile.
+// partialRequests opens connections that send only a part of a request to a process. The process may
+// be stopped meanwhile.
 func (g *generator) partialRequests() {
 	kind, victim, duration := kindRouter, g.IntN(g.Size.Routers), g.randomDuration(500, 9000)
 	if g.IntN(2) == 0 {
@@ -202,8 +207,8 @@
 	}
 }
 
-// rolling stops all routers in turn, sooner than one has ended, with configurations and
-// SIGHUPs between.
+// rollingRestart stops all routers in turn, each before the one before it has ended, with new
+// configurations and SIGHUPs in between.
 func (g *generator) rollingRestart() {
 	at, interval := g.at, g.randomDuration(400, 1500)
 	for i := range g.Size.Routers {
@@ -216,7 +221,7 @@
 	}
 }
 
-// together stops several routers at once, with a configuration on the way.
+// stopSeveralRouters stops several routers at the same time, while a new configuration is applied.
 func (g *generator) stopSeveralRouters() {
 	g.addEvent(g.at+g.randomDuration(0, 300), kindConfig, 0, actionChangeConfig, "", 0)
 	for range 1 + g.Size.Routers/3 {
@@ -226,7 +231,7 @@
 	}
 }
 
-// beside restarts a router while a keeper is away.
+// restartRouterDuringKeeperOutage restarts a router while a keeper is down.
 func (g *generator) restartRouterDuringKeeperOutage() {
 	keeper, router, duration := g.IntN(g.Size.Keepers), g.IntN(g.Size.Routers), g.randomDuration(2000, 4000)
 	if g.reserveKeeper(keeper, duration+time.Second) {
@@ -238,15 +243,15 @@
 	}
 }
 
-// crash has a request come again and again that ends each target that runs it, or two such.
+// crashRequests repeatedly sends one or two requests that crash each target that runs them.
 func (g *generator) crashRequests() {
 	for range 1 + g.IntN(2) {
 		g.addEvent(g.at, kindRequest, g.IntN(1000), actionCrashTargets, "", g.randomDuration(6000, 12000))
 	}
 }
 
-// forgotten has a router stand still while a key is withdrawn, for longer than it may
-// count.
+// revokeKeyDuringPause revokes a key while a router is paused, for longer than a revoked key may stay
+// valid.
 func (g *generator) revokeKeyDuringPause() {
 	victim, duration := g.IntN(g.Size.Routers), maxRevocationLag+standin.CallerTime+g.randomDuration(500, 2500)
 	if !g.keyRevoked && g.reserve(kindRouter, victim, g.at, duration+time.Second) {
@@ -256,7 +261,7 @@
 	}
 }
 
-// blackout kills all keepers at once; their disks stay.
+// killAllKeepers kills all keepers at the same time; they keep their disks.
 func (g *generator) killAllKeepers() {
 	for i := range g.Size.Keepers {
 		if g.diskLossUntil > g.at || g.busyUntil[string(kindKeeper)+strconv.Itoa(i)] > g.at {
@@ -270,7 +275,7 @@
 	}
 }
 
-// evacuate has nothing sent to the targets of a zone for a while. Another zone stays.
+// evacuateZone evacuates a zone of targets for a while. At least one other zone stays in use.
 func (g *generator) evacuateZone() {
 	if g.Size.Zones < 2 {
 		return
--- a/internal/soak/evacuation_test.go
+++ b/internal/soak/evacuation_test.go
@@ -12,15 +12,17 @@
 	"laburnumfall/internal/standin"
 )
 
-// A clearing is an evacuation, from when it was accepted until its end was asked for.
+// An evacuation of a zone spans from the acceptance of the order until the request to end it.
 type evacuation struct {
 	span
 	zone string
 }
 
+// zoneName returns the zone of an index, counted from 0.
 func zoneName(victim int) string { return fmt.Sprintf("z%d", 1+victim) }
 
-// evacuate plays the evacuation of a zone of targets, and its end.
+// playEvacuation evacuates a zone of targets, ends the evacuation after the event's duration and
+// records it.
 func (p *player) playEvacuation(ev event) {
 	zone := zoneName(ev.Victim)
 	if !p.orderEvacuation(zone, false) {
@@ -41,7 +43,8 @@
 	p.history.evacuations = append(p.history.evacuations, evac)
 }
 
-// evacuation sends an order to one keeper after the other until one accepts it.
+// orderEvacuation sends an order to evacuate a zone, or to end that, to one keeper after the other
+// until one accepts it. It reports whether one did.
 func (p *player) orderEvacuation(zone string, end bool) bool {
 	for deadline, i := time.Now().Add(waitTimeout), 0; time.Now().Before(deadline); i++ {
 		if status, _ := p.operator().Evacuate(i%len(p.keepers), zone, end); status == http.StatusOK {
@@ -53,8 +56,9 @@
 	return false
 }
 
-// judgeCleared holds the time of a run, sent by a router, against evacuations: it keeps to one
-// once it and all keepers were well for long enough to hear of it.
+// checkEvacuatedZone checks that a request which a router sent to a target did not run in an
+// evacuated zone. A router must comply once it and all keepers were healthy for propagationTime
+// without interruption since the order.
 func (h *history) checkEvacuatedZone(target *standin.SiteTarget, run standin.SiteRun, router int, found *violations) {
 	for _, evac := range h.evacuations {
 		if evac.zone != target.Zone || !evac.overlaps(run.At, run.At) || h.mayBeDelayed(run) {
@@ -64,7 +68,8 @@
 	}
 }
 
-// calm returns the longest stretch of a span in which neither a router nor a keeper was away.
+// longestHealthySpan returns the longest time between start and end without an outage of the router
+// or of a keeper.
 func (h *history) longestHealthySpan(router int, start, end time.Time) time.Duration {
 	outages := slices.Clone(h.outages)
 	slices.SortFunc(outages, func(a, b routerSpan) int { return a.start.Compare(b.start) })
@@ -79,7 +84,8 @@
 	return max(longest, end.Sub(start))
 }
 
-// TestJudgeKnowsWorkInEvacuatedZones holds what is judged of evacuations.
+// TestDetectsRunsInEvacuatedZone guards against a checker that accepts runs in an evacuated zone, or
+// that rejects those which an outage or a link fault explains.
 func TestDetectsRunsInEvacuatedZone(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
@@ -93,14 +99,14 @@
 	require.Zero(t, violationCount("z1", 2))
 	require.Equal(t, 1, violationCount("z1", 5))
 	require.Zero(t, violationCount("z2", 5), "another zone")
-	require.Zero(t, violationCount("z1", 11), "it is over")
+	require.Zero(t, violationCount("z1", 11), "the evacuation is over")
 	h.recordEventOutage(event{Kind: kindRouter, Victim: 0}, span{at(2), at(3)})
-	require.Equal(t, 1, violationCount("z1", 5), "another router was away")
+	require.Equal(t, 1, violationCount("z1", 5), "another router had an outage")
 	h.recordEventOutage(event{Kind: kindKeeper}, span{at(2.5), at(3)})
-	require.Zero(t, violationCount("z1", 5), "no keeper could tell of it")
-	require.Equal(t, 1, violationCount("z1", 7), "it had the time")
+	require.Zero(t, violationCount("z1", 5), "a keeper's outage left no healthy span of the propagation time")
+	require.Equal(t, 1, violationCount("z1", 7), "healthy for the propagation time after the outage")
 	h.recordEventOutage(event{Kind: kindKeeper}, span{at(6.5), at(8)})
-	require.Equal(t, 1, violationCount("z1", 9), "it had the time before")
+	require.Equal(t, 1, violationCount("z1", 9), "healthy for the propagation time before the second outage")
 	h.linkFaults = []span{{at(6.5), at(7.5)}}
-	require.Zero(t, violationCount("z1", 7), "it was held on the way")
+	require.Zero(t, violationCount("z1", 7), "a link fault may have delayed the request")
 }
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -8,80 +8,84 @@
 	"laburnumfall/internal/standin"
 )
 
-// The margins of promises that count in seconds are generous: soaks run on busy
-// machines, beside each other.
+// Time limits of the checks. They are generous where the promise is in seconds: soak tests run on busy
+// machines and in parallel.
 const (
-	// leaveTime is how long after the list shows a target as leaving new work may reach it.
+	// maxDrainLag is how long new work may still reach a target after the list shows it as draining.
 	maxDrainLag = 4 * time.Second
-	// revokeTime is how long after a withdrawal was accepted a key may count.
+	// maxRevocationLag is how long a key may stay valid after its revocation was accepted.
 	maxRevocationLag = 5 * time.Second
-	// waitMargin is how long after its deadline a request may go without any end.
+	// overdueMargin is how long after its deadline a request may take to end.
 	overdueMargin = 4 * time.Second
-	// unreadTime is how long after its signal a router still has to read what comes in.
-	// Later, what was never passed on may have crossed the close.
+	// readAfterStopTime is how long a router must still read incoming requests after SIGTERM. A later
+	// request that was never forwarded may have arrived while the connection was closed.
 	readAfterStopTime = 2 * time.Second
-	// lateTime and lastTime, counted from the signal, bound what may outlast the grace:
-	// what was sent no later than the one and is at work after the other.
+	// graceSendLimit and graceCutStart bound, counted from SIGTERM, which requests the end of the grace
+	// period may cut: those sent no later than the first and still running after the second.
 	graceSendLimit = 3 * time.Second
 	graceCutStart  = standin.Grace * time.Second * 5 / 6
 )
 
-// Whom a fault may hurt, where it is not one router.
+// The values that stand for a router's index in records and lookups where no single router is meant.
 const (
-	anyRouter = -1
-	noRouter  = -2
+	anyRouter = -1 // all routers
+	noRouter  = -2 // in records: no router; in lookups: only records of anyRouter match
 )
 
-// A span is a stretch of time.
+// A span is the time from start to end, both included.
 type span struct {
 	start, end time.Time
 }
 
+// overlaps reports whether the span has a time in common with another one.
 func (s span) overlaps(start, end time.Time) bool {
 	return !s.start.After(end) && !start.After(s.end)
 }
 
-// A hurt is a span in which answers by a router may be cut.
+// A routerSpan is a span that concerns one router, or all of them (anyRouter).
 type routerSpan struct {
 	span
 	router int
 }
 
-// A history is what was done to a world, for what follows from it.
+// A history records the faults and changes of a run. The checks use it to decide which outcomes are
+// allowed.
 type history struct {
 	mu               sync.Mutex
-	cutSpans         []routerSpan
-	pauses           []routerSpan                      // in which a router is out of touch
-	outages          []routerSpan                      // in which a router, or the keepers (anyRouter), were in trouble
-	linkFaults       []span                            // in which requests may come late to targets
-	listOutages      []span                            // in which the list could not be read
-	stops            map[int][]span                    // of routers, from the signal to the exit
-	drainedAt        map[*standin.SiteTarget]time.Time // since when the list shows them leaving
-	ownStalls        []span                            // in which the soak itself did not run
-	evacuations      []evacuation                      // evacuations
-	revocationSentAt time.Time                         // when the withdrawal of the guest's key was first sent
-	revokedAt        time.Time                         // when it was accepted
+	cutSpans         []routerSpan                      // in which answers by a router may be cut
+	pauses           []routerSpan                      // in which a router was paused and may act on stale data
+	outages          []routerSpan                      // in which a router, or a keeper (anyRouter), had a fault
+	linkFaults       []span                            // in which requests may reach targets late
+	listOutages      []span                            // in which the list of targets could not be read
+	stops            map[int][]span                    // of routers, from SIGTERM to the exit
+	drainedAt        map[*standin.SiteTarget]time.Time // when the list began to show a target as draining
+	ownStalls        []span                            // in which the test process did not run
+	evacuations      []evacuation
+	revocationSentAt time.Time // when the revocation of the guest's key was first sent
+	revokedAt        time.Time // when the revocation was accepted
 }
 
 func newHistory() *history {
 	return &history{stops: make(map[int][]span), drainedAt: make(map[*standin.SiteTarget]time.Time)}
 }
 
-// fault notes what was done to a process. Keepers' faults cut no answer.
+// recordRouterFault records the span of a process fault in which answers may be cut. Faults of
+// keepers cut no answers.
 func (h *history) recordRouterFault(ev event, during span) {
 	if ev.Kind == kindRouter {
 		h.recordCutSpan(ev.Victim, during)
 	}
 }
 
-// sleep notes that a router stood still and may know old things until the end of the span.
+// recordPause records that a router was paused and may act on stale data until the end of the span.
 func (h *history) recordPause(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.pauses = append(h.pauses, routerSpan{during, router})
 }
 
-// away notes that a router, or a keeper, was in trouble.
+// recordEventOutage records the outage of the router or keeper that an event concerns. Events of
+// other kinds are no outage.
 func (h *history) recordEventOutage(ev event, during span) {
 	router := anyRouter
 	switch ev.Kind {
@@ -94,14 +98,15 @@
 	h.recordOutage(router, during)
 }
 
+// recordOutage records an outage of a router, or of a keeper (anyRouter).
 func (h *history) recordOutage(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.outages = append(h.outages, routerSpan{during, router})
 }
 
-// inTouch reports whether a router and all keepers were well at a time and for long enough
-// before, so that it knows what the fleet does.
+// isHealthy reports whether a router and all keepers had no outage at a time and in the
+// propagationTime before it, so that the router has up-to-date data.
 func (h *history) isHealthy(router int, at time.Time) bool {
 	for _, outage := range h.outages {
 		if (outage.router == anyRouter || outage.router == router) && outage.overlaps(at.Add(-propagationTime), at) {
@@ -111,11 +116,13 @@
 	return true
 }
 
-// keepersWell reports whether all keepers were well at a time and for long enough before.
+// keepersHealthy reports the same for all keepers alone.
 func (h *history) keepersHealthy(at time.Time) bool {
 	return h.isHealthy(noRouter, at)
 }
 
+// recordCutSpan records a span in which answers by a router may be cut. With anyRouter, requests may
+// reach targets late as well.
 func (h *history) recordCutSpan(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,7 +150,8 @@
 	h.listOutages = append(h.listOutages, during)
 }
 
-// judge notes what callers and targets saw against the promises.
+// checkPromises checks everything that callers and targets recorded against the promises, and adds
+// each violation to found.
 func (h *history) checkPromises(attempts []standin.Attempt, site *standin.Site, found *violations) {
 	runCounts, keyByID, routerByID := make(map[string]int), make(map[string]string), make(map[string]int)
 	for _, attempt := range attempts {
@@ -167,21 +175,22 @@
 	h.checkCrashRequests(site, found)
 }
 
-// judgeAttempt holds an attempt that ran so many times against the promises.
+// checkAttempt checks a caller's attempt that targets ran runCount times.
 func (h *history) checkAttempt(attempt standin.Attempt, runCount int, found *violations) {
 	check := func(ok bool, violation string) {
-		found.check(ok, "%s %s by router %d, sent %s, ended %s, status %d, ran %d times: %s",
+		found.check(ok, "%s %s through router %d, sent %s, ended %s, status %d, ran %d times: %s",
 			attempt.ID, attempt.Path, attempt.Router, formatTime(attempt.Sent), formatTime(attempt.Ended), attempt.Status, runCount, violation)
 	}
 	check(attempt.Wrong == "", attempt.Wrong)
-	check(runCount <= 1 || attempt.Path == "/keyed/x", "it may run only once")
+	check(runCount <= 1 || attempt.Path == "/keyed/x", "a request that is not idempotent must run at most once")
 	h.checkStatus(attempt, runCount, check)
 	if attempt.Status == 0 && !attempt.Refused && !attempt.Left {
 		h.checkUnanswered(attempt, runCount, check)
 	}
 }
 
-// judgeRun holds the time of a run, sent by a router, against the target's leaving.
+// checkDrainedTarget checks that a request which a router sent to a draining target ran no later than
+// maxDrainLag after the list could show that.
 func (h *history) checkDrainedTarget(target *standin.SiteTarget, run standin.SiteRun, router int, found *violations) {
 	drainedAt, drained := h.drainedAt[target]
 	if !drained {
@@ -189,21 +198,21 @@
 	}
 	for _, outage := range h.listOutages {
 		if outage.overlaps(drainedAt, drainedAt.Add(maxDrainLag)) {
-			drainedAt = outage.end // nobody could see it
+			drainedAt = outage.end // routers could not read that it drains
 		}
 	}
 	for _, pause := range h.pauses {
 		if pause.router == router && pause.overlaps(run.At, run.At) && !h.keepersHealthy(run.At) {
-			return // there was nobody whom it could have asked
+			return // the router could not get the current list from a keeper after its pause
 		}
 	}
 	if h.mayBeDelayed(run) {
 		return
 	}
-	found.check(run.At.Sub(drainedAt) <= maxDrainLag, "%s ran at %s, %s after that was shown as leaving", run.ID, target.ID, run.At.Sub(drainedAt))
+	found.check(run.At.Sub(drainedAt) <= maxDrainLag, "%s ran at %s, %s after the list showed the target as draining", run.ID, target.ID, run.At.Sub(drainedAt))
 }
 
-// held reports whether a request may have been held on its way to the target.
+// mayBeDelayed reports whether a link fault may have delayed a request on its way to the target.
 func (h *history) mayBeDelayed(run standin.SiteRun) bool {
 	for _, fault := range h.linkFaults {
 		if fault.overlaps(run.At, run.At) {
@@ -213,33 +222,35 @@
 	return false
 }
 
-// judgeKey holds the time of a run against the withdrawal of its key: what was let in
-// before it waits no longer than its deadline.
+// checkRevokedKey checks that no request ran with the guest's key too long after its revocation. A
+// request that was admitted while the key was valid may wait for at most its deadline.
 func (h *history) checkRevokedKey(run standin.SiteRun, key string, found *violations) {
 	if key == guestKey && !h.revokedAt.IsZero() && !h.mayBeDelayed(run) {
 		lag := run.At.Sub(h.revokedAt)
-		found.check(lag <= maxRevocationLag+standin.CallerTime, "%s ran %s after its key was withdrawn", run.ID, lag)
+		found.check(lag <= maxRevocationLag+standin.CallerTime, "%s ran %s after its key was revoked", run.ID, lag)
 	}
 }
 
-// judgeStatus tells whether an answer's status is true.
+// checkStatus checks that the status of an answer agrees with the number of runs and with the
+// configuration.
 func (h *history) checkStatus(attempt standin.Attempt, runCount int, check func(ok bool, violation string)) {
 	isGuest := attempt.Key == guestKey
 	switch attempt.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		check(runCount == 0, "told that it did not run")
+		check(runCount == 0, "it ran although the status says that it was not executed")
 	case http.StatusUnauthorized:
-		check(isGuest && !h.revocationSentAt.IsZero() && attempt.Ended.After(h.revocationSentAt), "its key counts")
+		check(isGuest && !h.revocationSentAt.IsZero() && attempt.Ended.After(h.revocationSentAt), "its key is valid")
 	case http.StatusForbidden, http.StatusNotFound:
-		check(false, "its route is there")
+		check(false, "its route exists and its account may use it")
 	default:
 	}
 	if isGuest && !h.revokedAt.IsZero() && attempt.Sent.Sub(h.revokedAt) > maxRevocationLag {
-		check(runCount == 0, "its key was withdrawn")
+		check(runCount == 0, "it ran although its key was revoked")
 	}
 }
 
-// judgeCut tells whether a request may have ended without an answer.
+// checkUnanswered checks that a fault, a stall or a graceful stop of its router explains why an
+// attempt ended without an answer.
 func (h *history) checkUnanswered(attempt standin.Attempt, runCount int, check func(ok bool, violation string)) {
 	for _, fault := range h.cutSpans {
 		if (fault.router == anyRouter || fault.router == attempt.Router) && fault.overlaps(attempt.Sent, attempt.Ended) {
@@ -248,11 +259,11 @@
 	}
 	stalled := h.stalledDuring(attempt.Sent, attempt.Ended)
 	if attempt.Ended.Sub(attempt.Sent)-stalled >= standin.CallerTime+overdueMargin {
-		check(false, "nobody ended it")
+		check(false, "it did not end by its deadline")
 		return
 	}
 	if attempt.Path == streamPath && attempt.Ended.Sub(attempt.Sent) >= standin.CallerTime && stalled > standin.CallerTime-streamTime {
-		return // its deadline passed while its target stood still
+		return // its deadline passed while the test process, and its target in it, was stalled
 	}
 	for _, stop := range h.stops[attempt.Router] {
 		if !stop.overlaps(attempt.Sent, attempt.Ended) {
@@ -261,7 +272,7 @@
 		sent, ended := attempt.Sent.Sub(stop.start), attempt.Ended.Sub(stop.start)
 		unread := runCount == 0 && sent > readAfterStopTime
 		cutByGrace := sent <= graceSendLimit && ended >= graceCutStart
-		check(unread || cutByGrace, "cut by a graceful stop")
+		check(unread || cutByGrace, "cut by a graceful shutdown")
 		return
 	}
 	check(false, "cut without a fault")
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -10,8 +10,8 @@
 	"laburnumfall/internal/standin"
 )
 
-// TestJudgeKnowsWhatMayNotBe holds what is judged: a check that never speaks proves
-// nothing.
+// TestDetectsForbiddenOutcomes guards against a checker that misses violations: a check that never
+// fails proves nothing. It also covers outcomes that faults and stalls allow.
 func TestDetectsForbiddenOutcomes(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
@@ -30,29 +30,29 @@
 		violation    string
 	}{
 		{name: "whole", sent: 1, ended: 2, status: 200, runs: 1},
-		{name: "in calm", sent: 1, ended: 2, violation: "cut without a fault"},
-		{name: "twice", sent: 1, ended: 2, status: 200, runs: 2, violation: "only once"},
-		{name: "twice, idempotent", sent: 1, ended: 2, path: "/keyed/x", status: 200, runs: 2},
-		{name: "told, and ran", sent: 1, ended: 2, status: 503, runs: 1, violation: "did not run"},
-		{name: "never ended", sent: 1, ended: 8, violation: "nobody ended it"},
-		{name: "at a stop", sent: 10.5, ended: 11, violation: "graceful stop"},
-		{name: "at another's stop", sent: 10.5, ended: 11, router: 1, violation: "cut without a fault"},
-		{name: "sent late, crossed the close", sent: 14, ended: 14.1},
-		{name: "sent late, passed on", sent: 14, ended: 15, runs: 1, violation: "graceful stop"},
-		{name: "outlasts the grace", sent: 12.9, ended: 15.9, runs: 1},
-		{name: "at a kill", sent: 29, ended: 30.1, runs: 1},
-		{name: "at another's kill", sent: 29, ended: 30.1, router: 1, violation: "cut without a fault"},
-		{name: "at a cut target", sent: 39, ended: 40.5, router: 1},
-		{name: "a key that counts", sent: 45, ended: 46, status: 401, violation: "its key counts"},
-		{name: "a key that is withdrawn", sent: 49, ended: 49.5, key: guestKey, status: 401},
-		{name: "not any more", sent: 56, ended: 57, key: guestKey, status: 200, runs: 1, violation: "withdrawn"},
-		{name: "a stream, its deadline passed in a stall", sent: 60.2, ended: 63.1, path: streamPath, runs: 1},
-		{name: "a stream, its deadline passed in a short stall", sent: 69, ended: 71.5, path: streamPath, runs: 1, violation: "cut without a fault"},
-		{name: "a stream, its deadline did not pass", sent: 62, ended: 63.1, path: streamPath, runs: 1, violation: "cut without a fault"},
-		{name: "no stream, in a stall", sent: 60.2, ended: 63.1, runs: 1, violation: "cut without a fault"},
-		{name: "late, but for a stall", sent: 59, ended: 67, path: streamPath, runs: 1},
-		{name: "never ended, beside a stall", sent: 59, ended: 68.1, path: streamPath, runs: 1, violation: "nobody ended it"},
-		{name: "a route that is there", sent: 1, ended: 2, status: 404, violation: "its route is there"},
+		{name: "cut without a fault", sent: 1, ended: 2, violation: "cut without a fault"},
+		{name: "twice", sent: 1, ended: 2, status: 200, runs: 2, violation: "at most once"},
+		{name: "ran twice, idempotent", sent: 1, ended: 2, path: "/keyed/x", status: 200, runs: 2},
+		{name: "ran despite status 503", sent: 1, ended: 2, status: 503, runs: 1, violation: "was not executed"},
+		{name: "ended too late", sent: 1, ended: 8, violation: "did not end by its deadline"},
+		{name: "cut early in a graceful shutdown", sent: 10.5, ended: 11, violation: "graceful shutdown"},
+		{name: "cut in the shutdown of another router", sent: 10.5, ended: 11, router: 1, violation: "cut without a fault"},
+		{name: "sent while the connection closed", sent: 14, ended: 14.1},
+		{name: "cut late in a graceful shutdown, but forwarded", sent: 14, ended: 15, runs: 1, violation: "graceful shutdown"},
+		{name: "cut at the end of the grace period", sent: 12.9, ended: 15.9, runs: 1},
+		{name: "cut by a kill", sent: 29, ended: 30.1, runs: 1},
+		{name: "cut in the kill of another router", sent: 29, ended: 30.1, router: 1, violation: "cut without a fault"},
+		{name: "cut by a fault of a target", sent: 39, ended: 40.5, router: 1},
+		{name: "refused with a valid key", sent: 45, ended: 46, status: 401, violation: "its key is valid"},
+		{name: "refused with a revoked key", sent: 49, ended: 49.5, key: guestKey, status: 401},
+		{name: "ran with a revoked key", sent: 56, ended: 57, key: guestKey, status: 200, runs: 1, violation: "revoked"},
+		{name: "stream with its deadline in a stall", sent: 60.2, ended: 63.1, path: streamPath, runs: 1},
+		{name: "stream with its deadline in a short stall", sent: 69, ended: 71.5, path: streamPath, runs: 1, violation: "cut without a fault"},
+		{name: "stream cut in a stall before its deadline", sent: 62, ended: 63.1, path: streamPath, runs: 1, violation: "cut without a fault"},
+		{name: "not a stream, cut in a stall", sent: 60.2, ended: 63.1, runs: 1, violation: "cut without a fault"},
+		{name: "late only because of a stall", sent: 59, ended: 67, path: streamPath, runs: 1},
+		{name: "ended too late even without the stall", sent: 59, ended: 68.1, path: streamPath, runs: 1, violation: "did not end by its deadline"},
+		{name: "existing route not found", sent: 1, ended: 2, status: 404, violation: "its route exists"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var found violations
@@ -68,7 +68,8 @@
 	}
 }
 
-// TestJudgeKnowsRunsOfWithdrawnKeys does the same for runs of what was sent before.
+// TestDetectsRunsWithRevokedKey guards against a checker that accepts runs with the guest's key after
+// the revocation limit and a caller's deadline have both passed, or that rejects earlier runs.
 func TestDetectsRunsWithRevokedKey(t *testing.T) {
 	h := newHistory()
 	h.revokedAt = time.Now()
@@ -83,7 +84,8 @@
 	}
 }
 
-// TestJudgeKnowsWorkAfterLeaving does the same for runs.
+// TestDetectsRunsAtDrainedTarget guards against a checker that accepts new work at a draining target,
+// or that rejects work which a pause, an outage, a link fault or an unreadable list explains.
 func TestDetectsRunsAtDrainedTarget(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
@@ -93,39 +95,40 @@
 		h.checkDrainedTarget(drained, standin.SiteRun{At: at(seconds)}, 1, &found)
 		return len(found.list)
 	}
-	require.Zero(t, violationCount(9), "it does not leave")
+	require.Zero(t, violationCount(9), "the target is not draining")
 	h.drainedAt[drained] = at(0)
 	require.Zero(t, violationCount(3))
 	require.Equal(t, 1, violationCount(5))
 	h.recordPause(0, span{at(4.5), at(5.5)})
-	require.Equal(t, 1, violationCount(5), "another router slept")
+	require.Equal(t, 1, violationCount(5), "another router was paused")
 	h.recordPause(1, span{at(4.5), at(5.5)})
-	require.Equal(t, 1, violationCount(5), "its router slept, and could ask")
+	require.Equal(t, 1, violationCount(5), "its router was paused, but could ask the keepers")
 	h.recordEventOutage(event{Kind: kindKeeper}, span{at(4.5), at(5.5)})
-	require.Zero(t, violationCount(5), "its router slept, and no keeper may have answered")
+	require.Zero(t, violationCount(5), "its router was paused, and the keepers had an outage")
 	h.pauses = nil
 	h.linkFaults = []span{{at(4.5), at(5.5)}}
-	require.Zero(t, violationCount(5), "it was held on the way")
+	require.Zero(t, violationCount(5), "a link fault may have delayed the request")
 	h.listOutages = []span{{at(1), at(3)}}
-	require.Zero(t, violationCount(6.5), "nobody could see it before")
+	require.Zero(t, violationCount(6.5), "the list could not be read before")
 	require.Equal(t, 1, violationCount(7.5))
 	require.Equal(t, 12, probedRouter(fmt.Sprintf(probeIDFormat, 12, 7)))
 	require.Equal(t, noRouter, probedRouter("c1-2"))
 }
 
-// TestJudgeKnowsRunsOfCrashingRequests holds what is judged of requests that end targets.
+// TestDetectsRepeatedCrashRequests guards against a checker that accepts further runs of a request once
+// it has crashed enough targets and healthy routers must know of it.
 func TestDetectsRepeatedCrashRequests(t *testing.T) {
 	const body = "crash-1"
 	start := time.Now()
 	for name, tt := range map[string]struct {
-		runs     []float64 // seconds, each at a target of its own
+		runs     []float64 // seconds after start, each at a different target
 		outage   span
 		violated bool
 	}{
-		"few":                {runs: []float64{0, 1, 2, 2.5, 4.9, 10, 20, 30}},
-		"more":               {runs: []float64{0, 1, 2, 5.1, 10, 20, 30}, violated: true},
-		"before it is known": {runs: []float64{0, 0, 0, 0, 1, 1, 2, 2}},
-		"out of touch":       {runs: []float64{0, 1, 2, 5.1, 10, 20, 30}, outage: span{start.Add(8 * time.Second), start.Add(9 * time.Second)}},
+		"few":                          {runs: []float64{0, 1, 2, 2.5, 4.9, 10, 20, 30}},
+		"more":                         {runs: []float64{0, 1, 2, 5.1, 10, 20, 30}, violated: true},
+		"before the routers must know": {runs: []float64{0, 0, 0, 0, 1, 1, 2, 2}},
+		"during an outage":             {runs: []float64{0, 1, 2, 5.1, 10, 20, 30}, outage: span{start.Add(8 * time.Second), start.Add(9 * time.Second)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, found := newHistory(), &violations{}
--- a/internal/soak/main_test.go
+++ b/internal/soak/main_test.go
@@ -14,15 +14,16 @@
 	"laburnumfall/internal/routing"
 )
 
-// What a process of the soak is told beside its settings.
+// Environment variables that configure a process of the soak test, in addition to its settings file.
 const (
-	programEnv   = "LF_SOAK_PROGRAM" // which program the test binary is
-	clockEnv     = "LF_SOAK_CLOCK"   // how its clock goes wrong
-	listenEnv    = "LF_SOAK_LISTEN"  // where a keeper listens for the fleet, behind a proxy
-	diskFaultEnv = "LF_SOAK_DISK"    // the file that orders faults of its disk
+	programEnv   = "LF_SOAK_PROGRAM" // the program to run as: lf-keeper, lf-router or pause
+	clockEnv     = "LF_SOAK_CLOCK"   // the variant of clock skew
+	listenEnv    = "LF_SOAK_LISTEN"  // the address on which a keeper listens, behind its proxy
+	diskFaultEnv = "LF_SOAK_DISK"    // the file that contains the fault of a keeper's disk
 )
 
-// TestMain is the programs, when started as one of them.
+// TestMain runs one of the fleet's programs, or the one that pauses processes, if the environment
+// names it, and the tests otherwise.
 func TestMain(m *testing.M) {
 	host := cmd.Host{Keeper: injectKeeperFaults, Router: injectRouterFaults}
 	switch os.Getenv(programEnv) {
@@ -36,12 +37,13 @@
 	os.Exit(m.Run())
 }
 
+// injectRouterFaults gives a router a skewed clock.
 func injectRouterFaults(service *routing.Service) {
 	service.Clock = newSkewedClock(os.Getenv(clockEnv))
 }
 
-// faultyKeeper has a keeper listen behind its proxy, which owns the address that the
-// fleet knows it by.
+// injectKeeperFaults gives a keeper a skewed clock and a faulty disk. It also makes the keeper listen
+// behind its proxy, which uses the address that the fleet connects to.
 func injectKeeperFaults(service *keeper.Keeper) {
 	service.Clock = newSkewedClock(os.Getenv(clockEnv))
 	service.Disk = &faultyDisk{Disk: service.Disk, faultFile: os.Getenv(diskFaultEnv)}
@@ -49,20 +51,20 @@
 	for _, peer := range service.Settings.PeerList() {
 		isPeer = isPeer || peer.Name == service.Settings.Name
 	}
-	if !isPeer { // a keeper that is no seed tells others where it listens
+	if !isPeer { // a keeper that is not a seed would advertise its listen address
 		service.Settings.Peers = append(service.Settings.Peers, service.Settings.Name+"="+service.Settings.Name)
 	}
 	service.Settings.Listen = os.Getenv(listenEnv)
 }
 
-// How wrong clocks are. A process's clock takes the time of day at its start only, so
-// a jump shows at a restart. Leases allow for more than wrongRate.
+// The errors of skewed clocks. A process reads the time of day only at its start, so that an offset
+// takes effect at a restart. Leases tolerate a larger drift than clockDrift.
 const (
 	clockOffset = time.Hour
 	clockDrift  = 0.02
 )
 
-// A wrongClock runs at a wrong time of day or at a wrong rate.
+// A skewedClock has an offset from the real clock or drifts from it.
 type skewedClock struct {
 	clock.Clock
 	start  time.Time
@@ -70,6 +72,7 @@
 	drift  float64
 }
 
+// newSkewedClock returns the clock of a variant, which is correct for any other text.
 func newSkewedClock(variant string) *skewedClock {
 	c := &skewedClock{Clock: clock.NewRealClock()}
 	c.start = c.Clock.Now()
@@ -92,7 +95,7 @@
 	return now.Add(c.offset + time.Duration(c.drift*float64(now.Sub(c.start))))
 }
 
-// A faultyDisk fails as long as a file orders it to.
+// A faultyDisk fails while faultFile contains the variant of a fault.
 type faultyDisk struct {
 	journal.Disk
 	faultFile string
@@ -123,7 +126,7 @@
 	disk *faultyDisk
 }
 
-// Write implements journal.File. On a full disk it writes half.
+// Write implements journal.File. On a full disk it writes half of the data.
 func (f *faultyFile) Write(data []byte) (int, error) {
 	if !f.disk.hasFault(variantDiskFull) {
 		return f.File.Write(data)
--- a/internal/soak/play_test.go
+++ b/internal/soak/play_test.go
@@ -14,20 +14,20 @@
 	"laburnumfall/internal/standin"
 )
 
-// healTime is how long after the end of a fault an answer may still suffer from it.
+// recoveryTime is how long after the end of a fault answers may still be cut because of it.
 const recoveryTime = time.Second
 
-// A player plays the events of a scenario on a world.
+// A player applies the events of a scenario to a testFleet.
 type player struct {
 	*testFleet
 	history *history
 	configs *configUpdater
-	pending sync.WaitGroup
-	// restarts is held while a target starts again.
+	pending sync.WaitGroup // events and restarts in progress
+	// restartMu is held while a target restarts.
 	restartMu sync.Mutex
 }
 
-// play plays all events at their times, and returns when each is over.
+// play applies all events at their times, and returns when all have ended.
 func (p *player) play(events []event) {
 	start := time.Now()
 	for _, ev := range events {
@@ -38,6 +38,7 @@
 	p.pending.Wait()
 }
 
+// playEvent applies an event and returns when it has ended.
 func (p *player) playEvent(ev event) {
 	switch ev.Kind {
 	case kindRouter:
@@ -67,8 +68,8 @@
 	}
 }
 
-// process plays what happens to a process. Signals that do not end it come at any
-// moment, beside its other faults.
+// playProcessEvent applies an event to a process. SIGHUPs, changes of its settings and partial requests
+// may coincide with its other faults, which follow one another.
 func (p *player) playProcessEvent(ev event, proc *process) {
 	switch ev.Action {
 	case actionSIGHUP:
@@ -102,7 +103,7 @@
 		p.history.recordRouterFault(ev, span{start, time.Now()})
 	case actionStop:
 		stop := proc.stop(ev.Variant)
-		if ev.Variant == variantThenPause {
+		if ev.Variant == variantPauseAfterStop {
 			p.history.recordRouterFault(ev, span{stop.start, stop.start.Add(stopPauseDelay + stopPauseDuration + recoveryTime)})
 		}
 		if ev.Kind == kindRouter {
@@ -116,7 +117,7 @@
 	}
 }
 
-// wreck does to a killed process's disk what the event says.
+// damageDisk damages the disk of a killed process as the event's variant demands.
 func (p *player) damageDisk(ev event, proc *process) error {
 	switch ev.Variant {
 	case variantDiskLost:
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// again starts a process that ended, after the event's time.
+// restartProcess starts a process that has ended, after the event's duration. After a kill its clock
+// may be skewed.
 func (p *player) restartProcess(ev event, proc *process) {
 	time.Sleep(time.Duration(ev.Duration))
 	clockVariant := ""
@@ -140,13 +142,13 @@
 	}
 }
 
-// failDisk has a keeper's disk fail for a while. It may end over that; then the platform
-// starts it again.
+// failDisk makes a keeper's disk fail for the event's duration. The keeper may exit because of that;
+// it is restarted in any case, as the platform would do.
 func (p *player) failDisk(ev event, keeper *process) {
 	keeper.allowExit()
 	p.violations.check(os.WriteFile(keeper.path(".disk"), []byte(ev.Variant), 0o600) == nil, "%s could not be played", ev)
 	time.Sleep(time.Duration(ev.Duration))
-	p.violations.check(os.Remove(keeper.path(".disk")) == nil, "%s could not be ended", ev)
+	p.violations.check(os.Remove(keeper.path(".disk")) == nil, "%s could not be ended: the file of its disk fault remains", ev)
 	keeper.kill()
 	keeper.settings.First = false
 	if err := keeper.start(""); err != nil {
@@ -154,7 +156,8 @@
 	}
 }
 
-// reseed names other keepers in a process's settings, and may tell it so.
+// changeSeeds writes a process's settings file with other keepers as seeds, and sends SIGHUP if the
+// event's variant demands it.
 func (p *player) changeSeeds(ev event, proc *process) {
 	count := len(p.keepers)
 	first := int(time.Duration(ev.At)/time.Millisecond) % count
@@ -170,8 +173,8 @@
 	}
 }
 
-// half sends halves of requests to a process, of the head and of the body, and holds
-// their connections.
+// sendPartialRequests sends requests with an incomplete header or body to a process, and keeps their
+// connections open for the event's duration.
 func (p *player) sendPartialRequests(ev event, proc *process) {
 	const count = 4
 	port, head := standin.CallerPort, "POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: half\r\nAuthorization: Bearer "+memberKey
@@ -181,19 +184,19 @@
 	for i := range count {
 		conn, err := net.DialTimeout("tcp4", proc.settings.Address(port), time.Second)
 		if err != nil {
-			return // nobody is there
+			return // the process is down
 		}
-		defer func() { _ = conn.Close() }() // it is never answered
+		defer func() { _ = conn.Close() }() // no answer is expected
 		text := head
 		if i%2 == 0 {
 			text += "\r\nContent-Length: 100\r\n\r\n{"
 		}
-		_, _ = io.WriteString(conn, text) // the process may just end
+		_, _ = io.WriteString(conn, text) // the process may exit at this moment
 	}
 	time.Sleep(time.Duration(ev.Duration))
 }
 
-// link plays a fault of the connections through a proxy.
+// playLinkEvent applies a fault to the connections through a proxy. Answers by router may be cut.
 func (p *player) playLinkEvent(ev event, proxy *standin.Proxy, router int) {
 	const delay = 150 * time.Millisecond
 	start := time.Now()
@@ -218,7 +221,7 @@
 	p.history.recordCutSpan(router, span{start, time.Now().Add(recoveryTime)})
 }
 
-// target plays the comings and goings of targets.
+// playTargetEvent replaces the oldest target or restarts one, which may be unlisted or draining before.
 func (p *player) playTargetEvent(ev event) {
 	if ev.Action == actionReplace {
 		p.violations.check(p.addTarget() == nil, "%s could not be played", ev)
@@ -230,7 +233,7 @@
 		p.history.recordDrain(replaced)
 		return
 	}
-	p.restartMu.Lock() // one target at a time, so that there is another
+	p.restartMu.Lock() // one target at a time, so that others stay available
 	defer p.restartMu.Unlock()
 	p.mu.Lock()
 	index := len(p.liveTargets) - 1 - ev.Victim
@@ -257,7 +260,8 @@
 	}
 }
 
-// list plays what is wrong with the list of targets.
+// playListEvent makes the list of targets unreadable, or adds invalid entries to it, for the event's
+// duration.
 func (p *player) playListEvent(ev event) {
 	start := time.Now()
 	if ev.Action == actionGarbleList {
@@ -274,7 +278,8 @@
 	}
 }
 
-// served reports whether a router serves a configuration, keyed requests included.
+// serves reports whether a router serves a version of the configuration, including requests with a
+// key.
 func (p *player) serves(router, version int) bool {
 	for _, path := range []string{fmt.Sprintf("/open%d/x", version), "/keyed/x"} {
 		if p.sendProbe(router, path) != http.StatusOK {
@@ -286,10 +291,11 @@
 
 var probeClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// askID is the form of the IDs of what the soak itself asks: router, time.
+// probeIDFormat is the format of the IDs of the test's own requests: router and time.
 const probeIDFormat = "ask-%d-%d"
 
-// askedRouter returns the router that the soak itself asked by an ID.
+// probedRouter returns the router that a request of the test itself was sent to, by its ID. For other
+// IDs it returns noRouter.
 func probedRouter(id string) int {
 	var router, sentAt int
 	if _, err := fmt.Sscanf(id, probeIDFormat, &router, &sentAt); err != nil {
@@ -298,11 +304,11 @@
 	return router
 }
 
-// ask sends a request past the proxies and returns the status, 0 without an answer.
+// sendProbe sends a request to a router without a proxy and returns the status, or 0 without an answer.
 func (p *player) sendProbe(router int, path string) int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.routers[router].settings.Address(standin.CallerPort)+path, nil)
 	if err != nil {
-		p.violations.add("ask for %s: %v", path, err)
+		p.violations.add("create a probe of %s: %v", path, err)
 		return 0
 	}
 	req.Host = "h.example"
@@ -312,6 +318,6 @@
 	if err != nil {
 		return 0
 	}
-	_ = resp.Body.Close() // only the status counts
+	_ = resp.Body.Close() // only the status matters
 	return resp.StatusCode
 }
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -15,52 +15,54 @@
 )
 
 const (
+	// waitTimeout and pollInterval are those of all waits for the fleet.
 	waitTimeout  = 30 * time.Second
 	pollInterval = 50 * time.Millisecond
-	// stopMargin is what a process may need beyond its grace to end, on a busy machine.
+	// stopMargin is how much longer than its grace period a process may take to exit on a busy machine.
 	stopMargin = 6 * time.Second
-	// twiceAfter is how long after the first SIGTERM the second comes.
+	// secondSIGTERMDelay is the time between the first and the second SIGTERM.
 	secondSIGTERMDelay = 300 * time.Millisecond
-	// frozenAfter is how long after SIGTERM a process stands still, for frozenTime.
+	// stopPauseDelay is the time from SIGTERM until the process is paused, for stopPauseDuration.
 	stopPauseDelay    = 200 * time.Millisecond
 	stopPauseDuration = time.Second
 )
 
-// A process is a place where one program runs, ends and runs again.
+// A process is a member of the fleet that runs a program, one run after the other.
 type process struct {
 	program       string
 	folder        string // of all processes
 	settings      standin.ProcessSettings
-	listenAddress string // a keeper's address behind its proxy
+	listenAddress string // of a keeper, behind its proxy
 	violations    *violations
 
-	// turn is held while a fault of the process lasts: they follow each other.
+	// faultMu is held during a fault of the process, so that faults follow one another.
 	faultMu sync.Mutex
 	mu      sync.Mutex
-	run     *processRun // nil while none is there
+	run     *processRun // nil while the process is down
 }
 
-// A run is a process from its start to its end.
+// A processRun is one run of a process, from its start to its exit.
 type processRun struct {
 	cmd     *exec.Cmd
-	mayExit bool // it may end
-	started bool // it has said so
+	mayExit bool // the test has ended it or expects it to exit
+	started bool // its log shows that it has started
 	exited  chan struct{}
-	exitErr error // once ended
+	exitErr error // valid once exited is closed
 }
 
+// path returns the file of the process with a suffix.
 func (p *process) path(suffix string) string {
 	return filepath.Join(p.folder, p.settings.Name+suffix)
 }
 
-// write writes the settings file.
+// writeSettings writes the settings file.
 func (p *process) writeSettings() error {
 	return os.WriteFile(p.path(".toml"), []byte(p.settings.Text()), 0o600)
 }
 
-// start starts the program with a clock that goes wrong or, by "", right. It returns
-// when the program says that it runs: until then a signal ends it as it would any, and
-// there is nothing that a graceful stop could keep.
+// start starts the program with a variant of clock skew, or "" for none. It returns when the log shows
+// that the program has started: before that, the program handles no signals, and a graceful shutdown
+// would have nothing to finish.
 func (p *process) start(clockVariant string) error {
 	if err := p.writeSettings(); err != nil {
 		return err
@@ -69,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has its own
+	defer func() { _ = log.Close() }() // the process has its own handle
 	cmd := exec.Command(os.Args[0], "--platform")
 	cmd.Env = append(os.Environ(), programEnv+"="+p.program, "LABURNUMFALL_CONFIG="+p.path(".toml"),
 		clockEnv+"="+clockVariant, listenEnv+"="+p.listenAddress, diskFaultEnv+"="+p.path(".disk"))
@@ -85,7 +87,7 @@
 	go p.waitForExit(run)
 	for deadline := time.Now().Add(waitTimeout); p.countInLog(`"@message":"start"`) == startCount; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s did not start", p.settings.Name)
+			return fmt.Errorf("%s logged no start within its time limit: read its log", p.settings.Name)
 		}
 	}
 	p.mu.Lock()
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// await notes the end of a run, and that it was nobody's order.
+// waitForExit waits for the exit of a run, and reports a violation if the run was not allowed to exit.
 func (p *process) waitForExit(run *processRun) {
 	err := run.cmd.Wait()
 	p.mu.Lock()
@@ -105,21 +107,22 @@
 	}
 	p.mu.Unlock()
 	if !mayExit {
-		p.violations.add("%s ended by itself: %v", p.settings.Name, err)
+		p.violations.add("%s exited unexpectedly: %v", p.settings.Name, err)
 	}
 	close(run.exited)
 }
 
-// logged returns how often a text stands in the process's log.
+// countInLog returns the number of occurrences of a text in the process's log.
 func (p *process) countInLog(text string) int {
 	data, err := os.ReadFile(p.path(".log"))
 	if err != nil {
-		return 0 // it has none yet
+		return 0 // there is no log yet
 	}
 	return bytes.Count(data, []byte(text))
 }
 
-// signal sends a signal, where there is somebody, and returns who got it.
+// signal sends a signal to the current run and returns that run, or nil if there is none. With mayExit
+// the run may exit from now on.
 func (p *process) signal(sig syscall.Signal, mayExit bool) *processRun {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,12 +132,12 @@
 	}
 	run.mayExit = run.mayExit || mayExit
 	if err := run.cmd.Process.Signal(sig); err != nil {
-		return nil // it is just ending
+		return nil // it is exiting
 	}
 	return run
 }
 
-// hangup sends SIGHUP, where there is somebody who has started.
+// sendSIGHUP sends SIGHUP if the process has started: before that, the signal would end it.
 func (p *process) sendSIGHUP() {
 	p.mu.Lock()
 	started := p.run != nil && p.run.started
@@ -144,7 +147,7 @@
 	}
 }
 
-// mayEnd says that the process may end by itself, as on a disk that fails.
+// allowExit allows the current run to exit by itself, for example after a disk failure.
 func (p *process) allowExit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,16 +156,16 @@
 	}
 }
 
-// kill ends the process at once and waits for it.
+// kill sends SIGKILL to the process and waits for its exit.
 func (p *process) kill() {
 	if run := p.signal(syscall.SIGKILL, true); run != nil {
 		<-run.exited
 	}
 }
 
-// stop tells the process to stop, waits for its end and returns the time between. A
-// process that does not end within its grace, or not well, is noted; one that stays
-// writes its stacks into its log.
+// stop sends SIGTERM to the process, waits for its exit and returns the span between. It reports a
+// violation if the process does not exit within its grace period or exits with an error. A process
+// that keeps running gets SIGQUIT and writes its goroutine stacks to its log.
 func (p *process) stop(variant string) span {
 	stopSpan := span{start: time.Now()}
 	run := p.signal(syscall.SIGTERM, true)
@@ -173,7 +176,7 @@
 	case variantTwice:
 		time.Sleep(secondSIGTERMDelay)
 		p.signal(syscall.SIGTERM, true)
-	case variantThenPause:
+	case variantPauseAfterStop:
 		time.Sleep(stopPauseDelay)
 		p.signal(syscall.SIGSTOP, true)
 		time.Sleep(stopPauseDuration)
@@ -182,19 +185,19 @@
 	select {
 	case <-run.exited:
 	case <-time.After(standin.Grace*time.Second + stopMargin):
-		p.violations.add("%s was told to stop at %s and still runs", p.settings.Name, formatTime(stopSpan.start))
+		p.violations.add("%s got SIGTERM at %s and still runs after its grace period", p.settings.Name, formatTime(stopSpan.start))
 		p.signal(syscall.SIGQUIT, true)
 		<-run.exited
 	}
 	stopSpan.end = time.Now()
 	if run.exitErr != nil {
-		p.violations.add("%s was told to stop at %s and ended with %v", p.settings.Name, formatTime(stopSpan.start), run.exitErr)
+		p.violations.add("%s got SIGTERM at %s and exited with an error: %v", p.settings.Name, formatTime(stopSpan.start), run.exitErr)
 	}
 	return stopSpan
 }
 
-// tear leaves the beginning of a batch at the end of a keeper's log, as a crash in the
-// middle of a write does.
+// tearLog appends the beginning of a batch to a keeper's write-ahead log, as a crash in the middle of a
+// write does.
 func (p *process) tearLog() error {
 	logs, err := filepath.Glob(filepath.Join(p.settings.Folder, "log-*"))
 	if err != nil || len(logs) == 0 {
@@ -205,11 +208,11 @@
 	if err != nil {
 		return err
 	}
-	const maxTornBytes = 13 // bytes, in the middle of a record's head
+	const maxTornBytes = 13 // ends in the middle of a record's header
 	return os.WriteFile(last, append(data, data[:min(len(data), maxTornBytes)]...), 0o600)
 }
 
-// notes are what goes against the promises. They may be added to at any time.
+// violations collects descriptions of broken promises. It is safe for concurrent use.
 type violations struct {
 	mu   sync.Mutex
 	list []string
@@ -221,13 +224,14 @@
 	v.list = append(v.list, fmt.Sprintf(format, args...))
 }
 
-// check adds a note unless what it says is not so.
+// check adds a violation unless ok.
 func (v *violations) check(ok bool, format string, args ...any) {
 	if !ok {
 		v.add(format, args...)
 	}
 }
 
+// formatTime returns the seconds and milliseconds of a time.
 func formatTime(t time.Time) string {
 	return t.Format("05.000")
 }
--- a/internal/soak/scenario_test.go
+++ b/internal/soak/scenario_test.go
@@ -12,71 +12,72 @@
 	"laburnumfall/internal/fleet"
 )
 
-// A kind is what an event happens to.
+// An eventKind is the kind of component that an event affects.
 type eventKind string
 
-// The kinds. Victims are counted from 0; targets from the one added last.
+// The kinds of event, in the words of scenario files. An event's victim is an index from 0; targets
+// count from the one added last.
 const (
-	kindRouter     eventKind = "router" // the process
-	kindKeeper     eventKind = "keeper" // the process
-	kindRouterLink eventKind = "door"   // connections of callers to a router
-	kindKeeperLink eventKind = "peer"   // connections of all other processes to a keeper
-	kindTargetLink eventKind = "link"   // connections of routers to a target
+	kindRouter     eventKind = "router" // a router's process
+	kindKeeper     eventKind = "keeper" // a keeper's process
+	kindRouterLink eventKind = "door"   // the connections of callers to a router
+	kindKeeperLink eventKind = "peer"   // the connections of all other processes to a keeper
+	kindTargetLink eventKind = "link"   // the connections of routers to a target
 	kindTarget     eventKind = "target"
 	kindConfig     eventKind = "config"
-	kindTargetList eventKind = "list" // of targets
-	kindZone       eventKind = "zone" // its targets
-	// onMachine is all processes at once, the soak's own among them.
+	kindTargetList eventKind = "list" // the list of targets
+	kindZone       eventKind = "zone" // the targets of a zone
+	// kindHost is all processes at the same time, including the test process.
 	kindHost eventKind = "machine"
-	// onRequest is a caller that sends one request again and again, through all routers.
+	// kindRequest is a caller that sends one request repeatedly, through all routers.
 	kindRequest eventKind = "request"
 )
 
-// What is done. Links know all of delay, reset, in, out and both: in silences what is
-// sent to the victim, out what it sends.
+// The actions of events, in the words of scenario files. actionDelay to actionBlockBoth apply to
+// connections; inbound data is sent to the victim, outbound data by the victim.
 const (
 	actionPause           = "pause"
 	actionKill            = "kill"
 	actionStop            = "stop"
-	actionSIGHUP          = "hup"    // SIGHUP
-	actionChangeSeeds     = "reseed" // its settings file names other keepers
+	actionSIGHUP          = "hup"    // a process gets SIGHUP
+	actionChangeSeeds     = "reseed" // the settings file of a process gets other keepers as seeds
 	actionFailDisk        = "disk"   // a keeper's disk fails
-	actionPartialRequests = "half"   // somebody sends it halves of requests and no more
+	actionPartialRequests = "half"   // a process gets requests that are never completed
 	actionDelay           = "delay"
 	actionReset           = "reset"
 	actionBlockInbound    = "in"
 	actionBlockOutbound   = "out"
 	actionBlockBoth       = "both"
-	actionReplace         = "replace" // a target comes, the oldest leaves
-	actionRestart         = "restart" // a target starts again under its ID and address
-	actionDamageEntries   = "damage"  // entries that cannot be used stand in the list
-	actionGarbleList      = "garble"  // the list cannot be read
+	actionReplace         = "replace" // a target is added and the oldest one drains
+	actionRestart         = "restart" // a target restarts under its ID and address
+	actionDamageEntries   = "damage"  // the list contains invalid entries
+	actionGarbleList      = "garble"  // the list cannot be decoded
 	actionChangeConfig    = "change"
 	actionRevokeKey       = "withdraw"
-	actionCrashTargets    = "crash" // the request ends each target that runs it
+	actionCrashTargets    = "crash" // a request crashes each target that runs it
 	actionEvacuate        = "evacuate"
 )
 
-// How it is done, where there is more than one way.
+// The variants of actions, in the words of scenario files.
 const (
-	variantDiskLost    = "lost"   // a killed keeper's disk is lost
-	variantTornWrite   = "torn"   // its last write is torn
-	variantClockAhead  = "ahead"  // it starts again with a time of day that is ahead
-	variantClockBehind = "behind" // or behind
-	variantClockFast   = "fast"   // or with a clock that runs fast
-	variantClockSlow   = "slow"
-	variantTwice       = "twice"  // SIGTERM, or the order, comes twice
-	variantThenPause   = "frozen" // or is followed by a standstill
-	variantSIGHUP      = "hup"    // SIGHUP tells of changed settings
-	variantDiskFull    = "full"   // the disk is full
-	variantSyncError   = "sync"   // what is written cannot be made to last
-	variantUnlisted    = "away"   // a target is gone, from the list too, between its lives
-	variantDrain       = "drain"  // or stands there as leaving
+	variantDiskLost       = "lost"   // a killed keeper's disk is lost
+	variantTornWrite      = "torn"   // a killed keeper's last write is torn
+	variantClockAhead     = "ahead"  // a killed process restarts with a time of day that is ahead
+	variantClockBehind    = "behind" // or with one that is behind
+	variantClockFast      = "fast"   // or with a clock that runs fast
+	variantClockSlow      = "slow"
+	variantTwice          = "twice"  // SIGTERM, or the order to evacuate, is sent twice
+	variantPauseAfterStop = "frozen" // SIGTERM is followed by a pause
+	variantSIGHUP         = "hup"    // SIGHUP follows the change of settings
+	variantDiskFull       = "full"   // the disk is full
+	variantSyncError      = "sync"   // sync of written data fails
+	variantUnlisted       = "away"   // a target is down and not listed until it restarts
+	variantDrain          = "drain"  // or is listed as draining until it restarts
 )
 
-// An event is one fault or change.
+// An event is one fault or change in a scenario.
 type event struct {
-	At       fleet.Duration `toml:"at"` // since the callers began
+	At       fleet.Duration `toml:"at"` // since the start of the callers
 	Kind     eventKind      `toml:"kind"`
 	Victim   int            `toml:"victim"`
 	Action   string         `toml:"do"`
@@ -84,7 +85,7 @@
 	Duration fleet.Duration `toml:"for,omitempty"`
 }
 
-// String returns the event as a scenario's file has it.
+// String returns the event in the format of scenario files.
 func (e event) String() string {
 	text := fmt.Sprintf("at = %q, kind = %q, victim = %d, do = %q", time.Duration(e.At), e.Kind, e.Victim, e.Action)
 	if e.Variant != "" {
@@ -96,24 +97,24 @@
 	return "{" + text + "}"
 }
 
-// A size is of what a scenario's fleet consists.
+// A fleetSize is the number of each kind of component in a scenario's fleet.
 type fleetSize struct {
 	Keepers int `toml:"keepers"`
 	Routers int `toml:"routers"`
 	Targets int `toml:"targets"`
 	Callers int `toml:"callers"`
-	Zones   int `toml:"zones,omitempty"` // of targets; 0 is one
+	Zones   int `toml:"zones,omitempty"` // of targets; 0 means 1
 }
 
-// A scenario is all that a run is given: what runs, and what happens to it when.
+// A scenario is the input of a test run: the size of the fleet and the events.
 type scenario struct {
-	Seed   uint64    `toml:"seed"` // that it was drawn from; tells nothing else
+	Seed   uint64    `toml:"seed"` // the seed that generated it; for information only
 	Size   fleetSize `toml:"size"`
 	Events []event   `toml:"events"`
 }
 
-// String returns the text of the scenario's file, an event a line, so that it can be
-// shrunk by hand.
+// String returns the scenario in the format of scenario files, with one event per line, so that it can
+// be shrunk by hand.
 func (s scenario) String() string {
 	var b strings.Builder
 	zonesField := ""
@@ -129,23 +130,25 @@
 	return b.String()
 }
 
+// parseScenario decodes a scenario file. Unknown keys are an error.
 func parseScenario(text []byte) (scenario, error) {
 	var s scenario
 	decoder := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
-		return s, fmt.Errorf("read a scenario: %w", err)
+		return s, fmt.Errorf("decode scenario: %w", err)
 	}
 	return s, nil
 }
 
-// TestScenarioIsReadAsWritten holds the form of files: what was drawn is played again.
+// TestScenarioFileRoundTrip guards against scenarios that cannot be replayed: a generated scenario is
+// the same after it was written and read, and a seed always generates the same scenario.
 func TestScenarioFileRoundTrip(t *testing.T) {
 	for seed := range uint64(200) {
 		want := generateScenario(seed, defaultSize, 20)
 		got, err := parseScenario([]byte(want.String()))
 		require.NoError(t, err)
 		require.Equal(t, want, got)
-		require.Equal(t, want, generateScenario(seed, defaultSize, 20), "a seed draws one scenario")
+		require.Equal(t, want, generateScenario(seed, defaultSize, 20), "a seed always generates the same scenario")
 	}
 	_, err := parseScenario([]byte("seed = 1\nvictims = 2\n"))
 	require.Error(t, err)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -21,23 +21,23 @@
 var (
 	firstSeed    = flag.Uint64("soak.first", 1, "first seed of TestSoak")
 	seedCount    = flag.Uint64("soak.seeds", 2, "number of seeds of TestSoak")
-	stepCount    = flag.Int("soak.steps", 12, "faults, changes and series of each seed of TestSoak")
-	keeperCount  = flag.Int("soak.keepers", defaultSize.Keepers, "keepers of TestSoak")
-	routerCount  = flag.Int("soak.routers", defaultSize.Routers, "routers of TestSoak")
-	targetCount  = flag.Int("soak.targets", defaultSize.Targets, "targets of TestSoak")
-	zoneCount    = flag.Int("soak.zones", defaultSize.Zones, "availability zones of the targets of TestSoak")
-	callerCount  = flag.Int("soak.callers", defaultSize.Callers, "callers of TestSoak")
-	scenarioFile = flag.String("soak.play", "", "file of a scenario that TestSoak plays in place of seeds")
-	outputFolder = flag.String("soak.write", "", "folder where TestSoak writes its scenarios")
-	logFolder    = flag.String("soak.keep", "", "folder where logs of failed scenarios are kept; logs in the module's root by default")
-	maxParallel  = flag.Int("soak.beside", 3, "scenarios that are played beside each other")
+	stepCount    = flag.Int("soak.steps", 12, "steps of each seed of TestSoak: faults, changes and series of them")
+	keeperCount  = flag.Int("soak.keepers", defaultSize.Keepers, "number of keepers of TestSoak")
+	routerCount  = flag.Int("soak.routers", defaultSize.Routers, "number of routers of TestSoak")
+	targetCount  = flag.Int("soak.targets", defaultSize.Targets, "number of targets of TestSoak")
+	zoneCount    = flag.Int("soak.zones", defaultSize.Zones, "number of availability zones of the targets of TestSoak")
+	callerCount  = flag.Int("soak.callers", defaultSize.Callers, "number of callers of TestSoak")
+	scenarioFile = flag.String("soak.play", "", "scenario file that TestSoak runs instead of seeds")
+	outputFolder = flag.String("soak.write", "", "folder to which TestSoak writes its scenarios")
+	logFolder    = flag.String("soak.keep", "", "folder in which to keep the logs of failed scenarios; by default logs in the module's root")
+	maxParallel  = flag.Int("soak.beside", 3, "number of scenarios that run in parallel")
 )
 
-// places bounds the scenarios that are played beside each other.
+// scenarioSlots limits the number of scenarios that run in parallel. A scenario occupies one element.
 var scenarioSlots = sync.OnceValue(func() chan struct{} { return make(chan struct{}, *maxParallel) })
 
-// TestSoak plays scenarios that are drawn from seeds, or one as written, and checks the
-// promises by what callers and targets saw.
+// TestSoak runs generated scenarios, or the one from a file, and checks the promises against what
+// callers and targets recorded.
 func TestSoak(t *testing.T) {
 	if *scenarioFile != "" {
 		runScenario(t, readScenario(t, *scenarioFile))
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestSoakRegressions plays the scenarios that ever failed, as they were. Each file
-// begins with the cause.
+// TestSoakRegressions runs all scenarios that have failed, unchanged. Each file starts with the cause of
+// the failure.
 func TestSoakRegressions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	require.NoError(t, err)
@@ -78,13 +78,15 @@
 	return s
 }
 
+// runScenario starts a fleet with callers, applies the events of a scenario and checks the promises.
+// After the events, each router must serve a new configuration, and each target must get work.
 func runScenario(t *testing.T, s scenario) {
 	scenarioSlots() <- struct{}{}
 	t.Cleanup(func() { <-scenarioSlots() })
 	f := newTestFleet(t, s.Size)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the scenario, to be played again by -soak.play or shrunk:\n%s", s)
+			t.Logf("the scenario, to replay with -soak.play or to shrink:\n%s", s)
 		}
 	})
 	p := &player{testFleet: f, history: newHistory()}
@@ -110,15 +112,15 @@
 	workers.Go(func() { p.configs.watchKeepers(ctx) })
 	workers.Go(func() { p.configs.watchRouters(ctx, p) })
 	p.play(s.Events)
-	p.logPhase("events are over")
+	p.logPhase("all events have ended")
 	p.configs.apply(false)
-	p.requireConfigServed() // it recovers
-	p.logPhase("all routers serve")
-	for i := range targetSlots * s.Size.Targets { // now each target is needed
+	p.requireConfigServed() // the fleet recovers
+	p.logPhase("all routers serve the latest configuration")
+	for i := range targetSlots * s.Size.Targets { // enough to need each target
 		workers.Go(func() { callers.Run(ctx, s.Size.Callers+i) })
 	}
 	p.requireTargetsServe()
-	p.logPhase("all targets work")
+	p.logPhase("all targets get work")
 	cancel()
 	workers.Wait()
 	p.stopAll()
@@ -129,7 +131,7 @@
 	p.t.Logf("%s %s", formatTime(time.Now()), phase)
 }
 
-// startAll starts all processes at once.
+// startAll starts all processes at the same time.
 func (p *player) startAll() {
 	var group errgroup.Group
 	for _, proc := range p.processes() {
@@ -149,6 +151,7 @@
 	}
 }
 
+// requireConfigServed waits until each router serves the configuration that was sent last.
 func (p *player) requireConfigServed() {
 	for i := range p.routers {
 		require.Eventually(p.t, func() bool { return p.serves(i, p.configs.latestVersion()) }, waitTimeout, pollInterval,
@@ -156,17 +159,17 @@
 	}
 }
 
-// requireWork checks that each target that stands as ready in the list gets work, while
-// there is enough for all.
+// requireTargetsServe waits until each target that is listed as ready gets a new request. There must be
+// enough callers to need all targets.
 func (p *player) requireTargetsServe() {
 	for _, target := range p.liveTargets {
 		runCount := len(target.Runs())
 		require.Eventually(p.t, func() bool { return len(target.Runs()) > runCount }, waitTimeout, pollInterval,
-			"%s, born at %s, gets no work", target.ID, formatTime(time.UnixMilli(target.Born)))
+			"%s, started at %s, gets no work", target.ID, formatTime(time.UnixMilli(target.Born)))
 	}
 }
 
-// callers returns callers of all routers by turns, of all manners.
+// newCallers returns callers that send to all routers in turn, in all manners of sending and reading.
 func (p *player) newCallers() *standin.Callers {
 	return &standin.Callers{
 		Paths: []string{"/once/x", "/keyed/x", streamPath},
@@ -196,16 +199,17 @@
 	}
 }
 
-// leastServed is how many whole answers a caller whose key counts all along must have got
-// on average, lest a run proves little. Their part of all attempts tells nothing: a refusal
-// takes milliseconds, and callers come back at once. Of two routers one may stand still for
-// most of a run while the other one stops: then 16 callers, of whom 12 are such, got 98 to 106 in
-// all (five runs, the first beside load).
+// minServedPerCaller is the least average number of complete answers to a caller whose key is always
+// valid; with fewer, a run proves little. The share of answered attempts is no measure: a rejection
+// takes milliseconds, and callers retry at once. One of two routers may be paused for most of a run
+// while the other one stops: then the 12 callers of 16 with such a key got 98 to 106 answers in total
+// (five runs, the first one under load).
 const minServedPerCaller = 4
 
+// requirePromises checks the attempts of all callers, and that enough of them were served.
 func (p *player) requirePromises(attempts []standin.Attempt) {
 	statuses := make(map[int]int)
-	served := 0 // of callers whose key counts all along
+	served := 0 // of callers whose key is always valid
 	for _, attempt := range attempts {
 		statuses[attempt.Status]++
 		if attempt.Key == memberKey && attempt.Status == http.StatusOK {
@@ -216,9 +220,9 @@
 	for _, keeper := range p.keepers {
 		leaderCount += keeper.countInLog(`"@message":"leading"`)
 	}
-	p.t.Logf("%d attempts by status: %v; %d configurations; %d processes; led %d times",
+	p.t.Logf("%d attempts by status: %v; %d configurations; %d processes; leaders elected %d times",
 		len(attempts), statuses, p.configs.latestVersion(), len(p.processes()), leaderCount)
 	p.history.checkPromises(attempts, p.site, p.violations)
 	require.Empty(p.t, p.violations.list)
-	require.Greater(p.t, served, minServedPerCaller*p.size.Callers*3/4, "a soak without service proves little")
+	require.Greater(p.t, served, minServedPerCaller*p.size.Callers*3/4, "too few attempts were served for the checks to prove anything")
 }
--- a/internal/soak/standstill_test.go
+++ b/internal/soak/standstill_test.go
@@ -19,20 +19,21 @@
 )
 
 const (
-	// pauseProgram is the program that stops the processes which its arguments name.
+	// pauseProgram is the program that pauses the processes named by its arguments.
 	pauseProgram = "pause"
-	// stallPeriod and stallLimit are those of the soak's own ticker.
+	// stallPeriod and stallThreshold configure the stall monitor of the test process.
 	stallPeriod    = 20 * time.Millisecond
 	stallThreshold = 50 * time.Millisecond
-	// flowTime is what the slowest caller needs for a stream, with a margin. Of a caller's
-	// time, so much must be left beside stalls, or its deadline may pass in the stream.
+	// streamTime is the time that the slowest caller needs for a stream, with a margin. If stalls leave
+	// less of a caller's timeout than that, its deadline may pass during the stream.
 	streamTime = time.Second
-	// tellStall is from which length on a stall of the soak is told when a run fails.
+	// minLoggedStall is the least length of a stall of the test process that is logged.
 	minLoggedStall = 250 * time.Millisecond
 )
 
-// pauseAll stops processes for a time: the second argument, behind which their IDs follow.
-// The soak is among them, so that targets and callers stand still as well.
+// pauseProcesses sends SIGSTOP to processes, and SIGCONT after a duration. Its arguments are the
+// duration and the process IDs; the test process is one of them, so that targets and callers are
+// paused as well. It returns the program's exit status.
 func pauseProcesses(args []string) int {
 	duration, err := time.ParseDuration(args[0])
 	if err != nil {
@@ -48,7 +49,7 @@
 	}
 	signalAll := func(sig syscall.Signal) {
 		for _, pid := range pids {
-			_ = syscall.Kill(pid, sig) // it may have ended
+			_ = syscall.Kill(pid, sig) // it may have exited
 		}
 	}
 	defer signalAll(syscall.SIGCONT)
@@ -57,8 +58,8 @@
 	return 0
 }
 
-// standStill stops all processes of the world for a time, and this one, as an overloaded or
-// frozen machine does.
+// pauseHost pauses all processes of the fleet and the test process for the event's duration, as on an
+// overloaded or suspended machine.
 func (p *player) pauseHost(ev event) {
 	args := []string{time.Duration(ev.Duration).String(), strconv.Itoa(os.Getpid())}
 	for _, proc := range p.processes() {
@@ -78,18 +79,18 @@
 	}
 }
 
-// watchStalls notes when this process does not run.
+// watchStalls records when the test process does not run, until ctx ends.
 func (p *player) watchStalls(ctx context.Context) {
 	monitor := &stall.Monitor{Log: hclog.NewNullLogger(), Period: stallPeriod, Threshold: stallThreshold, OnStall: func(stalled stall.Stall) {
 		p.history.recordStall(stalled)
 		if stalled.Duration() >= minLoggedStall {
-			p.t.Logf("%s the soak stood still from %s on: %+v", formatTime(stalled.To), formatTime(stalled.From), stalled.Usage)
+			p.t.Logf("%s the test process was stalled since %s: %+v", formatTime(stalled.To), formatTime(stalled.From), stalled.Usage)
 		}
 	}}
-	p.violations.check(monitor.Run(ctx) == nil, "nobody watches for stalls")
+	p.violations.check(monitor.Run(ctx) == nil, "the stall monitor of the test process failed")
 }
 
-// tellStalls prints what the processes wrote of standstills and slow disks.
+// logStalls logs the lines on stalls and slow disks from the logs of all processes.
 func (p *player) logStalls() {
 	logs, err := filepath.Glob(filepath.Join(p.folder, "*.log"))
 	require.NoError(p.t, err)
@@ -111,7 +112,7 @@
 	h.ownStalls = append(h.ownStalls, span{stalled.From, stalled.To})
 }
 
-// stalled returns for how much of a stretch of time the soak itself stood still.
+// stalledDuring returns for how long the test process was stalled between start and end.
 func (h *history) stalledDuring(start, end time.Time) time.Duration {
 	total := time.Duration(0)
 	for _, stalled := range h.ownStalls {
@@ -136,8 +137,8 @@
 	return b
 }
 
-// TestSoakStandstills plays scenarios in which the whole machine stands still. They follow
-// each other: this process is among those that are stopped.
+// TestSoakHostPauses guards against answers that are cut because the whole machine was paused. Its
+// scenarios run one after the other, because the test process is paused too.
 func TestSoakHostPauses(t *testing.T) {
 	files, err := filepath.Glob("testdata/standstill/*.toml")
 	require.NoError(t, err)
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -15,18 +15,18 @@
 	"laburnumfall/internal/standin"
 )
 
-// targetSlots is how many requests a target takes at a time.
+// targetSlots is the number of requests that a target runs concurrently.
 const targetSlots = 8
 
-// Hosts within a world's loopback network.
+// The last bytes of the addresses in a fleet's loopback network.
 const (
-	firstKeeperHost       = 1   // as the fleet knows it
-	firstKeeperListenHost = 51  // behind its proxy
-	firstRouterHost       = 101 // routers follow to 254
+	firstKeeperHost       = 1   // a keeper's address for the fleet: its proxy
+	firstKeeperListenHost = 51  // a keeper's listen address behind its proxy
+	firstRouterHost       = 101 // up to 254
 )
 
-// A world is a fleet of real processes, each on a loopback address of its own, before a
-// stand-in of the platform, with proxies before keepers, routers and targets.
+// A testFleet is a fleet of real processes, each on its own loopback address, with a stand-in for the
+// platform, which provides the targets, and proxies in front of keepers, routers and targets.
 type testFleet struct {
 	t             *testing.T
 	size          fleetSize
@@ -35,13 +35,13 @@
 	site          *standin.Site
 	keepers       []*process
 	routers       []*process
-	keeperProxies []*standin.Proxy // before keepers
-	routerProxies []*standin.Proxy // before routers
+	keeperProxies []*standin.Proxy // in front of keepers
+	routerProxies []*standin.Proxy // in front of routers
 	violations    *violations
 
 	mu            sync.Mutex
-	targetProxies []*standin.Proxy // before targets, the oldest first
-	liveTargets   []*standin.SiteTarget
+	targetProxies []*standin.Proxy      // in front of targets, the oldest first
+	liveTargets   []*standin.SiteTarget // added and not replaced, the oldest first
 	addedTargets  int
 }
 
@@ -74,7 +74,8 @@
 	f.keeperProxies = append(f.keeperProxies, f.startProxy(proc.settings.Address(0), proc.listenAddress))
 }
 
-// ip is a loopback address of this world alone: the port is claimed for it.
+// ip returns a loopback address that only this fleet uses: it is derived from the fleet's port, which is
+// reserved.
 func (f *testFleet) ip(host int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+f.port>>8, f.port&0xff, host)
 }
@@ -92,7 +93,7 @@
 	}}
 }
 
-// seeds returns the operators' addresses of some keepers.
+// seedAddresses returns the operator addresses of keepers.
 func (f *testFleet) seedAddresses(keepers ...int) []string {
 	var addresses []string
 	for _, i := range keepers {
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// link is the proxy before a target, counted from the one added last.
+// targetProxy returns the proxy in front of a target, counted from the one added last.
 func (f *testFleet) targetProxy(i int) *standin.Proxy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,16 +135,17 @@
 }
 
 const (
-	// workTime is how long a target works on a request, so that faults find some at work.
+	// serviceTime is how long a target runs a request, so that faults hit requests in progress.
 	serviceTime = 120 * time.Millisecond
-	// flowPath is where callers ask for streams.
+	// streamPath is the path of streams.
 	streamPath = "/flow/stream"
-	// eventTime is between two events of a stream.
+	// streamEventInterval is the pause after each event of a stream.
 	streamEventInterval = 60 * time.Millisecond
 )
 
-// slowly has targets answer as they do, but not at once. Routes that show which
-// configuration is in force are answered at once, and some requests end their target.
+// delayResponse answers a request to a target with a delay, or crashes the target if the request asks
+// for that. It reports false for other paths, which the target answers at once: among them are the
+// routes that show the version of the configuration.
 func (p *player) delayResponse(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
 	switch r.URL.Path {
 	case streamPath:
@@ -161,20 +163,21 @@
 		}
 		time.Sleep(serviceTime)
 		target.Head(w, r)
-		_, _ = io.WriteString(w, "ran "+run.ID+" "+run.Body) // a router that left takes none
+		_, _ = io.WriteString(w, "ran "+run.ID+" "+run.Body) // the router may have closed the connection
 		return true
 	}
 	return false
 }
 
+// processes returns all keepers and routers.
 func (f *testFleet) processes() []*process {
 	return append(append([]*process(nil), f.keepers...), f.routers...)
 }
 
-// close ends what is left, and keeps what a failure has to be traced by.
+// close ends all processes, the platform and the proxies, and keeps the logs of a failed test.
 func (f *testFleet) close() {
 	for _, proc := range f.processes() {
-		proc.signal(syscall.SIGCONT, true) // one that stands still cannot end
+		proc.signal(syscall.SIGCONT, true) // a paused process cannot exit
 		proc.kill()
 	}
 	f.site.Close()
@@ -188,6 +191,7 @@
 	}
 }
 
+// keepLogs copies the logs of all processes to a folder that outlasts the test.
 func (f *testFleet) keepLogs() {
 	folder, err := "", error(nil)
 	if *logFolder == "" {
@@ -195,5 +199,5 @@
 	} else {
 		folder, err = standin.KeepLogsIn(*logFolder, f.t.Name(), f.folder)
 	}
-	f.t.Logf("logs are in %q: %v", folder, err)
+	f.t.Logf("logs are kept in %q, error: %v", folder, err)
 }
