--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -85,7 +85,8 @@
 }
 
 // TestDetectsRunsAtDrainedTarget guards against a checker that accepts new work at a draining target,
-// or that rejects work which a pause, an outage, a link fault or an unreadable list explains.
+// or that rejects work which a pause, an outage, a link fault or an unreadable list explains. It also
+// checks that the IDs of probes identify their router.
 func TestDetectsRunsAtDrainedTarget(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
--- a/internal/soak/config_test.go
+++ b/internal/soak/config_test.go
@@ -26,6 +26,7 @@
 "limits":{"max_header_bytes":16384,"max_body_bytes":100000,"header_timeout_ms":3000,"idle_timeout_ms":15000},
 "tenants":[{"name":"member","api_keys":["` + memberKey + `"],"priority":1}%s]}`
 
+// guestTenant is the guest's tenant entry in configTemplate.
 const guestTenant = `,{"name":"guest","api_keys":["` + guestKey + `"],"priority":1}`
 
 // A configUpdater applies one configuration after the other and checks the versions that keepers
@@ -42,7 +43,7 @@
 	guestHasKey bool
 }
 
-// An acceptedConfig is a configuration that a keeper acknowledged at a time.
+// An acceptedConfig is a configuration that a keeper accepted, with the time of the answer.
 type acceptedConfig struct {
 	at      time.Time
 	version int
@@ -123,18 +124,18 @@
 // configuration within one run of its process. Each configuration has a route that no other one
 // has; a probe finds the newest version whose route the router serves, back to two before the newest
 // one seen.
-func (u *configUpdater) watchRouters(ctx context.Context, prober *player) {
+func (u *configUpdater) watchRouters(ctx context.Context, prober *driver) {
 	newestSeen := make(map[*processRun]int)
 	for i := 0; ctx.Err() == nil; i++ {
 		router := i % len(u.routers)
-		running := u.routers[router].currentRun()
-		for version := u.latestVersion(); running != nil && version > max(0, newestSeen[running]-3); version-- {
+		run := u.routers[router].currentRun()
+		for version := u.latestVersion(); run != nil && version > max(0, newestSeen[run]-3); version-- {
 			if prober.sendProbe(router, fmt.Sprintf("/open%d/x", version)) != http.StatusOK {
 				continue
 			}
-			if u.routers[router].currentRun() == running {
-				u.violations.check(version >= newestSeen[running], "router %d returned from configuration %d to configuration %d", router, newestSeen[running], version)
-				newestSeen[running] = max(newestSeen[running], version)
+			if u.routers[router].currentRun() == run {
+				u.violations.check(version >= newestSeen[run], "router %d returned from configuration %d to configuration %d", router, newestSeen[run], version)
+				newestSeen[run] = max(newestSeen[run], version)
 			}
 			break
 		}
--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -25,14 +25,14 @@
 	propagationTime   = 3 * time.Second
 )
 
-// playCrashRequests sends a request that crashes targets repeatedly, through all routers in turn.
-func (p *player) playCrashRequests(ev event) {
+// sendCrashRequests repeatedly sends a request that crashes targets, through all routers in turn.
+func (d *driver) sendCrashRequests(ev event) {
 	body := fmt.Sprint(crashBodyPrefix, ev.Victim)
 	for deadline, i := time.Now().Add(time.Duration(ev.Duration)), 0; time.Now().Before(deadline); i++ {
-		router := i % len(p.routers)
-		req, err := http.NewRequest(http.MethodPost, "http://"+p.routerProxies[router].Address()+"/keyed/x", strings.NewReader(body))
+		router := i % len(d.routers)
+		req, err := http.NewRequest(http.MethodPost, "http://"+d.routerProxies[router].Address()+"/keyed/x", strings.NewReader(body))
 		if err != nil {
-			p.violations.add("%s: %v", ev, err)
+			d.violations.add("%s: %v", ev, err)
 			return
 		}
 		req.Host = "h.example"
@@ -40,7 +40,7 @@
 		req.Header.Set("Authorization", "Bearer "+memberKey)
 		if resp, err := probeClient.Do(req); err == nil {
 			_ = resp.Body.Close() // only the runs recorded by targets are checked
-			p.violations.check(resp.StatusCode != http.StatusOK, "%s was answered with status 200 instead of crashing its target", body)
+			d.violations.check(resp.StatusCode != http.StatusOK, "%s was answered with status 200 instead of crashing its target", body)
 		}
 		time.Sleep(crashRequestInterval)
 	}
@@ -50,29 +50,29 @@
 // it closes the target and aborts the handler by a panic. The target restarts under the same ID
 // after crashDowntime, unless it was drained or restarted meanwhile. It returns false for any other
 // request.
-func (p *player) crashIfRequested(target *standin.SiteTarget, run standin.SiteRun) bool {
+func (d *driver) crashIfRequested(target *standin.SiteTarget, run standin.SiteRun) bool {
 	if !strings.HasPrefix(run.Body, crashBodyPrefix) {
 		return false
 	}
 	now := time.Now()
-	p.history.recordCutSpan(anyRouter, span{now, now.Add(crashDowntime + recoveryTime)})
-	p.site.Remove(target)
-	p.pending.Go(func() {
+	d.history.recordCutSpan(anyRouter, span{now, now.Add(crashDowntime + recoveryTime)})
+	d.platform.Remove(target)
+	d.pending.Go(func() {
 		time.Sleep(crashDowntime)
-		p.restartMu.Lock() // an event of the scenario may restart it as well
-		defer p.restartMu.Unlock()
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		index := slices.Index(p.liveTargets, target)
+		d.restartMu.Lock() // an event of the scenario may restart it as well
+		defer d.restartMu.Unlock()
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		index := slices.Index(d.liveTargets, target)
 		if index < 0 {
 			return // it was drained, or an event restarted it
 		}
-		restarted, err := p.site.Restart(target)
+		restarted, err := d.platform.Restart(target)
 		if err != nil {
-			p.violations.add("%s cannot be restarted after a crash: %v", target.ID, err)
+			d.violations.add("%s cannot be restarted after a crash: %v", target.ID, err)
 			return
 		}
-		p.liveTargets[index] = restarted
+		d.liveTargets[index] = restarted
 	})
 	panic(http.ErrAbortHandler)
 }
--- a/internal/soak/evacuation_test.go
+++ b/internal/soak/evacuation_test.go
@@ -21,38 +21,38 @@
 // zoneName returns the zone of an index, counted from 0.
 func zoneName(victim int) string { return fmt.Sprintf("z%d", 1+victim) }
 
-// playEvacuation evacuates a zone of targets, ends the evacuation after the event's duration and
+// applyEvacuation evacuates a zone of targets, ends the evacuation after the event's duration and
 // records it.
-func (p *player) playEvacuation(ev event) {
+func (d *driver) applyEvacuation(ev event) {
 	zone := zoneName(ev.Victim)
-	if !p.orderEvacuation(zone, false) {
+	if !d.orderEvacuation(zone, false) {
 		return
 	}
 	evac := evacuation{span{start: time.Now()}, zone}
 	remaining := time.Duration(ev.Duration)
 	if ev.Variant == variantTwice {
 		time.Sleep(remaining / 2)
-		p.orderEvacuation(zone, false)
+		d.orderEvacuation(zone, false)
 		remaining -= time.Since(evac.start)
 	}
 	time.Sleep(remaining)
 	evac.end = time.Now()
-	p.orderEvacuation(zone, true)
-	p.history.mu.Lock()
-	defer p.history.mu.Unlock()
-	p.history.evacuations = append(p.history.evacuations, evac)
+	d.orderEvacuation(zone, true)
+	d.history.mu.Lock()
+	defer d.history.mu.Unlock()
+	d.history.evacuations = append(d.history.evacuations, evac)
 }
 
 // orderEvacuation sends an order to evacuate a zone, or to end that, to one keeper after the other
 // until one accepts it. It reports whether one did.
-func (p *player) orderEvacuation(zone string, end bool) bool {
+func (d *driver) orderEvacuation(zone string, end bool) bool {
 	for deadline, i := time.Now().Add(waitTimeout), 0; time.Now().Before(deadline); i++ {
-		if status, _ := p.operator().Evacuate(i%len(p.keepers), zone, end); status == http.StatusOK {
+		if status, _ := d.operator().Evacuate(i%len(d.keepers), zone, end); status == http.StatusOK {
 			return true
 		}
 		time.Sleep(pollInterval)
 	}
-	p.violations.add("the evacuation of %s (end %t) was not accepted in %s", zone, end, waitTimeout)
+	d.violations.add("the evacuation of %s (end %t) was not accepted in %s", zone, end, waitTimeout)
 	return false
 }
 
--- a/internal/soak/fleet_test.go
+++ b/internal/soak/fleet_test.go
@@ -32,7 +32,7 @@
 	size          fleetSize
 	folder        string
 	port          int
-	site          *standin.Site
+	platform      *standin.Site
 	keepers       []*process
 	routers       []*process
 	keeperProxies []*standin.Proxy // in front of keepers
@@ -50,7 +50,7 @@
 	var err error
 	f.port, err = standin.FreePorts(standin.ProcessPorts)
 	require.NoError(t, err)
-	f.site, err = standin.StartSite(f.ip(firstKeeperHost) + ":0")
+	f.platform, err = standin.StartSite(f.ip(firstKeeperHost) + ":0")
 	require.NoError(t, err)
 	t.Cleanup(f.close)
 	for i := range size.Keepers {
@@ -89,7 +89,7 @@
 func (f *testFleet) newProcess(program, name string, host int) *process {
 	return &process{program: program, folder: f.folder, violations: f.violations, settings: standin.ProcessSettings{
 		Name: name, IP: f.ip(host), Zone: fmt.Sprintf("z%d", 1+host%2), Port: f.port, Seeds: f.seedAddresses(0, 1, 2), First: true,
-		Folder: filepath.Join(f.folder, name), List: f.site.Address(),
+		Folder: filepath.Join(f.folder, name), List: f.platform.Address(),
 	}}
 }
 
@@ -113,7 +113,7 @@
 func (f *testFleet) addTarget() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	target, err := f.site.Add(fmt.Sprintf("t-%d", f.addedTargets), "plain", zoneName(f.addedTargets%max(f.size.Zones, 1)), f.ip(firstKeeperHost)+":0", targetSlots)
+	target, err := f.platform.Add(fmt.Sprintf("t-%d", f.addedTargets), "plain", zoneName(f.addedTargets%max(f.size.Zones, 1)), f.ip(firstKeeperHost)+":0", targetSlots)
 	if err != nil {
 		return err
 	}
@@ -146,7 +146,7 @@
 // delayResponse answers a request to a target with a delay, or crashes the target if the request asks
 // for that. It reports false for other paths, which the target answers at once: among them are the
 // routes that show the version of the configuration.
-func (p *player) delayResponse(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+func (d *driver) delayResponse(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
 	switch r.URL.Path {
 	case streamPath:
 		target.Ran(r)
@@ -158,7 +158,7 @@
 		return true
 	case "/once/x", "/keyed/x":
 		run := target.Ran(r)
-		if p.crashIfRequested(target, run) {
+		if d.crashIfRequested(target, run) {
 			return true
 		}
 		time.Sleep(serviceTime)
@@ -180,7 +180,7 @@
 		proc.signal(syscall.SIGCONT, true) // a paused process cannot exit
 		proc.kill()
 	}
-	f.site.Close()
+	f.platform.Close()
 	for _, proxies := range [][]*standin.Proxy{f.keeperProxies, f.routerProxies, f.targetProxies} {
 		for _, proxy := range proxies {
 			proxy.Close()
--- a/internal/soak/generate_test.go
+++ b/internal/soak/generate_test.go
@@ -14,7 +14,7 @@
 var defaultSize = fleetSize{Keepers: 4, Routers: 2, Targets: 3, Callers: 16, Zones: 2}
 
 const (
-	// stopDuration is about the time that a router takes to stop.
+	// stopDuration is approximately how long a router takes to stop.
 	stopDuration = 3 * time.Second
 	// rejoinDuration is the least time between the loss of a keeper's disk and other faults of
 	// keepers: if a second disk is lost before the group is complete again, accepted data may be lost.
@@ -64,6 +64,7 @@
 	return time.Duration(minMillis+g.IntN(maxMillis-minMillis)) * time.Millisecond
 }
 
+// addEvent appends an event that starts at an offset and lasts for duration.
 func (g *generator) addEvent(at time.Duration, kind eventKind, victim int, action, variant string, duration time.Duration) {
 	g.Events = append(g.Events, event{At: fleet.Duration(at), Kind: kind, Victim: victim, Action: action, Variant: variant, Duration: fleet.Duration(duration)})
 }
@@ -79,8 +80,8 @@
 	return true
 }
 
-// reserveKeeper does the same for a keeper. It also fails if a majority of the keepers would no
-// longer be healthy, or while a keeper recovers from the loss of its disk.
+// reserveKeeper does the same for a keeper. It also fails if no majority of healthy keepers
+// would remain, or while a keeper recovers from the loss of its disk.
 func (g *generator) reserveKeeper(victim int, duration time.Duration) bool {
 	otherBusy := 0
 	for i := range g.Size.Keepers {
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -190,7 +190,7 @@
 }
 
 // checkDrainedTarget checks that a request which a router sent to a draining target ran no later than
-// maxDrainLag after the list could show that.
+// maxDrainLag after routers could read that from the list.
 func (h *history) checkDrainedTarget(target *standin.SiteTarget, run standin.SiteRun, router int, found *violations) {
 	drainedAt, drained := h.drainedAt[target]
 	if !drained {
@@ -249,7 +249,7 @@
 	}
 }
 
-// checkUnanswered checks that a fault, a stall or a graceful stop of its router explains why an
+// checkUnanswered checks that a fault, a stall or a graceful shutdown of its router explains why an
 // attempt ended without an answer.
 func (h *history) checkUnanswered(attempt standin.Attempt, runCount int, check func(ok bool, violation string)) {
 	for _, fault := range h.cutSpans {
--- a/internal/soak/host_pause_test.go
+++ b/internal/soak/host_pause_test.go
@@ -60,9 +60,9 @@
 
 // pauseHost pauses all processes of the fleet and the test process for the event's duration, as on an
 // overloaded or suspended machine.
-func (p *player) pauseHost(ev event) {
+func (d *driver) pauseHost(ev event) {
 	args := []string{time.Duration(ev.Duration).String(), strconv.Itoa(os.Getpid())}
-	for _, proc := range p.processes() {
+	for _, proc := range d.processes() {
 		if run := proc.currentRun(); run != nil {
 			args = append(args, strconv.Itoa(run.cmd.Process.Pid))
 		}
@@ -71,35 +71,35 @@
 	cmd.Env = append(os.Environ(), programEnv+"="+pauseProgram)
 	start := time.Now()
 	err := cmd.Run()
-	p.violations.check(err == nil, "%s could not be played: %v", ev, err)
+	d.violations.check(err == nil, "%s could not be applied: %v", ev, err)
 	pause := span{start, time.Now().Add(recoveryTime)}
-	p.history.recordOutage(anyRouter, pause)
-	for i := range p.routers {
-		p.history.recordPause(i, pause)
+	d.history.recordOutage(anyRouter, pause)
+	for i := range d.routers {
+		d.history.recordPause(i, pause)
 	}
 }
 
 // watchStalls records when the test process does not run, until ctx ends.
-func (p *player) watchStalls(ctx context.Context) {
+func (d *driver) watchStalls(ctx context.Context) {
 	monitor := &stall.Monitor{Log: hclog.NewNullLogger(), Period: stallPeriod, Threshold: stallThreshold, OnStall: func(stalled stall.Stall) {
-		p.history.recordStall(stalled)
+		d.history.recordStall(stalled)
 		if stalled.Duration() >= minLoggedStall {
-			p.t.Logf("%s the test process was stalled since %s: %+v", formatTime(stalled.To), formatTime(stalled.From), stalled.Usage)
+			d.t.Logf("%s the test process was stalled since %s: %+v", formatTime(stalled.To), formatTime(stalled.From), stalled.Usage)
 		}
 	}}
-	p.violations.check(monitor.Run(ctx) == nil, "the stall monitor of the test process failed")
+	d.violations.check(monitor.Run(ctx) == nil, "the stall monitor of the test process failed")
 }
 
 // logStalls logs the lines on stalls and slow disks from the logs of all processes.
-func (p *player) logStalls() {
-	logs, err := filepath.Glob(filepath.Join(p.folder, "*.log"))
-	require.NoError(p.t, err)
+func (d *driver) logStalls() {
+	logs, err := filepath.Glob(filepath.Join(d.folder, "*.log"))
+	require.NoError(d.t, err)
 	for _, file := range logs {
 		f, err := os.Open(file)
-		require.NoError(p.t, err)
+		require.NoError(d.t, err)
 		for lines := bufio.NewScanner(f); lines.Scan(); {
 			if line := lines.Text(); strings.Contains(line, `"@message":"stalled"`) || strings.Contains(line, `"@message":"the disk was slow"`) {
-				p.t.Logf("%s: %s", filepath.Base(file), line)
+				d.t.Logf("%s: %s", filepath.Base(file), line)
 			}
 		}
 		_ = f.Close() // it was only read
--- a/internal/soak/main_test.go
+++ b/internal/soak/main_test.go
@@ -51,7 +51,7 @@
 	for _, peer := range service.Settings.PeerList() {
 		isPeer = isPeer || peer.Name == service.Settings.Name
 	}
-	if !isPeer { // a keeper that is not a seed would advertise its listen address
+	if !isPeer { // a keeper that is not a seed would advertise its listen address instead of its proxy
 		service.Settings.Peers = append(service.Settings.Peers, service.Settings.Name+"="+service.Settings.Name)
 	}
 	service.Settings.Listen = os.Getenv(listenEnv)
--- a/internal/soak/player_test.go
+++ b/internal/soak/player_test.go
@@ -17,8 +17,8 @@
 // recoveryTime is how long after the end of a fault answers may still be cut because of it.
 const recoveryTime = time.Second
 
-// A player applies the events of a scenario to a testFleet.
-type player struct {
+// A driver applies the events of a scenario to a testFleet.
+type driver struct {
 	*testFleet
 	history *history
 	configs *configUpdater
@@ -27,98 +27,98 @@
 	restartMu sync.Mutex
 }
 
-// play applies all events at their times, and returns when all have ended.
-func (p *player) play(events []event) {
+// applyEvents applies all events at their times, and returns when all have ended.
+func (d *driver) applyEvents(events []event) {
 	start := time.Now()
 	for _, ev := range events {
 		time.Sleep(time.Until(start.Add(time.Duration(ev.At))))
-		p.t.Logf("%s %s", formatTime(time.Now()), ev)
-		p.pending.Go(func() { p.playEvent(ev) })
+		d.t.Logf("%s %s", formatTime(time.Now()), ev)
+		d.pending.Go(func() { d.applyEvent(ev) })
 	}
-	p.pending.Wait()
+	d.pending.Wait()
 }
 
-// playEvent applies an event and returns when it has ended.
-func (p *player) playEvent(ev event) {
+// applyEvent applies an event and returns when it has ended.
+func (d *driver) applyEvent(ev event) {
 	switch ev.Kind {
 	case kindRouter:
-		p.playProcessEvent(ev, p.routers[ev.Victim])
+		d.applyProcessEvent(ev, d.routers[ev.Victim])
 	case kindKeeper:
-		p.playProcessEvent(ev, p.keepers[ev.Victim])
+		d.applyProcessEvent(ev, d.keepers[ev.Victim])
 	case kindRouterLink:
-		p.playLinkEvent(ev, p.routerProxies[ev.Victim], ev.Victim)
+		d.applyLinkFault(ev, d.routerProxies[ev.Victim], ev.Victim)
 	case kindKeeperLink:
-		p.playLinkEvent(ev, p.keeperProxies[ev.Victim], noRouter)
+		d.applyLinkFault(ev, d.keeperProxies[ev.Victim], noRouter)
 	case kindTargetLink:
-		p.playLinkEvent(ev, p.testFleet.targetProxy(ev.Victim), anyRouter)
+		d.applyLinkFault(ev, d.testFleet.targetProxy(ev.Victim), anyRouter)
 	case kindTarget:
-		p.playTargetEvent(ev)
+		d.applyTargetEvent(ev)
 	case kindTargetList:
-		p.playListEvent(ev)
+		d.applyListFault(ev)
 	case kindRequest:
-		p.playCrashRequests(ev)
+		d.sendCrashRequests(ev)
 	case kindZone:
-		p.playEvacuation(ev)
+		d.applyEvacuation(ev)
 	case kindHost:
-		p.pauseHost(ev)
+		d.pauseHost(ev)
 	case kindConfig:
-		p.configs.apply(ev.Action == actionRevokeKey)
+		d.configs.apply(ev.Action == actionRevokeKey)
 	default:
-		p.violations.add("nobody knows how to play %s", ev)
+		d.violations.add("unknown kind of event: %s", ev)
 	}
 }
 
-// playProcessEvent applies an event to a process. SIGHUPs, changes of its settings and partial requests
+// applyProcessEvent applies an event to a process. SIGHUPs, changes of its settings and partial requests
 // may coincide with its other faults, which follow one another.
-func (p *player) playProcessEvent(ev event, proc *process) {
+func (d *driver) applyProcessEvent(ev event, proc *process) {
 	switch ev.Action {
 	case actionSIGHUP:
 		proc.sendSIGHUP()
 		return
 	case actionChangeSeeds:
-		p.changeSeeds(ev, proc)
+		d.changeSeeds(ev, proc)
 		return
 	case actionPartialRequests:
-		p.sendPartialRequests(ev, proc)
+		d.sendPartialRequests(ev, proc)
 		return
 	}
 	proc.faultMu.Lock()
 	defer proc.faultMu.Unlock()
 	start := time.Now()
-	defer func() { p.history.recordEventOutage(ev, span{start, time.Now()}) }()
+	defer func() { d.history.recordEventOutage(ev, span{start, time.Now()}) }()
 	switch ev.Action {
 	case actionPause:
 		proc.signal(syscall.SIGSTOP, false)
 		time.Sleep(time.Duration(ev.Duration))
 		proc.signal(syscall.SIGCONT, false)
 		pause := span{start, time.Now().Add(recoveryTime)}
-		p.history.recordRouterFault(ev, pause)
+		d.history.recordRouterFault(ev, pause)
 		if ev.Kind == kindRouter {
-			p.history.recordPause(ev.Victim, pause)
+			d.history.recordPause(ev.Victim, pause)
 		}
 	case actionKill:
 		proc.kill()
-		p.violations.check(p.damageDisk(ev, proc) == nil, "%s could not be played", ev)
-		p.restartProcess(ev, proc)
-		p.history.recordRouterFault(ev, span{start, time.Now()})
+		d.violations.check(d.damageDisk(ev, proc) == nil, "%s could not be applied", ev)
+		d.restartProcess(ev, proc)
+		d.history.recordRouterFault(ev, span{start, time.Now()})
 	case actionStop:
 		stop := proc.stop(ev.Variant)
 		if ev.Variant == variantPauseAfterStop {
-			p.history.recordRouterFault(ev, span{stop.start, stop.start.Add(stopPauseDelay + stopPauseDuration + recoveryTime)})
+			d.history.recordRouterFault(ev, span{stop.start, stop.start.Add(stopPauseDelay + stopPauseDuration + recoveryTime)})
 		}
 		if ev.Kind == kindRouter {
-			p.history.recordStop(ev.Victim, stop)
+			d.history.recordStop(ev.Victim, stop)
 		}
-		p.restartProcess(ev, proc)
+		d.restartProcess(ev, proc)
 	case actionFailDisk:
-		p.failDisk(ev, proc)
+		d.failDisk(ev, proc)
 	default:
-		p.violations.add("nobody knows how to play %s", ev)
+		d.violations.add("unknown action on a process: %s", ev)
 	}
 }
 
 // damageDisk damages the disk of a killed process as the event's variant demands.
-func (p *player) damageDisk(ev event, proc *process) error {
+func (d *driver) damageDisk(ev event, proc *process) error {
 	switch ev.Variant {
 	case variantDiskLost:
 		return os.RemoveAll(proc.settings.Folder)
@@ -130,7 +130,7 @@
 
 // restartProcess starts a process that has ended, after the event's duration. After a kill its clock
 // may be skewed.
-func (p *player) restartProcess(ev event, proc *process) {
+func (d *driver) restartProcess(ev event, proc *process) {
 	time.Sleep(time.Duration(ev.Duration))
 	clockVariant := ""
 	if ev.Action == actionKill && ev.Variant != variantDiskLost && ev.Variant != variantTornWrite {
@@ -138,36 +138,36 @@
 	}
 	proc.settings.First = ev.Kind == kindRouter
 	if err := proc.start(clockVariant); err != nil {
-		p.violations.add("%s: %v", ev, err)
+		d.violations.add("%s: %v", ev, err)
 	}
 }
 
 // failDisk makes a keeper's disk fail for the event's duration. The keeper may exit because of that;
 // it is restarted in any case, as the platform would do.
-func (p *player) failDisk(ev event, keeper *process) {
+func (d *driver) failDisk(ev event, keeper *process) {
 	keeper.allowExit()
-	p.violations.check(os.WriteFile(keeper.path(".disk"), []byte(ev.Variant), 0o600) == nil, "%s could not be played", ev)
+	d.violations.check(os.WriteFile(keeper.path(".disk"), []byte(ev.Variant), 0o600) == nil, "%s could not be applied", ev)
 	time.Sleep(time.Duration(ev.Duration))
-	p.violations.check(os.Remove(keeper.path(".disk")) == nil, "%s could not be ended: the file of its disk fault remains", ev)
+	d.violations.check(os.Remove(keeper.path(".disk")) == nil, "%s could not be ended: the file of its disk fault remains", ev)
 	keeper.kill()
 	keeper.settings.First = false
 	if err := keeper.start(""); err != nil {
-		p.violations.add("%s: %v", ev, err)
+		d.violations.add("%s: %v", ev, err)
 	}
 }
 
 // changeSeeds writes a process's settings file with other keepers as seeds, and sends SIGHUP if the
 // event's variant demands it.
-func (p *player) changeSeeds(ev event, proc *process) {
-	count := len(p.keepers)
+func (d *driver) changeSeeds(ev event, proc *process) {
+	count := len(d.keepers)
 	first := int(time.Duration(ev.At)/time.Millisecond) % count
 	settings := proc.settings
-	settings.Seeds = p.seedAddresses(first, (first+1)%count, (first+2)%count)
+	settings.Seeds = d.seedAddresses(first, (first+1)%count, (first+2)%count)
 	err := os.WriteFile(proc.path(".new"), []byte(settings.Text()), 0o600)
 	if err == nil {
 		err = os.Rename(proc.path(".new"), proc.path(".toml"))
 	}
-	p.violations.check(err == nil, "%s could not be played: %v", ev, err)
+	d.violations.check(err == nil, "%s could not be applied: %v", ev, err)
 	if ev.Variant == variantSIGHUP {
 		proc.sendSIGHUP()
 	}
@@ -175,7 +175,7 @@
 
 // sendPartialRequests sends requests with an incomplete header or body to a process, and keeps their
 // connections open for the event's duration.
-func (p *player) sendPartialRequests(ev event, proc *process) {
+func (d *driver) sendPartialRequests(ev event, proc *process) {
 	const count = 4
 	port, head := standin.CallerPort, "POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: half\r\nAuthorization: Bearer "+memberKey
 	if ev.Kind == kindKeeper {
@@ -196,8 +196,9 @@
 	time.Sleep(time.Duration(ev.Duration))
 }
 
-// playLinkEvent applies a fault to the connections through a proxy. Answers by router may be cut.
-func (p *player) playLinkEvent(ev event, proxy *standin.Proxy, router int) {
+// applyLinkFault applies a fault to the connections through a proxy. It may cut answers by router, which
+// is anyRouter for faults in front of targets and noRouter for those in front of keepers.
+func (d *driver) applyLinkFault(ev event, proxy *standin.Proxy, router int) {
 	const delay = 150 * time.Millisecond
 	start := time.Now()
 	switch ev.Action {
@@ -213,76 +214,77 @@
 		proxy.Silence(standin.ToTarget)
 		proxy.Silence(standin.ToCaller)
 	default:
-		p.violations.add("nobody knows how to play %s", ev)
+		d.violations.add("unknown action on connections: %s", ev)
 	}
 	time.Sleep(time.Duration(ev.Duration))
 	proxy.Heal()
-	p.history.recordEventOutage(ev, span{start, time.Now()})
-	p.history.recordCutSpan(router, span{start, time.Now().Add(recoveryTime)})
+	d.history.recordEventOutage(ev, span{start, time.Now()})
+	d.history.recordCutSpan(router, span{start, time.Now().Add(recoveryTime)})
 }
 
-// playTargetEvent replaces the oldest target or restarts one, which may be unlisted or draining before.
-func (p *player) playTargetEvent(ev event) {
+// applyTargetEvent replaces the oldest target, or restarts a target that may be unlisted or draining for
+// the event's duration before.
+func (d *driver) applyTargetEvent(ev event) {
 	if ev.Action == actionReplace {
-		p.violations.check(p.addTarget() == nil, "%s could not be played", ev)
-		p.mu.Lock()
-		replaced := p.liveTargets[0]
-		p.liveTargets = p.liveTargets[1:]
-		p.mu.Unlock()
+		d.violations.check(d.addTarget() == nil, "%s could not be applied", ev)
+		d.mu.Lock()
+		replaced := d.liveTargets[0]
+		d.liveTargets = d.liveTargets[1:]
+		d.mu.Unlock()
 		replaced.Drain()
-		p.history.recordDrain(replaced)
+		d.history.recordDrain(replaced)
 		return
 	}
-	p.restartMu.Lock() // one target at a time, so that others stay available
-	defer p.restartMu.Unlock()
-	p.mu.Lock()
-	index := len(p.liveTargets) - 1 - ev.Victim
-	former := p.liveTargets[index]
-	p.mu.Unlock()
+	d.restartMu.Lock() // one target at a time, so that others stay available
+	defer d.restartMu.Unlock()
+	d.mu.Lock()
+	index := len(d.liveTargets) - 1 - ev.Victim
+	former := d.liveTargets[index]
+	d.mu.Unlock()
 	start := time.Now()
 	switch ev.Variant {
 	case variantUnlisted:
-		p.site.Remove(former)
+		d.platform.Remove(former)
 	case variantDrain:
 		former.Drain()
-		p.history.recordDrain(former)
+		d.history.recordDrain(former)
 	}
 	if ev.Variant != "" {
 		time.Sleep(time.Duration(ev.Duration))
 	}
-	restarted, err := p.site.Restart(former)
-	p.violations.check(err == nil, "%s could not be played: %v", ev, err)
-	p.history.recordCutSpan(anyRouter, span{start, time.Now().Add(recoveryTime)})
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if i := slices.Index(p.liveTargets, former); i >= 0 && err == nil {
-		p.liveTargets[i] = restarted
+	restarted, err := d.platform.Restart(former)
+	d.violations.check(err == nil, "%s could not be applied: %v", ev, err)
+	d.history.recordCutSpan(anyRouter, span{start, time.Now().Add(recoveryTime)})
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if i := slices.Index(d.liveTargets, former); i >= 0 && err == nil {
+		d.liveTargets[i] = restarted
 	}
 }
 
-// playListEvent makes the list of targets unreadable, or adds invalid entries to it, for the event's
+// applyListFault makes the list of targets unreadable, or adds invalid entries to it, for the event's
 // duration.
-func (p *player) playListEvent(ev event) {
+func (d *driver) applyListFault(ev event) {
 	start := time.Now()
 	if ev.Action == actionGarbleList {
-		p.site.Garble("\xff{")
+		d.platform.Garble("\xff{")
 	} else {
-		p.site.Damage(standin.DamagedEntries...)
+		d.platform.Damage(standin.DamagedEntries...)
 	}
 	time.Sleep(time.Duration(ev.Duration))
 	if ev.Action == actionGarbleList {
-		p.site.Garble("")
-		p.history.recordListOutage(span{start, time.Now()})
+		d.platform.Garble("")
+		d.history.recordListOutage(span{start, time.Now()})
 	} else {
-		p.site.Damage()
+		d.platform.Damage()
 	}
 }
 
 // serves reports whether a router serves a version of the configuration, including requests with a
 // key.
-func (p *player) serves(router, version int) bool {
+func (d *driver) serves(router, version int) bool {
 	for _, path := range []string{fmt.Sprintf("/open%d/x", version), "/keyed/x"} {
-		if p.sendProbe(router, path) != http.StatusOK {
+		if d.sendProbe(router, path) != http.StatusOK {
 			return false
 		}
 	}
@@ -305,10 +307,10 @@
 }
 
 // sendProbe sends a request to a router without a proxy and returns the status, or 0 without an answer.
-func (p *player) sendProbe(router int, path string) int {
-	req, err := http.NewRequest(http.MethodGet, "http://"+p.routers[router].settings.Address(standin.CallerPort)+path, nil)
+func (d *driver) sendProbe(router int, path string) int {
+	req, err := http.NewRequest(http.MethodGet, "http://"+d.routers[router].settings.Address(standin.CallerPort)+path, nil)
 	if err != nil {
-		p.violations.add("create a probe of %s: %v", path, err)
+		d.violations.add("create a probe of %s: %v", path, err)
 		return 0
 	}
 	req.Host = "h.example"
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// waitTimeout and pollInterval are those of all waits for the fleet.
+	// waitTimeout is how long a test waits until the fleet reaches a state, and pollInterval the pause
+	// between two checks of it.
 	waitTimeout  = 30 * time.Second
 	pollInterval = 50 * time.Millisecond
 	// stopMargin is how much longer than its grace period a process may take to exit on a busy machine.
@@ -50,7 +51,7 @@
 	exitErr error // valid once exited is closed
 }
 
-// path returns the file of the process with a suffix.
+// path returns the path of the process's file with a suffix, such as .log.
 func (p *process) path(suffix string) string {
 	return filepath.Join(p.folder, p.settings.Name+suffix)
 }
@@ -61,8 +62,8 @@
 }
 
 // start starts the program with a variant of clock skew, or "" for none. It returns when the log shows
-// that the program has started: before that, the program handles no signals, and a graceful shutdown
-// would have nothing to finish.
+// that the program has started: before that, any signal ends it at once, and a graceful shutdown would
+// have nothing to finish.
 func (p *process) start(clockVariant string) error {
 	if err := p.writeSettings(); err != nil {
 		return err
@@ -218,6 +219,7 @@
 	list []string
 }
 
+// add adds a violation, formatted as by fmt.Sprintf.
 func (v *violations) add(format string, args ...any) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/soak/scenario_test.go
+++ b/internal/soak/scenario_test.go
@@ -132,12 +132,12 @@
 
 // parseScenario decodes a scenario file. Unknown keys are an error.
 func parseScenario(text []byte) (scenario, error) {
-	var s scenario
+	var sc scenario
 	decoder := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
-	if err := decoder.Decode(&s); err != nil {
-		return s, fmt.Errorf("decode scenario: %w", err)
+	if err := decoder.Decode(&sc); err != nil {
+		return sc, fmt.Errorf("decode scenario: %w", err)
 	}
-	return s, nil
+	return sc, nil
 }
 
 // TestScenarioFileRoundTrip guards against scenarios that cannot be replayed: a generated scenario is
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -33,7 +33,8 @@
 	maxParallel  = flag.Int("soak.beside", 3, "number of scenarios that run in parallel")
 )
 
-// scenarioSlots limits the number of scenarios that run in parallel. A scenario occupies one element.
+// scenarioSlots limits the number of scenarios that run in parallel. A running scenario occupies one
+// element of the channel.
 var scenarioSlots = sync.OnceValue(func() chan struct{} { return make(chan struct{}, *maxParallel) })
 
 // TestSoak runs generated scenarios, or the one from a file, and checks the promises against what
@@ -47,11 +48,11 @@
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := generateScenario(seed, size, *stepCount)
+			sc := generateScenario(seed, size, *stepCount)
 			if *outputFolder != "" {
-				require.NoError(t, os.WriteFile(filepath.Join(*outputFolder, fmt.Sprintf("%d.toml", seed)), []byte(s.String()), 0o600))
+				require.NoError(t, os.WriteFile(filepath.Join(*outputFolder, fmt.Sprintf("%d.toml", seed)), []byte(sc.String()), 0o600))
 			}
-			runScenario(t, s)
+			runScenario(t, sc)
 		})
 	}
 }
@@ -73,76 +74,76 @@
 func readScenario(t *testing.T, file string) scenario {
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
-	s, err := parseScenario(text)
+	sc, err := parseScenario(text)
 	require.NoError(t, err)
-	return s
+	return sc
 }
 
 // runScenario starts a fleet with callers, applies the events of a scenario and checks the promises.
 // After the events, each router must serve a new configuration, and each target must get work.
-func runScenario(t *testing.T, s scenario) {
+func runScenario(t *testing.T, sc scenario) {
 	scenarioSlots() <- struct{}{}
 	t.Cleanup(func() { <-scenarioSlots() })
-	f := newTestFleet(t, s.Size)
+	fleet := newTestFleet(t, sc.Size)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the scenario, to replay with -soak.play or to shrink:\n%s", s)
+			t.Logf("the scenario, to replay with -soak.play or to shrink:\n%s", sc)
 		}
 	})
-	p := &player{testFleet: f, history: newHistory()}
-	f.site.Fault = p.delayResponse
-	p.configs = &configUpdater{testFleet: f, history: p.history, guestHasKey: true}
+	d := &driver{testFleet: fleet, history: newHistory()}
+	fleet.platform.Fault = d.delayResponse
+	d.configs = &configUpdater{testFleet: fleet, history: d.history, guestHasKey: true}
 	t.Cleanup(func() {
 		if t.Failed() {
-			p.logStalls()
+			d.logStalls()
 		}
 	})
 	watchCtx, stopWatch := context.WithCancel(context.Background())
 	defer stopWatch()
-	go p.watchStalls(watchCtx)
-	p.startAll()
-	p.configs.apply(false)
-	p.requireConfigServed()
-	callers := p.newCallers()
+	go d.watchStalls(watchCtx)
+	d.startAll()
+	d.configs.apply(false)
+	d.requireConfigServed()
+	callers := d.newCallers()
 	ctx, cancel := context.WithCancel(context.Background())
 	var workers sync.WaitGroup
-	for i := range s.Size.Callers {
+	for i := range sc.Size.Callers {
 		workers.Go(func() { callers.Run(ctx, i) })
 	}
-	workers.Go(func() { p.configs.watchKeepers(ctx) })
-	workers.Go(func() { p.configs.watchRouters(ctx, p) })
-	p.play(s.Events)
-	p.logPhase("all events have ended")
-	p.configs.apply(false)
-	p.requireConfigServed() // the fleet recovers
-	p.logPhase("all routers serve the latest configuration")
-	for i := range targetSlots * s.Size.Targets { // enough to need each target
-		workers.Go(func() { callers.Run(ctx, s.Size.Callers+i) })
+	workers.Go(func() { d.configs.watchKeepers(ctx) })
+	workers.Go(func() { d.configs.watchRouters(ctx, d) })
+	d.applyEvents(sc.Events)
+	d.logPhase("all events have ended")
+	d.configs.apply(false)
+	d.requireConfigServed() // the fleet must recover from the faults
+	d.logPhase("all routers serve the latest configuration")
+	for i := range targetSlots * sc.Size.Targets { // enough to need each target
+		workers.Go(func() { callers.Run(ctx, sc.Size.Callers+i) })
 	}
-	p.requireTargetsServe()
-	p.logPhase("all targets get work")
+	d.requireTargetsServe()
+	d.logPhase("all targets get work")
 	cancel()
 	workers.Wait()
-	p.stopAll()
-	p.requirePromises(callers.Taken())
+	d.stopAll()
+	d.requirePromises(callers.Taken())
 }
 
-func (p *player) logPhase(phase string) {
-	p.t.Logf("%s %s", formatTime(time.Now()), phase)
+func (d *driver) logPhase(phase string) {
+	d.t.Logf("%s %s", formatTime(time.Now()), phase)
 }
 
 // startAll starts all processes at the same time.
-func (p *player) startAll() {
+func (d *driver) startAll() {
 	var group errgroup.Group
-	for _, proc := range p.processes() {
+	for _, proc := range d.processes() {
 		group.Go(func() error { return proc.start("") })
 	}
-	require.NoError(p.t, group.Wait())
+	require.NoError(d.t, group.Wait())
 }
 
 // stopAll stops all processes, routers before keepers.
-func (p *player) stopAll() {
-	for _, processes := range [][]*process{p.routers, p.keepers} {
+func (d *driver) stopAll() {
+	for _, processes := range [][]*process{d.routers, d.keepers} {
 		var stopping sync.WaitGroup
 		for _, proc := range processes {
 			stopping.Go(func() { proc.stop("") })
@@ -152,25 +153,25 @@
 }
 
 // requireConfigServed waits until each router serves the configuration that was sent last.
-func (p *player) requireConfigServed() {
-	for i := range p.routers {
-		require.Eventually(p.t, func() bool { return p.serves(i, p.configs.latestVersion()) }, waitTimeout, pollInterval,
-			"router %d does not serve configuration %d", i, p.configs.latestVersion())
+func (d *driver) requireConfigServed() {
+	for i := range d.routers {
+		require.Eventually(d.t, func() bool { return d.serves(i, d.configs.latestVersion()) }, waitTimeout, pollInterval,
+			"router %d does not serve configuration %d", i, d.configs.latestVersion())
 	}
 }
 
 // requireTargetsServe waits until each target that is listed as ready gets a new request. There must be
 // enough callers to need all targets.
-func (p *player) requireTargetsServe() {
-	for _, target := range p.liveTargets {
+func (d *driver) requireTargetsServe() {
+	for _, target := range d.liveTargets {
 		runCount := len(target.Runs())
-		require.Eventually(p.t, func() bool { return len(target.Runs()) > runCount }, waitTimeout, pollInterval,
+		require.Eventually(d.t, func() bool { return len(target.Runs()) > runCount }, waitTimeout, pollInterval,
 			"%s, started at %s, gets no work", target.ID, formatTime(time.UnixMilli(target.Born)))
 	}
 }
 
 // newCallers returns callers that send to all routers in turn, in all manners of sending and reading.
-func (p *player) newCallers() *standin.Callers {
+func (d *driver) newCallers() *standin.Callers {
 	return &standin.Callers{
 		Paths: []string{"/once/x", "/keyed/x", streamPath},
 		Key: func(caller int) string {
@@ -180,10 +181,10 @@
 			return memberKey
 		},
 		Door: func(caller, request int) (int, string) {
-			router := (caller + request/20) % len(p.routerProxies)
-			return router, p.routerProxies[router].Address()
+			router := (caller + request/20) % len(d.routerProxies)
+			return router, d.routerProxies[router].Address()
 		},
-		Alone: func(router int, local string) bool { return p.routerProxies[router].Alone(local) },
+		Alone: func(router int, local string) bool { return d.routerProxies[router].Alone(local) },
 		Manner: func(_, request int) standin.Manner {
 			switch {
 			case request%7 == 3:
@@ -207,7 +208,7 @@
 const minServedPerCaller = 4
 
 // requirePromises checks the attempts of all callers, and that enough of them were served.
-func (p *player) requirePromises(attempts []standin.Attempt) {
+func (d *driver) requirePromises(attempts []standin.Attempt) {
 	statuses := make(map[int]int)
 	served := 0 // of callers whose key is always valid
 	for _, attempt := range attempts {
@@ -217,12 +218,12 @@
 		}
 	}
 	leaderCount := 0
-	for _, keeper := range p.keepers {
+	for _, keeper := range d.keepers {
 		leaderCount += keeper.countInLog(`"@message":"leading"`)
 	}
-	p.t.Logf("%d attempts by status: %v; %d configurations; %d processes; leaders elected %d times",
-		len(attempts), statuses, p.configs.latestVersion(), len(p.processes()), leaderCount)
-	p.history.checkPromises(attempts, p.site, p.violations)
-	require.Empty(p.t, p.violations.list)
-	require.Greater(p.t, served, minServedPerCaller*p.size.Callers*3/4, "too few attempts were served for the checks to prove anything")
+	d.t.Logf("%d attempts by status: %v; %d configurations; %d processes; leaders elected %d times",
+		len(attempts), statuses, d.configs.latestVersion(), len(d.processes()), leaderCount)
+	d.history.checkPromises(attempts, d.platform, d.violations)
+	require.Empty(d.t, d.violations.list)
+	require.Greater(d.t, served, minServedPerCaller*d.size.Callers*3/4, "too few attempts were served for the checks to prove anything")
 }
