--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -69,6 +69,7 @@
 	setMembers(selfID string, members []quorum.Member)
 }
 
+// A routerKey identifies one incarnation of a router.
 type routerKey struct {
 	name        string
 	incarnation uint64
@@ -83,11 +84,13 @@
 	done func(statestore.Result, error)
 }
 
+// A claimCall is a call that waits until its claims are committed.
 type claimCall struct {
 	claims []message.Claim
 	done   func([]message.ClaimResult, error)
 }
 
+// A settleCall is a call that waits until its settlements are committed.
 type settleCall struct {
 	settlements []message.Settlement
 	done        func(error)
@@ -139,6 +142,7 @@
 	return c.processOutput()
 }
 
+// start loads the state from the data folder and starts the quorum node.
 func (c *core) start(identity journal.Identity) error {
 	state, snapshot, entries := c.journal.Recovered()
 	if snapshot.Index == 0 && len(snapshot.Members) == 0 {
@@ -238,7 +242,7 @@
 		if err := c.store.Restore(output.RestoreFrom.Data); err != nil {
 			return fmt.Errorf("restore the leader's snapshot: %w", err)
 		}
-		c.log.Info("snapshot taken over", "index", output.RestoreFrom.Index, "number", c.store.Number())
+		c.log.Info("snapshot taken over", "index", output.RestoreFrom.Index, "number", c.store.ConfigNumber())
 	}
 	for _, entry := range output.Committed {
 		c.applyEntry(entry)
@@ -257,19 +261,19 @@
 	var result statestore.Result
 	var err error
 	if entry.Kind == quorum.EntryData {
-		previousNumber := c.store.Number()
-		previousRoutesNumber := c.store.Document().Number
-		previousEvacuations := c.store.Evacuations()
-		result, err = c.store.Do(entry.Data)
+		previousNumber := c.store.ConfigNumber()
+		previousRoutesNumber := c.store.RouteConfig().Number
+		previousEvacuations := c.store.EvacuatedZones()
+		result, err = c.store.ApplyCommand(entry.Data)
 		if err != nil {
 			c.log.Error("command refused", "index", entry.Index, "error", err)
 		}
-		if c.store.Number() != previousNumber {
-			c.log.Info("configuration accepted", "number", c.store.Number(), "digest", c.store.Digest(), "index", entry.Index)
+		if c.store.ConfigNumber() != previousNumber {
+			c.log.Info("configuration accepted", "number", c.store.ConfigNumber(), "digest", c.store.ConfigDigest(), "index", entry.Index)
 			c.updateDividerConfig()
 		}
-		c.handleEvacuationChange(previousEvacuations, c.store.Evacuations())
-		if document := c.store.Document(); document.Number != previousRoutesNumber {
+		c.handleEvacuationChange(previousEvacuations, c.store.EvacuatedZones())
+		if document := c.store.RouteConfig(); document.Number != previousRoutesNumber {
 			c.log.Info("configuration of routes accepted", "number", document.Number, "before", previousRoutesNumber,
 				"bytes", len(document.Text), "index", entry.Index, "term", entry.Term)
 		}
@@ -302,6 +306,7 @@
 	return c.processOutput()
 }
 
+// deadline returns when runOnce must run again at the latest.
 func (c *core) deadline() time.Time {
 	next := c.node.NextTick()
 	if c.divider != nil && c.divider.Deadline().Before(next) {
--- a/internal/keeperclient/apply.go
+++ b/internal/keeperclient/apply.go
@@ -65,7 +65,8 @@
 	return true
 }
 
-// applyEvacuations never returns to a lower revision, for the same reason.
+// applyEvacuations never returns to a lower revision, because a lower one is from a response that
+// was overtaken.
 func (c *Client) applyEvacuations(state *State, response message.RenewResponse) bool {
 	if response.EvacuatedZones == nil || response.EvacuatedZones.Revision <= state.Evacuated.Revision {
 		return false
@@ -173,7 +174,7 @@
 
 func (c *Client) applyTargets(source string, readAt time.Time, listing fleet.TargetListing) bool {
 	before := c.knownTargets.Targets()
-	if !c.knownTargets.Take(readAt, listing) {
+	if !c.knownTargets.Update(readAt, listing) {
 		return false
 	}
 	startMillis := make(map[string]int64, len(before))
@@ -210,7 +211,7 @@
 			"age", now.Sub(c.knownTargets.ReadAt()).Milliseconds())
 		return
 	}
-	c.damageNotes.Take(now, listing)
+	c.damageNotes.Record(now, listing)
 	if c.OnColdTargets != nil && len(listing.Warming) > 0 {
 		c.OnColdTargets(listing.WarmingUntil(now))
 	}
--- a/internal/soak/main_test.go
+++ b/internal/soak/main_test.go
@@ -25,7 +25,7 @@
 // TestMain runs one of the fleet's programs, or the one that pauses processes, if the environment
 // names it, and the tests otherwise.
 func TestMain(m *testing.M) {
-	host := cmd.Host{Keeper: injectKeeperFaults, Router: injectRouterFaults}
+	host := cmd.Hooks{ConfigureKeeper: injectKeeperFaults, ConfigureRouter: injectRouterFaults}
 	switch os.Getenv(programEnv) {
 	case "lf-keeper":
 		os.Exit(host.RunKeeper(os.Args[1:], os.Stdout, os.Stderr))
--- /dev/null
+++ b/internal/target/deadlinereader_test.go
@@ -0,0 +1,78 @@
+package target_test
+
+import (
+	"io"
+	"net"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
+
+	"laburnumfall/internal/target"
+)
+
+// Guards against the loss of bytes that arrived before the passed deadline was noticed.
+func TestReadsArrivedBytesAfterDeadline(t *testing.T) {
+	long := strings.Repeat("x", 40<<10)
+	for name, tt := range map[string]struct {
+		sent   string
+		closed bool
+		err    error
+	}{
+		"nothing":               {err: os.ErrDeadlineExceeded},
+		"partial data":          {sent: "part", err: os.ErrDeadlineExceeded},
+		"complete, then closed": {sent: "whole", closed: true},
+		"more than a block":     {sent: long, err: os.ErrDeadlineExceeded},
+		"only closed":           {closed: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			listener, err := net.Listen("tcp4", "127.0.0.1:0")
+			require.NoError(t, err)
+			defer func() { require.NoError(t, listener.Close()) }()
+			localConn, err := net.Dial("tcp4", listener.Addr().String())
+			require.NoError(t, err)
+			defer func() { _ = localConn.Close() }() // only read from
+			remoteConn, err := listener.Accept()
+			require.NoError(t, err)
+			defer func() { _ = remoteConn.Close() }() // may be closed already
+			_, err = io.WriteString(remoteConn, tt.sent)
+			require.NoError(t, err)
+			if tt.closed {
+				require.NoError(t, remoteConn.Close())
+			}
+			require.Eventually(t, func() bool { return unreadBytes(t, localConn) == len(tt.sent) }, time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return !tt.closed || tt.sent != "" || target.PeerClosed(localConn) }, time.Second, time.Millisecond)
+
+			require.NoError(t, localConn.SetDeadline(time.Now().Add(-time.Second)))
+			reader := &target.DeadlineReader{Conn: localConn}
+			got, err := io.ReadAll(reader)
+			require.ErrorIs(t, err, tt.err)
+			require.Equal(t, tt.sent, string(got))
+			require.True(t, reader.DeadlineExceeded())
+		})
+	}
+}
+
+// unreadBytes returns how many bytes have arrived on a connection and are unread.
+func unreadBytes(t *testing.T, conn net.Conn) int {
+	tcpConn, ok := conn.(*net.TCPConn)
+	require.True(t, ok)
+	rawConn, err := tcpConn.SyscallConn()
+	require.NoError(t, err)
+	n := 0
+	require.NoError(t, rawConn.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.TIOCINQ) }))
+	require.NoError(t, err)
+	return n
+}
+
+// Guards against a stream without end that is still read after its deadline.
+func TestDoesNotWaitAfterDeadline(t *testing.T) {
+	localConn, remoteConn := net.Pipe()
+	defer func() { _ = remoteConn.Close() }() // nothing was sent
+	require.NoError(t, localConn.SetDeadline(time.Now().Add(-time.Second)))
+	_, err := (&target.DeadlineReader{Conn: localConn}).Read(make([]byte, 1))
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
+}
