--- a/internal/soak/evacuation_test.go
+++ b/internal/soak/evacuation_test.go
@@ -12,95 +12,101 @@
 	"laburnumfall/internal/standin"
 )
 
-// A clearing is an evacuation, from when it was accepted until its end was asked for.
-type clearing struct {
+// An evacuation of a zone spans from the acceptance of the order until the request to end it.
+type evacuation struct {
 	span
 	zone string
 }
 
+// zoneName returns the zone of an index, counted from 0.
 func zoneName(victim int) string { return fmt.Sprintf("z%d", 1+victim) }
 
-// evacuate plays the evacuation of a zone of targets, and its end.
-func (p *player) evacuate(e event) {
-	zone := zoneName(e.Victim)
-	if !p.evacuation(zone, false) {
+// applyEvacuation evacuates a zone of targets, ends the evacuation after the event's duration and
+// records it.
+func (d *driver) applyEvacuation(ev event) {
+	zone := zoneName(ev.Victim)
+	if !d.orderEvacuation(zone, false) {
 		return
 	}
-	c := clearing{span{from: time.Now()}, zone}
-	rest := time.Duration(e.For)
-	if e.How == howTwice {
-		time.Sleep(rest / 2)
-		p.evacuation(zone, false)
-		rest -= time.Since(c.from)
+	evac := evacuation{span{start: time.Now()}, zone}
+	remaining := time.Duration(ev.Duration)
+	if ev.Variant == variantTwice {
+		time.Sleep(remaining / 2)
+		d.orderEvacuation(zone, false)
+		remaining -= time.Since(evac.start)
 	}
-	time.Sleep(rest)
-	c.to = time.Now()
-	p.evacuation(zone, true)
-	p.history.mu.Lock()
-	defer p.history.mu.Unlock()
-	p.history.cleared = append(p.history.cleared, c)
+	time.Sleep(remaining)
+	evac.end = time.Now()
+	d.orderEvacuation(zone, true)
+	d.history.mu.Lock()
+	defer d.history.mu.Unlock()
+	d.history.evacuations = append(d.history.evacuations, evac)
 }
 
-// evacuation sends an order to one keeper after the other until one accepts it.
-func (p *player) evacuation(zone string, end bool) bool {
-	for until, n := time.Now().Add(patience), 0; time.Now().Before(until); n++ {
-		if status, _ := p.operator().Evacuate(n%len(p.keepers), zone, end); status == http.StatusOK {
+// orderEvacuation sends an order to evacuate a zone, or to end that, to one keeper after the other
+// until one accepts it. It reports whether one did.
+func (d *driver) orderEvacuation(zone string, end bool) bool {
+	for deadline, i := time.Now().Add(waitTimeout), 0; time.Now().Before(deadline); i++ {
+		if status, _ := d.operator().Evacuate(i%len(d.keepers), zone, end); status == http.StatusOK {
 			return true
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
-	p.notes.add("the evacuation of %s (end %t) was not accepted in %s", zone, end, patience)
+	d.violations.add("the evacuation of %s (end %t) was not accepted in %s", zone, end, waitTimeout)
 	return false
 }
 
-// judgeCleared holds the time of a run, sent by a router, against evacuations: it keeps to one
-// once it and all keepers were well for long enough to hear of it.
-func (h *history) judgeCleared(t *standin.PlatformTarget, run standin.TargetRun, router int, n *notes) {
-	for _, c := range h.cleared {
-		if c.zone != t.Zone || !c.overlaps(run.At, run.At) || h.held(run) {
+// checkEvacuatedZone checks that a request which a router sent to a target did not run in an
+// evacuated zone. A router must comply once it and all keepers were healthy for propagationTime
+// without interruption since the order.
+func (h *history) checkEvacuatedZone(target *standin.PlatformTarget, run standin.TargetRun, router int, found *violations) {
+	for _, evac := range h.evacuations {
+		if evac.zone != target.Zone || !evac.overlaps(run.At, run.At) || h.mayBeDelayed(run) {
 			continue
 		}
-		n.check(h.calm(router, c.from, run.At) <= knownTime, "%s ran at %s, %s after its zone was evacuated", run.RequestID, t.ID, run.At.Sub(c.from))
+		found.check(h.longestHealthySpan(router, evac.start, run.At) <= propagationTime, "%s ran at %s, %s after its zone was evacuated", run.RequestID, target.ID, run.At.Sub(evac.start))
 	}
 }
 
-// calm returns the longest stretch of a span in which neither a router nor a keeper was away.
-func (h *history) calm(router int, from, to time.Time) time.Duration {
-	away := slices.Clone(h.absent)
-	slices.SortFunc(away, func(a, b hurt) int { return a.from.Compare(b.from) })
+// longestHealthySpan returns the longest time between start and end without an outage of the router
+// or of a keeper.
+func (h *history) longestHealthySpan(router int, start, end time.Time) time.Duration {
+	outages := slices.Clone(h.outages)
+	slices.SortFunc(outages, func(a, b routerSpan) int { return a.start.Compare(b.start) })
 	var longest time.Duration
-	for _, a := range away {
-		if a.router != anyRouter && a.router != router || a.to.Before(from) || a.from.After(to) {
+	for _, outage := range outages {
+		if outage.router != anyRouter && outage.router != router || outage.end.Before(start) || outage.start.After(end) {
 			continue
 		}
-		longest = max(longest, a.from.Sub(from))
-		from = a.to
+		longest = max(longest, outage.start.Sub(start))
+		start = outage.end
 	}
-	return max(longest, to.Sub(from))
+	return max(longest, end.Sub(start))
 }
 
-// TestJudgeKnowsWorkInEvacuatedZones holds what is judged of evacuations.
-func TestJudgeKnowsWorkInEvacuatedZones(t *testing.T) {
-	zero := time.Now()
-	at := func(s float64) time.Time { return zero.Add(time.Duration(s * float64(time.Second))) }
+// TestDetectsRunsInEvacuatedZone guards against a checker that accepts runs in an evacuated zone, or
+// that rejects those which an outage or a link fault explains.
+func TestDetectsRunsInEvacuatedZone(t *testing.T) {
+	start := time.Now()
+	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	h := newHistory()
-	h.cleared = []clearing{{span{at(0), at(10)}, "z1"}}
-	judge := func(zone string, second float64) int {
-		var n notes
-		h.judgeCleared(&standin.PlatformTarget{ID: "t-0", Zone: zone}, standin.TargetRun{At: at(second)}, 1, &n)
-		return len(n.list)
+	h.evacuations = []evacuation{{span{at(0), at(10)}, "z1"}}
+	violationCount := func(zone string, seconds float64) int {
+		var found violations
+		h.checkEvacuatedZone(&standin.PlatformTarget{ID: "t-0", Zone: zone}, standin.TargetRun{At: at(seconds)}, 1, &found)
+		return len(found.list)
 	}
-	require.Zero(t, judge("z1", 2))
-	require.Equal(t, 1, judge("z1", 5))
-	require.Zero(t, judge("z2", 5), "another zone")
-	require.Zero(t, judge("z1", 11), "it is over")
-	h.away(event{Kind: onRouter, Victim: 0}, span{at(2), at(3)})
-	require.Equal(t, 1, judge("z1", 5), "another router was away")
-	h.away(event{Kind: onKeeper}, span{at(2.5), at(3)})
-	require.Zero(t, judge("z1", 5), "no keeper could tell of it")
-	require.Equal(t, 1, judge("z1", 7), "it had the time")
-	h.away(event{Kind: onKeeper}, span{at(6.5), at(8)})
-	require.Equal(t, 1, judge("z1", 9), "it had the time before")
-	h.links = []span{{at(6.5), at(7.5)}}
-	require.Zero(t, judge("z1", 7), "it was held on the way")
+	require.Zero(t, violationCount("z1", 2))
+	require.Equal(t, 1, violationCount("z1", 5))
+	require.Zero(t, violationCount("z2", 5), "another zone")
+	require.Zero(t, violationCount("z1", 11), "the evacuation is over")
+	h.recordEventOutage(event{Kind: kindRouter, Victim: 0}, span{at(2), at(3)})
+	require.Equal(t, 1, violationCount("z1", 5), "another router had an outage")
+	h.recordEventOutage(event{Kind: kindKeeper}, span{at(2.5), at(3)})
+	require.Zero(t, violationCount("z1", 5), "a keeper's outage left no healthy span of the propagation time")
+	require.Equal(t, 1, violationCount("z1", 7), "healthy for the propagation time after the outage")
+	h.recordEventOutage(event{Kind: kindKeeper}, span{at(6.5), at(8)})
+	require.Equal(t, 1, violationCount("z1", 9), "healthy for the propagation time before the second outage")
+	h.linkFaults = []span{{at(6.5), at(7.5)}}
+	require.Zero(t, violationCount("z1", 7), "a link fault may have delayed the request")
 }
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -8,260 +8,271 @@
 	"laburnumfall/internal/standin"
 )
 
-// The margins of promises that count in seconds are generous: soaks run on busy
-// machines, beside each other.
+// Time limits of the checks. They are generous where the promise is in seconds: soak tests run on busy
+// machines and in parallel.
 const (
-	// leaveTime is how long after the list shows a target as leaving new work may reach it.
-	leaveTime = 4 * time.Second
-	// revokeTime is how long after a withdrawal was accepted a key may count.
-	revokeTime = 5 * time.Second
-	// waitMargin is how long after its deadline a request may go without any end.
-	waitMargin = 4 * time.Second
-	// unreadTime is how long after its signal a router still has to read what comes in.
-	// Later, what was never passed on may have crossed the close.
-	unreadTime = 2 * time.Second
-	// lateTime and lastTime, counted from the signal, bound what may outlast the grace:
-	// what was sent no later than the one and is at work after the other.
-	lateTime = 3 * time.Second
-	lastTime = standin.GraceSeconds * time.Second * 5 / 6
+	// maxDrainLag is how long new work may still reach a target after the list shows it as draining.
+	maxDrainLag = 4 * time.Second
+	// maxRevocationLag is how long a key may stay valid after its revocation was accepted.
+	maxRevocationLag = 5 * time.Second
+	// overdueMargin is how long after its deadline a request may take to end.
+	overdueMargin = 4 * time.Second
+	// readAfterStopTime is how long a router must still read incoming requests after SIGTERM. A later
+	// request that was never forwarded may have arrived while the connection was closed.
+	readAfterStopTime = 2 * time.Second
+	// graceSendLimit and graceCutStart bound, counted from SIGTERM, which requests the end of the grace
+	// period may cut: those sent no later than the first and still running after the second.
+	graceSendLimit = 3 * time.Second
+	graceCutStart  = standin.GraceSeconds * time.Second * 5 / 6
 )
 
-// Whom a fault may hurt, where it is not one router.
+// The values that stand for a router's index in records and lookups where no single router is meant.
 const (
-	anyRouter = -1
-	nobody    = -2
+	anyRouter = -1 // all routers
+	noRouter  = -2 // in records: no router; in lookups: only records of anyRouter match
 )
 
-// A span is a stretch of time.
+// A span is the time from start to end, both included.
 type span struct {
-	from, to time.Time
+	start, end time.Time
 }
 
-func (s span) overlaps(from, to time.Time) bool {
-	return !s.from.After(to) && !from.After(s.to)
+// overlaps reports whether the span has a time in common with another one.
+func (s span) overlaps(start, end time.Time) bool {
+	return !s.start.After(end) && !start.After(s.end)
 }
 
-// A hurt is a span in which answers by a router may be cut.
-type hurt struct {
+// A routerSpan is a span that concerns one router, or all of them (anyRouter).
+type routerSpan struct {
 	span
 	router int
 }
 
-// A history is what was done to a world, for what follows from it.
+// A history records the faults and changes of a run. The checks use it to decide which outcomes are
+// allowed.
 type history struct {
-	mu      sync.Mutex
-	hurts   []hurt
-	asleep  []hurt                                // in which a router is out of touch
-	absent  []hurt                                // in which a router, or the keepers (anyRouter), were in trouble
-	links   []span                                // in which requests may come late to targets
-	blind   []span                                // in which the list could not be read
-	stops   map[int][]span                        // of routers, from the signal to the exit
-	left    map[*standin.PlatformTarget]time.Time // since when the list shows them leaving
-	stalls  []span                                // in which the soak itself did not run
-	cleared []clearing                            // evacuations
-	asked   time.Time                             // when the withdrawal of the guest's key was first sent
-	revoked time.Time                             // when it was accepted
+	mu               sync.Mutex
+	cutSpans         []routerSpan                          // in which answers by a router may be cut
+	pauses           []routerSpan                          // in which a router was paused and may act on stale data
+	outages          []routerSpan                          // in which a router, or a keeper (anyRouter), had a fault
+	linkFaults       []span                                // in which requests may reach targets late
+	listOutages      []span                                // in which the list of targets could not be read
+	stops            map[int][]span                        // of routers, from SIGTERM to the exit
+	drainedAt        map[*standin.PlatformTarget]time.Time // when the list began to show a target as draining
+	ownStalls        []span                                // in which the test process did not run
+	evacuations      []evacuation
+	revocationSentAt time.Time // when the revocation of the guest's key was first sent
+	revokedAt        time.Time // when the revocation was accepted
 }
 
 func newHistory() *history {
-	return &history{stops: make(map[int][]span), left: make(map[*standin.PlatformTarget]time.Time)}
+	return &history{stops: make(map[int][]span), drainedAt: make(map[*standin.PlatformTarget]time.Time)}
 }
 
-// fault notes what was done to a process. Keepers' faults cut no answer.
-func (h *history) fault(e event, s span) {
-	if e.Kind == onRouter {
-		h.faultAt(e.Victim, s)
+// recordRouterFault records the span of a process fault in which answers may be cut. Faults of
+// keepers cut no answers.
+func (h *history) recordRouterFault(ev event, during span) {
+	if ev.Kind == kindRouter {
+		h.recordCutSpan(ev.Victim, during)
 	}
 }
 
-// sleep notes that a router stood still and may know old things until the end of the span.
-func (h *history) sleep(router int, s span) {
+// recordPause records that a router was paused and may act on stale data until the end of the span.
+func (h *history) recordPause(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asleep = append(h.asleep, hurt{s, router})
+	h.pauses = append(h.pauses, routerSpan{during, router})
 }
 
-// away notes that a router, or a keeper, was in trouble.
-func (h *history) away(e event, s span) {
+// recordEventOutage records the outage of the router or keeper that an event concerns. Events of
+// other kinds are no outage.
+func (h *history) recordEventOutage(ev event, during span) {
 	router := anyRouter
-	switch e.Kind {
-	case onRouter:
-		router = e.Victim
-	case onKeeper, onPeer:
+	switch ev.Kind {
+	case kindRouter:
+		router = ev.Victim
+	case kindKeeper, kindKeeperLink:
 	default:
 		return
 	}
-	h.outOfTouch(router, s)
+	h.recordOutage(router, during)
 }
 
-func (h *history) outOfTouch(router int, s span) {
+// recordOutage records an outage of a router, or of a keeper (anyRouter).
+func (h *history) recordOutage(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.absent = append(h.absent, hurt{s, router})
+	h.outages = append(h.outages, routerSpan{during, router})
 }
 
-// inTouch reports whether a router and all keepers were well at a time and for long enough
-// before, so that it knows what the fleet does.
-func (h *history) inTouch(router int, at time.Time) bool {
-	for _, a := range h.absent {
-		if (a.router == anyRouter || a.router == router) && a.overlaps(at.Add(-knownTime), at) {
+// isHealthy reports whether a router and all keepers had no outage at a time and in the
+// propagationTime before it, so that the router has up-to-date data.
+func (h *history) isHealthy(router int, at time.Time) bool {
+	for _, outage := range h.outages {
+		if (outage.router == anyRouter || outage.router == router) && outage.overlaps(at.Add(-propagationTime), at) {
 			return false
 		}
 	}
 	return true
 }
 
-// keepersWell reports whether all keepers were well at a time and for long enough before.
-func (h *history) keepersWell(at time.Time) bool {
-	return h.inTouch(nobody, at)
+// keepersHealthy reports the same for all keepers alone.
+func (h *history) keepersHealthy(at time.Time) bool {
+	return h.isHealthy(noRouter, at)
 }
 
-func (h *history) faultAt(router int, s span) {
+// recordCutSpan records a span in which answers by a router may be cut. With anyRouter, requests may
+// reach targets late as well.
+func (h *history) recordCutSpan(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hurts = append(h.hurts, hurt{s, router})
+	h.cutSpans = append(h.cutSpans, routerSpan{during, router})
 	if router == anyRouter {
-		h.links = append(h.links, s)
+		h.linkFaults = append(h.linkFaults, during)
 	}
 }
 
-func (h *history) stop(router int, s span) {
+func (h *history) recordStop(router int, during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.stops[router] = append(h.stops[router], s)
+	h.stops[router] = append(h.stops[router], during)
 }
 
-func (h *history) leaves(t *standin.PlatformTarget) {
+func (h *history) recordDrain(target *standin.PlatformTarget) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.left[t] = time.Now()
+	h.drainedAt[target] = time.Now()
 }
 
-func (h *history) unread(s span) {
+func (h *history) recordListOutage(during span) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.blind = append(h.blind, s)
+	h.listOutages = append(h.listOutages, during)
 }
 
-// judge notes what callers and targets saw against the promises.
-func (h *history) judge(attempts []standin.Attempt, site *standin.Platform, n *notes) {
-	runs, keys, by := make(map[string]int), make(map[string]string), make(map[string]int)
-	for _, a := range attempts {
-		keys[a.ID], by[a.ID] = a.Key, a.Router
+// checkPromises checks everything that callers and targets recorded against the promises, and adds
+// each violation to found.
+func (h *history) checkPromises(attempts []standin.Attempt, site *standin.Platform, found *violations) {
+	runCounts, keyByID, routerByID := make(map[string]int), make(map[string]string), make(map[string]int)
+	for _, attempt := range attempts {
+		keyByID[attempt.ID], routerByID[attempt.ID] = attempt.Key, attempt.Router
 	}
-	for _, t := range site.AllIncarnations() {
-		for _, run := range t.Runs() {
-			runs[run.RequestID]++
-			router, known := by[run.RequestID]
+	for _, target := range site.AllIncarnations() {
+		for _, run := range target.Runs() {
+			runCounts[run.RequestID]++
+			router, known := routerByID[run.RequestID]
 			if !known {
-				router = askedRouter(run.RequestID)
+				router = probedRouter(run.RequestID)
 			}
-			h.judgeRun(t, run, router, n)
-			h.judgeCleared(t, run, router, n)
-			h.judgeKey(run, keys[run.RequestID], n)
+			h.checkDrainedTarget(target, run, router, found)
+			h.checkEvacuatedZone(target, run, router, found)
+			h.checkRevokedKey(run, keyByID[run.RequestID], found)
 		}
 	}
-	for _, a := range attempts {
-		h.judgeAttempt(a, runs[a.ID], n)
+	for _, attempt := range attempts {
+		h.checkAttempt(attempt, runCounts[attempt.ID], found)
 	}
-	h.judgeCrashes(site, n)
+	h.checkCrashRequests(site, found)
 }
 
-// judgeAttempt holds an attempt that ran so many times against the promises.
-func (h *history) judgeAttempt(a standin.Attempt, ran int, n *notes) {
-	check := func(ok bool, what string) {
-		n.check(ok, "%s %s by router %d, sent %s, ended %s, status %d, ran %d times: %s",
-			a.ID, a.Path, a.Router, clockTime(a.Sent), clockTime(a.Ended), a.Status, ran, what)
+// checkAttempt checks a caller's attempt that targets ran runCount times.
+func (h *history) checkAttempt(attempt standin.Attempt, runCount int, found *violations) {
+	check := func(ok bool, violation string) {
+		found.check(ok, "%s %s through router %d, sent %s, ended %s, status %d, ran %d times: %s",
+			attempt.ID, attempt.Path, attempt.Router, formatTime(attempt.Sent), formatTime(attempt.Ended), attempt.Status, runCount, violation)
 	}
-	check(a.Violation == "", a.Violation)
-	check(ran <= 1 || a.Path == "/keyed/x", "it may run only once")
-	h.judgeStatus(a, ran, check)
-	if a.Status == 0 && !a.Refused && !a.Abandoned {
-		h.judgeCut(a, ran, check)
+	check(attempt.Violation == "", attempt.Violation)
+	check(runCount <= 1 || attempt.Path == "/keyed/x", "a request that is not idempotent must run at most once")
+	h.checkStatus(attempt, runCount, check)
+	if attempt.Status == 0 && !attempt.Refused && !attempt.Abandoned {
+		h.checkUnanswered(attempt, runCount, check)
 	}
 }
 
-// judgeRun holds the time of a run, sent by a router, against the target's leaving.
-func (h *history) judgeRun(t *standin.PlatformTarget, run standin.TargetRun, router int, n *notes) {
-	left, leaves := h.left[t]
-	if !leaves {
+// checkDrainedTarget checks that a request which a router sent to a draining target ran no later than
+// maxDrainLag after routers could read that from the list.
+func (h *history) checkDrainedTarget(target *standin.PlatformTarget, run standin.TargetRun, router int, found *violations) {
+	drainedAt, drained := h.drainedAt[target]
+	if !drained {
 		return
 	}
-	for _, b := range h.blind {
-		if b.overlaps(left, left.Add(leaveTime)) {
-			left = b.to // nobody could see it
+	for _, outage := range h.listOutages {
+		if outage.overlaps(drainedAt, drainedAt.Add(maxDrainLag)) {
+			drainedAt = outage.end // routers could not read that it drains
 		}
 	}
-	for _, a := range h.asleep {
-		if a.router == router && a.overlaps(run.At, run.At) && !h.keepersWell(run.At) {
-			return // there was nobody whom it could have asked
+	for _, pause := range h.pauses {
+		if pause.router == router && pause.overlaps(run.At, run.At) && !h.keepersHealthy(run.At) {
+			return // the router could not get the current list from a keeper after its pause
 		}
 	}
-	if h.held(run) {
+	if h.mayBeDelayed(run) {
 		return
 	}
-	n.check(run.At.Sub(left) <= leaveTime, "%s ran at %s, %s after that was shown as leaving", run.RequestID, t.ID, run.At.Sub(left))
+	found.check(run.At.Sub(drainedAt) <= maxDrainLag, "%s ran at %s, %s after the list showed the target as draining", run.RequestID, target.ID, run.At.Sub(drainedAt))
 }
 
-// held reports whether a request may have been held on its way to the target.
-func (h *history) held(run standin.TargetRun) bool {
-	for _, l := range h.links {
-		if l.overlaps(run.At, run.At) {
+// mayBeDelayed reports whether a link fault may have delayed a request on its way to the target.
+func (h *history) mayBeDelayed(run standin.TargetRun) bool {
+	for _, fault := range h.linkFaults {
+		if fault.overlaps(run.At, run.At) {
 			return true
 		}
 	}
 	return false
 }
 
-// judgeKey holds the time of a run against the withdrawal of its key: what was let in
-// before it waits no longer than its deadline.
-func (h *history) judgeKey(run standin.TargetRun, key string, n *notes) {
-	if key == guestKey && !h.revoked.IsZero() && !h.held(run) {
-		late := run.At.Sub(h.revoked)
-		n.check(late <= revokeTime+standin.CallerTimeout, "%s ran %s after its key was withdrawn", run.RequestID, late)
+// checkRevokedKey checks that no request ran with the guest's key too long after its revocation. A
+// request that was admitted while the key was valid may wait for at most its deadline.
+func (h *history) checkRevokedKey(run standin.TargetRun, key string, found *violations) {
+	if key == guestKey && !h.revokedAt.IsZero() && !h.mayBeDelayed(run) {
+		lag := run.At.Sub(h.revokedAt)
+		found.check(lag <= maxRevocationLag+standin.CallerTimeout, "%s ran %s after its key was revoked", run.RequestID, lag)
 	}
 }
 
-// judgeStatus tells whether an answer's status is true.
-func (h *history) judgeStatus(a standin.Attempt, ran int, check func(ok bool, what string)) {
-	guest := a.Key == guestKey
-	switch a.Status {
+// checkStatus checks that the status of an answer agrees with the number of runs and with the
+// configuration.
+func (h *history) checkStatus(attempt standin.Attempt, runCount int, check func(ok bool, violation string)) {
+	isGuest := attempt.Key == guestKey
+	switch attempt.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		check(ran == 0, "told that it did not run")
+		check(runCount == 0, "it ran although the status says that it was not executed")
 	case http.StatusUnauthorized:
-		check(guest && !h.asked.IsZero() && a.Ended.After(h.asked), "its key counts")
+		check(isGuest && !h.revocationSentAt.IsZero() && attempt.Ended.After(h.revocationSentAt), "its key is valid")
 	case http.StatusForbidden, http.StatusNotFound:
-		check(false, "its route is there")
+		check(false, "its route exists and its account may use it")
 	default:
 	}
-	if guest && !h.revoked.IsZero() && a.Sent.Sub(h.revoked) > revokeTime {
-		check(ran == 0, "its key was withdrawn")
+	if isGuest && !h.revokedAt.IsZero() && attempt.Sent.Sub(h.revokedAt) > maxRevocationLag {
+		check(runCount == 0, "it ran although its key was revoked")
 	}
 }
 
-// judgeCut tells whether a request may have ended without an answer.
-func (h *history) judgeCut(a standin.Attempt, ran int, check func(ok bool, what string)) {
-	for _, f := range h.hurts {
-		if (f.router == anyRouter || f.router == a.Router) && f.overlaps(a.Sent, a.Ended) {
+// checkUnanswered checks that a fault, a stall or a graceful shutdown of its router explains why an
+// attempt ended without an answer.
+func (h *history) checkUnanswered(attempt standin.Attempt, runCount int, check func(ok bool, violation string)) {
+	for _, fault := range h.cutSpans {
+		if (fault.router == anyRouter || fault.router == attempt.Router) && fault.overlaps(attempt.Sent, attempt.Ended) {
 			return
 		}
 	}
-	stalled := h.stalled(a.Sent, a.Ended)
-	if a.Ended.Sub(a.Sent)-stalled >= standin.CallerTimeout+waitMargin {
-		check(false, "nobody ended it")
+	stalled := h.stalledDuring(attempt.Sent, attempt.Ended)
+	if attempt.Ended.Sub(attempt.Sent)-stalled >= standin.CallerTimeout+overdueMargin {
+		check(false, "it did not end by its deadline")
 		return
 	}
-	if a.Path == flowPath && a.Ended.Sub(a.Sent) >= standin.CallerTimeout && stalled > standin.CallerTimeout-flowTime {
-		return // its deadline passed while its target stood still
+	if attempt.Path == streamPath && attempt.Ended.Sub(attempt.Sent) >= standin.CallerTimeout && stalled > standin.CallerTimeout-streamTime {
+		return // its deadline passed while the test process, and its target in it, was stalled
 	}
-	for _, s := range h.stops[a.Router] {
-		if !s.overlaps(a.Sent, a.Ended) {
+	for _, stop := range h.stops[attempt.Router] {
+		if !stop.overlaps(attempt.Sent, attempt.Ended) {
 			continue
 		}
-		sent, ended := a.Sent.Sub(s.from), a.Ended.Sub(s.from)
-		crossed := ran == 0 && sent > unreadTime
-		outlasted := sent <= lateTime && ended >= lastTime
-		check(crossed || outlasted, "cut by a graceful stop")
+		sent, ended := attempt.Sent.Sub(stop.start), attempt.Ended.Sub(stop.start)
+		unread := runCount == 0 && sent > readAfterStopTime
+		cutByGrace := sent <= graceSendLimit && ended >= graceCutStart
+		check(unread || cutByGrace, "cut by a graceful shutdown")
 		return
 	}
 	check(false, "cut without a fault")
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,45 +19,46 @@
 )
 
 var (
-	first   = flag.Uint64("soak.first", 1, "first seed of TestSoak")
-	seeds   = flag.Uint64("soak.seeds", 2, "number of seeds of TestSoak")
-	steps   = flag.Int("soak.steps", 12, "faults, changes and series of each seed of TestSoak")
-	keepers = flag.Int("soak.keepers", usual.Keepers, "keepers of TestSoak")
-	routers = flag.Int("soak.routers", usual.Routers, "routers of TestSoak")
-	targets = flag.Int("soak.targets", usual.Targets, "targets of TestSoak")
-	zones   = flag.Int("soak.zones", usual.Zones, "availability zones of the targets of TestSoak")
-	callers = flag.Int("soak.callers", usual.Callers, "callers of TestSoak")
-	play    = flag.String("soak.play", "", "file of a scenario that TestSoak plays in place of seeds")
-	write   = flag.String("soak.write", "", "folder where TestSoak writes its scenarios")
-	keep    = flag.String("soak.keep", "", "folder where logs of failed scenarios are kept; logs in the module's root by default")
-	beside  = flag.Int("soak.beside", 3, "scenarios that are played beside each other")
+	firstSeed    = flag.Uint64("soak.first", 1, "first seed of TestSoak")
+	seedCount    = flag.Uint64("soak.seeds", 2, "number of seeds of TestSoak")
+	stepCount    = flag.Int("soak.steps", 12, "steps of each seed of TestSoak: faults, changes and series of them")
+	keeperCount  = flag.Int("soak.keepers", defaultSize.Keepers, "number of keepers of TestSoak")
+	routerCount  = flag.Int("soak.routers", defaultSize.Routers, "number of routers of TestSoak")
+	targetCount  = flag.Int("soak.targets", defaultSize.Targets, "number of targets of TestSoak")
+	zoneCount    = flag.Int("soak.zones", defaultSize.Zones, "number of availability zones of the targets of TestSoak")
+	callerCount  = flag.Int("soak.callers", defaultSize.Callers, "number of callers of TestSoak")
+	scenarioFile = flag.String("soak.play", "", "scenario file that TestSoak runs instead of seeds")
+	outputFolder = flag.String("soak.write", "", "folder to which TestSoak writes its scenarios")
+	logFolder    = flag.String("soak.keep", "", "folder in which to keep the logs of failed scenarios; by default logs in the module's root")
+	maxParallel  = flag.Int("soak.beside", 3, "number of scenarios that run in parallel")
 )
 
-// places bounds the scenarios that are played beside each other.
-var places = sync.OnceValue(func() chan struct{} { return make(chan struct{}, *beside) })
+// scenarioSlots limits the number of scenarios that run in parallel. A running scenario occupies one
+// element of the channel.
+var scenarioSlots = sync.OnceValue(func() chan struct{} { return make(chan struct{}, *maxParallel) })
 
-// TestSoak plays scenarios that are drawn from seeds, or one as written, and checks the
-// promises by what callers and targets saw.
+// TestSoak runs generated scenarios, or the one from a file, and checks the promises against what
+// callers and targets recorded.
 func TestSoak(t *testing.T) {
-	if *play != "" {
-		playScenario(t, readScenario(t, *play))
+	if *scenarioFile != "" {
+		runScenario(t, readScenario(t, *scenarioFile))
 		return
 	}
-	of := size{Keepers: *keepers, Routers: *routers, Targets: *targets, Callers: *callers, Zones: *zones}
-	for seed := *first; seed < *first+*seeds; seed++ {
+	size := fleetSize{Keepers: *keeperCount, Routers: *routerCount, Targets: *targetCount, Callers: *callerCount, Zones: *zoneCount}
+	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := draw(seed, of, *steps)
-			if *write != "" {
-				require.NoError(t, os.WriteFile(filepath.Join(*write, fmt.Sprintf("%d.toml", seed)), []byte(s.String()), 0o600))
+			sc := generateScenario(seed, size, *stepCount)
+			if *outputFolder != "" {
+				require.NoError(t, os.WriteFile(filepath.Join(*outputFolder, fmt.Sprintf("%d.toml", seed)), []byte(sc.String()), 0o600))
 			}
-			playScenario(t, s)
+			runScenario(t, sc)
 		})
 	}
 }
 
-// TestSoakRegressions plays the scenarios that ever failed, as they were. Each file
-// begins with the cause.
+// TestSoakRegressions runs all scenarios that have failed, unchanged. Each file starts with the cause of
+// the failure.
 func TestSoakRegressions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	require.NoError(t, err)
@@ -65,7 +66,7 @@
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".toml"), func(t *testing.T) {
 			t.Parallel()
-			playScenario(t, readScenario(t, file))
+			runScenario(t, readScenario(t, file))
 		})
 	}
 }
@@ -73,152 +74,156 @@
 func readScenario(t *testing.T, file string) scenario {
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
-	s, err := parseScenario(text)
+	sc, err := parseScenario(text)
 	require.NoError(t, err)
-	return s
+	return sc
 }
 
-func playScenario(t *testing.T, s scenario) {
-	places() <- struct{}{}
-	t.Cleanup(func() { <-places() })
-	w := newWorld(t, s.Size)
+// runScenario starts a fleet with callers, applies the events of a scenario and checks the promises.
+// After the events, each router must serve a new configuration, and each target must get work.
+func runScenario(t *testing.T, sc scenario) {
+	scenarioSlots() <- struct{}{}
+	t.Cleanup(func() { <-scenarioSlots() })
+	fleet := newTestFleet(t, sc.Size)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the scenario, to be played again by -soak.play or shrunk:\n%s", s)
+			t.Logf("the scenario, to replay with -soak.play or to shrink:\n%s", sc)
 		}
 	})
-	p := &player{world: w, history: newHistory()}
-	w.site.Fault = p.slowly
-	p.changes = &changes{world: w, history: p.history, guest: true}
+	d := &driver{testFleet: fleet, history: newHistory()}
+	fleet.platform.Fault = d.delayResponse
+	d.configs = &configUpdater{testFleet: fleet, history: d.history, guestHasKey: true}
 	t.Cleanup(func() {
 		if t.Failed() {
-			p.tellStalls()
+			d.logStalls()
 		}
 	})
-	watching, endWatch := context.WithCancel(context.Background())
-	defer endWatch()
-	go p.watchStalls(watching)
-	p.startAll()
-	p.changes.order(false)
-	p.requireServed()
-	c := p.callers()
+	watchCtx, stopWatch := context.WithCancel(context.Background())
+	defer stopWatch()
+	go d.watchStalls(watchCtx)
+	d.startAll()
+	d.configs.apply(false)
+	d.requireConfigServed()
+	callers := d.newCallers()
 	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	for i := range s.Size.Callers {
-		running.Go(func() { c.Run(ctx, i) })
+	var workers sync.WaitGroup
+	for i := range sc.Size.Callers {
+		workers.Go(func() { callers.Run(ctx, i) })
 	}
-	running.Go(func() { p.changes.watchKeepers(ctx) })
-	running.Go(func() { p.changes.watchRouters(ctx, p) })
-	p.play(s.Events)
-	p.phase("events are over")
-	p.changes.order(false)
-	p.requireServed() // it recovers
-	p.phase("all routers serve")
-	for i := range targetSlots * s.Size.Targets { // now each target is needed
-		running.Go(func() { c.Run(ctx, s.Size.Callers+i) })
+	workers.Go(func() { d.configs.watchKeepers(ctx) })
+	workers.Go(func() { d.configs.watchRouters(ctx, d) })
+	d.applyEvents(sc.Events)
+	d.logPhase("all events have ended")
+	d.configs.apply(false)
+	d.requireConfigServed() // the fleet must recover from the faults
+	d.logPhase("all routers serve the latest configuration")
+	for i := range targetSlots * sc.Size.Targets { // enough to need each target
+		workers.Go(func() { callers.Run(ctx, sc.Size.Callers+i) })
 	}
-	p.requireWork()
-	p.phase("all targets work")
+	d.requireTargetsServe()
+	d.logPhase("all targets get work")
 	cancel()
-	running.Wait()
-	p.stopAll()
-	p.requirePromises(c.Attempts())
+	workers.Wait()
+	d.stopAll()
+	d.requirePromises(callers.Attempts())
 }
 
-func (p *player) phase(what string) {
-	p.t.Logf("%s %s", clockTime(time.Now()), what)
+func (d *driver) logPhase(phase string) {
+	d.t.Logf("%s %s", formatTime(time.Now()), phase)
 }
 
-// startAll starts all processes at once.
-func (p *player) startAll() {
-	var g errgroup.Group
-	for _, process := range p.all() {
-		g.Go(func() error { return process.start("") })
+// startAll starts all processes at the same time.
+func (d *driver) startAll() {
+	var group errgroup.Group
+	for _, proc := range d.processes() {
+		group.Go(func() error { return proc.start("") })
 	}
-	require.NoError(p.t, g.Wait())
+	require.NoError(d.t, group.Wait())
 }
 
 // stopAll stops all processes, routers before keepers.
-func (p *player) stopAll() {
-	for _, list := range [][]*process{p.routers, p.keepers} {
-		var all sync.WaitGroup
-		for _, process := range list {
-			all.Go(func() { process.stop("") })
+func (d *driver) stopAll() {
+	for _, processes := range [][]*process{d.routers, d.keepers} {
+		var stopping sync.WaitGroup
+		for _, proc := range processes {
+			stopping.Go(func() { proc.stop("") })
 		}
-		all.Wait()
+		stopping.Wait()
 	}
 }
 
-func (p *player) requireServed() {
-	for i := range p.routers {
-		require.Eventually(p.t, func() bool { return p.served(i, p.changes.newest()) }, patience, poll,
-			"router %d does not serve configuration %d", i, p.changes.newest())
+// requireConfigServed waits until each router serves the configuration that was sent last.
+func (d *driver) requireConfigServed() {
+	for i := range d.routers {
+		require.Eventually(d.t, func() bool { return d.serves(i, d.configs.latestVersion()) }, waitTimeout, pollInterval,
+			"router %d does not serve configuration %d", i, d.configs.latestVersion())
 	}
 }
 
-// requireWork checks that each target that stands as ready in the list gets work, while
-// there is enough for all.
-func (p *player) requireWork() {
-	for _, target := range p.live {
-		before := len(target.Runs())
-		require.Eventually(p.t, func() bool { return len(target.Runs()) > before }, patience, poll,
-			"%s, born at %s, gets no work", target.ID, clockTime(time.UnixMilli(target.StartMillis)))
+// requireTargetsServe waits until each target that is listed as ready gets a new request. There must be
+// enough callers to need all targets.
+func (d *driver) requireTargetsServe() {
+	for _, target := range d.liveTargets {
+		runCount := len(target.Runs())
+		require.Eventually(d.t, func() bool { return len(target.Runs()) > runCount }, waitTimeout, pollInterval,
+			"%s, started at %s, gets no work", target.ID, formatTime(time.UnixMilli(target.StartMillis)))
 	}
 }
 
-// callers returns callers of all routers by turns, of all manners.
-func (p *player) callers() *standin.Callers {
+// newCallers returns callers that send to all routers in turn, in all manners of sending and reading.
+func (d *driver) newCallers() *standin.Callers {
 	return &standin.Callers{
-		Paths: []string{"/once/x", "/keyed/x", flowPath},
+		Paths: []string{"/once/x", "/keyed/x", streamPath},
 		Key: func(caller int) string {
 			if caller%4 == 0 {
 				return guestKey
 			}
 			return memberKey
 		},
-		ChooseRouter: func(caller, n int) (int, string) {
-			i := (caller + n/20) % len(p.doors)
-			return i, p.doors[i].Address()
+		ChooseRouter: func(caller, request int) (int, string) {
+			router := (caller + request/20) % len(d.routerProxies)
+			return router, d.routerProxies[router].Address()
 		},
-		DialFailed: func(i int, local string) bool { return p.doors[i].DialFailed(local) },
-		Behavior: func(_, n int) standin.CallerBehavior {
+		DialFailed: func(router int, local string) bool { return d.routerProxies[router].DialFailed(local) },
+		Behavior: func(_, request int) standin.CallerBehavior {
 			switch {
-			case n%7 == 3:
+			case request%7 == 3:
 				return standin.BehaviorChunkedBody
-			case n%7 == 5:
+			case request%7 == 5:
 				return standin.BehaviorSlowReader
-			case n%11 == 6:
+			case request%11 == 6:
 				return standin.BehaviorAbandon
 			}
 			return standin.BehaviorNormal
 		},
-		ExtraWait: waitMargin + time.Second,
+		ExtraWait: overdueMargin + time.Second,
 	}
 }
 
-// leastServed is how many whole answers a caller whose key counts all along must have got
-// on average, lest a run proves little. Their part of all attempts tells nothing: a refusal
-// takes milliseconds, and callers come back at once. Of two routers one may stand still for
-// most of a run while the other one stops: then 16 callers, of whom 12 are such, got 98 to 106 in
-// all (five runs, the first beside load).
-const leastServed = 4
+// minServedPerCaller is the least average number of complete answers to a caller whose key is always
+// valid; with fewer, a run proves little. The share of answered attempts is no measure: a rejection
+// takes milliseconds, and callers retry at once. One of two routers may be paused for most of a run
+// while the other one stops: then the 12 callers of 16 with such a key got 98 to 106 answers in total
+// (five runs, the first one under load).
+const minServedPerCaller = 4
 
-func (p *player) requirePromises(attempts []standin.Attempt) {
+// requirePromises checks the attempts of all callers, and that enough of them were served.
+func (d *driver) requirePromises(attempts []standin.Attempt) {
 	statuses := make(map[int]int)
-	served := 0 // of callers whose key counts all along
-	for _, a := range attempts {
-		statuses[a.Status]++
-		if a.Key == memberKey && a.Status == http.StatusOK {
+	served := 0 // of callers whose key is always valid
+	for _, attempt := range attempts {
+		statuses[attempt.Status]++
+		if attempt.Key == memberKey && attempt.Status == http.StatusOK {
 			served++
 		}
 	}
-	leaders := 0
-	for _, k := range p.keepers {
-		leaders += k.logged(`"@message":"leading"`)
+	leaderCount := 0
+	for _, keeper := range d.keepers {
+		leaderCount += keeper.countInLog(`"@message":"leading"`)
 	}
-	p.t.Logf("%d attempts by status: %v; %d configurations; %d processes; led %d times",
-		len(attempts), statuses, p.changes.newest(), len(p.all()), leaders)
-	p.history.judge(attempts, p.site, p.notes)
-	require.Empty(p.t, p.notes.list)
-	require.Greater(p.t, served, leastServed*p.size.Callers*3/4, "a soak without service proves little")
+	d.t.Logf("%d attempts by status: %v; %d configurations; %d processes; leaders elected %d times",
+		len(attempts), statuses, d.configs.latestVersion(), len(d.processes()), leaderCount)
+	d.history.checkPromises(attempts, d.platform, d.violations)
+	require.Empty(d.t, d.violations.list)
+	require.Greater(d.t, served, minServedPerCaller*d.size.Callers*3/4, "too few attempts were served for the checks to prove anything")
 }
