--- a/internal/cmd/balancer_test.go
+++ b/internal/cmd/balancer_test.go
@@ -14,51 +14,50 @@
 	"laburnumfall/internal/standin"
 )
 
-// Symptom: callers lose requests, or are refused, while routers are restarted by turns.
-// Sequence: callers come in through a balancer, on kept connections; each router is told
-// to stop and started again.
-// Cause: a router that stops goes on looking ready, closes connections that callers
-// still use, or refuses callers before the balancer has noticed.
-func TestRoutersRestartByTurnsBehindTheBalancer(t *testing.T) {
-	const callers = 6
-	g := newGround(t)
-	for i := range groundKeepers {
-		g.keeper(i, true)
+// Guards against lost or refused requests during a rolling restart of the routers behind a load
+// balancer with kept-alive connections. A stopping router could stay ready, close connections
+// that callers still use, or refuse callers before the load balancer has noticed that it is not
+// ready.
+func TestRollingRouterRestartBehindLoadBalancer(t *testing.T) {
+	const callerCount = 6
+	processes := newPlatformFleet(t)
+	for i := range platformKeepers {
+		processes.startKeeper(i, true)
 	}
-	b := &standin.Balancer{Period: time.Second}
+	balancer := &standin.Balancer{Period: time.Second}
 	for i := range 2 {
-		g.router(i)
-		b.Doors = append(b.Doors, standin.Door{Ready: g.address(g.routerIP(i), 3), Callers: g.address(g.routerIP(i), 2)})
+		processes.startRouter(i)
+		balancer.Doors = append(balancer.Doors, standin.Door{Ready: processes.address(processes.routerIP(i), 3), Callers: processes.address(processes.routerIP(i), 2)})
 	}
-	g.put(1)
-	g.requireServed(1)
-	require.NoError(t, b.Start("127.0.4.1:0"))
-	t.Cleanup(b.Close)
-	c := &standin.Callers{
+	processes.putConfig(1)
+	processes.requireConfigAtRouters(1)
+	require.NoError(t, balancer.Start("127.0.4.1:0"))
+	t.Cleanup(balancer.Close)
+	callers := &standin.Callers{
 		Paths: []string{"/keyed/x", "/open1/x"},
 		Key:   func(int) string { return "good-key" },
-		Door:  func(int, int) (int, string) { return 0, b.Address() },
+		Door:  func(int, int) (int, string) { return 0, balancer.Address() },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	for i := range callers {
-		running.Go(func() { c.Run(ctx, i) })
+	for i := range callerCount {
+		running.Go(func() { callers.Run(ctx, i) })
 	}
 	for i, name := range []string{"r0", "r1"} {
-		require.Eventually(t, func() bool { return len(b.Rotation()) == 2 }, patience, poll)
-		require.NoError(t, g.running[name].Process.Signal(syscall.SIGTERM))
-		require.Eventually(t, func() bool { return !slices.Contains(b.Rotation(), i) }, patience, poll, "it leaves the rotation")
-		require.NoError(t, g.running[name].Wait(), "a stop ends well")
-		g.router(i)
+		require.Eventually(t, func() bool { return len(balancer.Rotation()) == 2 }, waitTimeout, pollInterval)
+		require.NoError(t, processes.running[name].Process.Signal(syscall.SIGTERM))
+		require.Eventually(t, func() bool { return !slices.Contains(balancer.Rotation(), i) }, waitTimeout, pollInterval, "it leaves the rotation")
+		require.NoError(t, processes.running[name].Wait(), "a stop ends well")
+		processes.startRouter(i)
 	}
-	require.Eventually(t, func() bool { return len(b.Rotation()) == 2 }, patience, poll)
+	require.Eventually(t, func() bool { return len(balancer.Rotation()) == 2 }, waitTimeout, pollInterval)
 	cancel()
 	running.Wait()
 	statuses := map[int]int{}
-	for _, a := range c.Taken() {
-		statuses[a.Status]++
-		require.Empty(t, a.Wrong)
+	for _, attempt := range callers.Taken() {
+		statuses[attempt.Status]++
+		require.Empty(t, attempt.Wrong)
 	}
 	require.Len(t, statuses, 1, "%v", statuses)
-	require.Greater(t, statuses[http.StatusOK], 10*callers)
+	require.Greater(t, statuses[http.StatusOK], 10*callerCount)
 }
--- a/internal/cmd/examples_test.go
+++ b/internal/cmd/examples_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The example settings pass the checks that the operators' page tells to make.
-func TestExamplesAreGood(t *testing.T) {
+// Guards against example settings that fail the checks that the operators' documentation
+// recommends.
+func TestExampleSettingsPassCheck(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*.toml")
 	require.NoError(t, err)
 	require.Len(t, files, 10)
--- a/internal/cmd/fleet_test.go
+++ b/internal/cmd/fleet_test.go
@@ -19,10 +19,11 @@
 	"laburnumfall/internal/standin"
 )
 
-// ask sends a chat completion and returns the answer's status, outcome and body.
-func (p *processes) ask(router, content string, headers ...string) (int, string, string, error) {
+// sendCompletion sends a chat completion and returns the status, the outcome and the body of the
+// response.
+func (p *processFleet) sendCompletion(router, content string, headers ...string) (int, string, string, error) {
 	body := fmt.Sprintf(`{"stream":true,"messages":[{"role":"user","content":%q}]}`, content)
-	req, err := http.NewRequest(http.MethodPost, "http://"+p.listen[router]+"/e/tender/v1/chat/completions", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+p.listenAddresses[router]+"/e/tender/v1/chat/completions", strings.NewReader(body))
 	require.NoError(p.t, err)
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -37,17 +38,17 @@
 	return resp.StatusCode, resp.Header.Get("Lf-Outcome"), string(data), err
 }
 
-func (p *processes) counts(name string) standin.Counts {
-	var c standin.Counts
-	resp, err := http.Get("http://" + p.listen[name] + "/-/counts")
+func (p *processFleet) standinCounts(name string) standin.Counts {
+	var counts standin.Counts
+	resp, err := http.Get("http://" + p.listenAddresses[name] + "/-/counts")
 	require.NoError(p.t, err)
 	defer func() { _ = resp.Body.Close() }()
-	require.NoError(p.t, json.NewDecoder(resp.Body).Decode(&c))
-	return c
+	require.NoError(p.t, json.NewDecoder(resp.Body).Decode(&counts))
+	return counts
 }
 
-func (p *processes) healthy(name string) bool {
-	resp, err := http.Get("http://" + p.admin[name] + "/healthz")
+func (p *processFleet) isHealthy(name string) bool {
+	resp, err := http.Get("http://" + p.adminAddresses[name] + "/healthz")
 	if err != nil {
 		return false
 	}
@@ -55,183 +56,179 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// startFleet starts three keepers, two routers and two engines, in an order
-// that helps nobody, and puts a configuration in force.
-func startFleet(t *testing.T, engine string) *processes {
-	p := newProcesses(t)
-	p.startRouter("r1")
-	p.startKeeper("k3", "--init")
-	p.startStandin("s1", "engine", engine)
-	p.startStandin("s2", "engine", engine)
-	p.startKeeper("k1", "--init")
-	p.startRouter("r2")
-	p.startKeeper("k2", "--init")
-	p.eventually("a leader", func() bool { return p.status().Leader != "" })
-	p.eventually("both routers", func() bool { return len(p.status().Routers) == 2 })
-	code, out := p.ctl("apply", "--wait", p.config(1, "", "s1", "s2"))
+// startProcessFleet starts three keepers, two routers and two engines, in an unfavourable order,
+// and applies a configuration.
+func startProcessFleet(t *testing.T, engineSettings string) *processFleet {
+	processes := newProcessFleet(t)
+	processes.startRouter("r1")
+	processes.startKeeper("k3", "--init")
+	processes.startStandin("s1", "engine", engineSettings)
+	processes.startStandin("s2", "engine", engineSettings)
+	processes.startKeeper("k1", "--init")
+	processes.startRouter("r2")
+	processes.startKeeper("k2", "--init")
+	processes.eventually("a leader", func() bool { return processes.status().Leader != "" })
+	processes.eventually("both routers", func() bool { return len(processes.status().Routers) == 2 })
+	code, out := processes.runCtl("apply", "--wait", processes.writeConfig(1, "", "s1", "s2"))
 	require.Equal(t, exitOK, code, out)
-	p.eventually("healthy routers", func() bool { return p.healthy("r1") && p.healthy("r2") })
-	return p
+	processes.eventually("healthy routers", func() bool { return processes.isHealthy("r1") && processes.isHealthy("r2") })
+	return processes
 }
 
-func (p *processes) leader() string {
+func (p *processFleet) leaderName() string {
 	return strings.SplitN(p.status().Leader, "-", 2)[0]
 }
 
-// Symptom: the fleet stops, forgets, or has two leaders when keepers die.
-// Sequence: operators race; the leader is stopped and woken later; a keeper is
-// killed and its disk lost; all keepers are killed at once.
-// Cause: any promise that rests on one process.
-func TestKeepersKilledStoppedAndReplaced(t *testing.T) {
-	p := startFleet(t, "pace = \"2ms\"")
-	status, outcome, body, err := p.ask("r1", "first")
+// Guards against a fleet that stops, loses its configuration or has two leaders after operators
+// apply conflicting configurations, the leader is suspended and resumed, a keeper loses its disk,
+// or all keepers are killed at once.
+func TestStateSurvivesKeeperFailures(t *testing.T) {
+	processes := startProcessFleet(t, "pace = \"2ms\"")
+	status, outcome, body, err := processes.sendCompletion("r1", "first")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status, body)
 	require.Equal(t, "ran", outcome)
 	require.Contains(t, body, "first")
 	require.Contains(t, body, "[DONE]")
 
-	code, out := p.ctl("apply", p.config(1, "", "s1", "s2"))
+	code, out := processes.runCtl("apply", processes.writeConfig(1, "", "s1", "s2"))
 	require.Equal(t, exitOK, code, "the same again: %s", out)
-	code, out = p.ctl("apply", p.config(1, "s2", "s1", "s2"))
+	code, out = processes.runCtl("apply", processes.writeConfig(1, "s2", "s1", "s2"))
 	require.Equal(t, exitConflict, code, out)
 	require.Contains(t, out, "number in force: 1")
 
-	stopped := p.leader()
-	p.signal(stopped, syscall.SIGSTOP)
-	p.eventually("another leader", func() bool { l := p.leader(); return l != "" && l != stopped })
-	code, out = p.ctl("apply", "--wait", p.config(2, "", "s1", "s2"))
+	suspended := processes.leaderName()
+	processes.signal(suspended, syscall.SIGSTOP)
+	processes.eventually("another leader", func() bool { leader := processes.leaderName(); return leader != "" && leader != suspended })
+	code, out = processes.runCtl("apply", "--wait", processes.writeConfig(2, "", "s1", "s2"))
 	require.Equal(t, exitOK, code, out)
-	code, out = p.ctl("apply", p.config(1, "", "s1", "s2"))
+	code, out = processes.runCtl("apply", processes.writeConfig(1, "", "s1", "s2"))
 	require.Equal(t, exitOK, code, "accepted once, accepted again: %s", out)
 	require.Contains(t, out, "nothing changed, number 2 is in force")
-	p.signal(stopped, syscall.SIGCONT)
-	now := p.leader()
+	processes.signal(suspended, syscall.SIGCONT)
+	currentLeader := processes.leaderName()
 	time.Sleep(2 * time.Second)
-	require.Equal(t, now, p.leader(), "the woken keeper deposes nobody")
-	require.Equal(t, uint64(2), p.status().Number)
+	require.Equal(t, currentLeader, processes.leaderName(), "the woken keeper deposes nobody")
+	require.Equal(t, uint64(2), processes.status().Number)
 
-	former := p.memberID(stopped)
-	p.kill(stopped)
-	require.NoError(t, os.RemoveAll(filepath.Join(p.folder, stopped)))
-	p.startKeeper(stopped)
-	p.eventually("the replacement votes", func() bool {
-		s := p.status()
+	formerID := processes.memberID(suspended)
+	processes.kill(suspended)
+	require.NoError(t, os.RemoveAll(filepath.Join(processes.folder, suspended)))
+	processes.startKeeper(suspended)
+	processes.eventually("the replacement votes", func() bool {
+		status := processes.status()
 		voters := 0
-		for _, k := range s.Keepers {
-			if k.Voter && k.ID != former {
+		for _, keeper := range status.Keepers {
+			if keeper.Voter && keeper.ID != formerID {
 				voters++
 			}
 		}
-		return voters == 3 && !s.Changing
+		return voters == 3 && !status.Changing
 	})
-	for name := range p.keepers {
-		p.kill(name)
+	for name := range processes.keeperAddresses {
+		processes.kill(name)
 	}
-	p.startKeeper("k1", "--init")
-	require.Equal(t, exitUsage, p.exitCode("k1"), "--init on a folder in use")
-	for name := range p.keepers {
-		p.startKeeper(name)
+	processes.startKeeper("k1", "--init")
+	require.Equal(t, exitUsage, processes.waitForExit("k1"), "--init on a folder in use")
+	for name := range processes.keeperAddresses {
+		processes.startKeeper(name)
 	}
-	p.eventually("the state is back", func() bool { return p.status().Number == 2 })
-	p.eventually("requests go on", func() bool {
-		status, _, _, err := p.ask("r2", "last")
+	processes.eventually("the state is back", func() bool { return processes.status().Number == 2 })
+	processes.eventually("requests go on", func() bool {
+		status, _, _, err := processes.sendCompletion("r2", "last")
 		return err == nil && status == http.StatusOK
 	})
 }
 
-// Symptom: a leaving target gets new work; a stopping router cuts answers; a
-// request that may not be repeated runs twice.
-// Sequence: a target leaves under load; a router is told to stop under load;
-// keys are sent again by the other router.
-func TestDrainStopAndResend(t *testing.T) {
-	p := startFleet(t, "pace = \"20ms\"\ntokens = 40")
-	code, out := p.ctl("apply", "--wait", p.config(2, "s2", "s1", "s2"))
+// Guards against new work for a leaving target, responses cut off by a stopping router, and
+// non-repeatable requests that run twice when another router receives the same idempotency key.
+func TestDrainShutdownAndResendLoseNoRequest(t *testing.T) {
+	processes := startProcessFleet(t, "pace = \"20ms\"\ntokens = 40")
+	code, out := processes.runCtl("apply", "--wait", processes.writeConfig(2, "s2", "s1", "s2"))
 	require.Equal(t, exitOK, code, out)
-	before := p.counts("s2").Started
+	before := processes.standinCounts("s2").Started
 	for i := range 5 {
 		key := fmt.Sprintf("key-%d", i)
-		status, _, body, err := p.ask("r1", "once", "Lf-Repeat", "never", "Idempotency-Key", key, "Connection", "close")
+		status, _, body, err := processes.sendCompletion("r1", "once", "Lf-Repeat", "never", "Idempotency-Key", key, "Connection", "close")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, body)
-		// Until the first router has settled the claim, its fate is "running".
-		p.eventually("the fate is known", func() bool {
-			status, outcome, body, err := p.ask("r2", "once", "Lf-Repeat", "never", "Idempotency-Key", key)
+		// The outcome is "running" until the first router has settled the claim.
+		processes.eventually("the fate is known", func() bool {
+			status, outcome, body, err := processes.sendCompletion("r2", "once", "Lf-Repeat", "never", "Idempotency-Key", key)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusConflict, status, body)
 			require.NotEqual(t, "unrun", outcome)
 			return outcome == "ran"
 		})
 	}
-	for key, n := range p.counts("s1").Runs {
-		require.Equal(t, 1, n, key)
+	for key, runs := range processes.standinCounts("s1").Runs {
+		require.Equal(t, 1, runs, key)
 	}
-	require.Equal(t, before, p.counts("s2").Started, "a leaving target gets no new work")
+	require.Equal(t, before, processes.standinCounts("s2").Started, "a leaving target gets no new work")
 
-	answers := make(chan string, 100)
+	failures := make(chan string, 100)
 	var callers sync.WaitGroup
 	for i := range 20 {
 		callers.Go(func() {
-			status, outcome, body, err := p.ask("r1", fmt.Sprintf("mine-%d", i), "Connection", "close")
+			status, outcome, body, err := processes.sendCompletion("r1", fmt.Sprintf("mine-%d", i), "Connection", "close")
 			switch {
 			case err != nil:
-				answers <- err.Error()
+				failures <- err.Error()
 			case status == http.StatusOK && !strings.Contains(body, fmt.Sprintf("mine-%d\"", i)):
-				answers <- "not mine, or not whole: " + body
+				failures <- "not mine, or not whole: " + body
 			case status != http.StatusOK && outcome != "unrun":
-				answers <- fmt.Sprintf("status %d, outcome %s", status, outcome)
+				failures <- fmt.Sprintf("status %d, outcome %s", status, outcome)
 			}
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
-	p.signal("r1", syscall.SIGTERM)
+	processes.signal("r1", syscall.SIGTERM)
 	callers.Wait()
-	close(answers)
-	for a := range answers {
-		require.Empty(t, a)
+	close(failures)
+	for failure := range failures {
+		require.Empty(t, failure)
 	}
-	require.Equal(t, exitOK, p.exitCode("r1"))
-	c := p.counts("s1")
-	require.Zero(t, c.Cancelled)
-	require.LessOrEqual(t, c.Most, 8, "no more than its slots at a time")
+	require.Equal(t, exitOK, processes.waitForExit("r1"))
+	counts := processes.standinCounts("s1")
+	require.Zero(t, counts.Cancelled)
+	require.LessOrEqual(t, counts.Most, 8, "no more than its slots at a time")
 }
 
-// Symptom: a router that hears no keeper goes on starting requests, on targets
-// that may have left and under a configuration that may be old.
-// Sequence: all keepers are stopped while an answer streams; they wake later.
-// Cause: a router that outlives its lease.
-func TestRouterWithoutKeepersStopsAndComesBack(t *testing.T) {
-	p := startFleet(t, "pace = \"50ms\"\ntokens = 100")
-	streamed := make(chan string, 1)
+// Guards against a router that starts requests after its lease has expired, on targets that may
+// have left and with a configuration that may be outdated. All keepers are suspended while a
+// response streams.
+func TestRouterRefusesRequestsWithoutLease(t *testing.T) {
+	processes := startProcessFleet(t, "pace = \"50ms\"\ntokens = 100")
+	streamBody := make(chan string, 1)
 	go func() {
-		_, _, body, err := p.ask("r1", "to the end")
+		_, _, body, err := processes.sendCompletion("r1", "to the end")
 		if err != nil {
 			body = err.Error()
 		}
-		streamed <- body
+		streamBody <- body
 	}()
-	p.eventually("the stream runs", func() bool { return p.counts("s1").Running+p.counts("s2").Running == 1 })
-	for name := range p.keepers {
-		p.signal(name, syscall.SIGSTOP)
+	processes.eventually("the stream runs", func() bool { return processes.standinCounts("s1").Running+processes.standinCounts("s2").Running == 1 })
+	for name := range processes.keeperAddresses {
+		processes.signal(name, syscall.SIGSTOP)
 	}
-	p.eventually("unhealthy", func() bool { return !p.healthy("r1") && !p.healthy("r2") })
-	started := p.counts("s1").Started + p.counts("s2").Started
+	processes.eventually("unhealthy", func() bool { return !processes.isHealthy("r1") && !processes.isHealthy("r2") })
+	started := processes.standinCounts("s1").Started + processes.standinCounts("s2").Started
 	for range 5 {
-		status, outcome, body, err := p.ask("r2", "too late", "Lf-Repeat", "never", "Idempotency-Key", "late")
+		status, outcome, body, err := processes.sendCompletion("r2", "too late", "Lf-Repeat", "never", "Idempotency-Key", "late")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusServiceUnavailable, status)
 		require.Equal(t, "unrun", outcome)
 		require.Contains(t, body, "nolease")
 	}
-	body := <-streamed
+	body := <-streamBody
 	require.Contains(t, body, "to the end", "what runs finishes")
 	require.Contains(t, body, "[DONE]")
-	require.Equal(t, started, p.counts("s1").Started+p.counts("s2").Started)
-	for name := range p.keepers {
-		p.signal(name, syscall.SIGCONT)
+	require.Equal(t, started, processes.standinCounts("s1").Started+processes.standinCounts("s2").Started)
+	for name := range processes.keeperAddresses {
+		processes.signal(name, syscall.SIGCONT)
 	}
-	p.eventually("healthy again", func() bool { return p.healthy("r1") && p.healthy("r2") })
-	status, outcome, body, err := p.ask("r2", "at last", "Lf-Repeat", "never", "Idempotency-Key", "late")
+	processes.eventually("healthy again", func() bool { return processes.isHealthy("r1") && processes.isHealthy("r2") })
+	status, outcome, body, err := processes.sendCompletion("r2", "at last", "Lf-Repeat", "never", "Idempotency-Key", "late")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status, body)
 	require.Equal(t, "ran", outcome)
--- a/internal/cmd/idle_bench_test.go
+++ b/internal/cmd/idle_bench_test.go
@@ -13,60 +13,61 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkIdle runs a fleet of real processes without requests and measures
-// what control alone costs: processor time, memory and control bytes of one
-// router, of the leading keeper and of one that follows.
+// BenchmarkIdle measures the cost of the control plane in a fleet of real processes without
+// requests: processor time, memory, and control bytes of a router, of the leader and of a
+// follower.
 func BenchmarkIdle(b *testing.B) {
 	for _, routers := range []int{4, 8, 16, 32} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
-			p := newProcesses(b)
-			for name := range p.keepers {
-				p.startKeeper(name, "--init")
+			processes := newProcessFleet(b)
+			for name := range processes.keeperAddresses {
+				processes.startKeeper(name, "--init")
 			}
-			p.startStandin("s1", "engine", "")
+			processes.startStandin("s1", "engine", "")
 			for i := range routers {
-				p.startRouter(fmt.Sprintf("r%d", i))
+				processes.startRouter(fmt.Sprintf("r%d", i))
 			}
-			p.eventually("all routers", func() bool { return len(p.status().Routers) == routers })
-			code, out := p.ctl("apply", "--wait", p.config(1, "", "s1"))
+			processes.eventually("all routers", func() bool { return len(processes.status().Routers) == routers })
+			code, out := processes.runCtl("apply", "--wait", processes.writeConfig(1, "", "s1"))
 			require.Equal(b, exitOK, code, out)
 			time.Sleep(2 * time.Second)
-			leads := p.leader()
-			follows := map[string]string{"k1": "k2", "k2": "k3", "k3": "k1"}[leads]
-			router, leader, follower := p.look("r0"), p.look(leads), p.look(follows)
-			const span = 10 * time.Second
+			leaderName := processes.leaderName()
+			followerOf := map[string]string{"k1": "k2", "k2": "k3", "k3": "k1"}[leaderName]
+			router, leader, follower := processes.measureUsage("r0"), processes.measureUsage(leaderName), processes.measureUsage(followerOf)
+			const duration = 10 * time.Second
 			b.ResetTimer()
-			time.Sleep(span)
-			router, leader, follower = p.look("r0").since(router), p.look(leads).since(leader), p.look(follows).since(follower)
-			b.ReportMetric(100*follower.cpu.Seconds()/span.Seconds(), "follower-cpu-%")
+			time.Sleep(duration)
+			router, leader, follower = processes.measureUsage("r0").since(router), processes.measureUsage(leaderName).since(leader), processes.measureUsage(followerOf).since(follower)
+			b.ReportMetric(100*follower.cpu.Seconds()/duration.Seconds(), "follower-cpu-%")
 			b.ReportMetric(follower.memory/1e6, "follower-MB")
-			b.ReportMetric(follower.bytes/span.Seconds(), "follower-B/s")
-			b.ReportMetric(100*router.cpu.Seconds()/span.Seconds(), "router-cpu-%")
+			b.ReportMetric(follower.controlBytes/duration.Seconds(), "follower-B/s")
+			b.ReportMetric(100*router.cpu.Seconds()/duration.Seconds(), "router-cpu-%")
 			b.ReportMetric(router.memory/1e6, "router-MB")
-			b.ReportMetric(router.bytes/span.Seconds(), "router-B/s")
-			b.ReportMetric(100*leader.cpu.Seconds()/span.Seconds(), "leader-cpu-%")
+			b.ReportMetric(router.controlBytes/duration.Seconds(), "router-B/s")
+			b.ReportMetric(100*leader.cpu.Seconds()/duration.Seconds(), "leader-cpu-%")
 			b.ReportMetric(leader.memory/1e6, "leader-MB")
-			b.ReportMetric(leader.bytes/span.Seconds(), "leader-B/s")
+			b.ReportMetric(leader.controlBytes/duration.Seconds(), "leader-B/s")
 		})
 	}
 }
 
-// usage is what a process has used.
-type usage struct {
-	cpu    time.Duration
-	memory float64 // resident bytes
-	bytes  float64 // control bytes sent and received
+// processUsage is the resource usage of a process.
+type processUsage struct {
+	cpu          time.Duration
+	memory       float64 // resident set size in bytes
+	controlBytes float64 // control plane bytes sent and received
 }
 
-func (u usage) since(before usage) usage {
-	u.cpu -= before.cpu
-	u.bytes -= before.bytes
+func (u processUsage) since(start processUsage) processUsage {
+	u.cpu -= start.cpu
+	u.controlBytes -= start.controlBytes
 	return u
 }
 
-// look reads a process's usage from the system and from its metrics.
-func (p *processes) look(name string) usage {
-	var u usage
+// measureUsage reads the resource usage of a process from the operating system and from its
+// metrics.
+func (p *processFleet) measureUsage(name string) processUsage {
+	var usage processUsage
 	pid := p.running[name].Process.Pid
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	require.NoError(p.t, err)
@@ -75,20 +76,20 @@
 	for _, i := range []int{userTicks, systemTicks} {
 		ticks, err := strconv.Atoi(fields[i])
 		require.NoError(p.t, err)
-		u.cpu += time.Duration(ticks) * time.Second / ticksPerSecond
+		usage.cpu += time.Duration(ticks) * time.Second / ticksPerSecond
 	}
 	pages, err := strconv.Atoi(fields[residentPages])
 	require.NoError(p.t, err)
-	u.memory = float64(pages * os.Getpagesize())
-	resp, err := http.Get("http://" + p.admin[name] + "/metrics")
+	usage.memory = float64(pages * os.Getpagesize())
+	resp, err := http.Get("http://" + p.adminAddresses[name] + "/metrics")
 	require.NoError(p.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
 		if text, ok := strings.CutPrefix(lines.Text(), "lf_control_"); ok && strings.Contains(text, "_bytes_total ") {
-			n, err := strconv.ParseFloat(text[strings.IndexByte(text, ' ')+1:], 64)
+			count, err := strconv.ParseFloat(text[strings.IndexByte(text, ' ')+1:], 64)
 			require.NoError(p.t, err)
-			u.bytes += n
+			usage.controlBytes += count
 		}
 	}
-	return u
+	return usage
 }
--- a/internal/cmd/load_bench_test.go
+++ b/internal/cmd/load_bench_test.go
@@ -12,89 +12,91 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkLoad runs a fleet of real processes under more callers than it has
-// slots, every fifth request not repeatable, with a keeper and a router lost on
-// the way, and counts what the callers were told.
+// BenchmarkLoad runs a fleet of real processes with more callers than slots. Every fifth request
+// is non-repeatable, and a keeper and a router are killed on the way. It counts the responses and
+// checks that no key ran twice.
 func BenchmarkLoad(b *testing.B) {
 	const (
-		callers = 96
-		span    = 15 * time.Second
+		callers  = 96
+		duration = 15 * time.Second
 	)
 	for b.Loop() {
-		p := newProcesses(b)
-		for name := range p.keepers {
-			p.startKeeper(name, "--init")
+		processes := newProcessFleet(b)
+		for name := range processes.keeperAddresses {
+			processes.startKeeper(name, "--init")
 		}
 		var targets, routers []string
 		for i := range 4 {
 			targets = append(targets, fmt.Sprintf("s%d", i))
-			p.startStandin(targets[i], "engine", "pace = \"2ms\"\ndelay = \"20ms\"\ntokens = 40")
+			processes.startStandin(targets[i], "engine", "pace = \"2ms\"\ndelay = \"20ms\"\ntokens = 40")
 		}
 		for i := range 6 {
 			routers = append(routers, fmt.Sprintf("r%d", i))
-			p.startRouter(routers[i])
+			processes.startRouter(routers[i])
 		}
-		p.eventually("all routers", func() bool { return len(p.status().Routers) == len(routers) })
-		code, out := p.ctl("apply", "--wait", p.config(1, "", targets...))
+		processes.eventually("all routers", func() bool { return len(processes.status().Routers) == len(routers) })
+		code, out := processes.runCtl("apply", "--wait", processes.writeConfig(1, "", targets...))
 		require.Equal(b, exitOK, code, out)
-		l := &loadCount{told: map[string]int{}, times: hdrhistogram.New(1, int64(time.Minute), 3)}
-		end := time.Now().Add(span)
-		var g sync.WaitGroup
+		stats := &loadStats{responses: map[string]int{}, latencies: hdrhistogram.New(1, int64(time.Minute), 3)}
+		endTime := time.Now().Add(duration)
+		var running sync.WaitGroup
 		for i := range callers {
-			g.Go(func() { l.call(p, i, routers, end) })
+			running.Go(func() { stats.runCaller(processes, i, routers, endTime) })
 		}
-		time.Sleep(span / 3)
-		p.kill(p.leader())
-		time.Sleep(span / 3)
-		p.kill("r5")
-		g.Wait()
-		for what, n := range l.told {
-			b.Logf("%s: %d", what, n)
+		time.Sleep(duration / 3)
+		processes.kill(processes.leaderName())
+		time.Sleep(duration / 3)
+		processes.kill("r5")
+		running.Wait()
+		for outcome, count := range stats.responses {
+			b.Logf("%s: %d", outcome, count)
 		}
 		for _, name := range targets {
-			c := p.counts(name)
-			require.LessOrEqual(b, c.Most, 8)
-			for key, n := range c.Runs {
-				l.runs(key, n)
+			counts := processes.standinCounts(name)
+			require.LessOrEqual(b, counts.Most, 8)
+			for key, count := range counts.Runs {
+				stats.addRuns(key, count)
 			}
 		}
-		require.Zero(b, l.twice, "keys that ran twice")
-		b.ReportMetric(float64(l.told["200 ran"])/span.Seconds(), "whole/s")
-		b.ReportMetric(float64(l.times.ValueAtQuantile(50))/1e6, "p50-ms")
-		b.ReportMetric(float64(l.times.ValueAtQuantile(99))/1e6, "p99-ms")
+		require.Zero(b, stats.repeatedKeys, "keys that ran twice")
+		b.ReportMetric(float64(stats.responses["200 ran"])/duration.Seconds(), "whole/s")
+		b.ReportMetric(float64(stats.latencies.ValueAtQuantile(50))/1e6, "p50-ms")
+		b.ReportMetric(float64(stats.latencies.ValueAtQuantile(99))/1e6, "p99-ms")
 	}
 }
 
-// loadCount is what the callers were told.
-type loadCount struct {
-	mu    sync.Mutex
-	told  map[string]int
-	times *hdrhistogram.Histogram
-	keys  map[string]int
-	twice int
+// loadStats collects the responses and latencies that callers saw, and the runs of each
+// idempotency key.
+type loadStats struct {
+	mu           sync.Mutex
+	responses    map[string]int
+	latencies    *hdrhistogram.Histogram
+	runsByKey    map[string]int
+	repeatedKeys int
 }
 
-func (l *loadCount) call(p *processes, caller int, routers []string, end time.Time) {
-	for n := 0; time.Now().Before(end); n++ {
+func (l *loadStats) runCaller(processes *processFleet, caller int, routers []string, endTime time.Time) {
+	for requestNumber := 0; time.Now().Before(endTime); requestNumber++ {
 		headers := []string{"Lf-Cost", "40"}
-		if n%5 == 0 {
-			headers = append(headers, "Lf-Repeat", "never", "Idempotency-Key", fmt.Sprintf("load-%d-%d", caller, n))
+		if requestNumber%5 == 0 {
+			headers = append(headers, "Lf-Repeat", "never", "Idempotency-Key", fmt.Sprintf("load-%d-%d", caller, requestNumber))
 		}
 		start := time.Now()
-		mine := fmt.Sprintf("mine-%d-%d", caller, n)
-		status, outcome, body, err := p.ask(routers[(caller+n)%len(routers)], mine, headers...)
-		what := fmt.Sprintf("%d %s", status, outcome)
+		prompt := fmt.Sprintf("mine-%d-%d", caller, requestNumber)
+		status, outcome, body, err := processes.sendCompletion(routers[(caller+requestNumber)%len(routers)], prompt, headers...)
+		response := fmt.Sprintf("%d %s", status, outcome)
 		switch {
 		case err != nil:
-			what = "broken"
-		case status == http.StatusOK && !strings.Contains(body, mine+`"`):
-			what = "not mine"
+			response = "broken"
+		case status == http.StatusOK && !strings.Contains(body, prompt+`"`):
+			response = "not mine"
 		}
 		l.mu.Lock()
-		l.told[what]++
+		l.responses[response]++
 		if status == http.StatusOK {
-			// A time over a minute would be out of the histogram's range.
-			_ = l.times.RecordValue(time.Since(start).Nanoseconds())
+			// A latency above one minute is outside the range of the histogram and is not
+			// recorded.
+			_ = l.latencies.RecordValue(time.Since(start).Nanoseconds())
 		}
 		l.mu.Unlock()
 		if status != http.StatusOK {
@@ -103,12 +105,12 @@
 	}
 }
 
-func (l *loadCount) runs(key string, n int) {
-	if l.keys == nil {
-		l.keys = make(map[string]int)
+func (l *loadStats) addRuns(key string, runs int) {
+	if l.runsByKey == nil {
+		l.runsByKey = make(map[string]int)
 	}
-	l.keys[key] += n
-	if l.keys[key] == 2 && strings.HasPrefix(key, "load-") {
-		l.twice++
+	l.runsByKey[key] += runs
+	if l.runsByKey[key] == 2 && strings.HasPrefix(key, "load-") {
+		l.repeatedKeys++
 	}
 }
--- a/internal/cmd/metrics_test.go
+++ b/internal/cmd/metrics_test.go
@@ -10,25 +10,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// groundMetrics is the port at which every process serves its metrics.
-const groundMetrics = "9464"
+// metricsPort is the port where every process on the platform serves its metrics.
+const metricsPort = "9464"
 
-// Symptom: a router goes on with settings that have changed since, has no metrics, and
-// says why only when it ends.
-// Sequence: another process has the address of its metrics when it starts.
-// Cause: the duty that failed ended those beside it, and its error was kept until all
-// had ended.
-func TestARouterWithoutMetricsSaysSoAndHeedsItsSettings(t *testing.T) {
-	g := newGround(t)
-	taken, err := net.Listen("tcp4", net.JoinHostPort(g.routerIP(0), groundMetrics))
+// Guards against a router that ignores changed settings because it cannot serve metrics: another
+// process has taken the address. The failed task stopped the others of its group, and its error
+// was logged only when the router exited.
+func TestRouterReloadsSettingsWithoutMetricsServer(t *testing.T) {
+	processes := newPlatformFleet(t)
+	occupied, err := net.Listen("tcp4", net.JoinHostPort(processes.routerIP(0), metricsPort))
 	require.NoError(t, err)
-	defer func() { _ = taken.Close() }() // the test is over
-	g.router(0)
-	logged := func(text string) func() bool {
-		return func() bool { return strings.Contains(g.logs(), text) }
+	defer func() { _ = occupied.Close() }() // The test is over.
+	processes.startRouter(0)
+	logContains := func(text string) func() bool {
+		return func() bool { return strings.Contains(processes.logs(), text) }
 	}
-	require.Eventually(t, logged("address already in use"), 10*time.Second, 10*time.Millisecond)
-	require.NoError(t, g.running["r0"].Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, logged(`"reload"`), 10*time.Second, 10*time.Millisecond)
-	require.NoError(t, g.end("r0", syscall.SIGTERM))
+	require.Eventually(t, logContains("address already in use"), 10*time.Second, 10*time.Millisecond)
+	require.NoError(t, processes.running["r0"].Process.Signal(syscall.SIGHUP))
+	require.Eventually(t, logContains(`"reload"`), 10*time.Second, 10*time.Millisecond)
+	require.NoError(t, processes.signalAndWait("r0", syscall.SIGTERM))
 }
--- a/internal/cmd/platform_test.go
+++ b/internal/cmd/platform_test.go
@@ -16,329 +16,331 @@
 	"laburnumfall/internal/standin"
 )
 
-// ground is a small fleet of real processes under the platform's settings, each
-// on a loopback address of its own, before a stand-in of the platform.
-type ground struct {
-	t       *testing.T
-	folder  string
-	port    int
-	site    *standin.Site
-	running map[string]*exec.Cmd
-	seeds   []int // keepers that settings name
-	ids     int
+// platformFleet is a small fleet of real processes with settings of the users' platform, each on
+// its own loopback address, and a stand-in of the platform.
+type platformFleet struct {
+	t            *testing.T
+	folder       string
+	basePort     int
+	platform     *standin.Site
+	running      map[string]*exec.Cmd
+	seedKeepers  []int // the keepers that are seeds in the settings
+	requestCount int
 }
 
 const (
-	groundKeepers = 4 // the first three are the seeds
-	groundPorts   = standin.ProcessPorts
+	platformKeepers = 4 // The first three are the seeds.
+	portsPerProcess = standin.ProcessPorts
 )
 
-func newGround(t *testing.T) *ground {
+func newPlatformFleet(t *testing.T) *platformFleet {
 	site, err := standin.StartSite("127.0.3.1:0")
 	require.NoError(t, err)
-	g := &ground{t: t, folder: t.TempDir(), site: site, running: map[string]*exec.Cmd{}, seeds: []int{0, 1, 2}}
-	g.port, err = standin.FreePorts(groundPorts)
+	fleet := &platformFleet{t: t, folder: t.TempDir(), platform: site, running: map[string]*exec.Cmd{}, seedKeepers: []int{0, 1, 2}}
+	fleet.basePort, err = standin.FreePorts(portsPerProcess)
 	require.NoError(t, err)
 	for i := range 2 {
 		_, err := site.Add(fmt.Sprintf("i-%d", i), "plain", "z1", "127.0.3.1:0", 8)
 		require.NoError(t, err)
 	}
 	t.Cleanup(func() {
-		for name := range g.running {
-			_ = g.end(name, syscall.SIGKILL) // it was killed
+		for name := range fleet.running {
+			_ = fleet.signalAndWait(name, syscall.SIGKILL) // It was killed, so the exit status is not needed.
 		}
 		site.Close()
 		if t.Failed() {
-			place, err := standin.KeepLogs(t.Name(), g.folder)
-			t.Logf("logs are in %q: %v", place, err)
+			savedDir, err := standin.KeepLogs(t.Name(), fleet.folder)
+			t.Logf("logs are in %q: %v", savedDir, err)
 		}
 	})
-	return g
+	return fleet
 }
 
-// ip is a loopback address of this ground alone: metrics are served at one port on all
-// VMs, and other grounds may be played beside it. The port is claimed for this process.
-func (g *ground) ip(host int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 1+g.port>>8, g.port&0xff, host)
+// hostIP returns a loopback address that no other fleet uses: all processes serve metrics at the
+// same port, and several tests may run at the same time. The address depends on the port, which
+// is reserved for this process.
+func (f *platformFleet) hostIP(host int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 1+f.basePort>>8, f.basePort&0xff, host)
 }
 
-func (g *ground) keeperIP(i int) string { return g.ip(1 + i) }
-func (g *ground) routerIP(i int) string { return g.ip(101 + i) }
+func (f *platformFleet) keeperIP(i int) string { return f.hostIP(1 + i) }
+func (f *platformFleet) routerIP(i int) string { return f.hostIP(101 + i) }
 
-// ports of a process: operators', callers', readiness, and between processes.
-func (g *ground) address(ip string, offset int) string {
-	return fmt.Sprintf("%s:%d", ip, g.port+offset)
+// address returns an address of a process. The offset selects the port: the one between
+// processes, for operators, for callers or for readiness.
+func (f *platformFleet) address(ip string, portOffset int) string {
+	return fmt.Sprintf("%s:%d", ip, f.basePort+portOffset)
 }
 
-func (g *ground) settings(name, ip, zone string, first bool) string {
-	return g.settingsAt(name, ip, zone, first, g.site.Address())
+func (f *platformFleet) settingsText(name, ip, zone string, firstStart bool) string {
+	return f.settingsTextWithList(name, ip, zone, firstStart, f.platform.Address())
 }
 
-// settingsAt are settings that name where the platform's list is.
-func (g *ground) settingsAt(name, ip, zone string, first bool, list string) string {
+// settingsTextWithList returns settings with a given address of the platform's list of targets.
+func (f *platformFleet) settingsTextWithList(name, ip, zone string, firstStart bool, listAddress string) string {
 	var seeds []string
-	for _, i := range g.seeds {
-		seeds = append(seeds, g.address(g.keeperIP(i), standin.OperatorPort))
+	for _, i := range f.seedKeepers {
+		seeds = append(seeds, f.address(f.keeperIP(i), standin.OperatorPort))
 	}
 	return standin.ProcessSettings{
-		Name: name, IP: ip, Zone: zone, Port: g.port, Seeds: seeds, First: first, Folder: filepath.Join(g.folder, name),
-		List: list,
+		Name: name, IP: ip, Zone: zone, Port: f.basePort, Seeds: seeds, First: firstStart, Folder: filepath.Join(f.folder, name),
+		List: listAddress,
 	}.Text()
 }
 
-// write writes the settings file of a process and returns its path.
-func (g *ground) write(name, ip string, first bool) string {
-	path := filepath.Join(g.folder, name+".toml")
-	require.NoError(g.t, os.WriteFile(path, []byte(g.settings(name, ip, "z1", first)), 0o600))
+// writeSettings writes the settings file of a process and returns its path.
+func (f *platformFleet) writeSettings(name, ip string, firstStart bool) string {
+	path := filepath.Join(f.folder, name+".toml")
+	require.NoError(f.t, os.WriteFile(path, []byte(f.settingsText(name, ip, "z1", firstStart)), 0o600))
 	return path
 }
 
-func (g *ground) start(program, name, ip string, first bool) {
-	path := g.write(name, ip, first)
-	cmd := exec.Command(os.Args[0], "--platform")
-	cmd.Env = append(os.Environ(), programEnv+"="+program, "LABURNUMFALL_CONFIG="+path)
-	log, err := os.OpenFile(filepath.Join(g.folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	require.NoError(g.t, err)
-	defer func() { _ = log.Close() }() // the process has its own
-	cmd.Stdout, cmd.Stderr = log, log
-	require.NoError(g.t, cmd.Start())
-	g.running[name] = cmd
+func (f *platformFleet) startProcess(program, name, ip string, firstStart bool) {
+	path := f.writeSettings(name, ip, firstStart)
+	command := exec.Command(os.Args[0], "--platform")
+	command.Env = append(os.Environ(), programEnv+"="+program, "LABURNUMFALL_CONFIG="+path)
+	log, err := os.OpenFile(filepath.Join(f.folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	require.NoError(f.t, err)
+	defer func() { _ = log.Close() }() // The process has its own descriptor.
+	command.Stdout, command.Stderr = log, log
+	require.NoError(f.t, command.Start())
+	f.running[name] = command
 }
 
-func (g *ground) keeper(i int, first bool) {
-	g.start("lf-keeper", fmt.Sprintf("k%d", i), g.keeperIP(i), first)
+func (f *platformFleet) startKeeper(i int, firstStart bool) {
+	f.startProcess("lf-keeper", fmt.Sprintf("k%d", i), f.keeperIP(i), firstStart)
 }
 
-func (g *ground) router(i int) {
-	g.start("lf-router", fmt.Sprintf("r%d", i), g.routerIP(i), true)
+func (f *platformFleet) startRouter(i int) {
+	f.startProcess("lf-router", fmt.Sprintf("r%d", i), f.routerIP(i), true)
 }
 
-func (g *ground) end(name string, signal syscall.Signal) error {
-	cmd := g.running[name]
-	delete(g.running, name)
-	require.NoError(g.t, cmd.Process.Signal(signal))
-	return cmd.Wait()
+func (f *platformFleet) signalAndWait(name string, sig syscall.Signal) error {
+	command := f.running[name]
+	delete(f.running, name)
+	require.NoError(f.t, command.Process.Signal(sig))
+	return command.Wait()
 }
 
-const groundConfig = `{"version":%d,"routes":[
+const platformConfig = `{"version":%d,"routes":[
 {"name":"keyed","hostname":"h.example","path_prefix":"/keyed/","route_type":"idempotent","timeout_ms":2000,"target_latency_ms":500,"service":"plain","max_attempts":2},
 {"name":"open","hostname":"h.example","path_prefix":"/open%d/","route_type":"idempotent","timeout_ms":2000,"target_latency_ms":500,"service":"plain","max_attempts":2,"anonymous":true}],
 "services":[{"name":"plain","health_path":"/healthz","max_conns":50}],
 "limits":{"max_header_bytes":16384,"max_body_bytes":100000,"header_timeout_ms":3000,"idle_timeout_ms":15000,"tokens_per_s":100000},
 "tenants":[{"name":"acme","api_keys":["good-key"],"priority":1}]}`
 
-func (g *ground) config(version int) string {
-	return fmt.Sprintf(groundConfig, version, version)
+func (f *platformFleet) configText(version int) string {
+	return fmt.Sprintf(platformConfig, version, version)
 }
 
-var groundClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var callerClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// operator is one that may ask all keepers.
-func (g *ground) operator() *standin.Operator {
-	o := &standin.Operator{}
-	for i := range groundKeepers {
-		o.Keepers = append(o.Keepers, g.address(g.keeperIP(i), 1))
+// operator returns an operator that can reach all keepers.
+func (f *platformFleet) operator() *standin.Operator {
+	operator := &standin.Operator{}
+	for i := range platformKeepers {
+		operator.Keepers = append(operator.Keepers, f.address(f.keeperIP(i), 1))
 	}
-	return o
+	return operator
 }
 
-// put sends a configuration to one keeper after the other until it is accepted.
-func (g *ground) put(version int) {
-	next := 0
-	require.Eventually(g.t, func() bool {
-		next = (next + 1) % groundKeepers
-		status, _ := g.operator().Put(next, g.config(version))
+// putConfig sends a configuration to the keepers in turn until one accepts it.
+func (f *platformFleet) putConfig(version int) {
+	keeper := 0
+	require.Eventually(f.t, func() bool {
+		keeper = (keeper + 1) % platformKeepers
+		status, _ := f.operator().Put(keeper, f.configText(version))
 		return status == http.StatusOK
-	}, patience, poll, "configuration %d was not accepted", version)
+	}, waitTimeout, pollInterval, "configuration %d was not accepted", version)
 }
 
-// requireRead checks that every running keeper that answers gives the newest
-// configuration back byte by byte, and that one does.
-func (g *ground) requireRead(version int) {
-	require.Eventually(g.t, func() bool {
+// requireConfigAtKeepers checks that at least all keepers but one return the newest
+// configuration, and that what they return is equal byte by byte.
+func (f *platformFleet) requireConfigAtKeepers(version int) {
+	require.Eventually(f.t, func() bool {
 		answers := 0
-		for i := range groundKeepers {
-			status, text := g.operator().Get(i)
+		for i := range platformKeepers {
+			status, text := f.operator().Get(i)
 			if status == http.StatusOK {
-				require.Equal(g.t, g.config(version), text)
+				require.Equal(f.t, f.configText(version), text)
 				answers++
 			}
 		}
-		return answers >= groundKeepers-1
-	}, patience, poll)
+		return answers >= platformKeepers-1
+	}, waitTimeout, pollInterval)
 }
 
-func (g *ground) request(router int, path string) int {
-	req, err := http.NewRequest(http.MethodGet, "http://"+g.address(g.routerIP(router), 2)+path, nil)
-	require.NoError(g.t, err)
+func (f *platformFleet) requestStatus(router int, path string) int {
+	req, err := http.NewRequest(http.MethodGet, "http://"+f.address(f.routerIP(router), 2)+path, nil)
+	require.NoError(f.t, err)
 	req.Host = "h.example"
-	g.ids++
-	req.Header.Set("X-Attempt-Id", fmt.Sprint("id-", g.ids))
+	f.requestCount++
+	req.Header.Set("X-Attempt-Id", fmt.Sprint("id-", f.requestCount))
 	req.Header.Set("Authorization", "Bearer good-key")
-	resp, err := groundClient.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return 0
 	}
-	_ = resp.Body.Close() // only the status counts
+	_ = resp.Body.Close() // Only the status matters.
 	return resp.StatusCode
 }
 
-func (g *ground) requireServed(version int) {
+func (f *platformFleet) requireConfigAtRouters(version int) {
 	for i := range 2 {
-		require.Eventually(g.t, func() bool {
-			return g.request(i, fmt.Sprintf("/open%d/x", version)) == http.StatusOK && g.request(i, "/keyed/x") == http.StatusOK
-		}, patience, poll, "router %d does not serve configuration %d", i, version)
+		require.Eventually(f.t, func() bool {
+			return f.requestStatus(i, fmt.Sprintf("/open%d/x", version)) == http.StatusOK && f.requestStatus(i, "/keyed/x") == http.StatusOK
+		}, waitTimeout, pollInterval, "router %d does not serve configuration %d", i, version)
 	}
 }
 
-// TestPlatformFleet plays a fleet's life: founding in any order, the loss of the
-// keepers one after the other, a lost disk, and the loss of all at once. What
-// was accepted stays, byte by byte.
-func TestPlatformFleet(t *testing.T) {
-	g := newGround(t)
-	g.router(0)
+// Guards against an accepted configuration that is lost or altered. The keepers start in an
+// arbitrary order and are killed one after the other, one loses its disk, and all are killed at
+// once.
+func TestPlatformConfigSurvivesKeeperFailures(t *testing.T) {
+	processes := newPlatformFleet(t)
+	processes.startRouter(0)
 	for _, i := range []int{3, 1, 0, 2} {
-		g.keeper(i, true)
+		processes.startKeeper(i, true)
 	}
-	g.router(1)
-	g.put(1)
-	g.requireServed(1)
-	status, _ := g.operator().Put(0, strings.Replace(g.config(5), `"timeout_ms":2000`, `"timeout_ms":0`, 1))
+	processes.startRouter(1)
+	processes.putConfig(1)
+	processes.requireConfigAtRouters(1)
+	status, _ := processes.operator().Put(0, strings.Replace(processes.configText(5), `"timeout_ms":2000`, `"timeout_ms":0`, 1))
 	require.Equal(t, http.StatusBadRequest, status)
 	version := 1
-	for i := range groundKeepers {
-		require.Error(t, g.end(fmt.Sprintf("k%d", i), syscall.SIGKILL))
+	for i := range platformKeepers {
+		require.Error(t, processes.signalAndWait(fmt.Sprintf("k%d", i), syscall.SIGKILL))
 		version++
-		g.put(version)
-		g.requireServed(version)
-		g.keeper(i, false)
+		processes.putConfig(version)
+		processes.requireConfigAtRouters(version)
+		processes.startKeeper(i, false)
 	}
-	g.requireRead(version)
+	processes.requireConfigAtKeepers(version)
 
-	promoted := strings.Count(g.logs(), `"keeper promoted"`)
-	require.Error(t, g.end("k1", syscall.SIGKILL))
-	require.NoError(t, os.RemoveAll(filepath.Join(g.folder, "k1")))
-	g.keeper(1, false)
-	require.Eventually(t, func() bool { return strings.Count(g.logs(), `"keeper promoted"`) > promoted }, patience, poll)
-	g.requireRead(version)
+	promoted := strings.Count(processes.logs(), `"keeper promoted"`)
+	require.Error(t, processes.signalAndWait("k1", syscall.SIGKILL))
+	require.NoError(t, os.RemoveAll(filepath.Join(processes.folder, "k1")))
+	processes.startKeeper(1, false)
+	require.Eventually(t, func() bool { return strings.Count(processes.logs(), `"keeper promoted"`) > promoted }, waitTimeout, pollInterval)
+	processes.requireConfigAtKeepers(version)
 
-	for i := range groundKeepers {
-		require.Error(t, g.end(fmt.Sprintf("k%d", i), syscall.SIGKILL))
+	for i := range platformKeepers {
+		require.Error(t, processes.signalAndWait(fmt.Sprintf("k%d", i), syscall.SIGKILL))
 	}
-	require.Equal(t, http.StatusOK, g.request(0, "/keyed/x"), "routers go on while the keepers are away")
-	require.Eventually(t, func() bool { return g.request(0, "/keyed/x") == http.StatusServiceUnavailable }, patience, poll,
+	require.Equal(t, http.StatusOK, processes.requestStatus(0, "/keyed/x"), "routers go on while the keepers are away")
+	require.Eventually(t, func() bool { return processes.requestStatus(0, "/keyed/x") == http.StatusServiceUnavailable }, waitTimeout, pollInterval,
 		"keys stop counting")
-	require.Equal(t, http.StatusOK, g.request(0, fmt.Sprintf("/open%d/x", version)), "keyless routes go on")
-	for i := range groundKeepers {
-		g.keeper(i, false)
+	require.Equal(t, http.StatusOK, processes.requestStatus(0, fmt.Sprintf("/open%d/x", version)), "keyless routes go on")
+	for i := range platformKeepers {
+		processes.startKeeper(i, false)
 	}
-	g.requireRead(version)
+	processes.requireConfigAtKeepers(version)
 	version++
-	g.put(version)
-	g.requireServed(version)
-
-	g.seeds = []int{3, 2}
-	g.write("r0", g.routerIP(0), false)
-	require.NoError(t, g.running["r0"].Process.Signal(syscall.SIGHUP))
-	require.Equal(t, http.StatusOK, g.request(0, "/keyed/x"), "a reload ends nothing")
-	require.Eventually(t, func() bool { return strings.Contains(g.logs(), `"@message":"reload"`) }, patience, poll)
-	g.write("r1", g.routerIP(1), false)
-	require.Eventually(t, func() bool { return strings.Contains(g.logs(), `"source":"file"`) }, patience, poll,
+	processes.putConfig(version)
+	processes.requireConfigAtRouters(version)
+
+	processes.seedKeepers = []int{3, 2}
+	processes.writeSettings("r0", processes.routerIP(0), false)
+	require.NoError(t, processes.running["r0"].Process.Signal(syscall.SIGHUP))
+	require.Equal(t, http.StatusOK, processes.requestStatus(0, "/keyed/x"), "a reload ends nothing")
+	require.Eventually(t, func() bool { return strings.Contains(processes.logs(), `"@message":"reload"`) }, waitTimeout, pollInterval)
+	processes.writeSettings("r1", processes.routerIP(1), false)
+	require.Eventually(t, func() bool { return strings.Contains(processes.logs(), `"source":"file"`) }, waitTimeout, pollInterval,
 		"settings may change without a signal")
-	require.NoError(t, g.end("r0", syscall.SIGTERM))
-	require.NoError(t, g.end("k0", syscall.SIGTERM))
+	require.NoError(t, processes.signalAndWait("r0", syscall.SIGTERM))
+	require.NoError(t, processes.signalAndWait("k0", syscall.SIGTERM))
 }
 
-// Symptom: a fleet never starts.
-// Sequence: it starts for the first time, and one of the three seeds is dead.
-// Cause: the founders wait for all of them.
-func TestPlatformFleetStartsWithoutASeed(t *testing.T) {
-	g := newGround(t)
+// Guards against a fleet that never starts because the founding keepers wait for all three seeds
+// while one of them is down.
+func TestPlatformFleetStartsWithoutOneSeed(t *testing.T) {
+	processes := newPlatformFleet(t)
 	for _, i := range []int{3, 2, 0} {
-		g.keeper(i, true)
+		processes.startKeeper(i, true)
 	}
-	g.router(0)
-	g.router(1)
-	g.put(1)
-	g.requireServed(1)
-	g.keeper(1, true)
-	g.requireRead(1)
-	require.Eventually(t, func() bool { return strings.Count(g.logs(), `"keeper promoted"`) >= 2 }, patience, poll,
+	processes.startRouter(0)
+	processes.startRouter(1)
+	processes.putConfig(1)
+	processes.requireConfigAtRouters(1)
+	processes.startKeeper(1, true)
+	processes.requireConfigAtKeepers(1)
+	require.Eventually(t, func() bool { return strings.Count(processes.logs(), `"keeper promoted"`) >= 2 }, waitTimeout, pollInterval,
 		"the late seed joins, as the keeper that is no seed did")
-	require.Error(t, g.end("k0", syscall.SIGKILL))
-	g.put(2)
-	g.requireServed(2)
+	require.Error(t, processes.signalAndWait("k0", syscall.SIGKILL))
+	processes.putConfig(2)
+	processes.requireConfigAtRouters(2)
 }
 
-// logs returns what the processes have logged so far.
-func (g *ground) logs() string {
-	files, err := filepath.Glob(filepath.Join(g.folder, "*.log"))
-	require.NoError(g.t, err)
-	all := ""
+// logs returns everything that the processes have logged so far.
+func (f *platformFleet) logs() string {
+	files, err := filepath.Glob(filepath.Join(f.folder, "*.log"))
+	require.NoError(f.t, err)
+	logs := ""
 	for _, file := range files {
 		text, err := os.ReadFile(file)
-		require.NoError(g.t, err)
-		all += string(text)
+		require.NoError(f.t, err)
+		logs += string(text)
 	}
-	return all
+	return logs
 }
 
-// evacuation sends an order to one keeper after the other until it has a clear answer.
-func (g *ground) evacuation(method, zone, body string) int {
-	last := 0
-	require.Eventually(g.t, func() bool {
-		for i := range groundKeepers {
-			req, err := http.NewRequest(method, "http://"+g.address(g.keeperIP(i), 1)+"/laburnumfall/evacuation/"+zone, strings.NewReader(body))
-			require.NoError(g.t, err)
-			resp, err := groundClient.Do(req)
+// sendEvacuation sends an evacuation order to the keepers in turn until one responds with a
+// status below 500, and returns that status.
+func (f *platformFleet) sendEvacuation(method, zone, body string) int {
+	lastStatus := 0
+	require.Eventually(f.t, func() bool {
+		for i := range platformKeepers {
+			req, err := http.NewRequest(method, "http://"+f.address(f.keeperIP(i), 1)+"/laburnumfall/evacuation/"+zone, strings.NewReader(body))
+			require.NoError(f.t, err)
+			resp, err := callerClient.Do(req)
 			if err != nil {
 				continue
 			}
-			_ = resp.Body.Close() // only the status counts
-			last = resp.StatusCode
-			if last < http.StatusInternalServerError {
+			_ = resp.Body.Close() // Only the status matters.
+			lastStatus = resp.StatusCode
+			if lastStatus < http.StatusInternalServerError {
 				return true
 			}
 		}
 		return false
-	}, patience, poll)
-	return last
+	}, waitTimeout, pollInterval)
+	return lastStatus
 }
 
-// Guards against an evacuation that is not in force at every router, is forgotten when all
-// keepers end, or cannot be taken back.
-func TestAnEvacuationOutlastsAllKeepers(t *testing.T) {
-	g := newGround(t)
-	for i := range groundKeepers {
-		g.keeper(i, true)
+// Guards against an evacuation that does not reach every router, is lost when all keepers
+// restart, or cannot be ended.
+func TestEvacuationSurvivesRestartOfAllKeepers(t *testing.T) {
+	processes := newPlatformFleet(t)
+	for i := range platformKeepers {
+		processes.startKeeper(i, true)
 	}
-	g.router(0)
-	g.router(1)
-	g.put(1)
-	g.requireServed(1)
-	require.Equal(t, http.StatusBadRequest, g.evacuation(http.MethodPost, "nowhere", ""))
-	require.Equal(t, http.StatusBadRequest, g.evacuation(http.MethodPost, "z1", "body"))
-	require.Equal(t, http.StatusOK, g.request(0, "/open1/x"))
+	processes.startRouter(0)
+	processes.startRouter(1)
+	processes.putConfig(1)
+	processes.requireConfigAtRouters(1)
+	require.Equal(t, http.StatusBadRequest, processes.sendEvacuation(http.MethodPost, "nowhere", ""))
+	require.Equal(t, http.StatusBadRequest, processes.sendEvacuation(http.MethodPost, "z1", "body"))
+	require.Equal(t, http.StatusOK, processes.requestStatus(0, "/open1/x"))
 
 	requireRefused := func() {
 		for i := range 2 {
-			require.Eventually(t, func() bool { return g.request(i, "/open1/x") == http.StatusServiceUnavailable }, patience, poll)
+			require.Eventually(t, func() bool { return processes.requestStatus(i, "/open1/x") == http.StatusServiceUnavailable }, waitTimeout, pollInterval)
 		}
 	}
-	for range 2 { // sent again, it is acknowledged again
-		require.Equal(t, http.StatusOK, g.evacuation(http.MethodPost, "z1", ""))
+	for range 2 { // A repeated order is acknowledged again.
+		require.Equal(t, http.StatusOK, processes.sendEvacuation(http.MethodPost, "z1", ""))
 	}
 	requireRefused()
-	for i := range groundKeepers {
-		require.Error(t, g.end(fmt.Sprintf("k%d", i), syscall.SIGKILL))
+	for i := range platformKeepers {
+		require.Error(t, processes.signalAndWait(fmt.Sprintf("k%d", i), syscall.SIGKILL))
 	}
-	require.Error(t, g.end("r1", syscall.SIGKILL))
-	for i := range groundKeepers {
-		g.keeper(i, false)
+	require.Error(t, processes.signalAndWait("r1", syscall.SIGKILL))
+	for i := range platformKeepers {
+		processes.startKeeper(i, false)
 	}
-	g.router(1)
-	g.requireRead(1)
+	processes.startRouter(1)
+	processes.requireConfigAtKeepers(1)
 	requireRefused()
-	require.Equal(t, http.StatusOK, g.evacuation(http.MethodDelete, "z1", ""))
-	g.requireServed(1)
+	require.Equal(t, http.StatusOK, processes.sendEvacuation(http.MethodDelete, "z1", ""))
+	processes.requireConfigAtRouters(1)
 }
--- a/internal/cmd/processes_test.go
+++ b/internal/cmd/processes_test.go
@@ -20,137 +20,137 @@
 )
 
 const (
-	testKey  = "test-key"
-	patience = 30 * time.Second
-	poll     = 50 * time.Millisecond
+	testKey      = "test-key"
+	waitTimeout  = 30 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// processes is a fleet of real processes on loopback.
-type processes struct {
-	t       testing.TB
-	folder  string
-	keepers map[string]string // address by name
-	running map[string]*exec.Cmd
-	listen  map[string]string // callers' or targets' address by name
-	admin   map[string]string
-	// moreRouter is appended to the settings of routers.
-	moreRouter string
-}
-
-func newProcesses(t testing.TB) *processes {
-	p := &processes{
-		t: t, folder: t.TempDir(), keepers: map[string]string{}, running: map[string]*exec.Cmd{},
-		listen: map[string]string{}, admin: map[string]string{},
+// processFleet is a fleet of real processes on loopback.
+type processFleet struct {
+	t               testing.TB
+	folder          string
+	keeperAddresses map[string]string // by keeper name
+	running         map[string]*exec.Cmd
+	listenAddresses map[string]string // addresses for callers of routers and of targets, by name
+	adminAddresses  map[string]string
+	// extraRouterSettings is appended to the settings of routers.
+	extraRouterSettings string
+}
+
+func newProcessFleet(t testing.TB) *processFleet {
+	processes := &processFleet{
+		t: t, folder: t.TempDir(), keeperAddresses: map[string]string{}, running: map[string]*exec.Cmd{},
+		listenAddresses: map[string]string{}, adminAddresses: map[string]string{},
 	}
-	p.write("secret", "0123456789abcdef0123456789abcdef")
+	processes.writeFile("secret", "0123456789abcdef0123456789abcdef")
 	for _, name := range []string{"k1", "k2", "k3"} {
-		p.keepers[name] = p.free()
+		processes.keeperAddresses[name] = processes.freeAddress()
 	}
-	t.Cleanup(p.stopAll)
-	return p
+	t.Cleanup(processes.stopAll)
+	return processes
 }
 
-func (p *processes) free() string {
+func (p *processFleet) freeAddress() string {
 	address, err := standin.FreeAddress()
 	require.NoError(p.t, err)
 	return address
 }
 
-func (p *processes) write(name, text string) string {
+func (p *processFleet) writeFile(name, text string) string {
 	file := filepath.Join(p.folder, name)
 	require.NoError(p.t, os.WriteFile(file, []byte(text), 0o600))
 	return file
 }
 
-func (p *processes) start(program, name string, args ...string) {
-	c := exec.Command(os.Args[0], args...)
-	c.Env = append(os.Environ(), programEnv+"="+program)
+func (p *processFleet) startProcess(program, name string, args ...string) {
+	command := exec.Command(os.Args[0], args...)
+	command.Env = append(os.Environ(), programEnv+"="+program)
 	log, err := os.OpenFile(filepath.Join(p.folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	require.NoError(p.t, err)
-	c.Stderr, c.Stdout = log, log
-	require.NoError(p.t, c.Start())
-	p.running[name] = c
+	command.Stderr, command.Stdout = log, log
+	require.NoError(p.t, command.Start())
+	p.running[name] = command
 }
 
-func (p *processes) peerList() string {
+func (p *processFleet) peerList() string {
 	var list []string
 	for _, name := range []string{"k1", "k2", "k3"} {
-		list = append(list, fmt.Sprintf("%q", name+"="+p.keepers[name]))
+		list = append(list, fmt.Sprintf("%q", name+"="+p.keeperAddresses[name]))
 	}
 	return strings.Join(list, ", ")
 }
 
-func (p *processes) startKeeper(name string, flags ...string) {
-	if p.admin[name] == "" {
-		p.admin[name] = p.free()
+func (p *processFleet) startKeeper(name string, flags ...string) {
+	if p.adminAddresses[name] == "" {
+		p.adminAddresses[name] = p.freeAddress()
 	}
-	file := p.write(name+".toml", fmt.Sprintf("name = %q\nzone = \"z-%s\"\nlisten = %q\nadmin = %q\ndata = %q\npeers = [%s]\nsecret = %q\n",
-		name, name, p.keepers[name], p.admin[name], filepath.Join(p.folder, name), p.peerList(), filepath.Join(p.folder, "secret")))
-	p.start("lf-keeper", name, append([]string{"--config", file}, flags...)...)
+	file := p.writeFile(name+".toml", fmt.Sprintf("name = %q\nzone = \"z-%s\"\nlisten = %q\nadmin = %q\ndata = %q\npeers = [%s]\nsecret = %q\n",
+		name, name, p.keeperAddresses[name], p.adminAddresses[name], filepath.Join(p.folder, name), p.peerList(), filepath.Join(p.folder, "secret")))
+	p.startProcess("lf-keeper", name, append([]string{"--config", file}, flags...)...)
 }
 
-func (p *processes) startRouter(name string) {
-	if p.listen[name] == "" {
-		p.listen[name], p.admin[name] = p.free(), p.free()
+func (p *processFleet) startRouter(name string) {
+	if p.listenAddresses[name] == "" {
+		p.listenAddresses[name], p.adminAddresses[name] = p.freeAddress(), p.freeAddress()
 	}
 	var list []string
-	for _, address := range p.keepers {
+	for _, address := range p.keeperAddresses {
 		list = append(list, fmt.Sprintf("%q", address))
 	}
-	file := p.write(name+".toml", fmt.Sprintf("name = %q\nzone = \"z-k1\"\nlisten = %q\nadmin = %q\nkeepers = [%s]\nsecret = %q\n%s",
-		name, p.listen[name], p.admin[name], strings.Join(list, ", "), filepath.Join(p.folder, "secret"), p.moreRouter))
-	p.start("lf-router", name, "--config", file)
+	file := p.writeFile(name+".toml", fmt.Sprintf("name = %q\nzone = \"z-k1\"\nlisten = %q\nadmin = %q\nkeepers = [%s]\nsecret = %q\n%s",
+		name, p.listenAddresses[name], p.adminAddresses[name], strings.Join(list, ", "), filepath.Join(p.folder, "secret"), p.extraRouterSettings))
+	p.startProcess("lf-router", name, "--config", file)
 }
 
-func (p *processes) startStandin(name, kind, more string) {
-	if p.listen[name] == "" {
-		p.listen[name] = p.free()
+func (p *processFleet) startStandin(name, kind, extraSettings string) {
+	if p.listenAddresses[name] == "" {
+		p.listenAddresses[name] = p.freeAddress()
 	}
-	file := p.write(name+".toml", fmt.Sprintf("name = %q\nlisten = %q\nkind = %q\n%s\n", name, p.listen[name], kind, more))
-	p.start("lf-standin", name, "--config", file)
+	file := p.writeFile(name+".toml", fmt.Sprintf("name = %q\nlisten = %q\nkind = %q\n%s\n", name, p.listenAddresses[name], kind, extraSettings))
+	p.startProcess("lf-standin", name, "--config", file)
 }
 
-// kill ends a process at once and waits for it.
-func (p *processes) kill(name string) {
+// kill kills a process and waits for its exit.
+func (p *processFleet) kill(name string) {
 	require.NoError(p.t, p.running[name].Process.Kill())
-	_ = p.running[name].Wait() // it was killed, so this tells nothing
+	_ = p.running[name].Wait() // It was killed, so the exit status is not needed.
 	delete(p.running, name)
 }
 
-// exitCode waits until a process ends by itself.
-func (p *processes) exitCode(name string) int {
-	c := p.running[name]
-	timer := time.AfterFunc(patience, func() { _ = c.Process.Kill() })
+// waitForExit waits until a process exits by itself and returns its exit code.
+func (p *processFleet) waitForExit(name string) int {
+	command := p.running[name]
+	timer := time.AfterFunc(waitTimeout, func() { _ = command.Process.Kill() })
 	defer timer.Stop()
-	_ = c.Wait() // the code tells
+	_ = command.Wait() // The exit code is read below.
 	delete(p.running, name)
-	return c.ProcessState.ExitCode()
+	return command.ProcessState.ExitCode()
 }
 
-func (p *processes) memberID(name string) string {
-	for _, k := range p.status().Keepers {
-		if k.Name == name {
-			return k.ID
+func (p *processFleet) memberID(name string) string {
+	for _, keeper := range p.status().Keepers {
+		if keeper.Name == name {
+			return keeper.ID
 		}
 	}
 	return ""
 }
 
-func (p *processes) signal(name string, s syscall.Signal) {
-	require.NoError(p.t, p.running[name].Process.Signal(s))
+func (p *processFleet) signal(name string, sig syscall.Signal) {
+	require.NoError(p.t, p.running[name].Process.Signal(sig))
 }
 
-func (p *processes) stopAll() {
-	for _, c := range p.running {
-		_ = c.Process.Signal(syscall.SIGCONT) // a stopped one cannot end
-		_ = c.Process.Kill()
-		_ = c.Wait()
+func (p *processFleet) stopAll() {
+	for _, command := range p.running {
+		_ = command.Process.Signal(syscall.SIGCONT) // A suspended process cannot exit.
+		_ = command.Process.Kill()
+		_ = command.Wait()
 	}
 	if !p.t.Failed() {
 		return
 	}
-	place, err := standin.KeepLogs(p.t.Name(), p.folder)
-	p.t.Logf("logs are in %q: %v", place, err)
+	savedDir, err := standin.KeepLogs(p.t.Name(), p.folder)
+	p.t.Logf("logs are in %q: %v", savedDir, err)
 	logs, _ := filepath.Glob(filepath.Join(p.folder, "*.log"))
 	for _, file := range logs {
 		data, _ := os.ReadFile(file)
@@ -158,42 +158,43 @@
 	}
 }
 
-// ctl runs lfctl in this process and returns its exit code and output.
-func (p *processes) ctl(args ...string) (int, string) {
-	var list []string
-	for _, address := range p.keepers {
-		list = append(list, address)
+// runCtl runs lfctl in this process and returns its exit code and output.
+func (p *processFleet) runCtl(args ...string) (int, string) {
+	var addresses []string
+	for _, address := range p.keeperAddresses {
+		addresses = append(addresses, address)
 	}
-	var out, errs bytes.Buffer
-	code := Ctl(append([]string{"--keepers", strings.Join(list, ","), "--secret", filepath.Join(p.folder, "secret")}, args...), &out, &errs)
-	return code, out.String() + errs.String()
+	var stdout, stderr bytes.Buffer
+	code := Ctl(append([]string{"--keepers", strings.Join(addresses, ","), "--secret", filepath.Join(p.folder, "secret")}, args...), &stdout, &stderr)
+	return code, stdout.String() + stderr.String()
 }
 
-func (p *processes) status() message.Status {
-	var s message.Status
-	code, out := p.ctl("--json", "status")
+func (p *processFleet) status() message.Status {
+	var status message.Status
+	code, out := p.runCtl("--json", "status")
 	if code == exitOK {
-		require.NoError(p.t, json.Unmarshal([]byte(out), &s))
+		require.NoError(p.t, json.Unmarshal([]byte(out), &status))
 	}
-	return s
+	return status
 }
 
-func (p *processes) eventually(what string, ok func() bool) {
+func (p *processFleet) eventually(condition string, check func() bool) {
 	p.t.Helper()
-	require.Eventually(p.t, ok, patience, poll, what)
+	require.Eventually(p.t, check, waitTimeout, pollInterval, condition)
 }
 
-// config writes a configuration with one account and the given targets.
-func (p *processes) config(number int, leaving string, targets ...string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "number = %d\n[[account]]\nname = \"regina\"\nshare = 1.0\nkeys = [%q]\n", number, fleet.KeyDigest(testKey))
+// writeConfig writes a configuration with one account and the given targets to a file and returns
+// its path.
+func (p *processFleet) writeConfig(number int, leavingTarget string, targets ...string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "number = %d\n[[account]]\nname = \"regina\"\nshare = 1.0\nkeys = [%q]\n", number, fleet.KeyDigest(testKey))
 	for _, name := range targets {
 		state := "live"
-		if name == leaving {
+		if name == leavingTarget {
 			state = "leaving"
 		}
-		fmt.Fprintf(&b, "[[target]]\nname = %q\naddress = %q\nzone = \"z-k1\"\nkind = \"engine\"\nslots = 8\nstate = %q\n", name, p.listen[name], state)
+		fmt.Fprintf(&text, "[[target]]\nname = %q\naddress = %q\nzone = \"z-k1\"\nkind = \"engine\"\nslots = 8\nstate = %q\n", name, p.listenAddresses[name], state)
 	}
-	fmt.Fprintf(&b, "[[event]]\nname = \"tender\"\naccounts = [\"regina\"]\ntargets = [\"%s\"]\n", strings.Join(targets, `", "`))
-	return p.write(fmt.Sprintf("config-%d.toml", number), b.String())
+	fmt.Fprintf(&text, "[[event]]\nname = \"tender\"\naccounts = [\"regina\"]\ntargets = [\"%s\"]\n", strings.Join(targets, `", "`))
+	return p.writeFile(fmt.Sprintf("config-%d.toml", number), text.String())
 }
--- a/internal/cmd/quarantine_test.go
+++ b/internal/cmd/quarantine_test.go
@@ -22,122 +22,123 @@
 )
 
 const (
-	// crashText is in the body of each request that ends the target that runs it.
-	crashText = "crash-me"
-	// endsAllowed is how many targets may end under a request before the fleet must hold it
-	// back, and mostLater how many sends of it may follow.
-	endsAllowed = 3
-	mostLater   = 3
-	// knownWithin is how long after an end all routers must know of it.
-	knownWithin = 3 * time.Second
-	// soundPart is the least part of sound work that must be served beside a request that
-	// is held back: all of it but what came while targets were away.
-	soundPart = 0.9
+	// crashMarker is in the body of each request that crashes the target that runs it.
+	crashMarker = "crash-me"
+	// terminationsAllowed is how many targets a request may terminate before the fleet must
+	// quarantine it. maxLaterTerminations is how many more it may terminate after that.
+	terminationsAllowed  = 3
+	maxLaterTerminations = 3
+	// quarantineDelay is the time after a termination within which all routers must know of it.
+	quarantineDelay = 3 * time.Second
+	// minServedFraction is the fraction of the harmless requests that must be served while the
+	// crashing request is quarantined. The rest allows for targets that are still restarting.
+	minServedFraction = 0.9
 )
 
-// A crowd of callers that send the same request again and again, through all routers by
-// turns, and others whose work is sound.
-type crowd struct {
-	crash func(n int) (status int)
-	sound func(n int) (status int)
-	pause time.Duration
+// A quarantineLoad sends the same crashing request again and again, and harmless requests beside
+// it, each from one caller that uses all routers in turn.
+type quarantineLoad struct {
+	sendCrashing func(requestNumber int) (status int)
+	sendHarmless func(requestNumber int) (status int)
+	interval     time.Duration
 
-	done  chan struct{}
-	going sync.WaitGroup
-	sent  atomic.Int64 // of sound work
-	whole atomic.Int64 // of that, served
-	last  atomic.Int64 // status of the last crashing request
+	stopped            chan struct{}
+	callers            sync.WaitGroup
+	harmlessSent       atomic.Int64 // how many harmless requests were sent
+	harmlessServed     atomic.Int64 // how many of them were served
+	lastCrashingStatus atomic.Int64 // HTTP status of the last crashing request
 }
 
-func (c *crowd) start() {
-	c.done = make(chan struct{})
-	c.going.Go(func() {
-		for n := 0; c.goOn(); n++ {
-			c.last.Store(int64(c.crash(n)))
+func (l *quarantineLoad) start() {
+	l.stopped = make(chan struct{})
+	l.callers.Go(func() {
+		for requestNumber := 0; l.waitForNext(); requestNumber++ {
+			l.lastCrashingStatus.Store(int64(l.sendCrashing(requestNumber)))
 		}
 	})
-	c.going.Go(func() {
-		for n := 0; c.goOn(); n++ {
-			c.sent.Add(1)
-			if c.sound(n) == http.StatusOK {
-				c.whole.Add(1)
+	l.callers.Go(func() {
+		for requestNumber := 0; l.waitForNext(); requestNumber++ {
+			l.harmlessSent.Add(1)
+			if l.sendHarmless(requestNumber) == http.StatusOK {
+				l.harmlessServed.Add(1)
 			}
 		}
 	})
 }
 
-func (c *crowd) goOn() bool {
+func (l *quarantineLoad) waitForNext() bool {
 	select {
-	case <-c.done:
+	case <-l.stopped:
 		return false
-	case <-time.After(c.pause):
+	case <-time.After(l.interval):
 		return true
 	}
 }
 
-func (c *crowd) stop() {
-	close(c.done)
-	c.going.Wait()
+func (l *quarantineLoad) stop() {
+	close(l.stopped)
+	l.callers.Wait()
 }
 
-// requireHeldBack checks that the request is held back once enough targets have ended.
-func (c *crowd) requireHeldBack(t *testing.T, ends func() int) {
+// requireQuarantine checks that the fleet quarantines the request once it has terminated enough
+// targets.
+func (l *quarantineLoad) requireQuarantine(t *testing.T, terminations func() int) {
 	t.Helper()
-	c.start()
-	require.Eventually(t, func() bool { return ends() >= endsAllowed }, patience, poll)
-	time.Sleep(knownWithin)
-	known := ends()
-	sent, whole := c.sent.Load(), c.whole.Load()
-	time.Sleep(2 * knownWithin)
-	c.stop()
-	later := ends() - known
-	sent, whole = c.sent.Load()-sent, c.whole.Load()-whole
-	t.Logf("%d targets ended until all routers knew, %d later; %d of %d of sound work served then", known, later, whole, sent)
-	require.LessOrEqual(t, later, mostLater, "it ends one target after the other")
-	require.GreaterOrEqual(t, float64(whole), soundPart*float64(sent), "sound work goes on")
-	require.Equal(t, http.StatusServiceUnavailable, int(c.last.Load()), "it is told that it has not run")
+	l.start()
+	require.Eventually(t, func() bool { return terminations() >= terminationsAllowed }, waitTimeout, pollInterval)
+	time.Sleep(quarantineDelay)
+	before := terminations()
+	sent, served := l.harmlessSent.Load(), l.harmlessServed.Load()
+	time.Sleep(2 * quarantineDelay)
+	l.stop()
+	later := terminations() - before
+	sent, served = l.harmlessSent.Load()-sent, l.harmlessServed.Load()-served
+	t.Logf("%d targets ended until all routers knew, %d later; %d of %d of sound work served then", before, later, served, sent)
+	require.LessOrEqual(t, later, maxLaterTerminations, "it ends one target after the other")
+	require.GreaterOrEqual(t, float64(served), minServedFraction*float64(sent), "sound work goes on")
+	require.Equal(t, http.StatusServiceUnavailable, int(l.lastCrashingStatus.Load()), "it is told that it has not run")
 }
 
-// A mortal is a target that is started again a moment after each of its ends.
-type mortal struct {
-	p    *processes
-	name string
-	ends *atomic.Int64
+// A restartingTarget is a target process that is started again shortly after each of its crashes.
+type restartingTarget struct {
+	processes    *processFleet
+	name         string
+	terminations *atomic.Int64
 
 	mu      sync.Mutex
 	process *os.Process
-	over    bool
+	stopped bool
 }
 
-func (m *mortal) live(file string) {
-	const away = 300 * time.Millisecond
-	for m.start(file) {
-		_, _ = m.process.Wait() // that it has ended is all that counts
-		m.ends.Add(1)
-		time.Sleep(away)
+func (r *restartingTarget) run(file string) {
+	const restartDelay = 300 * time.Millisecond
+	for r.start(file) {
+		_, _ = r.process.Wait() // Only the fact that it has exited matters.
+		r.terminations.Add(1)
+		time.Sleep(restartDelay)
 	}
 }
 
-func (m *mortal) start(file string) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.over {
+func (r *restartingTarget) start(file string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.stopped {
 		return false
 	}
-	c := exec.Command(os.Args[0], "--config", file)
-	c.Env = append(os.Environ(), programEnv+"=lf-standin")
-	if err := c.Start(); err != nil {
+	command := exec.Command(os.Args[0], "--config", file)
+	command.Env = append(os.Environ(), programEnv+"=lf-standin")
+	if err := command.Start(); err != nil {
 		return false
 	}
-	m.process = c.Process
+	r.process = command.Process
 	return true
 }
 
-func (m *mortal) end() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.over = true
-	_ = m.process.Kill() // it may have ended
+func (r *restartingTarget) stop() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.stopped = true
+	_ = r.process.Kill() // It may have exited already.
 }
 
 const crashConfig = `number = 1
@@ -156,95 +157,101 @@
 targets = [%s]
 `
 
-// Symptom: targets end one after the other, for as long as one caller goes on, and others
-// get little.
-// Sequence: an account sends a request that ends each target that runs it, again and again
-// with the same body, through all routers of an event; each target is back a moment later.
-// Cause: requests are judged one by one. Each is sent as often as its event allows, and
-// nothing knows that they are alike.
-func TestAnEventsRequestThatEndsItsTargetsIsHeldBack(t *testing.T) {
-	requireEventHoldsBack(t, 5)
+// Guards against one caller that crashes all targets of an event with copies of one request, so
+// that other accounts are hardly served. Judged one by one, the copies sent through several
+// routers look like unrelated requests, and each is retried as often as the event allows. The
+// targets restart within a moment.
+func TestQuarantinesEventRequestThatCrashesTargets(t *testing.T) {
+	requireEventQuarantine(t, 5)
 }
 
-// Guards against ends that are not counted, where a target that is back at once ends again
-// under the next copy of the request.
-func TestARequestThatEndsTheSameTargetsAgainIsHeldBack(t *testing.T) {
-	requireEventHoldsBack(t, 2)
+// Guards against terminations that are not counted because the same target, restarted at once,
+// crashes again under the next copy of the request.
+func TestQuarantinesRequestThatCrashesSameTargetsAgain(t *testing.T) {
+	requireEventQuarantine(t, 2)
 }
 
-// requireEventHoldsBack plays a request that ends each of an event's targets that runs it.
-func requireEventHoldsBack(t *testing.T, targets int) {
+// requireEventQuarantine sends a request that crashes each target of an event that runs it, and
+// checks that the fleet quarantines the request.
+func requireEventQuarantine(t *testing.T, targetCount int) {
 	t.Helper()
 	const otherKey = "other-key"
-	p := newProcesses(t)
-	for name := range p.keepers {
-		p.startKeeper(name, "--init")
+	processes := newProcessFleet(t)
+	for name := range processes.keeperAddresses {
+		processes.startKeeper(name, "--init")
 	}
 	routers := []string{"r1", "r2", "r3"}
 	for _, name := range routers {
-		p.startRouter(name)
+		processes.startRouter(name)
 	}
-	var ends atomic.Int64
-	var listed, names []string
-	var living sync.WaitGroup
-	t.Cleanup(living.Wait) // once each has been ended
-	for i := range targets {
-		m := &mortal{p: p, name: fmt.Sprintf("s%d", i), ends: &ends}
-		p.listen[m.name] = p.free()
-		file := p.write(m.name+".toml", fmt.Sprintf("name = %q\nlisten = %q\nkind = \"engine\"\ntokens = 5\ndelay = \"20ms\"\ncrash = %q\n", m.name, p.listen[m.name], crashText))
-		names = append(names, fmt.Sprintf("%q", m.name))
-		listed = append(listed, fmt.Sprintf("[[target]]\nname = %q\naddress = %q\nzone = \"z-k1\"\nkind = \"engine\"\nslots = 8", m.name, p.listen[m.name]))
-		living.Go(func() { m.live(file) })
-		t.Cleanup(m.end)
+	var terminations atomic.Int64
+	var targetTables, targetNames []string
+	var running sync.WaitGroup
+	t.Cleanup(running.Wait) // The cleanups registered later stop each target first.
+	for i := range targetCount {
+		target := &restartingTarget{processes: processes, name: fmt.Sprintf("s%d", i), terminations: &terminations}
+		processes.listenAddresses[target.name] = processes.freeAddress()
+		file := processes.writeFile(target.name+".toml", fmt.Sprintf("name = %q\nlisten = %q\nkind = \"engine\"\ntokens = 5\ndelay = \"20ms\"\ncrash = %q\n", target.name, processes.listenAddresses[target.name], crashMarker))
+		targetNames = append(targetNames, fmt.Sprintf("%q", target.name))
+		targetTables = append(targetTables, fmt.Sprintf("[[target]]\nname = %q\naddress = %q\nzone = \"z-k1\"\nkind = \"engine\"\nslots = 8", target.name, processes.listenAddresses[target.name]))
+		running.Go(func() { target.run(file) })
+		t.Cleanup(target.stop)
 	}
-	file := p.write("fleet.toml", fmt.Sprintf(crashConfig, fleet.KeyDigest(testKey), fleet.KeyDigest(otherKey),
-		strings.Join(listed, "\n"), strings.Join(names, ", ")))
-	p.eventually("the configuration", func() bool {
-		code, _ := p.ctl("apply", "--wait", file)
+	file := processes.writeFile("fleet.toml", fmt.Sprintf(crashConfig, fleet.KeyDigest(testKey), fleet.KeyDigest(otherKey),
+		strings.Join(targetTables, "\n"), strings.Join(targetNames, ", ")))
+	processes.eventually("the configuration", func() bool {
+		code, _ := processes.runCtl("apply", "--wait", file)
 		return code == exitOK
 	})
-	p.eventually("healthy routers", func() bool { return p.healthy("r1") && p.healthy("r2") && p.healthy("r3") })
-	ask := func(n int, key, body string) int {
-		resp, err := p.send(routers[n%len(routers)], key, body)
+	processes.eventually("healthy routers", func() bool {
+		return processes.isHealthy("r1") && processes.isHealthy("r2") && processes.isHealthy("r3")
+	})
+	send := func(requestNumber int, key, body string) int {
+		status, err := processes.sendRequest(routers[requestNumber%len(routers)], key, body)
 		if err != nil {
 			return 0
 		}
-		return resp
+		return status
 	}
-	c := &crowd{
-		pause: 50 * time.Millisecond,
-		crash: func(n int) int { return ask(n, testKey, `{"messages":[{"content":"`+crashText+`"}]}`) },
-		sound: func(n int) int { return ask(n, otherKey, fmt.Sprintf(`{"messages":[{"content":"sound %d"}]}`, n)) },
+	load := &quarantineLoad{
+		interval: 50 * time.Millisecond,
+		sendCrashing: func(requestNumber int) int {
+			return send(requestNumber, testKey, `{"messages":[{"content":"`+crashMarker+`"}]}`)
+		},
+		sendHarmless: func(requestNumber int) int {
+			return send(requestNumber, otherKey, fmt.Sprintf(`{"messages":[{"content":"sound %d"}]}`, requestNumber))
+		},
 	}
-	c.requireHeldBack(t, func() int { return int(ends.Load()) })
-	p.requireListedAndLifted(t)
+	load.requireQuarantine(t, func() int { return int(terminations.Load()) })
+	processes.requireListsAndLiftsQuarantine(t)
 }
 
-// requireListedAndLifted checks that an operator sees the request that is held back, and can
-// free it.
-func (p *processes) requireListedAndLifted(t *testing.T) {
+// requireListsAndLiftsQuarantine checks that an operator can list the quarantined request and
+// release it.
+func (p *processFleet) requireListsAndLiftsQuarantine(t *testing.T) {
 	t.Helper()
-	code, out := p.ctl("held")
+	code, out := p.runCtl("held")
 	require.Equal(t, exitOK, code)
 	require.Regexp(t, `(?m)^\S+ +regina +tender +[3-9] .*held back`, out)
-	_, out = p.ctl("status")
+	_, out = p.runCtl("status")
 	require.Contains(t, out, "lfctl held")
-	code, _ = p.ctl("lift", "nothing")
+	code, _ = p.runCtl("lift", "nothing")
 	require.Equal(t, exitRejected, code)
-	var held message.QuarantineResult
-	_, out = p.ctl("--json", "held")
-	require.NoError(t, json.Unmarshal([]byte(out), &held))
-	code, out = p.ctl("lift", string(held.Entries[0].Fingerprint))
+	var list message.QuarantineResult
+	_, out = p.runCtl("--json", "held")
+	require.NoError(t, json.Unmarshal([]byte(out), &list))
+	code, out = p.runCtl("lift", string(list.Entries[0].Fingerprint))
 	require.Equal(t, exitOK, code, out)
-	_, out = p.ctl("--json", "held")
-	held = message.QuarantineResult{}
-	require.NoError(t, json.Unmarshal([]byte(out), &held))
-	require.Empty(t, held.Entries)
+	_, out = p.runCtl("--json", "held")
+	list = message.QuarantineResult{}
+	require.NoError(t, json.Unmarshal([]byte(out), &list))
+	require.Empty(t, list.Entries)
 }
 
-// send sends a request to an event and returns its status once it has the whole answer.
-func (p *processes) send(router, key, body string) (int, error) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+p.listen[router]+"/e/tender/v1/chat/completions", strings.NewReader(body))
+// sendRequest sends a request to an event and returns the response status once the complete
+// response has arrived.
+func (p *processFleet) sendRequest(router, key, body string) (int, error) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+p.listenAddresses[router]+"/e/tender/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
@@ -252,64 +259,63 @@
 	return statusOf(req)
 }
 
-// statusOf sends a request on a connection of its own.
+// statusOf sends a request on a connection of its own and returns the response status.
 func statusOf(req *http.Request) (int, error) {
-	resp, err := groundClient.Do(req)
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return 0, err
 	}
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// Symptom: as with events, on routes: each engine that begins the request ends, and is back
-// under another ID some seconds later; 16 ended under one request, ten after the third.
-// Sequence: callers of one account send it again and again, with new IDs, through all routers.
-// Cause: the same. Evidence: in the kept lines of the incident each of 56 cut attempts was the
-// first one of a request with an ID of its own; with fingerprints in the lines, the ones
-// behind the ends are alike.
-func TestARoutesRequestThatEndsItsTargetsIsHeldBack(t *testing.T) {
-	const more = 4 // targets beside those of the ground
-	g := newGround(t)
-	var ends atomic.Int64
-	var made atomic.Int64
-	g.site.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
+// Guards against one account that crashes all targets of a route with copies of one request. Each
+// target returns under a new ID, and each copy has a new request ID, so nothing but the
+// fingerprint shows that the copies are alike. In an incident, 16 targets ended under one
+// request, ten of them after the third, and each of 56 interrupted attempts was the first attempt
+// of a request with its own ID.
+func TestQuarantinesRouteRequestThatCrashesTargets(t *testing.T) {
+	const extraTargets = 4 // in addition to the targets of newPlatformFleet
+	processes := newPlatformFleet(t)
+	var terminations atomic.Int64
+	var restarts atomic.Int64
+	processes.platform.Fault = func(target *standin.SiteTarget, _ http.ResponseWriter, r *http.Request) bool {
 		if r.Header.Get("Crash") == "" {
 			return false
 		}
 		target.Ran(r)
-		ends.Add(1)
-		g.site.Remove(target)
+		terminations.Add(1)
+		processes.platform.Remove(target)
 		go func() {
-			const away = 300 * time.Millisecond
-			time.Sleep(away)
-			_, _ = g.site.Add(fmt.Sprint("i-again-", made.Add(1)), target.Pool, target.Zone, "127.0.3.1:0", target.Slots)
+			const restartDelay = 300 * time.Millisecond
+			time.Sleep(restartDelay)
+			_, _ = processes.platform.Add(fmt.Sprint("i-again-", restarts.Add(1)), target.Pool, target.Zone, "127.0.3.1:0", target.Slots)
 		}()
 		panic(http.ErrAbortHandler)
 	}
-	for i := range more {
-		_, err := g.site.Add(fmt.Sprint("i-more-", i), "plain", "z1", "127.0.3.1:0", 8)
+	for i := range extraTargets {
+		_, err := processes.platform.Add(fmt.Sprint("i-more-", i), "plain", "z1", "127.0.3.1:0", 8)
 		require.NoError(t, err)
 	}
-	for i := range groundKeepers {
-		g.keeper(i, true)
+	for i := range platformKeepers {
+		processes.startKeeper(i, true)
 	}
-	const routers = 3
-	for i := range routers {
-		g.router(i)
+	const routerCount = 3
+	for i := range routerCount {
+		processes.startRouter(i)
 	}
-	g.put(1)
-	g.requireServed(1)
-	var ids atomic.Int64
-	ask := func(n int, body, crash string) int {
-		req, err := http.NewRequest(http.MethodPost, "http://"+g.address(g.routerIP(n%routers), standin.CallerPort)+"/keyed/x", strings.NewReader(body))
+	processes.putConfig(1)
+	processes.requireConfigAtRouters(1)
+	var requestIDs atomic.Int64
+	send := func(requestNumber int, body, crashHeader string) int {
+		req, err := http.NewRequest(http.MethodPost, "http://"+processes.address(processes.routerIP(requestNumber%routerCount), standin.CallerPort)+"/keyed/x", strings.NewReader(body))
 		if err != nil {
 			return 0
 		}
 		req.Host = "h.example"
-		req.Header.Set("X-Attempt-Id", fmt.Sprint("crowd-", ids.Add(1)))
+		req.Header.Set("X-Attempt-Id", fmt.Sprint("crowd-", requestIDs.Add(1)))
 		req.Header.Set("Authorization", "Bearer good-key")
-		if crash != "" {
-			req.Header.Set("Crash", crash)
+		if crashHeader != "" {
+			req.Header.Set("Crash", crashHeader)
 		}
 		status, err := statusOf(req)
 		if err != nil {
@@ -317,25 +323,26 @@
 		}
 		return status
 	}
-	c := &crowd{
-		pause: 50 * time.Millisecond,
-		crash: func(n int) int { return ask(n, "the same", "yes") },
-		sound: func(n int) int { return ask(n, fmt.Sprint("sound ", n), "") },
+	load := &quarantineLoad{
+		interval:     50 * time.Millisecond,
+		sendCrashing: func(requestNumber int) int { return send(requestNumber, "the same", "yes") },
+		sendHarmless: func(requestNumber int) int { return send(requestNumber, fmt.Sprint("sound ", requestNumber), "") },
 	}
-	c.requireHeldBack(t, func() int { return int(ends.Load()) })
-	g.requireListed()
+	load.requireQuarantine(t, func() int { return int(terminations.Load()) })
+	processes.requireListsQuarantine()
 }
 
-// requireListed checks that an operator of the platform sees the request that is held back.
-func (g *ground) requireListed() {
-	// Peers on the platform prove nothing to each other: the secret is empty.
-	secret := filepath.Join(g.folder, "none")
-	require.NoError(g.t, os.WriteFile(secret, nil, 0o600))
+// requireListsQuarantine checks that an operator on the platform can list the quarantined
+// request.
+func (f *platformFleet) requireListsQuarantine() {
+	// Processes on the platform do not authenticate each other, so the secret is empty.
+	secret := filepath.Join(f.folder, "none")
+	require.NoError(f.t, os.WriteFile(secret, nil, 0o600))
 	var keepers []string
-	for i := range groundKeepers {
-		keepers = append(keepers, g.address(g.keeperIP(i), 0))
+	for i := range platformKeepers {
+		keepers = append(keepers, f.address(f.keeperIP(i), 0))
 	}
-	var out, errs bytes.Buffer
-	require.Equal(g.t, exitOK, Ctl([]string{"--keepers", strings.Join(keepers, ","), "--secret", secret, "held"}, &out, &errs), errs.String())
-	require.Regexp(g.t, `(?m)^\S+ +acme +keyed +[3-9] .*held back`, out.String())
+	var stdout, stderr bytes.Buffer
+	require.Equal(f.t, exitOK, Ctl([]string{"--keepers", strings.Join(keepers, ","), "--secret", secret, "held"}, &stdout, &stderr), stderr.String())
+	require.Regexp(f.t, `(?m)^\S+ +acme +keyed +[3-9] .*held back`, stdout.String())
 }
--- a/internal/cmd/resign_test.go
+++ b/internal/cmd/resign_test.go
@@ -9,26 +9,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: after the leader is told to stop, nobody leads for a second.
-// Sequence: SIGTERM to the leading keeper of three.
-// Cause: it ended without a word, or its word did not get out any more.
-func TestAKeeperThatStopsHandsTheLeadOver(t *testing.T) {
-	p := newProcesses(t)
+// Guards against a second without a leader after the leader is asked to stop. The leader must
+// resign and send its last messages before it exits.
+func TestStoppingLeaderResigns(t *testing.T) {
+	processes := newProcessFleet(t)
 	for _, name := range []string{"k1", "k2", "k3"} {
-		p.startKeeper(name, "--init")
+		processes.startKeeper(name, "--init")
 	}
-	var old string
-	p.eventually("a leader", func() bool {
-		old = p.leader()
-		return old != ""
+	var oldLeader string
+	processes.eventually("a leader", func() bool {
+		oldLeader = processes.leaderName()
+		return oldLeader != ""
 	})
-	p.signal(old, syscall.SIGTERM)
-	require.Equal(t, exitOK, p.exitCode(old))
-	log, err := os.ReadFile(filepath.Join(p.folder, old+".log"))
+	processes.signal(oldLeader, syscall.SIGTERM)
+	require.Equal(t, exitOK, processes.waitForExit(oldLeader))
+	log, err := os.ReadFile(filepath.Join(processes.folder, oldLeader+".log"))
 	require.NoError(t, err)
 	require.Contains(t, string(log), "resigning: this keeper stops")
-	p.eventually("another leader", func() bool {
-		next := p.leader()
-		return next != "" && next != old
+	processes.eventually("another leader", func() bool {
+		newLeader := processes.leaderName()
+		return newLeader != "" && newLeader != oldLeader
 	})
 }
--- a/internal/cmd/routes_test.go
+++ b/internal/cmd/routes_test.go
@@ -46,9 +46,9 @@
 pools = [{ pool = "engines", weight = 1 }]
 `
 
-// post makes a request to an address under a host's name. It returns nil if
-// nobody answers.
-func (p *processes) post(address, path, host, key string) (*http.Response, string) {
+// sendRouteRequest sends a request with a Host header to an address. It returns nil if there is
+// no response.
+func (p *processFleet) sendRouteRequest(address, path, host, key string) (*http.Response, string) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(`{"stream":true}`))
 	require.NoError(p.t, err)
 	req.Host = host
@@ -57,71 +57,70 @@
 	if err != nil {
 		return nil, ""
 	}
-	defer func() { _ = resp.Body.Close() }() // it is read
+	defer func() { _ = resp.Body.Close() }() // It has been read.
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(p.t, err)
 	return resp, string(body)
 }
 
-// TestRoutesBesideEvents plays the product's own programs: one configuration
-// with events and routes is applied by lfctl, and a router serves both.
-func TestRoutesBesideEvents(t *testing.T) {
+// Guards against a router that serves only events or only routes, although one configuration,
+// applied by lfctl, has both.
+func TestRouterServesEventsAndRoutes(t *testing.T) {
 	const path, host = "/v1/chat/completions", "notes.example"
-	p := newProcesses(t)
-	p.startStandin("assistant", "engine", "tokens = 5")
-	for name := range p.keepers {
-		p.startKeeper(name, "--init")
+	processes := newProcessFleet(t)
+	processes.startStandin("assistant", "engine", "tokens = 5")
+	for name := range processes.keeperAddresses {
+		processes.startKeeper(name, "--init")
 	}
-	hosts := p.free()
-	p.moreRouter = fmt.Sprintf("hosts = %q\n", hosts)
-	p.startRouter("r1")
-	first := fmt.Sprintf(routesConfig, 1, fleet.KeyDigest(testKey), p.listen["assistant"])
-	file := p.write("fleet.toml", first)
+	routeAddress := processes.freeAddress()
+	processes.extraRouterSettings = fmt.Sprintf("hosts = %q\n", routeAddress)
+	processes.startRouter("r1")
+	firstConfig := fmt.Sprintf(routesConfig, 1, fleet.KeyDigest(testKey), processes.listenAddresses["assistant"])
+	file := processes.writeFile("fleet.toml", firstConfig)
 	require.Eventually(t, func() bool {
-		code, _ := p.ctl("apply", "--wait", file)
+		code, _ := processes.runCtl("apply", "--wait", file)
 		return code == exitOK
-	}, patience, poll)
+	}, waitTimeout, pollInterval)
 	require.Eventually(t, func() bool {
-		resp, _ := p.post(hosts, path, host, testKey)
+		resp, _ := processes.sendRouteRequest(routeAddress, path, host, testKey)
 		return resp != nil && resp.StatusCode == http.StatusOK
-	}, patience, poll)
+	}, waitTimeout, pollInterval)
 
-	// The router has its lease for events by a way of its own, and may have it
-	// later than its routes.
+	// The router receives its lease for events independently of its routes, and possibly later.
 	require.Eventually(t, func() bool {
-		resp, err := http.Get("http://" + p.admin["r1"] + "/readyz")
+		resp, err := http.Get("http://" + processes.adminAddresses["r1"] + "/readyz")
 		if err != nil {
 			return false
 		}
-		_ = resp.Body.Close() // only the status counts
+		_ = resp.Body.Close() // Only the status matters.
 		return resp.StatusCode == http.StatusOK
-	}, patience, poll)
+	}, waitTimeout, pollInterval)
 
-	resp, body := p.post(hosts, path, host, testKey)
+	resp, body := processes.sendRouteRequest(routeAddress, path, host, testKey)
 	require.Equal(t, http.StatusOK, resp.StatusCode, body)
 	require.Equal(t, "ran", resp.Header.Get("Lf-Outcome"))
 	require.NotEmpty(t, resp.Header.Get("Lf-Request"))
 	require.Contains(t, body, "[DONE]")
-	resp, body = p.post(hosts, path, host, "no-key")
+	resp, body = processes.sendRouteRequest(routeAddress, path, host, "no-key")
 	require.Equal(t, http.StatusUnauthorized, resp.StatusCode)
 	require.Contains(t, body, `"kind":"key"`)
 	require.Equal(t, "unrun", resp.Header.Get("Lf-Outcome"))
-	resp, _ = p.post(hosts, path, "other.example", testKey)
+	resp, _ = processes.sendRouteRequest(routeAddress, path, "other.example", testKey)
 	require.Equal(t, http.StatusNotFound, resp.StatusCode)
-	resp, body = p.post(p.listen["r1"], "/e/tender"+path, "x", testKey)
+	resp, body = processes.sendRouteRequest(processes.listenAddresses["r1"], "/e/tender"+path, "x", testKey)
 	require.Equal(t, http.StatusOK, resp.StatusCode, body)
-	code, shown := p.ctl("show")
+	code, config := processes.runCtl("show")
 	require.Equal(t, exitOK, code)
-	require.Contains(t, shown, `host = 'notes.example'`)
+	require.Contains(t, config, `host = 'notes.example'`)
 
-	second := strings.Replace(first, "number = 1", "number = 2", 1)
-	p.write("fleet.toml", strings.Replace(second, "slots = 8", "slots = 8\nstate = \"leaving\"", 1))
-	code, out := p.ctl("apply", "--wait", file)
+	secondConfig := strings.Replace(firstConfig, "number = 1", "number = 2", 1)
+	processes.writeFile("fleet.toml", strings.Replace(secondConfig, "slots = 8", "slots = 8\nstate = \"leaving\"", 1))
+	code, out := processes.runCtl("apply", "--wait", file)
 	require.Equal(t, exitOK, code, out)
 	require.Eventually(t, func() bool {
-		resp, _ := p.post(hosts, path, host, testKey)
+		resp, _ := processes.sendRouteRequest(routeAddress, path, host, testKey)
 		return resp.StatusCode == http.StatusServiceUnavailable
-	}, patience, poll, "a leaving target gets no new work")
-	require.NoError(t, p.running["r1"].Process.Signal(syscall.SIGTERM))
-	require.Zero(t, p.exitCode("r1"))
+	}, waitTimeout, pollInterval, "a leaving target gets no new work")
+	require.NoError(t, processes.running["r1"].Process.Signal(syscall.SIGTERM))
+	require.Zero(t, processes.waitForExit("r1"))
 }
--- a/internal/cmd/script_test.go
+++ b/internal/cmd/script_test.go
@@ -7,7 +7,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// programEnv names the program that the test binary is to be.
+// programEnv names the environment variable with the program that the test binary runs.
 const programEnv = "LF_TEST_PROGRAM"
 
 var programs = map[string]func() int{
--- a/internal/cmd/shutdown_test.go
+++ b/internal/cmd/shutdown_test.go
@@ -14,39 +14,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuck is the reader of a log that takes nothing.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a log writer that blocks until it is released.
+type blockedWriter struct{ release chan struct{} }
 
 // Write implements io.Writer.
-func (s stuck) Write(b []byte) (int, error) {
-	<-s.release
+func (w blockedWriter) Write(b []byte) (int, error) {
+	<-w.release
 	return len(b), nil
 }
 
-// Symptom: a process that was told to stop is killed at the end of its grace; what it
-// had in progress gets no answer, and its log does not tell why.
-// Sequence: it is told to stop; one of its duties waits for ever, or nobody reads its
-// log.
-// Cause: nothing bounded the end of the process as a whole.
-func TestAProcessEndsBeforeItsGraceIsOver(t *testing.T) {
-	stopSelf := func() error { return syscall.Kill(os.Getpid(), syscall.SIGTERM) }
+// Guards against a stopping process that the platform kills at the end of the grace period, so
+// that requests in progress get no response and the log does not show why. This happens if one of
+// its tasks never ends, or if nobody reads its log.
+func TestProcessExitsWithinGracePeriod(t *testing.T) {
+	terminateSelf := func() error { return syscall.Kill(os.Getpid(), syscall.SIGTERM) }
 	t.Run("a duty that never ends", func(t *testing.T) {
 		var log bytes.Buffer
-		code := endOf(t, &log, func(context.Context, *platformProgram) error {
-			if err := stopSelf(); err != nil {
+		code := platformExitCode(t, &log, func(context.Context, *platformProgram) error {
+			if err := terminateSelf(); err != nil {
 				return err
 			}
 			select {}
 		})
 		require.Equal(t, exitFailure, code)
 		require.Contains(t, log.String(), `"overdue"`)
-		require.Contains(t, log.String(), "TestAProcessEndsBeforeItsGraceIsOver", "it tells what hangs")
+		require.Contains(t, log.String(), "TestProcessExitsWithinGracePeriod", "the stacks show which task hangs")
 	})
 	t.Run("a log that nobody reads", func(t *testing.T) {
-		s := stuck{release: make(chan struct{})}
-		defer close(s.release)
-		code := endOf(t, s, func(ctx context.Context, _ *platformProgram) error {
-			err := stopSelf()
+		blocked := blockedWriter{release: make(chan struct{})}
+		defer close(blocked.release)
+		code := platformExitCode(t, blocked, func(ctx context.Context, _ *platformProgram) error {
+			err := terminateSelf()
 			<-ctx.Done()
 			return err
 		})
@@ -54,28 +52,27 @@
 	})
 }
 
-// Symptom: a process dies of a reload.
-// Sequence: the signal to read the settings anew comes while the process starts, or
-// ends, or after its duty of heeding it has failed.
-// Cause: the signal was caught only while that duty ran; its usual effect is to kill.
-func TestASignalToReloadNeverKills(t *testing.T) {
-	code := endOf(t, io.Discard, func(context.Context, *platformProgram) error {
+// Guards against a reload signal that kills the process, because SIGHUP was caught only while the
+// task that handles it ran: not during the start, not during the shutdown, and not after that
+// task failed.
+func TestReloadSignalDoesNotKillProcess(t *testing.T) {
+	code := platformExitCode(t, io.Discard, func(context.Context, *platformProgram) error {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			return err
 		}
-		time.Sleep(50 * time.Millisecond) // it would be dead
+		time.Sleep(50 * time.Millisecond) // An unhandled signal would have killed the process by now.
 		return nil
 	})
 	require.Equal(t, exitOK, code)
 }
 
-// endOf runs a program that is told to stop and returns its exit code.
-func endOf(t *testing.T, log io.Writer, run func(ctx context.Context, p *platformProgram) error) int {
+// platformExitCode runs a program with platform settings and returns its exit code.
+func platformExitCode(t *testing.T, log io.Writer, run func(ctx context.Context, p *platformProgram) error) int {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.toml")
-	g := &ground{t: t, folder: t.TempDir(), port: 7000, seeds: []int{0}}
-	text := g.endSettings()
-	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	fleet := &platformFleet{t: t, folder: t.TempDir(), basePort: 7000, seedKeepers: []int{0}}
+	settings := fleet.shortGraceSettings()
+	require.NoError(t, os.WriteFile(path, []byte(settings), 0o600))
 	t.Setenv("LABURNUMFALL_CONFIG", path)
 	codes := make(chan int, 1)
 	go func() { codes <- runPlatform("lf-router", false, log, io.Discard, run) }()
@@ -88,8 +85,8 @@
 	}
 }
 
-// endSettings are settings with a grace of a second.
-func (g *ground) endSettings() string {
-	text := g.settingsAt("r0", g.ip(1), "z1", true, "127.0.0.1:1")
-	return strings.Replace(text, "grace_s = 6", "grace_s = 1", 1)
+// shortGraceSettings returns settings with a grace period of one second.
+func (f *platformFleet) shortGraceSettings() string {
+	settings := f.settingsTextWithList("r0", f.hostIP(1), "z1", true, "127.0.0.1:1")
+	return strings.Replace(settings, "grace_s = 6", "grace_s = 1", 1)
 }
