--- a/internal/cmd/balancer_test.go
+++ b/internal/cmd/balancer_test.go
@@ -46,8 +46,8 @@
 	for i, name := range []string{"r0", "r1"} {
 		require.Eventually(t, func() bool { return len(balancer.Rotation()) == 2 }, waitTimeout, pollInterval)
 		require.NoError(t, processes.running[name].Process.Signal(syscall.SIGTERM))
-		require.Eventually(t, func() bool { return !slices.Contains(balancer.Rotation(), i) }, waitTimeout, pollInterval, "it leaves the rotation")
-		require.NoError(t, processes.running[name].Wait(), "a stop ends well")
+		require.Eventually(t, func() bool { return !slices.Contains(balancer.Rotation(), i) }, waitTimeout, pollInterval, "the router leaves the rotation")
+		require.NoError(t, processes.running[name].Wait(), "the router exits cleanly")
 		processes.startRouter(i)
 	}
 	require.Eventually(t, func() bool { return len(balancer.Rotation()) == 2 }, waitTimeout, pollInterval)
--- a/internal/cmd/fleet_test.go
+++ b/internal/cmd/fleet_test.go
@@ -75,6 +75,8 @@
 	return processes
 }
 
+// leaderName returns the name of the leader, or "" if there is none. Status reports the leader with a
+// suffix that is unique to its incarnation.
 func (p *processFleet) leaderName() string {
 	return strings.SplitN(p.status().Leader, "-", 2)[0]
 }
@@ -92,7 +94,7 @@
 	require.Contains(t, body, "[DONE]")
 
 	code, out := processes.runCtl("apply", processes.writeConfig(1, "", "s1", "s2"))
-	require.Equal(t, exitOK, code, "the same again: %s", out)
+	require.Equal(t, exitOK, code, "repeated command: %s", out)
 	code, out = processes.runCtl("apply", processes.writeConfig(1, "s2", "s1", "s2"))
 	require.Equal(t, exitConflict, code, out)
 	require.Contains(t, out, "number in force: 1")
@@ -103,19 +105,19 @@
 	code, out = processes.runCtl("apply", "--wait", processes.writeConfig(2, "", "s1", "s2"))
 	require.Equal(t, exitOK, code, out)
 	code, out = processes.runCtl("apply", processes.writeConfig(1, "", "s1", "s2"))
-	require.Equal(t, exitOK, code, "accepted once, accepted again: %s", out)
+	require.Equal(t, exitOK, code, "repeated command with an older number: %s", out)
 	require.Contains(t, out, "nothing changed, number 2 is in force")
 	processes.signal(suspended, syscall.SIGCONT)
 	currentLeader := processes.leaderName()
 	time.Sleep(2 * time.Second)
-	require.Equal(t, currentLeader, processes.leaderName(), "the woken keeper deposes nobody")
+	require.Equal(t, currentLeader, processes.leaderName(), "the resumed keeper does not depose the leader")
 	require.Equal(t, uint64(2), processes.status().Number)
 
 	formerID := processes.memberID(suspended)
 	processes.kill(suspended)
 	require.NoError(t, os.RemoveAll(filepath.Join(processes.folder, suspended)))
 	processes.startKeeper(suspended)
-	processes.eventually("the replacement votes", func() bool {
+	processes.eventually("the replacement is a voter", func() bool {
 		status := processes.status()
 		voters := 0
 		for _, keeper := range status.Keepers {
@@ -133,8 +135,8 @@
 	for name := range processes.keeperAddresses {
 		processes.startKeeper(name)
 	}
-	processes.eventually("the state is back", func() bool { return processes.status().Number == 2 })
-	processes.eventually("requests go on", func() bool {
+	processes.eventually("the state is restored", func() bool { return processes.status().Number == 2 })
+	processes.eventually("requests are served", func() bool {
 		status, _, _, err := processes.sendCompletion("r2", "last")
 		return err == nil && status == http.StatusOK
 	})
@@ -142,7 +144,7 @@
 
 // Guards against new work for a leaving target, responses cut off by a stopping router, and
 // non-repeatable requests that run twice when another router receives the same idempotency key.
-func TestDrainShutdownAndResendLoseNoRequest(t *testing.T) {
+func TestDrainAndShutdownNeitherCutNorRepeatRequests(t *testing.T) {
 	processes := startProcessFleet(t, "pace = \"20ms\"\ntokens = 40")
 	code, out := processes.runCtl("apply", "--wait", processes.writeConfig(2, "s2", "s1", "s2"))
 	require.Equal(t, exitOK, code, out)
@@ -153,7 +155,7 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, body)
 		// The outcome is "running" until the first router has settled the claim.
-		processes.eventually("the fate is known", func() bool {
+		processes.eventually("the outcome is known", func() bool {
 			status, outcome, body, err := processes.sendCompletion("r2", "once", "Lf-Repeat", "never", "Idempotency-Key", key)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusConflict, status, body)
@@ -175,7 +177,7 @@
 			case err != nil:
 				failures <- err.Error()
 			case status == http.StatusOK && !strings.Contains(body, fmt.Sprintf("mine-%d\"", i)):
-				failures <- "not mine, or not whole: " + body
+				failures <- "wrong or incomplete response: " + body
 			case status != http.StatusOK && outcome != "unrun":
 				failures <- fmt.Sprintf("status %d, outcome %s", status, outcome)
 			}
@@ -191,7 +193,7 @@
 	require.Equal(t, exitOK, processes.waitForExit("r1"))
 	counts := processes.standinCounts("s1")
 	require.Zero(t, counts.Cancelled)
-	require.LessOrEqual(t, counts.Most, 8, "no more than its slots at a time")
+	require.LessOrEqual(t, counts.Most, 8, "no more requests at a time than slots")
 }
 
 // Guards against a router that starts requests after its lease has expired, on targets that may
@@ -221,13 +223,13 @@
 		require.Contains(t, body, "nolease")
 	}
 	body := <-streamBody
-	require.Contains(t, body, "to the end", "what runs finishes")
+	require.Contains(t, body, "to the end", "a request in progress finishes")
 	require.Contains(t, body, "[DONE]")
 	require.Equal(t, started, processes.standinCounts("s1").Started+processes.standinCounts("s2").Started)
 	for name := range processes.keeperAddresses {
 		processes.signal(name, syscall.SIGCONT)
 	}
-	processes.eventually("healthy again", func() bool { return processes.isHealthy("r1") && processes.isHealthy("r2") })
+	processes.eventually("healthy routers again", func() bool { return processes.isHealthy("r1") && processes.isHealthy("r2") })
 	status, outcome, body, err := processes.sendCompletion("r2", "at last", "Lf-Repeat", "never", "Idempotency-Key", "late")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status, body)
--- a/internal/cmd/idle_bench_test.go
+++ b/internal/cmd/idle_bench_test.go
@@ -32,12 +32,12 @@
 			require.Equal(b, exitOK, code, out)
 			time.Sleep(2 * time.Second)
 			leaderName := processes.leaderName()
-			followerOf := map[string]string{"k1": "k2", "k2": "k3", "k3": "k1"}[leaderName]
-			router, leader, follower := processes.measureUsage("r0"), processes.measureUsage(leaderName), processes.measureUsage(followerOf)
+			followerName := map[string]string{"k1": "k2", "k2": "k3", "k3": "k1"}[leaderName]
+			router, leader, follower := processes.measureUsage("r0"), processes.measureUsage(leaderName), processes.measureUsage(followerName)
 			const duration = 10 * time.Second
 			b.ResetTimer()
 			time.Sleep(duration)
-			router, leader, follower = processes.measureUsage("r0").since(router), processes.measureUsage(leaderName).since(leader), processes.measureUsage(followerOf).since(follower)
+			router, leader, follower = processes.measureUsage("r0").since(router), processes.measureUsage(leaderName).since(leader), processes.measureUsage(followerName).since(follower)
 			b.ReportMetric(100*follower.cpu.Seconds()/duration.Seconds(), "follower-cpu-%")
 			b.ReportMetric(follower.memory/1e6, "follower-MB")
 			b.ReportMetric(follower.controlBytes/duration.Seconds(), "follower-B/s")
--- a/internal/cmd/load_bench_test.go
+++ b/internal/cmd/load_bench_test.go
@@ -48,8 +48,8 @@
 		time.Sleep(duration / 3)
 		processes.kill("r5")
 		running.Wait()
-		for outcome, count := range stats.responses {
-			b.Logf("%s: %d", outcome, count)
+		for response, count := range stats.responses {
+			b.Logf("%s: %d", response, count)
 		}
 		for _, name := range targets {
 			counts := processes.standinCounts(name)
@@ -89,7 +89,7 @@
 		case err != nil:
 			response = "broken"
 		case status == http.StatusOK && !strings.Contains(body, prompt+`"`):
-			response = "not mine"
+			response = "wrong response"
 		}
 		l.mu.Lock()
 		l.responses[response]++
--- a/internal/cmd/platform_test.go
+++ b/internal/cmd/platform_test.go
@@ -115,6 +115,7 @@
 	f.startProcess("lf-router", fmt.Sprintf("r%d", i), f.routerIP(i), true)
 }
 
+// signalAndWait sends a signal to a process and waits until it exits. The error is that of Wait.
 func (f *platformFleet) signalAndWait(name string, sig syscall.Signal) error {
 	command := f.running[name]
 	delete(f.running, name)
@@ -133,6 +134,7 @@
 	return fmt.Sprintf(platformConfig, version, version)
 }
 
+// callerClient sends each request on a new connection.
 var callerClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // operator returns an operator that can reach all keepers.
@@ -151,11 +153,11 @@
 		keeper = (keeper + 1) % platformKeepers
 		status, _ := f.operator().Put(keeper, f.configText(version))
 		return status == http.StatusOK
-	}, waitTimeout, pollInterval, "configuration %d was not accepted", version)
+	}, waitTimeout, pollInterval, "no keeper accepted configuration %d", version)
 }
 
-// requireConfigAtKeepers checks that at least all keepers but one return the newest
-// configuration, and that what they return is equal byte by byte.
+// requireConfigAtKeepers checks that every keeper that responds returns the newest configuration
+// byte by byte, and that at most one keeper does not respond.
 func (f *platformFleet) requireConfigAtKeepers(version int) {
 	require.Eventually(f.t, func() bool {
 		answers := 0
@@ -170,6 +172,8 @@
 	}, waitTimeout, pollInterval)
 }
 
+// requestStatus sends a request to a router and returns the response status, or 0 if there is no
+// response.
 func (f *platformFleet) requestStatus(router int, path string) int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+f.address(f.routerIP(router), 2)+path, nil)
 	require.NoError(f.t, err)
@@ -185,6 +189,7 @@
 	return resp.StatusCode
 }
 
+// requireConfigAtRouters checks that both routers serve the configuration of the version.
 func (f *platformFleet) requireConfigAtRouters(version int) {
 	for i := range 2 {
 		require.Eventually(f.t, func() bool {
@@ -227,10 +232,10 @@
 	for i := range platformKeepers {
 		require.Error(t, processes.signalAndWait(fmt.Sprintf("k%d", i), syscall.SIGKILL))
 	}
-	require.Equal(t, http.StatusOK, processes.requestStatus(0, "/keyed/x"), "routers go on while the keepers are away")
+	require.Equal(t, http.StatusOK, processes.requestStatus(0, "/keyed/x"), "routers serve requests while the keepers are down")
 	require.Eventually(t, func() bool { return processes.requestStatus(0, "/keyed/x") == http.StatusServiceUnavailable }, waitTimeout, pollInterval,
-		"keys stop counting")
-	require.Equal(t, http.StatusOK, processes.requestStatus(0, fmt.Sprintf("/open%d/x", version)), "keyless routes go on")
+		"API keys expire")
+	require.Equal(t, http.StatusOK, processes.requestStatus(0, fmt.Sprintf("/open%d/x", version)), "keyless routes are still served")
 	for i := range platformKeepers {
 		processes.startKeeper(i, false)
 	}
@@ -242,7 +247,7 @@
 	processes.seedKeepers = []int{3, 2}
 	processes.writeSettings("r0", processes.routerIP(0), false)
 	require.NoError(t, processes.running["r0"].Process.Signal(syscall.SIGHUP))
-	require.Equal(t, http.StatusOK, processes.requestStatus(0, "/keyed/x"), "a reload ends nothing")
+	require.Equal(t, http.StatusOK, processes.requestStatus(0, "/keyed/x"), "a reload interrupts no request")
 	require.Eventually(t, func() bool { return strings.Contains(processes.logs(), `"@message":"reload"`) }, waitTimeout, pollInterval)
 	processes.writeSettings("r1", processes.routerIP(1), false)
 	require.Eventually(t, func() bool { return strings.Contains(processes.logs(), `"source":"file"`) }, waitTimeout, pollInterval,
@@ -265,7 +270,7 @@
 	processes.startKeeper(1, true)
 	processes.requireConfigAtKeepers(1)
 	require.Eventually(t, func() bool { return strings.Count(processes.logs(), `"keeper promoted"`) >= 2 }, waitTimeout, pollInterval,
-		"the late seed joins, as the keeper that is no seed did")
+		"the late seed joins, like the keeper that is not a seed")
 	require.Error(t, processes.signalAndWait("k0", syscall.SIGKILL))
 	processes.putConfig(2)
 	processes.requireConfigAtRouters(2)
--- a/internal/cmd/processes_test.go
+++ b/internal/cmd/processes_test.go
@@ -102,6 +102,7 @@
 	p.startProcess("lf-router", name, "--config", file)
 }
 
+// startStandin starts a target. The extra settings are lines of TOML.
 func (p *processFleet) startStandin(name, kind, extraSettings string) {
 	if p.listenAddresses[name] == "" {
 		p.listenAddresses[name] = p.freeAddress()
@@ -127,6 +128,7 @@
 	return command.ProcessState.ExitCode()
 }
 
+// memberID returns the ID of a keeper as a member of the group, or "" if it is not a member.
 func (p *processFleet) memberID(name string) string {
 	for _, keeper := range p.status().Keepers {
 		if keeper.Name == name {
--- a/internal/cmd/quarantine_test.go
+++ b/internal/cmd/quarantine_test.go
@@ -35,8 +35,8 @@
 	minServedFraction = 0.9
 )
 
-// A quarantineLoad sends the same crashing request again and again, and harmless requests beside
-// it, each from one caller that uses all routers in turn.
+// A quarantineLoad has two callers that use all routers in turn: one sends the same crashing request
+// again and again, the other sends harmless requests.
 type quarantineLoad struct {
 	sendCrashing func(requestNumber int) (status int)
 	sendHarmless func(requestNumber int) (status int)
@@ -93,10 +93,10 @@
 	l.stop()
 	later := terminations() - before
 	sent, served = l.harmlessSent.Load()-sent, l.harmlessServed.Load()-served
-	t.Logf("%d targets ended until all routers knew, %d later; %d of %d of sound work served then", before, later, served, sent)
-	require.LessOrEqual(t, later, maxLaterTerminations, "it ends one target after the other")
-	require.GreaterOrEqual(t, float64(served), minServedFraction*float64(sent), "sound work goes on")
-	require.Equal(t, http.StatusServiceUnavailable, int(l.lastCrashingStatus.Load()), "it is told that it has not run")
+	t.Logf("%d terminations until all routers knew, %d later; %d of %d harmless requests served in that time", before, later, served, sent)
+	require.LessOrEqual(t, later, maxLaterTerminations, "the request terminates more targets")
+	require.GreaterOrEqual(t, float64(served), minServedFraction*float64(sent), "harmless requests are served")
+	require.Equal(t, http.StatusServiceUnavailable, int(l.lastCrashingStatus.Load()), "the crashing request is refused")
 }
 
 // A restartingTarget is a target process that is started again shortly after each of its crashes.
@@ -219,7 +219,7 @@
 			return send(requestNumber, testKey, `{"messages":[{"content":"`+crashMarker+`"}]}`)
 		},
 		sendHarmless: func(requestNumber int) int {
-			return send(requestNumber, otherKey, fmt.Sprintf(`{"messages":[{"content":"sound %d"}]}`, requestNumber))
+			return send(requestNumber, otherKey, fmt.Sprintf(`{"messages":[{"content":"harmless %d"}]}`, requestNumber))
 		},
 	}
 	load.requireQuarantine(t, func() int { return int(terminations.Load()) })
@@ -326,7 +326,7 @@
 	load := &quarantineLoad{
 		interval:     50 * time.Millisecond,
 		sendCrashing: func(requestNumber int) int { return send(requestNumber, "the same", "yes") },
-		sendHarmless: func(requestNumber int) int { return send(requestNumber, fmt.Sprint("sound ", requestNumber), "") },
+		sendHarmless: func(requestNumber int) int { return send(requestNumber, fmt.Sprint("harmless ", requestNumber), "") },
 	}
 	load.requireQuarantine(t, func() int { return int(terminations.Load()) })
 	processes.requireListsQuarantine()
--- a/internal/cmd/shutdown_test.go
+++ b/internal/cmd/shutdown_test.go
@@ -28,7 +28,7 @@
 // its tasks never ends, or if nobody reads its log.
 func TestProcessExitsWithinGracePeriod(t *testing.T) {
 	terminateSelf := func() error { return syscall.Kill(os.Getpid(), syscall.SIGTERM) }
-	t.Run("a duty that never ends", func(t *testing.T) {
+	t.Run("a task that never ends", func(t *testing.T) {
 		var log bytes.Buffer
 		code := platformExitCode(t, &log, func(context.Context, *platformProgram) error {
 			if err := terminateSelf(); err != nil {
@@ -80,7 +80,7 @@
 	case code := <-codes:
 		return code
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "the process did not end")
+		require.Fail(t, "the process did not exit")
 		return 0
 	}
 }
--- a/internal/cmd/stall_test.go
+++ b/internal/cmd/stall_test.go
@@ -58,7 +58,7 @@
 		{path: "/once/x", status: http.StatusOK, body: "ran /once/x "},
 		{path: "/silent/x", status: http.StatusGatewayTimeout},
 	}
-	paused := newPausedPlatform(processes.platform, len(tests))
+	paused := newPausedTargets(processes.platform, len(tests))
 	type response struct {
 		status int
 		body   string
@@ -73,7 +73,7 @@
 	}
 	paused.begun.Wait()
 	require.NoError(t, processes.running["r0"].Process.Signal(syscall.SIGSTOP))
-	close(paused.routerStopped)
+	close(paused.routerSuspended)
 	time.Sleep(stallDuration)
 	require.NoError(t, processes.running["r0"].Process.Signal(syscall.SIGCONT))
 	callers.Wait()
@@ -98,17 +98,17 @@
 	}
 }
 
-// A pausedPlatform makes the targets begin each request, and complete it only while the router is
-// suspended. Requests to /silent/ get no response.
-type pausedPlatform struct {
-	begun         sync.WaitGroup
-	routerStopped chan struct{} // closed once the router is suspended
-	testEnded     chan struct{} // closed at the end of the test
-	runsByID      map[string]int
+// pausedTargets are targets that begin each request at once and complete it while the router is
+// suspended. Requests to /silent/ get no response until the end of the test.
+type pausedTargets struct {
+	begun           sync.WaitGroup
+	routerSuspended chan struct{} // closed once the router is suspended
+	testEnded       chan struct{} // closed at the end of the test
+	runsByID        map[string]int
 }
 
-func newPausedPlatform(platform *standin.Site, requests int) *pausedPlatform {
-	paused := &pausedPlatform{routerStopped: make(chan struct{}), testEnded: make(chan struct{}), runsByID: make(map[string]int)}
+func newPausedTargets(platform *standin.Site, requests int) *pausedTargets {
+	paused := &pausedTargets{routerSuspended: make(chan struct{}), testEnded: make(chan struct{}), runsByID: make(map[string]int)}
 	paused.begun.Add(requests)
 	platform.Fault = func(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
 		paused.serve(target, w, r)
@@ -117,7 +117,7 @@
 	return paused
 }
 
-func (p *pausedPlatform) serve(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
+func (p *pausedTargets) serve(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) {
 	target.Ran(r)
 	target.Head(w, r)
 	switch {
@@ -127,11 +127,11 @@
 	case strings.HasPrefix(r.RequestURI, "/flow/"):
 		target.Stream(w, 1, 2)
 		p.begun.Done()
-		<-p.routerStopped
+		<-p.routerSuspended
 		target.Stream(w, 3, standin.SiteEvents)
 	default:
 		p.begun.Done()
-		<-p.routerStopped
+		<-p.routerSuspended
 		_, _ = io.WriteString(w, "ran "+r.RequestURI+" ") // The router reads it when it resumes.
 	}
 }
@@ -196,7 +196,7 @@
 	for _, status := range statuses {
 		require.Equal(t, http.StatusOK, status)
 	}
-	require.Len(t, leavingTarget.Runs(), before, "it has left")
+	require.Len(t, leavingTarget.Runs(), before, "the target has left")
 }
 
 // drainDelay is how long routers may still send work to a target after the list shows it as
