--- a/internal/keeper/simcluster_test.go
+++ b/internal/keeper/simcluster_test.go
@@ -180,9 +180,9 @@
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(cluster.t, c.store.Number(), cluster.newestAccepted, "a reader at %s sees an older configuration", name)
-		if wantDigest, ok := cluster.acceptedDigests[c.store.Number()]; ok {
-			require.Equal(cluster.t, wantDigest, c.store.Digest())
+		require.GreaterOrEqual(cluster.t, c.store.ConfigNumber(), cluster.newestAccepted, "a reader at %s sees an older configuration", name)
+		if wantDigest, ok := cluster.acceptedDigests[c.store.ConfigNumber()]; ok {
+			require.Equal(cluster.t, wantDigest, c.store.ConfigDigest())
 		}
 	}
 	require.LessOrEqual(cluster.t, leaders, 1)
--- a/internal/keeper/simhistories_test.go
+++ b/internal/keeper/simhistories_test.go
@@ -136,7 +136,7 @@
 		cluster.checkReads()
 		c, ok := cluster.healthyLeader()
 		require.True(t, ok)
-		require.Equal(t, uint64(1), c.store.Number())
+		require.Equal(t, uint64(1), c.store.ConfigNumber())
 	}
 }
 
@@ -178,6 +178,6 @@
 	cluster.checkReads()
 	currentLeader, ok := cluster.healthyLeader()
 	require.True(t, ok)
-	require.Equal(t, uint64(2), currentLeader.store.Number())
-	require.Equal(t, uint64(2), cluster.cores[oldLeader].store.Number())
+	require.Equal(t, uint64(2), currentLeader.store.ConfigNumber())
+	require.Equal(t, uint64(2), cluster.cores[oldLeader].store.ConfigNumber())
 }
