--- a/internal/cmd/ctlcmd.go
+++ b/internal/cmd/ctlcmd.go
@@ -34,7 +34,7 @@
 // ctl holds the options and state that all commands of lfctl share.
 type ctl struct {
 	Keepers string `long:"keepers" value-name:"HOST:PORT,…" description:"addresses of the keepers" env:"LF_KEEPERS"`
-	Secret  string `long:"secret" value-name:"FILE" description:"the fleet's secret" env:"LF_SECRET"`
+	Secret  string `long:"secret" value-name:"FILE" description:"file with the secret of the fleet" env:"LF_SECRET"`
 	JSON    bool   `long:"json" description:"print JSON"`
 	Version bool   `long:"version" description:"print the version and exit"`
 
--- a/internal/cmd/fleet_test.go
+++ b/internal/cmd/fleet_test.go
@@ -56,8 +56,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// startProcessFleet starts three keepers, two routers and two engines, in an unfavourable order,
-// and applies a configuration.
+// startProcessFleet starts three keepers, two routers and two engines in mixed order, applies a
+// configuration and waits until the routers are healthy.
 func startProcessFleet(t *testing.T, engineSettings string) *processFleet {
 	processes := newProcessFleet(t)
 	processes.startRouter("r1")
--- a/internal/cmd/hooks.go
+++ b/internal/cmd/hooks.go
@@ -10,7 +10,7 @@
 // connections.
 type Hooks struct {
 	// ConfigureKeeper and ConfigureRouter, if set, may change the exported fields of the keeper
-	// or router before it runs. They apply only to programs on the users' platform.
+	// or router before it runs. They are called only for programs on the users' platform.
 	ConfigureKeeper func(k *keeper.Keeper)
 	ConfigureRouter func(r *routing.Service)
 }
--- a/internal/cmd/quarantine_test.go
+++ b/internal/cmd/quarantine_test.go
@@ -80,8 +80,8 @@
 	l.callers.Wait()
 }
 
-// requireQuarantine checks that the fleet quarantines the request once it has terminated enough
-// targets.
+// requireQuarantine runs the load and checks that the fleet quarantines the crashing request once it
+// has terminated enough targets, while it still serves the harmless requests.
 func (l *quarantineLoad) requireQuarantine(t *testing.T, terminations func() int) {
 	t.Helper()
 	l.start()
