--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -58,7 +58,7 @@
 	ID uint64
 }
 
-// A Probe checks whether a target that closed a connection has ended. The result goes to
+// A Probe checks whether a target that closed a connection has terminated. The result goes to
 // HandleProbeResult.
 type Probe struct {
 	Target fleet.Target
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -19,14 +19,14 @@
 	if refusal := s.checkEvent(now, event, req); refusal != nil {
 		return refusal
 	}
-	wait := s.queues.Wait(now, req.Account)
+	wait := s.queues.ExpectedWait(now, req.Account)
 	if !req.Deadline.IsZero() && now.Add(wait).After(req.Deadline) {
 		return newUnrunRefusal(now.Add(wait), fleet.KindDeadline, "allow more time, or come back after Retry-After",
 			"the deadline passes before the account's queue has drained")
 	}
 	req.item = &fairshare.Item{
-		ID: req.ID, Account: req.Account, Event: req.Event, Hint: req.CostHint, Size: req.BodyBytes,
-		Order: fairshare.OrderOf(now, req.Deadline),
+		ID: req.ID, Account: req.Account, Event: req.Event, CostHint: req.CostHint, BodyBytes: req.BodyBytes,
+		ServeBy: fairshare.ServeByTime(now, req.Deadline),
 	}
 	if err := s.queues.Push(req.item); err != nil {
 		return newUnrunRefusal(now.Add(max(wait, minRetryAfter)), fleet.KindQueueFull, "come back after Retry-After", "%v", err)
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -13,7 +13,7 @@
 		return
 	}
 	for {
-		item, ok := s.queues.Choose(now, func(name string) bool { return s.eventHasFreeSlot(now, name) })
+		item, ok := s.queues.PopNext(now, func(eventName string) bool { return s.eventHasFreeSlot(now, eventName) })
 		if !ok {
 			return
 		}
@@ -141,7 +141,7 @@
 
 // HandleClaimResult handles the keepers' answer to a claim. lost means that no answer came: the
 // request was not sent and never will be under this claim, so it was not run.
-func (s *Scheduler) HandleClaimResult(now time.Time, id uint64, verdict message.ClaimResult, lost bool) {
+func (s *Scheduler) HandleClaimResult(now time.Time, id uint64, result message.ClaimResult, lost bool) {
 	req := s.requests[id]
 	if req == nil || req.phase != phaseClaiming {
 		return
@@ -151,33 +151,33 @@
 	}
 	target := s.targets[req.targetName]
 	switch {
-	case verdict.Granted && !req.disconnected && s.HasLease(now) && target != nil && !target.leaving && target.slots > 0:
+	case result.Granted && !req.disconnected && s.HasLease(now) && target != nil && !target.leaving && target.slots > 0:
 		req.claimed = true
 		s.send(now, req, target, ReasonLeastLoaded)
-	case verdict.Granted && !req.disconnected && s.HasLease(now) && !s.stopping:
+	case result.Granted && !req.disconnected && s.HasLease(now) && !s.stopping:
 		req.claimed = true
 		s.releaseSlot(req)
 		s.requeue(now, req)
 	default:
 		s.releaseSlot(req)
-		s.refuseClaim(now, req, verdict, lost)
+		s.refuseClaim(now, req, result, lost)
 	}
 	s.dispatchWaiting(now)
 }
 
-func (s *Scheduler) refuseClaim(now time.Time, req *pendingRequest, verdict message.ClaimResult, lost bool) {
+func (s *Scheduler) refuseClaim(now time.Time, req *pendingRequest, result message.ClaimResult, lost bool) {
 	switch {
 	case req.disconnected:
 		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
-	case lost || verdict.Granted:
+	case lost || result.Granted:
 		s.refuse(req, s.noLeaseRefusal(now))
-	case verdict.ClaimsFull:
+	case result.ClaimsFull:
 		req.claimAttempt = 0
 		s.refuse(req, newUnrunRefusal(now.Add(claimsFullRetryAfter), fleet.KindCapacityExhausted, "come back later, or send it as repeatable",
 			"the keepers hold as many claims as they may"))
 	default:
 		req.claimAttempt = 0
-		s.refuse(req, claimedRefusal(verdict.State))
+		s.refuse(req, claimedRefusal(result.State))
 	}
 }
 
@@ -267,7 +267,7 @@
 	}
 	s.finishAttempt(now, req, result)
 	s.dispatchWaiting(now)
-	if s.slotsShort && s.queues.Waiting() == 0 {
+	if s.slotsShort && s.queues.WaitingCount() == 0 {
 		// Another router needs the slot that was released.
 		s.requestReportAfter(now, minFreeSlotReportInterval)
 	}
--- a/internal/dispatch/fairness_test.go
+++ b/internal/dispatch/fairness_test.go
@@ -74,7 +74,7 @@
 	sim           *simulation
 	scenario      scenario
 	random        *rand.Rand // for arrivals, so that they are the same under every policy
-	send          func(router int, r *simRequest)
+	send          func(router int, request *simRequest)
 	unended       []*simRequest
 	waiting       [fairAccounts]int
 	service       [fairAccounts]float64
@@ -157,10 +157,10 @@
 				return offeredLoad(1.5)(sim, account)
 			}
 		}),
-		variant("target dies with work", func(l *scenario) {
-			l.fault = func(w *simulation) {
-				w.targets["t01"].dead = true
-				w.after(5*time.Second, func() { w.targets["t01"].dead = false })
+		variant("target dies with work", func(s *scenario) {
+			s.fault = func(sim *simulation) {
+				sim.targets["t01"].dead = true
+				sim.after(5*time.Second, func() { sim.targets["t01"].dead = false })
 			}
 		}),
 	}
@@ -235,11 +235,11 @@
 func TestSmallestAccountIsNotStarvedByFlood(t *testing.T) {
 	for _, route := range []func(*rand.Rand, int) int{anyRouter, fixedRouter} {
 		s := scenario{targets: 13, seconds: 30, route: route}
-		s.rate = func(w *simulation, account int) float64 {
+		s.rate = func(sim *simulation, account int) float64 {
 			if account == fairAccounts-1 {
 				return 1
 			}
-			return offeredLoad(5)(w, account)
+			return offeredLoad(5)(sim, account)
 		}
 		result := runScenario(s, 2)
 		// The control loop, then the longest request that runs in the slot.
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -37,9 +37,9 @@
 	}
 	reduced := s.setSlots(grant.Slots)
 	s.setLeaving(grant.LeavingTargets)
-	for _, level := range grant.VirtualTimes {
-		if reported, ok := s.history.usageInReport(grant.EchoSeq, level.Account); ok {
-			s.queues.Heard(level, reported)
+	for _, virtualTime := range grant.VirtualTimes {
+		if reported, ok := s.history.usageInReport(grant.EchoSeq, virtualTime.Account); ok {
+			s.queues.SetVirtualTime(virtualTime, reported)
 		}
 	}
 	s.queues.SetFloor(grant.VirtualTimeFloor)
@@ -117,7 +117,7 @@
 // refuseNotAdmitted refuses the waiting requests whose event no longer exists or no longer admits
 // their account.
 func (s *Scheduler) refuseNotAdmitted() {
-	for _, id := range s.queues.All() {
+	for _, id := range s.queues.WaitingIDs() {
 		req := s.requests[id]
 		event := s.events[req.Event]
 		if event == nil || !event.Admits(req.Account) {
@@ -196,7 +196,7 @@
 	report := message.Report{
 		Router: s.Name, Zone: s.Zone, Incarnation: s.Incarnation, Seq: s.reportSeq, SentAt: now,
 		Term: s.term, AckSeq: s.grantSeq, Number: s.config.Number,
-		Queues: s.queues.Queues(), Full: full, Usage: usage, Leaving: s.stopping, Quarantine: &quarantineReport,
+		Queues: s.queues.QueueLengths(), Full: full, Usage: usage, Leaving: s.stopping, Quarantine: &quarantineReport,
 	}
 	for _, target := range s.targets {
 		if target.slots > 0 || target.busy > 0 {
@@ -210,11 +210,11 @@
 		return 1
 	})
 	if full {
-		// A new leader needs the current levels.
-		report.VirtualTimes = s.queues.Levels()
+		// A new leader needs the current virtual times.
+		report.VirtualTimes = s.queues.VirtualTimes()
 		report.Usage = slices.Clone(usage)
 		for i := range report.Usage {
-			report.Usage[i].ServedInVirtualTime = s.queues.Counted(usage[i].Account)
+			report.Usage[i].ServedInVirtualTime = s.queues.SettledInVirtualTime(usage[i].Account)
 		}
 	}
 	s.emit(SendReport{Report: report})
@@ -228,8 +228,8 @@
 	fullReportEvery = 32
 )
 
-// reportHistory keeps the usage in the last reports, so that a level can be matched with the report
-// that it includes.
+// reportHistory keeps the usage in the last reports, so that a virtual time can be matched with the
+// report that it includes.
 type reportHistory struct {
 	entries []sentReport
 }
--- a/internal/dispatch/prefix.go
+++ b/internal/dispatch/prefix.go
@@ -17,33 +17,33 @@
 	target string
 }
 
-func (x *prefixTargets) get(hash uint64) string {
-	element, ok := x.byHash[hash]
+func (p *prefixTargets) get(hash uint64) string {
+	element, ok := p.byHash[hash]
 	if !ok || hash == 0 {
 		return ""
 	}
-	x.byRecency.MoveToFront(element)
+	p.byRecency.MoveToFront(element)
 	entry, _ := element.Value.(*prefixEntry)
 	return entry.target
 }
 
-func (x *prefixTargets) put(hash uint64, target string) {
+func (p *prefixTargets) put(hash uint64, target string) {
 	if hash == 0 {
 		return
 	}
-	if x.byHash == nil {
-		x.byHash = make(map[uint64]*list.Element)
+	if p.byHash == nil {
+		p.byHash = make(map[uint64]*list.Element)
 	}
-	if element, ok := x.byHash[hash]; ok {
+	if element, ok := p.byHash[hash]; ok {
 		entry, _ := element.Value.(*prefixEntry)
 		entry.target = target
-		x.byRecency.MoveToFront(element)
+		p.byRecency.MoveToFront(element)
 		return
 	}
-	x.byHash[hash] = x.byRecency.PushFront(&prefixEntry{hash: hash, target: target})
-	if x.byRecency.Len() > maxPrefixes {
-		oldest := x.byRecency.Back()
-		entry, _ := x.byRecency.Remove(oldest).(*prefixEntry)
-		delete(x.byHash, entry.hash)
+	p.byHash[hash] = p.byRecency.PushFront(&prefixEntry{hash: hash, target: target})
+	if p.byRecency.Len() > maxPrefixes {
+		oldest := p.byRecency.Back()
+		entry, _ := p.byRecency.Remove(oldest).(*prefixEntry)
+		delete(p.byHash, entry.hash)
 	}
 }
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -9,41 +9,42 @@
 )
 
 const (
-	// rulingTimeout is how long a request waits for the leader's quarantine ruling. It allows
+	// permitTimeout is how long a request waits for a quarantine permit from the leader. It allows
 	// several round trips of a report and the grant that answers it.
-	rulingTimeout = 600 * time.Millisecond
-	// parkedReportInterval is the interval between reports while a request waits for a ruling.
+	permitTimeout = 600 * time.Millisecond
+	// parkedReportInterval is the interval between reports while a request waits for a permit.
 	parkedReportInterval = 50 * time.Millisecond
 )
 
 // checkQuarantine reports whether a request that was chosen for a slot may be sent. A request under
-// which targets have ended is parked until the leader has ruled on it: its next run may end another
-// target, and this router has no information about identical requests at other routers.
+// which targets have terminated is parked until the leader permits or rejects it: its next run may
+// terminate another target, and this router has no information about identical requests at other
+// routers.
 func (s *Scheduler) checkQuarantine(now time.Time, req *pendingRequest) bool {
-	verdict := s.Guard.Check(now, req.Fingerprint)
-	switch verdict.Action {
+	decision := s.Guard.Check(now, req.Fingerprint)
+	switch decision.Action {
 	case quarantine.Allow:
-		req.quarantineVerdict = verdict
-		s.Guard.MarkSent(verdict, req.Fingerprint)
+		req.quarantineDecision = decision
+		s.Guard.MarkSent(decision, req.Fingerprint)
 		return true
 	case quarantine.AwaitPermit:
 		s.queues.Refund(req.item)
 		s.park(now, req)
 	case quarantine.Reject:
 		s.queues.Refund(req.item)
-		s.refuse(req, quarantinedRefusal(now.Add(verdict.RetryAfter), verdict.TerminationCount))
+		s.refuse(req, quarantinedRefusal(now.Add(decision.RetryAfter), decision.TerminationCount))
 	}
 	return false
 }
 
-func quarantinedRefusal(retryAt time.Time, ends int) *Refuse {
+func quarantinedRefusal(retryAt time.Time, terminationCount int) *Refuse {
 	return newUnrunRefusal(retryAt, fleet.KindQuarantined, "send other work; ask the operators about this request (lfctl held)",
-		"%d targets have ended under this request", ends)
+		"%d targets have ended under this request", terminationCount)
 }
 
 func (s *Scheduler) park(now time.Time, req *pendingRequest) {
 	req.phase = phaseParked
-	req.parkedUntil = now.Add(rulingTimeout)
+	req.parkedUntil = now.Add(permitTimeout)
 	s.parked = append(s.parked, req.ID)
 	s.Guard.RequestPermit(req.Fingerprint)
 	s.requestReport(now)
@@ -58,18 +59,18 @@
 	s.parked = slices.DeleteFunc(s.parked, func(id uint64) bool { return id == req.ID })
 }
 
-// resumeParked re-queues or refuses parked requests on which the leader has ruled or whose wait has
-// timed out.
+// resumeParked re-queues or refuses the parked requests on which the leader has decided or whose
+// wait has timed out.
 func (s *Scheduler) resumeParked(now time.Time) {
 	for _, id := range slices.Clone(s.parked) {
 		req := s.requests[id]
-		verdict := s.Guard.Check(now, req.Fingerprint)
+		decision := s.Guard.Check(now, req.Fingerprint)
 		switch {
-		case verdict.Action == quarantine.AwaitPermit && now.Before(req.parkedUntil):
-		case verdict.Action == quarantine.AwaitPermit:
-			s.refuse(req, quarantinedRefusal(now.Add(minRetryAfter), verdict.TerminationCount))
-		case verdict.Action == quarantine.Reject:
-			s.refuse(req, quarantinedRefusal(now.Add(verdict.RetryAfter), verdict.TerminationCount))
+		case decision.Action == quarantine.AwaitPermit && now.Before(req.parkedUntil):
+		case decision.Action == quarantine.AwaitPermit:
+			s.refuse(req, quarantinedRefusal(now.Add(minRetryAfter), decision.TerminationCount))
+		case decision.Action == quarantine.Reject:
+			s.refuse(req, quarantinedRefusal(now.Add(decision.RetryAfter), decision.TerminationCount))
 		default:
 			s.unpark(req)
 			s.requeue(now, req)
@@ -79,15 +80,15 @@
 
 // recordRun passes the result of an attempt to the quarantine guard.
 func (s *Scheduler) recordRun(now time.Time, req *pendingRequest, result AttemptResult) {
-	verdict := req.quarantineVerdict
-	req.quarantineVerdict = quarantine.Decision{}
+	decision := req.quarantineDecision
+	req.quarantineDecision = quarantine.Decision{}
 	target := s.targets[req.targetName]
 	switch {
 	case result.Succeeded:
 		s.Guard.RecordCompletion(now, req.Fingerprint)
 	case result.TargetClosed && target != nil && !target.leaving && target.Live():
 		needsProbe := s.Guard.RecordInterruption(now, quarantine.Execution{
-			Fingerprint: req.Fingerprint, Account: req.Account, Destination: req.Event, Target: fleet.Incarnation{ID: req.targetName}, SentAt: req.attemptStarted, PermitID: verdict.PermitID,
+			Fingerprint: req.Fingerprint, Account: req.Account, Destination: req.Event, Target: fleet.Incarnation{ID: req.targetName}, SentAt: req.attemptStarted, PermitID: decision.PermitID,
 		})
 		if needsProbe {
 			s.emit(Probe{Target: target.Target})
@@ -95,11 +96,11 @@
 		}
 		s.requestReport(now)
 	default:
-		s.Guard.ReturnPermit(now, verdict, req.Fingerprint, !result.Sent)
+		s.Guard.ReturnPermit(now, decision, req.Fingerprint, !result.Sent)
 	}
 }
 
-// HandleProbeResult handles the result of a Probe: the target either has ended or was alive at
+// HandleProbeResult handles the result of a Probe: the target either has terminated or was alive at
 // aliveAt.
 func (s *Scheduler) HandleProbeResult(now, aliveAt time.Time, targetName string, ended bool) {
 	target := fleet.Incarnation{ID: targetName}
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -14,18 +14,19 @@
 
 const suspectFingerprint quarantine.Fingerprint = "alike"
 
-// newSchedulerWithRuling returns a leased scheduler whose leader has ruled on the suspect request.
-func newSchedulerWithRuling(ruling quarantine.Restriction) *dispatch.Scheduler {
+// newSchedulerWithRestriction returns a leased scheduler whose leader has restricted the suspect
+// request.
+func newSchedulerWithRestriction(restriction quarantine.Restriction) *dispatch.Scheduler {
 	config := newConfig([]float64{1}, []int{1, 1})
 	s := &dispatch.Scheduler{Name: "r1", Incarnation: 1, Guard: quarantine.Guard{Owner: message.ClaimOwner("r1", 1), IDsReused: true}}
-	s.HandleGrant(epoch, newGrantWithRuling(config, 1, 1, ruling))
+	s.HandleGrant(epoch, newGrantWithRestriction(config, 1, 1, restriction))
 	s.TakeActions()
 	return s
 }
 
-func newGrantWithRuling(config fleet.Config, seq, revision uint64, ruling quarantine.Restriction) message.Grant {
+func newGrantWithRestriction(config fleet.Config, seq, revision uint64, restriction quarantine.Restriction) message.Grant {
 	grant := newGrant(config, seq, 1)
-	grant.Restrictions = &quarantine.RestrictionUpdate{Revision: revision, Restrictions: []quarantine.Restriction{ruling}}
+	grant.Restrictions = &quarantine.RestrictionUpdate{Revision: revision, Restrictions: []quarantine.Restriction{restriction}}
 	return grant
 }
 
@@ -35,14 +36,14 @@
 	return request
 }
 
-// Guards against running a request that ends targets, and against keeping its client waiting in
-// vain. The leader has ruled on the request, and the scheduler must check the ruling when it
-// chooses the request for a slot.
-func TestQuarantineRulingDecidesDispatch(t *testing.T) {
+// Guards against running a request that terminates targets, and against keeping its client waiting
+// in vain. The leader has restricted the request, and the scheduler must check the restriction when
+// it chooses the request for a slot.
+func TestQuarantineRestrictionDecidesDispatch(t *testing.T) {
 	config := newConfig([]float64{1}, []int{1, 1})
 	held := quarantine.Restriction{Fingerprint: suspectFingerprint, TerminationCount: 3, NextRunIn: 5 * time.Second}
 
-	s := newSchedulerWithRuling(held)
+	s := newSchedulerWithRestriction(held)
 	s.Submit(epoch, newSuspectRequest(1))
 	refused := takeActionsOf[dispatch.Refuse](s)
 	require.Len(t, refused, 1, "refused immediately")
@@ -53,21 +54,21 @@
 	require.Len(t, takeActionsOf[dispatch.Send](s), 1, "other work goes on")
 
 	suspected := quarantine.Restriction{Fingerprint: suspectFingerprint, TerminationCount: 2}
-	s = newSchedulerWithRuling(suspected)
+	s = newSchedulerWithRestriction(suspected)
 	s.Submit(epoch, newSuspectRequest(1))
-	require.Empty(t, takeActionsOf[dispatch.Send](s), "it waits for the leader's ruling")
+	require.Empty(t, takeActionsOf[dispatch.Send](s), "it waits for the leader's permit")
 	s.Tick(epoch.Add(10 * time.Millisecond))
 	reports := takeActionsOf[dispatch.SendReport](s)
 	require.NotEmpty(t, reports)
 	require.Equal(t, []quarantine.Fingerprint{suspectFingerprint}, reports[0].Report.Quarantine.PermitRequests)
 	suspected.PermitHolder, suspected.PermitExpiresIn, suspected.PermitID = message.ClaimOwner("r1", 1), 20*time.Second, 1
-	s.HandleGrant(epoch.Add(20*time.Millisecond), newGrantWithRuling(config, 2, 2, suspected))
+	s.HandleGrant(epoch.Add(20*time.Millisecond), newGrantWithRestriction(config, 2, 2, suspected))
 	sends := takeActionsOf[dispatch.Send](s)
 	require.Len(t, sends, 1)
 	s.Submit(epoch.Add(30*time.Millisecond), newSuspectRequest(2))
 	require.Len(t, takeActionsOf[dispatch.Refuse](s), 1, "one copy runs at a time")
 
-	// The target closes the connection and has ended: the next report says so.
+	// The target closes the connection and has terminated: the next report says so.
 	s.HandleAttemptEnd(epoch.Add(40*time.Millisecond), 1, dispatch.AttemptResult{Sent: true, Failed: true, TargetClosed: true})
 	actions := s.TakeActions()
 	probed := false
@@ -88,20 +89,20 @@
 	require.Len(t, reports[len(reports)-1].Report.Quarantine.Terminations, 1)
 }
 
-// Guards against a parked request that waits forever or is dropped unanswered. It gets no ruling,
+// Guards against a parked request that waits forever or is dropped unanswered. It gets no permit,
 // or the router stops, loses its lease, or its client disconnects.
 func TestParkedRequestIsAlwaysRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		act  func(s *dispatch.Scheduler)
 		kind fleet.ErrorKind
 	}{
-		"no ruling":          {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(time.Second)) }, fleet.KindQuarantined},
+		"no permit":          {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(time.Second)) }, fleet.KindQuarantined},
 		"stop":               {func(s *dispatch.Scheduler) { s.Stop(epoch.Add(time.Millisecond)) }, fleet.KindStopping},
 		"no lease":           {func(s *dispatch.Scheduler) { s.Tick(epoch.Add(3 * time.Second)) }, fleet.KindNoLease},
 		"client disconnects": {func(s *dispatch.Scheduler) { s.HandleDisconnect(epoch.Add(time.Millisecond), 1) }, fleet.KindCallerLeft},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSchedulerWithRuling(quarantine.Restriction{Fingerprint: suspectFingerprint, TerminationCount: 2})
+			s := newSchedulerWithRestriction(quarantine.Restriction{Fingerprint: suspectFingerprint, TerminationCount: 2})
 			s.Submit(epoch, newSuspectRequest(1))
 			require.False(t, s.Idle())
 			test.act(s)
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -42,25 +42,25 @@
 	phaseWaiting phase = iota
 	phaseClaiming
 	phaseRunning
-	phaseParked // waits for the leader's quarantine ruling
+	phaseParked // waits for a quarantine permit from the leader
 )
 
 // pendingRequest is a request that has not been answered in full.
 type pendingRequest struct {
 	Request
-	item              *fairshare.Item
-	phase             phase
-	targetName        string
-	arrived           time.Time
-	attempts          int
-	failedTarget      string // target of the last failed attempt
-	claimed           bool
-	claimAttempt      uint64
-	mayHaveRun        bool                // a target may have run the request
-	parkedUntil       time.Time           // when waiting for the leader's ruling times out
-	quarantineVerdict quarantine.Decision // the decision under which the current attempt runs
-	attemptStarted    time.Time           // when the current attempt was sent
-	disconnected      bool                // the client disconnected
+	item               *fairshare.Item
+	phase              phase
+	targetName         string
+	arrived            time.Time
+	attempts           int
+	failedTarget       string // target of the last failed attempt
+	claimed            bool
+	claimAttempt       uint64
+	mayHaveRun         bool                // a target may have run the request
+	parkedUntil        time.Time           // when the wait for the quarantine permit times out
+	quarantineDecision quarantine.Decision // the decision under which the current attempt runs
+	attemptStarted     time.Time           // when the current attempt was sent
+	disconnected       bool                // the client disconnected
 }
 
 // A Scheduler holds a router's scheduling state. Set the exported fields before the first call.
@@ -69,7 +69,7 @@
 	Zone fleet.Zone
 	// Incarnation distinguishes the runs of a router. It grows with each start.
 	Incarnation uint64
-	// Guard decides which requests are held back because targets end while they run them.
+	// Guard decides which requests are held back because targets terminate while they run them.
 	Guard quarantine.Guard
 
 	queues        fairshare.Queues
@@ -174,7 +174,7 @@
 		s.deadlines.push(request.Deadline, request.ID, func(id uint64) bool { return s.requests[id] != nil })
 	}
 	s.dispatchWaiting(now)
-	if s.queues.Waits(request.ID) && s.queues.Waiting() == 1 {
+	if s.queues.Contains(request.ID) && s.queues.WaitingCount() == 1 {
 		// Only the first waiting request justifies an early report; the others appear in the next
 		// one.
 		s.requestReport(now)
@@ -238,7 +238,7 @@
 }
 
 func (s *Scheduler) refuseWaiting(newRefusal func() *Refuse) {
-	for _, id := range append(s.queues.All(), s.parked...) {
+	for _, id := range append(s.queues.WaitingIDs(), s.parked...) {
 		s.refuse(s.requests[id], newRefusal())
 	}
 }
@@ -250,7 +250,7 @@
 	}
 	for _, id := range s.deadlines.due(now) {
 		if req := s.requests[id]; req != nil && (req.phase == phaseWaiting || req.phase == phaseParked) {
-			s.refuse(req, newUnrunRefusal(now.Add(s.queues.Wait(now, req.Account)), fleet.KindDeadline,
+			s.refuse(req, newUnrunRefusal(now.Add(s.queues.ExpectedWait(now, req.Account)), fleet.KindDeadline,
 				"allow more time", "the deadline passed while the request waited"))
 		}
 	}
@@ -266,7 +266,7 @@
 // refuseAllFailing refuses the requests that wait for an event whose targets all fail. To keep them
 // waiting would hide the failure from the clients.
 func (s *Scheduler) refuseAllFailing(now time.Time) {
-	if s.queues.Waiting() == 0 {
+	if s.queues.WaitingCount() == 0 {
 		return
 	}
 	for _, event := range s.events {
@@ -274,7 +274,7 @@
 		if !failing {
 			continue
 		}
-		for _, id := range s.queues.All() {
+		for _, id := range s.queues.WaitingIDs() {
 			if req := s.requests[id]; req.Event == event.Name {
 				s.refuse(req, allFailingRefusal(event.Name, until))
 			}
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -48,9 +48,9 @@
 // answer to a claim is the first event that it handles afterward.
 func TestClaimGrantedAfterLeaseExpiryIsNotSent(t *testing.T) {
 	s := newLeasedScheduler(newConfig([]float64{1}, []int{1}), 1)
-	r := newRequest(1)
-	r.ClaimKey = "key"
-	s.Submit(epoch, r)
+	request := newRequest(1)
+	request.ClaimKey = "key"
+	s.Submit(epoch, request)
 	require.Len(t, takeActionsOf[dispatch.AcquireClaim](s), 1)
 	s.HandleClaimResult(epoch.Add(3*time.Second), 1, message.ClaimResult{Granted: true}, false)
 	actions := s.TakeActions()
@@ -92,33 +92,33 @@
 }
 
 func TestIgnoresLateAndDuplicateGrants(t *testing.T) {
-	c := newConfig([]float64{1}, []int{4})
-	s := newLeasedScheduler(c, 4)
-	newer := newGrant(c.WithNumber(2), 3, 2)
+	config := newConfig([]float64{1}, []int{4})
+	s := newLeasedScheduler(config, 4)
+	newer := newGrant(config.WithNumber(2), 3, 2)
 	require.True(t, s.HandleGrant(epoch, newer))
 	require.False(t, s.HandleGrant(epoch, newer), "duplicate")
-	require.False(t, s.HandleGrant(epoch, newGrant(c, 2, 4)), "late")
+	require.False(t, s.HandleGrant(epoch, newGrant(config, 2, 4)), "late")
 	require.Equal(t, uint64(2), s.ConfigNumber())
-	stale := newGrant(c, 9, 4)
+	stale := newGrant(config, 9, 4)
 	stale.Term = 2
 	require.False(t, s.HandleGrant(epoch, stale), "an older configuration is never put in force")
-	otherIncarnation := newGrant(c.WithNumber(3), 4, 4)
+	otherIncarnation := newGrant(config.WithNumber(3), 4, 4)
 	otherIncarnation.Incarnation = 7
 	require.False(t, s.HandleGrant(epoch, otherIncarnation), "for another incarnation of the router")
 	require.Equal(t, uint64(2), s.ConfigNumber())
 }
 
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
-	c := newConfig([]float64{1}, []int{4, 4})
-	s := newLeasedScheduler(c, 4)
-	leavingConfig := c.WithNumber(2).WithTargetState("t00", fleet.TargetLeaving)
+	config := newConfig([]float64{1}, []int{4, 4})
+	s := newLeasedScheduler(config, 4)
+	leavingConfig := config.WithNumber(2).WithTargetState("t00", fleet.TargetLeaving)
 	require.True(t, s.HandleGrant(epoch, newGrant(leavingConfig, 2, 4)))
 	grant := newGrant(leavingConfig, 3, 4)
 	for id := range uint64(10) {
 		s.Submit(epoch, newRequest(id+1))
 	}
-	for _, a := range takeActionsOf[dispatch.Send](s) {
-		require.Equal(t, "t01", a.Target.Name)
+	for _, send := range takeActionsOf[dispatch.Send](s) {
+		require.Equal(t, "t01", send.Target.Name)
 	}
 	grant.LeavingTargets = []string{"t01"}
 	require.True(t, s.HandleGrant(epoch, grant))
@@ -137,20 +137,20 @@
 		s.HandleAttemptEnd(at, i+1, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
 	}
 	s.TakeActions()
-	r := newRequest(100)
-	r.Deadline = at.Add(100 * time.Millisecond)
-	s.Submit(at, r)
+	request := newRequest(100)
+	request.Deadline = at.Add(100 * time.Millisecond)
+	s.Submit(at, request)
 	refusals := takeActionsOf[dispatch.Refuse](s)
 	require.Len(t, refusals, 1)
 	require.Equal(t, fleet.KindDeadline, refusals[0].Err.Kind)
 	require.Equal(t, fleet.OutcomeNotRun, refusals[0].Outcome)
-	require.True(t, refusals[0].RetryAt.After(r.Deadline))
+	require.True(t, refusals[0].RetryAt.After(request.Deadline))
 }
 
 func TestFullQueueRefusalNamesRetryTime(t *testing.T) {
-	c := newConfig([]float64{1}, []int{1})
-	c.Accounts[0].QueueLimit = 3
-	s := newLeasedScheduler(c, 1)
+	config := newConfig([]float64{1}, []int{1})
+	config.Accounts[0].QueueLimit = 3
+	s := newLeasedScheduler(config, 1)
 	for id := range uint64(5) {
 		s.Submit(epoch, newRequest(id+1))
 	}
@@ -167,9 +167,9 @@
 	for id := range uint64(400) {
 		s.Submit(epoch, newRequest(id+1))
 		for range 4 {
-			for _, a := range takeActionsOf[dispatch.Send](s) {
+			for _, send := range takeActionsOf[dispatch.Send](s) {
 				sends++
-				s.HandleAttemptEnd(epoch, a.ID, dispatch.AttemptResult{Sent: true, Failed: false, Cost: 1})
+				s.HandleAttemptEnd(epoch, send.ID, dispatch.AttemptResult{Sent: true, Failed: false, Cost: 1})
 			}
 		}
 	}
@@ -182,8 +182,8 @@
 // Guards against further work for a failing target, and against sending it the full load as soon as
 // the breaker's open period ends.
 func TestBreakerOpensAndRecoversInSteps(t *testing.T) {
-	c := newConfig([]float64{1}, []int{100})
-	s := newLeasedScheduler(c, 100)
+	config := newConfig([]float64{1}, []int{100})
+	s := newLeasedScheduler(config, 100)
 	for id := range uint64(3) {
 		s.Submit(epoch, newRequest(id+1))
 		s.HandleAttemptEnd(epoch, id+1, dispatch.AttemptResult{Sent: true, Failed: true, Cost: 1})
@@ -203,9 +203,9 @@
 		sends := takeActionsOf[dispatch.Send](s)
 		require.Len(t, sends, step)
 		s.HandleAttemptEnd(at, sends[0].ID, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
-		for _, a := range append(sends[1:], takeActionsOf[dispatch.Send](s)...) {
-			s.HandleDisconnect(at, a.ID)
-			s.HandleAttemptEnd(at, a.ID, dispatch.AttemptResult{Sent: true})
+		for _, send := range append(sends[1:], takeActionsOf[dispatch.Send](s)...) {
+			s.HandleDisconnect(at, send.ID)
+			s.HandleAttemptEnd(at, send.ID, dispatch.AttemptResult{Sent: true})
 		}
 		drain(s, at)
 	}
@@ -221,9 +221,9 @@
 		if len(sends) == 0 {
 			return
 		}
-		for _, a := range sends {
-			s.HandleDisconnect(at, a.ID)
-			s.HandleAttemptEnd(at, a.ID, dispatch.AttemptResult{Sent: true})
+		for _, send := range sends {
+			s.HandleDisconnect(at, send.ID)
+			s.HandleAttemptEnd(at, send.ID, dispatch.AttemptResult{Sent: true})
 		}
 	}
 }
@@ -251,10 +251,10 @@
 func TestDistantDeadlinesOfEndedRequestsAreRemoved(t *testing.T) {
 	s := newLeasedScheduler(newConfig([]float64{1}, []int{1}), 1)
 	for id := range uint64(20_000) {
-		r := newRequest(id + 1)
-		r.Deadline = epoch.AddDate(10, 0, 0)
-		s.Submit(epoch, r)
-		s.HandleAttemptEnd(epoch, r.ID, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
+		request := newRequest(id + 1)
+		request.Deadline = epoch.AddDate(10, 0, 0)
+		s.Submit(epoch, request)
+		s.HandleAttemptEnd(epoch, request.ID, dispatch.AttemptResult{Sent: true, ResponseStarted: true, ResponseComplete: true, Cost: 1})
 		s.TakeActions()
 	}
 	require.True(t, s.Idle())
@@ -298,15 +298,15 @@
 // Guards against a router that runs out of memory because only the number of waiting requests is
 // bounded: one account, then all of them, send bodies of 8 MiB faster than they are served.
 func TestWaitingBodiesAreBoundedInBytes(t *testing.T) {
-	c := newConfig(sixteenEqualShares(), []int{1})
-	s := newLeasedScheduler(c, 1)
+	config := newConfig(sixteenEqualShares(), []int{1})
+	s := newLeasedScheduler(config, 1)
 	id, waiting := uint64(0), 0
 	send := func(account string) bool {
 		id++
 		s.Submit(epoch, dispatch.Request{ID: id, Account: account, Event: "e", BodyBytes: 8 << 20})
-		for _, r := range takeActionsOf[dispatch.Refuse](s) {
-			require.Equal(t, fleet.KindQueueFull, r.Err.Kind)
-			require.False(t, r.RetryAt.IsZero())
+		for _, refusal := range takeActionsOf[dispatch.Refuse](s) {
+			require.Equal(t, fleet.KindQueueFull, refusal.Err.Kind)
+			require.False(t, refusal.RetryAt.IsZero())
 			return false
 		}
 		waiting++
@@ -317,8 +317,8 @@
 	}
 	require.LessOrEqual(t, waiting, 1+8, "one runs, 64 MiB wait")
 	require.True(t, send("a01"), "other accounts are not affected")
-	for _, a := range c.Accounts {
-		for send(a.Name) {
+	for _, account := range config.Accounts {
+		for send(account.Name) {
 			require.Less(t, waiting, 100)
 		}
 	}
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -113,7 +113,7 @@
 	}
 	divider.Tick(sim.now)
 	sim.sendGrants()
-	sim.after(max(divider.Deadline().Sub(sim.now), time.Millisecond), func() { sim.tickDivider(divider) })
+	sim.after(max(divider.NextTick().Sub(sim.now), time.Millisecond), func() { sim.tickDivider(divider) })
 }
 
 // startRouter starts a router without any state.
@@ -225,14 +225,14 @@
 			extraDelay = time.Duration(sim.random.IntN(500)) * time.Millisecond
 		}
 		sim.after(sim.delay+extraDelay, func() {
-			sim.divider.Report(sim.now, report)
+			sim.divider.HandleReport(sim.now, report)
 			sim.sendGrants()
 		})
 	}
 }
 
 func (sim *simulation) sendGrants() {
-	for _, addressed := range sim.divider.Take() {
+	for _, addressed := range sim.divider.TakeGrants() {
 		sim.controlBytes += jsonSize(addressed.Grant)
 		for _, router := range sim.routers {
 			if router.name != addressed.Router || sim.losesMessage(router) {
@@ -246,13 +246,13 @@
 	}
 }
 
-func (sim *simulation) answerClaim(router *simRouter, scheduler *dispatch.Scheduler, action dispatch.AcquireClaim) {
+func (sim *simulation) answerClaim(router *simRouter, scheduler *dispatch.Scheduler, acquire dispatch.AcquireClaim) {
 	fault := claimFault{}
 	if sim.nextClaimFault != nil {
 		fault = sim.nextClaimFault(sim)
 	}
-	answer := func(verdict message.ClaimResult, lost bool) {
-		sim.deliver(router, scheduler, func(s *dispatch.Scheduler) { s.HandleClaimResult(sim.now, action.ID, verdict, lost) })
+	answer := func(result message.ClaimResult, lost bool) {
+		sim.deliver(router, scheduler, func(s *dispatch.Scheduler) { s.HandleClaimResult(sim.now, acquire.ID, result, lost) })
 	}
 	const claimTimeout = 500 * time.Millisecond
 	if fault.requestLost || router.partitioned {
@@ -260,12 +260,12 @@
 		return
 	}
 	sim.after(sim.delay, func() {
-		verdict := sim.applyCommand(statestore.Command{At: sim.now, Claims: []message.Claim{action.Claim}}).Verdicts[0]
+		result := sim.applyCommand(statestore.Command{At: sim.now, Claims: []message.Claim{acquire.Claim}}).Verdicts[0]
 		if fault.answerLost {
 			sim.after(claimTimeout, func() { answer(message.ClaimResult{}, true) })
 			return
 		}
-		sim.after(sim.delay, func() { answer(verdict, false) })
+		sim.after(sim.delay, func() { answer(result, false) })
 	})
 }
 
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/view.go
@@ -47,7 +47,7 @@
 	for _, account := range s.config.Accounts {
 		accountView := byName[account.Name]
 		accountView.Name = account.Name
-		accountView.Waiting = s.queues.WaitingOf(account.Name)
+		accountView.Waiting = s.queues.WaitingOfAccount(account.Name)
 		view.Accounts = append(view.Accounts, accountView)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.targets)) {
--- a/internal/fairshare/bench_test.go
+++ b/internal/fairshare/bench_test.go
@@ -13,13 +13,13 @@
 	"laburnumfall/internal/message"
 )
 
-// scale is a size of fleet. A tenth of the accounts is backlogged.
+// scale is the size of a fleet. A tenth of the accounts is backlogged.
 type scale struct {
 	routers, targets, accounts, models int
 }
 
-// scales are the sizes over which slopes are fitted, from today's to the
-// letter's.
+// scales are the sizes over which growth rates are fitted, from that of the present fleet to the
+// largest planned one.
 var scales = []scale{
 	{routers: 8, targets: 23, accounts: 16, models: 2},
 	{routers: 120, targets: 300, accounts: 40, models: 4},
@@ -29,9 +29,9 @@
 }
 
 const (
-	benchSlots = 8
-	// busyHere is how many of the backlogged accounts wait in one router.
-	busyHere = 5
+	slotsPerTarget = 8
+	// backloggedPerRouter is how many of the backlogged accounts wait in one router.
+	backloggedPerRouter = 5
 )
 
 func (s scale) String() string {
@@ -39,45 +39,45 @@
 }
 
 func (s scale) config() fleet.Config {
-	c := fleet.Config{Number: 1}
+	config := fleet.Config{Number: 1}
 	for i := range s.models {
-		c.Events = append(c.Events, fleet.Event{Name: fmt.Sprintf("model-%d", i)})
+		config.Events = append(config.Events, fleet.Event{Name: fmt.Sprintf("model-%d", i)})
 	}
 	for i := range s.accounts {
 		name := fmt.Sprintf("account-%03d", i)
-		c.Accounts = append(c.Accounts, fleet.Account{Name: name, Share: 1 + float64(i%5)})
-		c.Events[i%s.models].Accounts = append(c.Events[i%s.models].Accounts, name)
+		config.Accounts = append(config.Accounts, fleet.Account{Name: name, Share: 1 + float64(i%5)})
+		config.Events[i%s.models].Accounts = append(config.Events[i%s.models].Accounts, name)
 	}
 	for i := range s.targets {
 		name := fmt.Sprintf("target-%04d", i)
-		c.Targets = append(c.Targets, fleet.Target{Name: name, Zone: fleet.Zone(fmt.Sprint(i % 7)), Slots: benchSlots, State: fleet.TargetLive})
-		c.Events[i%s.models].Targets = append(c.Events[i%s.models].Targets, name)
+		config.Targets = append(config.Targets, fleet.Target{Name: name, Zone: fleet.Zone(fmt.Sprint(i % 7)), Slots: slotsPerTarget, State: fleet.TargetLive})
+		config.Events[i%s.models].Targets = append(config.Events[i%s.models].Targets, name)
 	}
-	return c
+	return config
 }
 
-// fleetAt returns a divider that has heard a report of every router, and the
-// last report and grant.
-func fleetAt(s scale, now time.Time) (*Divider, message.Report, message.Grant) {
-	c := s.config()
+// newFleet returns a divider that has handled reports of every router, the last report, and the
+// last grant.
+func newFleet(size scale, now time.Time) (*Divider, message.Report, message.Grant) {
+	config := size.config()
 	d := &Divider{Term: 1, Blank: true}
 	d.Start(now)
-	d.SetConfig(now, c, c.JSON())
+	d.SetConfig(now, config, config.JSON())
 	held := make(map[string][]message.SlotGrant)
 	var report message.Report
 	var grant message.Grant
 	for round := range uint64(4) {
 		at := now.Add(time.Duration(round) * 200 * time.Millisecond)
-		for i := range s.routers {
-			report = s.report(i, round, held[fmt.Sprint(i)], at)
-			d.Report(at, report)
+		for i := range size.routers {
+			report = size.report(i, round, held[fmt.Sprint(i)], at)
+			d.HandleReport(at, report)
 		}
-		d.Tick(at.Add(DividePeriod))
-		for _, g := range d.Take() {
+		d.Tick(at.Add(DivideInterval))
+		for _, routerGrant := range d.TakeGrants() {
 			var i int
-			_, _ = fmt.Sscanf(g.Router, "router-%d", &i) // the name was made so
-			held[fmt.Sprint(i)] = g.Grant.Slots
-			grant = g.Grant
+			_, _ = fmt.Sscanf(routerGrant.Router, "router-%d", &i) // the name has this format
+			held[fmt.Sprint(i)] = routerGrant.Grant.Slots
+			grant = routerGrant.Grant
 		}
 	}
 	return d, report, grant
@@ -89,7 +89,7 @@
 		Seq: round + 1, SentAt: at, Term: 1, AckSeq: 100 * round, Number: 1,
 	}
 	backlogged := max(1, s.accounts/10)
-	for k := range min(busyHere, backlogged) {
+	for k := range min(backloggedPerRouter, backlogged) {
 		account := (i + k) % backlogged
 		r.Queues = append(r.Queues, message.QueueLength{
 			Account: fmt.Sprintf("account-%03d", account), Event: fmt.Sprintf("model-%d", account%s.models), Waiting: 5 + (i+k)%20,
@@ -111,14 +111,14 @@
 	for _, s := range scales {
 		b.Run(s.String(), func(b *testing.B) {
 			now := time.Unix(1e9, 0)
-			d, report, grant := fleetAt(s, now)
+			d, report, grant := newFleet(s, now)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				at := now.Add(time.Second + time.Duration(i)*time.Millisecond)
-				d.update(at)
+				d.refreshTotals(at)
 				d.divide(at)
-				d.out = nil
+				d.grants = nil
 			}
 			b.ReportMetric(float64(jsonSize(b, report)), "report-B")
 			b.ReportMetric(float64(jsonSize(b, grant)), "grant-B")
@@ -126,24 +126,24 @@
 	}
 }
 
-// BenchmarkReport measures one report at the leader, decoding included.
+// BenchmarkReport measures the handling of one report by the leader, including decoding.
 func BenchmarkReport(b *testing.B) {
 	for _, s := range scales {
 		b.Run(s.String(), func(b *testing.B) {
 			now := time.Unix(1e9, 0)
-			d, report, _ := fleetAt(s, now)
+			d, report, _ := newFleet(s, now)
 			data, err := json.Marshal(report)
 			require.NoError(b, err)
-			d.divided = now.Add(time.Hour) // no division among these
+			d.lastDivision = now.Add(time.Hour) // prevents divisions
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				var r message.Report
 				require.NoError(b, json.Unmarshal(data, &r))
 				r.Seq = uint64(100 + i)
-				d.Report(now.Add(time.Second), r)
-				for _, g := range d.Take() {
-					jsonSize(b, g.Grant)
+				d.HandleReport(now.Add(time.Second), r)
+				for _, routerGrant := range d.TakeGrants() {
+					jsonSize(b, routerGrant.Grant)
 				}
 			}
 		})
@@ -158,7 +158,7 @@
 			id := uint64(0)
 			push := func(account string) {
 				id++
-				err := q.Push(&Item{ID: id, Account: account, Event: "e", Order: now.Add(time.Duration(id))})
+				err := q.Push(&Item{ID: id, Account: account, Event: "e", ServeBy: now.Add(time.Duration(id))})
 				require.NoError(b, err)
 			}
 			for i := range accounts {
@@ -170,7 +170,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				it, _ := q.Choose(now, free)
+				it, _ := q.PopNext(now, free)
 				q.Settle(it, 10)
 				push(it.Account)
 			}
@@ -184,18 +184,18 @@
 	return len(data)
 }
 
-// BenchmarkLeaderMemory measures the memory of a leader's view of the fleet.
+// BenchmarkLeaderMemory measures the memory of a leader's state of the fleet.
 func BenchmarkLeaderMemory(b *testing.B) {
 	for _, s := range scales {
 		b.Run(s.String(), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			d, _, _ := fleetAt(s, time.Unix(1e9, 0))
+			d, _, _ := newFleet(s, time.Unix(1e9, 0))
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for range b.N {
-				d.Gap()
+				d.ServiceGap()
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "heap-MB")
 		})
--- a/internal/fairshare/class.go
+++ b/internal/fairshare/class.go
@@ -9,195 +9,195 @@
 	"laburnumfall/internal/fleet"
 )
 
-// A class is a set of targets that serve the same events, so that its slots
-// are interchangeable.
-type class struct {
-	events   []string
-	accounts map[string]bool
-	targets  []*target
-	cursor   int // where the search for a free slot goes on
-	// free counts the free slots, and spare lists their targets, while a
-	// division is under way.
-	free  int
-	spare map[fleet.Zone][]*target
-	zones []fleet.Zone
-	// floor is the level below which nobody who returns from idle may start.
+// targetClass is a set of targets that serve the same events, so that their slots are
+// interchangeable.
+type targetClass struct {
+	events     []string
+	accounts   map[string]bool
+	targets    []*targetState
+	nextTarget int // where the round-robin search for a free slot continues
+	// freeSlots counts the free slots, and freeTargets lists their targets by zone, during a
+	// division.
+	freeSlots   int
+	freeTargets map[fleet.Zone][]*targetState
+	freeZones   []fleet.Zone
+	// floor is the lowest virtual time at which an account that returns from idle starts.
 	floor float64
-	// got is how many slots each account was given by the last division.
-	got map[string]int
+	// given is the number of slots that each account got in the last division.
+	given map[string]int
 }
 
-func (d *Divider) setClasses(c fleet.Config) {
-	events := make(map[string][]string, len(c.Targets))
-	for _, e := range c.Events {
-		for _, t := range e.Targets {
-			events[t] = append(events[t], e.Name)
+func (d *Divider) setClasses(config fleet.Config) {
+	events := make(map[string][]string, len(config.Targets))
+	for _, event := range config.Events {
+		for _, targetName := range event.Targets {
+			events[targetName] = append(events[targetName], event.Name)
 		}
 	}
-	old := make(map[string]*class, len(d.classes))
-	for _, cl := range d.classes {
-		old[strings.Join(cl.events, " ")] = cl
+	old := make(map[string]*targetClass, len(d.classes))
+	for _, class := range d.classes {
+		old[strings.Join(class.events, " ")] = class
 	}
-	classes := make(map[string]*class)
-	for _, t := range c.Targets {
-		names := events[t.Name]
-		if len(names) == 0 || !t.Live() {
+	classes := make(map[string]*targetClass)
+	for _, target := range config.Targets {
+		names := events[target.Name]
+		if len(names) == 0 || !target.Live() {
 			continue
 		}
 		slices.Sort(names)
 		key := strings.Join(names, " ")
-		cl := classes[key]
-		if cl == nil {
-			cl = newClass(c, names, old[key])
-			classes[key] = cl
+		class := classes[key]
+		if class == nil {
+			class = newTargetClass(config, names, old[key])
+			classes[key] = class
 		}
-		state := d.targets[t.Name]
-		state.class = cl
-		cl.targets = append(cl.targets, state)
+		state := d.targets[target.Name]
+		state.class = class
+		class.targets = append(class.targets, state)
 	}
 	d.orderClasses(classes)
 }
 
-func newClass(c fleet.Config, events []string, old *class) *class {
-	cl := &class{events: events, accounts: make(map[string]bool), got: make(map[string]int)}
+func newTargetClass(config fleet.Config, events []string, old *targetClass) *targetClass {
+	class := &targetClass{events: events, accounts: make(map[string]bool), given: make(map[string]int)}
 	if old != nil {
-		cl.floor = old.floor
+		class.floor = old.floor
 	}
-	for _, e := range c.Events {
-		if !slices.Contains(events, e.Name) {
+	for _, event := range config.Events {
+		if !slices.Contains(events, event.Name) {
 			continue
 		}
-		for _, a := range e.Accounts {
-			cl.accounts[a] = true
+		for _, accountName := range event.Accounts {
+			class.accounts[accountName] = true
 		}
 	}
-	return cl
+	return class
 }
 
-// orderClasses puts the classes of few events first: what only a few may use
-// is given to them before they compete for what others need too.
-func (d *Divider) orderClasses(classes map[string]*class) {
+// orderClasses orders the classes by their number of events. Slots that only a few events can use
+// are divided first, before their accounts compete for slots that other events need too.
+func (d *Divider) orderClasses(classes map[string]*targetClass) {
 	d.classes = d.classes[:0:0]
-	d.byEvent = make(map[string][]*class)
-	for _, cl := range classes {
-		d.classes = append(d.classes, cl)
+	d.byEvent = make(map[string][]*targetClass)
+	for _, class := range classes {
+		d.classes = append(d.classes, class)
 	}
-	slices.SortFunc(d.classes, func(a, b *class) int {
+	slices.SortFunc(d.classes, func(a, b *targetClass) int {
 		return cmp.Or(cmp.Compare(len(a.events), len(b.events)), slices.Compare(a.events, b.events))
 	})
-	for _, a := range d.accounts {
-		a.classes = nil
+	for _, account := range d.accounts {
+		account.classes = nil
 	}
-	for _, cl := range d.classes {
-		for _, e := range cl.events {
-			d.byEvent[e] = append(d.byEvent[e], cl)
+	for _, class := range d.classes {
+		for _, eventName := range class.events {
+			d.byEvent[eventName] = append(d.byEvent[eventName], class)
 		}
-		for name := range cl.accounts {
-			if a := d.accounts[name]; a != nil {
-				a.classes = append(a.classes, cl)
+		for name := range class.accounts {
+			if account := d.accounts[name]; account != nil {
+				account.classes = append(account.classes, class)
 			}
 		}
 	}
 }
 
-// update sums up the reports afresh, lifts accounts that return from idle, and
-// moves the floors. Between divisions each report only changes the sums.
-func (d *Divider) update(now time.Time) {
-	for _, a := range d.accounts {
-		a.charged, a.waiting, a.running = 0, 0, 0
+// refreshTotals recomputes the accounts' totals from all reports, raises accounts that return from
+// idle, and updates the floors. Between divisions, reports only adjust the totals.
+func (d *Divider) refreshTotals(now time.Time) {
+	for _, account := range d.accounts {
+		account.charged, account.waiting, account.running = 0, 0, 0
 	}
-	for _, r := range d.order {
-		d.sum(r, 1)
+	for _, router := range d.routerList {
+		d.addToTotals(router, 1)
 	}
-	for _, a := range d.accounts {
-		d.lift(now, a)
+	for _, account := range d.accounts {
+		d.raiseToFloor(now, account)
 	}
-	for _, cl := range d.classes {
-		cl.moveFloor(d.accounts)
+	for _, class := range d.classes {
+		class.updateFloor(d.accounts)
 	}
 }
 
-// sum adds a router's part to the sums of its accounts, or takes it away.
-func (d *Divider) sum(r *router, sign int) {
-	for _, q := range r.queues {
-		if a := d.accounts[q.Account]; a != nil {
-			a.waiting += sign * q.Waiting
+// addToTotals adds the router's part to its accounts' totals, or subtracts it if sign is -1.
+func (d *Divider) addToTotals(router *routerState, sign int) {
+	for _, queue := range router.queues {
+		if account := d.accounts[queue.Account]; account != nil {
+			account.waiting += sign * queue.Waiting
 		}
 	}
-	for _, name := range r.running {
-		if a := d.accounts[name]; a != nil {
-			a.charged += float64(sign) * r.usage[name].EstimatedCost
-			a.running += sign * r.usage[name].Running
+	for _, name := range router.running {
+		if account := d.accounts[name]; account != nil {
+			account.charged += float64(sign) * router.usage[name].EstimatedCost
+			account.running += sign * router.usage[name].Running
 		}
 	}
 }
 
-// idleGrace is how long an account may be without waiting work and still keep
-// what it lags behind. Queues empty for moments while they are served.
+// idleGrace is how long an account may have no waiting work and still keep the virtual time by
+// which it lags behind. Queues are empty for moments while they are being served.
 const idleGrace = time.Second
 
-// lift raises an account that starts to wait to the floor of the classes that
-// it may use: time without waiting work earns no credit.
-func (d *Divider) lift(now time.Time, a *account) {
-	waits := a.waiting > 0
-	if waits && now.Sub(a.waited) > idleGrace {
-		for _, cl := range a.classes {
-			a.level = max(a.level, cl.floor-a.charged/a.share)
+// raiseToFloor raises the virtual time of an account that starts to wait to the floor of the
+// classes that it may use, so that time without waiting work earns no credit.
+func (d *Divider) raiseToFloor(now time.Time, account *accountState) {
+	waiting := account.waiting > 0
+	if waiting && now.Sub(account.lastWaiting) > idleGrace {
+		for _, class := range account.classes {
+			account.virtualTime = max(account.virtualTime, class.floor-account.charged/account.share)
 		}
 	}
-	a.backlogged = waits
-	if waits {
-		a.waited = now
+	account.backlogged = waiting
+	if waiting {
+		account.lastWaiting = now
 	}
 }
 
-// moveFloor sets the floor to the least level of the accounts that wait for
-// the class and were given some of it; if none waits, to the highest level, so
-// that nobody pays later for what was free to take.
-func (cl *class) moveFloor(accounts map[string]*account) {
+// updateFloor sets the floor to the lowest virtual time among the accounts that wait for the class
+// and got slots of it. If there are none, it is the highest virtual time of any account, so that
+// nobody is charged later for slots that were free.
+func (c *targetClass) updateFloor(accounts map[string]*accountState) {
 	least, most, found := 0.0, 0.0, false
-	for name := range cl.accounts {
-		a := accounts[name]
-		if a == nil {
+	for name := range c.accounts {
+		account := accounts[name]
+		if account == nil {
 			continue
 		}
-		most = max(most, a.effective())
-		if a.backlogged && cl.got[name] > 0 && (!found || a.effective() < least) {
-			least, found = a.effective(), true
+		most = max(most, account.effectiveVirtualTime())
+		if account.backlogged && c.given[name] > 0 && (!found || account.effectiveVirtualTime() < least) {
+			least, found = account.effectiveVirtualTime(), true
 		}
 	}
 	if found {
-		cl.floor = least
+		c.floor = least
 		return
 	}
-	cl.floor = most
+	c.floor = most
 }
 
-// floor returns the level that a router assumes for an account of which it has
-// heard none.
+// floor returns the virtual time that routers assume for accounts whose virtual time they have not
+// received.
 func (d *Divider) floor() float64 {
 	highest := 0.0
-	for _, cl := range d.classes {
-		highest = max(highest, cl.floor)
+	for _, class := range d.classes {
+		highest = max(highest, class.floor)
 	}
-	return roundLevel(highest)
+	return roundForWire(highest)
 }
 
-// Gap returns the largest difference in level between two accounts that both
-// wait and may use a class in common.
-func (d *Divider) Gap() float64 {
+// ServiceGap returns the largest difference in virtual time between two accounts that both wait and
+// share a class.
+func (d *Divider) ServiceGap() float64 {
 	gap := 0.0
-	for _, cl := range d.classes {
+	for _, class := range d.classes {
 		least, most, found := 0.0, 0.0, false
-		for name := range cl.accounts {
-			a := d.accounts[name]
-			if a == nil || !a.backlogged {
+		for name := range class.accounts {
+			account := d.accounts[name]
+			if account == nil || !account.backlogged {
 				continue
 			}
 			if !found {
-				least, most, found = a.effective(), a.effective(), true
+				least, most, found = account.effectiveVirtualTime(), account.effectiveVirtualTime(), true
 			}
-			least, most = min(least, a.effective()), max(most, a.effective())
+			least, most = min(least, account.effectiveVirtualTime()), max(most, account.effectiveVirtualTime())
 		}
 		gap = max(gap, most-least)
 	}
--- a/internal/fairshare/divide.go
+++ b/internal/fairshare/divide.go
@@ -7,216 +7,218 @@
 	"time"
 )
 
-// levelGain is how many mean costs one slot counts for when levels are evened
-// out. Above 1 it damps: an account that lags by one cost gets half a slot more.
-const levelGain = 2
+// slotDamping is the number of mean request costs that one slot counts for when virtual times are
+// equalized. Values above 1 damp the division: an account that lags by one cost gets half a slot
+// more.
+const slotDamping = 2
 
 // claimant is an account that wants slots of a class.
 type claimant struct {
-	account *account
-	level   float64 // with what it was given in earlier classes
-	step    float64 // how much one slot raises the level
-	demand  int
-	slots   int
-	routers []routerDemand
+	account            *accountState
+	virtualTime        float64 // including the slots given in earlier classes
+	virtualTimePerSlot float64 // by how much one slot raises the virtual time
+	demand             int
+	slots              int
+	routers            []routerDemand
 }
 
 type routerDemand struct {
-	router *router
+	router *routerState
 	demand int
 	slots  int
 	credit float64
 }
 
-// divide gives every slot to a router: first to those whose accounts want
-// them, the least served first, then the rest evenly.
+// divide assigns every slot to a router: first to the routers whose accounts want slots, in max-min
+// order of the accounts' virtual times, then the rest evenly.
 func (d *Divider) divide(now time.Time) {
-	d.divided = now
-	d.wanted = false
-	d.short = false
-	d.rounds++
-	p := &plan{divider: d, now: now, live: d.liveRouters(), given: make(map[routerAt]int), taken: make(map[string]int)}
-	p.countFree()
-	p.collect()
-	for _, cl := range d.classes {
-		p.divideClass(cl)
+	d.lastDivision = now
+	d.divisionRequested = false
+	d.slotsShort = false
+	d.divisions++
+	division := &division{divider: d, now: now, live: d.liveRouters(), given: make(map[routerAccount]int), taken: make(map[string]int)}
+	division.countFreeSlots()
+	division.collectDemands()
+	for _, class := range d.classes {
+		division.divideClass(class)
 	}
-	d.unused = 0
-	for _, cl := range d.classes {
-		d.unused += cl.free
+	d.unleasedSlots = 0
+	for _, class := range d.classes {
+		d.unleasedSlots += class.freeSlots
 	}
-	for _, r := range p.live {
-		if r.dirty {
-			d.grant(r)
+	for _, router := range division.live {
+		if router.needsGrant {
+			d.sendGrant(router)
 		}
 	}
 }
 
-// plan is one division under way.
-type plan struct {
+// division is the state of one division.
+type division struct {
 	divider *Divider
 	now     time.Time
-	live    []*router
-	// wants is the work of each class, in the order of the routers.
-	wants map[*class][]want
-	// has counts the slots of each class that the routers had before.
-	has map[*class]map[*router]int
-	// taken and given count, for accounts that may use several classes, what
-	// earlier classes gave to the account, and to its work in a router.
+	live    []*routerState
+	// demands is the demand for each class, ordered by router.
+	demands map[*targetClass][]classDemand
+	// held is the number of slots of each class that each router was assigned before.
+	held map[*targetClass]map[*routerState]int
+	// taken and given count the slots that earlier classes gave to accounts that may use several
+	// classes: taken by account, given by router and account.
 	taken map[string]int
-	given map[routerAt]int
+	given map[routerAccount]int
 }
 
-// want is work of one account in one router that a class may serve.
-type want struct {
-	router  *router
-	account *account
+// classDemand is the work of one account in one router that a class may serve.
+type classDemand struct {
+	router  *routerState
+	account *accountState
 	count   int
 }
 
-type routerAt struct {
-	router  *router
-	account *account
+type routerAccount struct {
+	router  *routerState
+	account *accountState
 }
 
-func (d *Divider) liveRouters() []*router {
-	live := make([]*router, 0, len(d.order))
-	for _, r := range d.order {
-		if !r.lapsed {
-			live = append(live, r)
+func (d *Divider) liveRouters() []*routerState {
+	live := make([]*routerState, 0, len(d.routerList))
+	for _, router := range d.routerList {
+		if !router.expired {
+			live = append(live, router)
 		}
 	}
 	return live
 }
 
-func (cl *class) capacity(gone map[string]bool) int {
-	n := 0
-	for _, t := range cl.targets {
-		if !gone[t.Name] {
-			n += t.Slots
+func (c *targetClass) capacity(leaving map[string]bool) int {
+	slots := 0
+	for _, target := range c.targets {
+		if !leaving[target.Name] {
+			slots += target.Slots
 		}
 	}
-	return n
+	return slots
 }
 
-// collect finds who wants slots of which class: work that waits for one of its
-// events, and work that runs.
-func (p *plan) collect() {
-	d := p.divider
-	p.wants = make(map[*class][]want, len(d.classes))
-	for _, r := range p.live {
-		if r.leaving {
+// collectDemands collects the demand for each class: the requests that wait for one of its events
+// and the running requests.
+func (d *division) collectDemands() {
+	divider := d.divider
+	d.demands = make(map[*targetClass][]classDemand, len(divider.classes))
+	for _, router := range d.live {
+		if router.leaving {
 			continue
 		}
-		for _, q := range r.queues {
-			for _, cl := range d.byEvent[q.Event] {
-				p.add(cl, r, d.accounts[q.Account], q.Waiting)
+		for _, queue := range router.queues {
+			for _, class := range divider.byEvent[queue.Event] {
+				d.add(class, router, divider.accounts[queue.Account], queue.Waiting)
 			}
 		}
-		for _, name := range r.running {
-			a := d.accounts[name]
-			if a == nil {
+		for _, name := range router.running {
+			account := divider.accounts[name]
+			if account == nil {
 				continue
 			}
-			for _, cl := range a.classes {
-				p.add(cl, r, a, r.usage[name].Running)
+			for _, class := range account.classes {
+				d.add(class, router, account, router.usage[name].Running)
 			}
 		}
 	}
 }
 
-func (p *plan) add(cl *class, r *router, a *account, count int) {
-	if a != nil && count > 0 && cl.accounts[a.name] {
-		p.wants[cl] = append(p.wants[cl], want{router: r, account: a, count: count})
+func (d *division) add(class *targetClass, router *routerState, account *accountState, count int) {
+	if account != nil && count > 0 && class.accounts[account.name] {
+		d.demands[class] = append(d.demands[class], classDemand{router: router, account: account, count: count})
 	}
 }
 
-func (p *plan) divideClass(cl *class) {
-	wanted := make(map[*router]int, len(p.live))
-	claimants := p.claimants(cl)
-	spare := fill(claimants, cl.capacity(p.divider.gone))
-	clear(cl.got)
-	for _, c := range claimants {
-		cl.got[c.account.name] = c.slots
-		if len(c.account.classes) > 1 {
-			p.taken[c.account.name] += c.slots
+func (d *division) divideClass(class *targetClass) {
+	wanted := make(map[*routerState]int, len(d.live))
+	claimants := d.claimants(class)
+	spare := waterFill(claimants, class.capacity(d.divider.leaving))
+	clear(class.given)
+	for _, claimant := range claimants {
+		class.given[claimant.account.name] = claimant.slots
+		if len(claimant.account.classes) > 1 {
+			d.taken[claimant.account.name] += claimant.slots
 		}
-		c.spread(p, wanted)
+		claimant.distribute(d, wanted)
 	}
-	p.spreadSpare(wanted, spare)
-	p.place(cl, wanted)
+	d.distributeSpare(wanted, spare)
+	d.assignSlots(class, wanted)
 }
 
-// claimants joins the wants of a class by account, less what earlier classes
-// gave, the least served account first.
-func (p *plan) claimants(cl *class) []*claimant {
-	byAccount := make(map[*account]*claimant)
+// claimants groups the demand for a class by account, minus what earlier classes gave. The account
+// with the lowest virtual time comes first.
+func (d *division) claimants(class *targetClass) []*claimant {
+	byAccount := make(map[*accountState]*claimant)
 	var list []*claimant
-	cost, weight := 0.0, 0
-	for _, w := range p.wants[cl] {
-		n := w.count
-		if len(w.account.classes) > 1 {
-			at := routerAt{w.router, w.account}
-			used := min(n, p.given[at])
-			p.given[at] -= used
-			n -= used
+	totalCost, requests := 0.0, 0
+	for _, demand := range d.demands[class] {
+		count := demand.count
+		if len(demand.account.classes) > 1 {
+			key := routerAccount{demand.router, demand.account}
+			used := min(count, d.given[key])
+			d.given[key] -= used
+			count -= used
 		}
-		if n <= 0 {
+		if count <= 0 {
 			continue
 		}
-		c := byAccount[w.account]
+		c := byAccount[demand.account]
 		if c == nil {
-			c = &claimant{account: w.account}
-			byAccount[w.account] = c
+			c = &claimant{account: demand.account}
+			byAccount[demand.account] = c
 			list = append(list, c)
 		}
-		c.add(w.router, n)
-		cost += w.account.cost * float64(n)
-		weight += n
+		c.add(demand.router, count)
+		totalCost += demand.account.meanCost * float64(count)
+		requests += count
 	}
 	const leastCost = 1e-9
-	for _, c := range list {
-		c.step = levelGain * max(cost/float64(weight), leastCost) / c.account.share
-		c.level = c.account.effective() + float64(p.taken[c.account.name])*c.step
+	for _, claimant := range list {
+		claimant.virtualTimePerSlot = slotDamping * max(totalCost/float64(requests), leastCost) / claimant.account.share
+		claimant.virtualTime = claimant.account.effectiveVirtualTime() + float64(d.taken[claimant.account.name])*claimant.virtualTimePerSlot
 	}
 	slices.SortFunc(list, func(a, b *claimant) int {
-		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.account.name, b.account.name))
+		return cmp.Or(cmp.Compare(a.virtualTime, b.virtualTime), cmp.Compare(a.account.name, b.account.name))
 	})
 	return list
 }
 
-// add counts work in a router. Work of one router follows in a row.
-func (c *claimant) add(r *router, n int) {
-	c.demand += n
-	if last := len(c.routers) - 1; last >= 0 && c.routers[last].router == r {
-		c.routers[last].demand += n
+// add adds the work of one router. All work of a router is added consecutively.
+func (c *claimant) add(router *routerState, count int) {
+	c.demand += count
+	if last := len(c.routers) - 1; last >= 0 && c.routers[last].router == router {
+		c.routers[last].demand += count
 		return
 	}
-	c.routers = append(c.routers, routerDemand{router: r, demand: n})
+	c.routers = append(c.routers, routerDemand{router: router, demand: count})
 }
 
-// fill hands out capacity so that the least levels rise together, each until
-// its demand is met, and returns what is left. Whole slots only: what the
-// common level leaves over goes to the least projected levels.
-func fill(list []*claimant, capacity int) int {
+// waterFill distributes the capacity by max-min fairness: the lowest virtual times rise together,
+// each until its demand is met. It returns the remaining capacity. Since slots are indivisible,
+// those that remain below the common virtual time go to the accounts with the lowest projected
+// virtual time.
+func waterFill(claimants []*claimant, capacity int) int {
 	total := 0
-	for _, c := range list {
-		total += c.demand
+	for _, claimant := range claimants {
+		total += claimant.demand
 	}
 	if total <= capacity {
-		for _, c := range list {
-			c.slots = c.demand
+		for _, claimant := range claimants {
+			claimant.slots = claimant.demand
 		}
 		return capacity - total
 	}
-	level := commonLevel(list, capacity)
+	common := commonVirtualTime(claimants, capacity)
 	left := capacity
-	for _, c := range list {
-		c.slots = min(c.demand, max(0, int((level-c.level)/c.step)))
-		left -= c.slots
+	for _, claimant := range claimants {
+		claimant.slots = min(claimant.demand, max(0, int((common-claimant.virtualTime)/claimant.virtualTimePerSlot)))
+		left -= claimant.slots
 	}
 	for ; left > 0; left-- {
-		best := leastProjected(list)
+		best := leastProjected(claimants)
 		if best == nil {
 			break
 		}
@@ -225,19 +227,20 @@
 	return max(left, 0)
 }
 
-// commonLevel finds the level at which the demands below it use up capacity.
-func commonLevel(list []*claimant, capacity int) float64 {
+// commonVirtualTime finds, by bisection, the virtual time at which the demand below it uses up the
+// capacity.
+func commonVirtualTime(claimants []*claimant, capacity int) float64 {
 	low, high := math.Inf(1), 0.0
-	for _, c := range list {
-		low = min(low, c.level)
-		high = max(high, c.level+c.step*float64(c.demand))
+	for _, claimant := range claimants {
+		low = min(low, claimant.virtualTime)
+		high = max(high, claimant.virtualTime+claimant.virtualTimePerSlot*float64(claimant.demand))
 	}
 	const halvings = 50
 	for range halvings {
 		middle := low + (high-low)/2
 		used := 0.0
-		for _, c := range list {
-			used += min(float64(c.demand), max(0, math.Floor((middle-c.level)/c.step)))
+		for _, claimant := range claimants {
+			used += min(float64(claimant.demand), max(0, math.Floor((middle-claimant.virtualTime)/claimant.virtualTimePerSlot)))
 		}
 		if used > float64(capacity) {
 			high = middle
@@ -248,43 +251,43 @@
 	return low
 }
 
-func leastProjected(list []*claimant) *claimant {
+func leastProjected(claimants []*claimant) *claimant {
 	var best *claimant
 	least := math.Inf(1)
-	for _, c := range list {
-		if projected := c.level + float64(c.slots)*c.step; c.slots < c.demand && projected < least {
-			best, least = c, projected
+	for _, claimant := range claimants {
+		if projected := claimant.virtualTime + float64(claimant.slots)*claimant.virtualTimePerSlot; claimant.slots < claimant.demand && projected < least {
+			best, least = claimant, projected
 		}
 	}
 	return best
 }
 
-// spread divides an account's slots among its routers by their demand. The
-// rounding error is carried over, so that a router with little work of an
-// account that has much elsewhere gets its turn.
-func (c *claimant) spread(p *plan, wanted map[*router]int) {
+// distribute divides an account's slots among its routers in proportion to their demand. Rounding
+// errors are carried over to the next division, so that a router with a small part of the account's
+// work gets slots at times.
+func (c *claimant) distribute(division *division, wanted map[*routerState]int) {
 	name := c.account.name
 	left := c.slots
 	for i := range c.routers {
-		r := &c.routers[i]
-		exact := float64(c.slots) * float64(r.demand) / float64(c.demand)
-		credit := min(r.router.credit[name]+exact, float64(r.demand)+1)
-		r.slots = min(int(credit), r.demand, left)
-		r.credit = credit - float64(r.slots)
-		left -= r.slots
+		part := &c.routers[i]
+		exact := float64(c.slots) * float64(part.demand) / float64(c.demand)
+		credit := min(part.router.roundingCredit[name]+exact, float64(part.demand)+1)
+		part.slots = min(int(credit), part.demand, left)
+		part.credit = credit - float64(part.slots)
+		left -= part.slots
 	}
-	c.spreadRest(left)
-	for _, r := range c.routers {
-		wanted[r.router] += r.slots
-		r.router.credit[name] = r.credit
+	c.distributeRemainder(left)
+	for _, part := range c.routers {
+		wanted[part.router] += part.slots
+		part.router.roundingCredit[name] = part.credit
 		if len(c.account.classes) > 1 {
-			p.given[routerAt{r.router, c.account}] += r.slots
+			division.given[routerAccount{part.router, c.account}] += part.slots
 		}
 	}
 }
 
-// spreadRest hands out what rounding left over, the largest credit first.
-func (c *claimant) spreadRest(left int) {
+// distributeRemainder assigns the slots left over by rounding, by the largest credit first.
+func (c *claimant) distributeRemainder(left int) {
 	if left == 0 {
 		return
 	}
@@ -295,10 +298,10 @@
 	slices.SortStableFunc(order, func(a, b *routerDemand) int { return cmp.Compare(b.credit, a.credit) })
 	for left > 0 {
 		before := left
-		for _, r := range order {
-			if left > 0 && r.slots < r.demand {
-				r.slots++
-				r.credit--
+		for _, part := range order {
+			if left > 0 && part.slots < part.demand {
+				part.slots++
+				part.credit--
 				left--
 			}
 		}
@@ -308,23 +311,23 @@
 	}
 }
 
-// spreadSpare lends the slots that nobody wants evenly to all routers, so that
-// a request which arrives anywhere finds one.
-func (p *plan) spreadSpare(wanted map[*router]int, spare int) {
-	stay := make([]*router, 0, len(p.live))
-	for _, r := range p.live {
-		if !r.leaving {
-			stay = append(stay, r)
+// distributeSpare divides the slots that no account wants evenly among all routers, so that a new
+// request finds a free slot at any router.
+func (d *division) distributeSpare(wanted map[*routerState]int, spare int) {
+	staying := make([]*routerState, 0, len(d.live))
+	for _, router := range d.live {
+		if !router.leaving {
+			staying = append(staying, router)
 		}
 	}
-	if len(stay) == 0 {
+	if len(staying) == 0 {
 		return
 	}
-	each, rest := spare/len(stay), spare%len(stay)
-	for i, r := range stay {
-		wanted[r] += each
-		if i < rest {
-			wanted[r]++
+	each, remainder := spare/len(staying), spare%len(staying)
+	for i, router := range staying {
+		wanted[router] += each
+		if i < remainder {
+			wanted[router]++
 		}
 	}
 }
--- a/internal/fairshare/divider.go
+++ b/internal/fairshare/divider.go
@@ -1,9 +1,10 @@
-// Package fairshare decides which account is served next, across the whole fleet.
+// Package fairshare implements weighted fair sharing of the targets' slots among accounts across
+// the whole fleet.
 //
-// The Divider, in the leading keeper, divides the slots of the targets among
-// the routers by the service that each account had. The Queues, in each
-// router, choose the next account for a free slot. Both are deterministic:
-// they take a time and a message and have no clock of their own.
+// The Divider runs in the leading keeper and divides the slots among the routers by the service
+// that each account has received. The Queues run in each router and choose the account that gets
+// the next free slot. Both are deterministic: each call takes the current time and one event, and
+// they have no clock of their own.
 package fairshare
 
 import (
@@ -18,256 +19,256 @@
 
 // The timing of leases and divisions.
 const (
-	// RouterLease is how long a router may dispatch after the report that its
-	// newest grant answers was sent.
+	// RouterLease is how long a router may dispatch, counted from when it sent the report that its
+	// newest grant answers.
 	RouterLease = 2 * time.Second
-	// lapseMargin is added where the leader waits for a lease to lapse: the
-	// router's clock may run slower than the leader's.
-	lapseMargin = RouterLease / 4
-	// DividePeriod is the longest time between divisions while work waits.
-	DividePeriod = 100 * time.Millisecond
-	// dividePause is the shortest time between two divisions.
-	dividePause = 10 * time.Millisecond
-	// memoryOfLapsed is how long the last values of a lapsed router are kept,
-	// so that its return counts nothing twice.
-	memoryOfLapsed = time.Hour
+	// leaseMargin is added when the leader waits for a lease to expire, because the router's clock
+	// may run slower than the leader's.
+	leaseMargin = RouterLease / 4
+	// DivideInterval is the longest time between divisions while work waits.
+	DivideInterval = 100 * time.Millisecond
+	// minDivideInterval is the shortest time between two divisions.
+	minDivideInterval = 10 * time.Millisecond
+	// expiredRouterRetention is how long the last values of a router whose lease has expired are
+	// kept, so that no service is counted twice if it returns.
+	expiredRouterRetention = time.Hour
 )
 
-// A Divider divides slots. Set the exported fields, then call SetConfig.
+// A Divider divides the slots of the targets among the routers. Set the exported fields, call Start
+// and then SetConfig.
 type Divider struct {
-	// Term is the leader's term, which its grants carry.
+	// Term is the leader's term. It is part of each grant.
 	Term uint64
-	// Blank says that no earlier leader had a configuration, and so none gave
-	// slots away.
+	// Blank says that no earlier leader had a configuration, and so none has granted slots.
 	Blank bool
 
-	number   uint64
-	text     json.RawMessage
-	accounts map[string]*account
-	targets  map[string]*target
-	classes  []*class
-	byEvent  map[string][]*class
-	routers  map[routerKey]*router
-	order    []*router // by name and incarnation
-	gone     map[string]bool
+	configNumber uint64
+	configText   json.RawMessage
+	accounts     map[string]*accountState
+	targets      map[string]*targetState
+	classes      []*targetClass
+	byEvent      map[string][]*targetClass
+	routers      map[routerKey]*routerState
+	routerList   []*routerState // sorted by name and incarnation
+	leaving      map[string]bool
 
-	cautious time.Time // until when slots may be held by unknown routers
-	divided  time.Time
-	wanted   bool // a division is wanted before the period is over
-	rounds   uint64
-	idle     int  // slots that routers hold and do not use
-	hungry   int  // routers with waiting work and no idle slot
-	unused   int  // slots that no router held after the last division
-	short    bool // the last division could not give all that it wanted to
-	out      []Addressed
+	cautiousUntil     time.Time // until then, unknown routers may hold slots
+	lastDivision      time.Time
+	divisionRequested bool // divide before the end of the interval
+	divisions         uint64
+	idleSlots         int  // slots that routers hold and do not use
+	starvedRouters    int  // routers with waiting work and no idle slot
+	unleasedSlots     int  // slots that no router held after the last division
+	slotsShort        bool // the last division could not assign all slots that it wanted to
+	grants            []RouterGrant
 }
 
 type routerKey struct {
-	name string
-	inc  uint64
+	name        string
+	incarnation uint64
 }
 
-// account is the fleet-wide service of one account.
-type account struct {
-	name       string
-	share      float64
-	level      float64 // settled cost over share, lifted after idle times
-	charged    float64 // estimated cost of running requests
-	waiting    int
-	running    int
-	backlogged bool
-	waited     time.Time // when work last waited
-	classes    []*class  // that it may use
-	cost       float64   // mean cost of a request
+// accountState is the fleet-wide service of one account.
+type accountState struct {
+	name        string
+	share       float64
+	virtualTime float64 // settled cost over share, raised after idle times
+	charged     float64 // estimated cost of the running requests
+	waiting     int
+	running     int
+	backlogged  bool
+	lastWaiting time.Time      // when the account last had waiting work
+	classes     []*targetClass // classes that it may use
+	meanCost    float64        // moving average of the cost of a request
 }
 
-// effective returns the level with the running requests charged.
-func (a *account) effective() float64 {
-	return a.level + a.charged/a.share
+// effectiveVirtualTime returns the virtual time including the charge of the running requests.
+func (a *accountState) effectiveVirtualTime() float64 {
+	return a.virtualTime + a.charged/a.share
 }
 
-// target is one target and who holds its slots.
-type target struct {
+// targetState is a target and the accounting of its slots.
+type targetState struct {
 	fleet.Target
-	class *class
-	free  int
-	// fresh says that no earlier leader can have given its slots away.
-	fresh bool
-	// adopted counts the slots that routers were found to hold from an earlier
-	// leader. What they let go of these, nobody else can hold.
-	adopted int
+	class     *targetClass
+	freeSlots int
+	// noEarlierLeases says that no earlier leader can have granted its slots.
+	noEarlierLeases bool
+	// adoptedSlots counts the slots that routers reported to hold from an earlier leader. No other
+	// router can hold these slots once they are released.
+	adoptedSlots int
 }
 
-// router is one incarnation of a router as the leader knows it.
-type router struct {
-	key     routerKey
-	zone    fleet.Zone
-	seq     uint64
-	sent    time.Time // router's clock
-	heard   time.Time // leader's clock: when its newest report came
-	lapses  time.Time // leader's clock: when its lease has surely lapsed
-	number  uint64
-	leaving bool
-	known   bool // has acknowledged a grant of this term
-	queues  []message.QueueLength
-	usage   map[string]message.Usage
-	running []string // accounts of usage that run something
-	holding map[string]message.SlotUsage
-	slots   map[string]int // what the leader wants it to hold
-	unacked []unacked
-	idle    int
-	hungry  bool
-	granted uint64
-	// sentNumber is the configuration last sent, after the report sentAfter.
-	sentNumber uint64
-	sentAfter  uint64
-	levelled   uint64 // seq of the report that the levels last sent include
-	dirty      bool
-	reserved   map[string]int     // slots that it may hold, at the last division
-	credit     map[string]float64 // rounding error per account
-	told       map[string]float64 // levels last sent
-	adopted    bool
-	lapsed     bool
-	lapsedAt   time.Time
+// routerState is one incarnation of a router as the leader knows it.
+type routerState struct {
+	key            routerKey
+	zone           fleet.Zone
+	seq            uint64
+	reportSent     time.Time // by the router's clock
+	reportReceived time.Time // by the leader's clock
+	leaseExpiry    time.Time // when the lease has certainly expired, by the leader's clock
+	configNumber   uint64
+	leaving        bool
+	acknowledged   bool // it has acknowledged a grant of this term
+	queues         []message.QueueLength
+	usage          map[string]message.Usage
+	running        []string // accounts in usage with running requests
+	holdings       map[string]message.SlotUsage
+	assigned       map[string]int // the slots that the leader wants it to hold
+	unackedGrants  []unackedGrant
+	idleSlots      int
+	starved        bool
+	grantSeq       uint64
+	// sentConfigNumber is the configuration that was sent last, in answer to the report
+	// configSentAtSeq.
+	sentConfigNumber      uint64
+	configSentAtSeq       uint64
+	virtualTimesSentAtSeq uint64 // Seq of the report that the virtual times sent last include
+	needsGrant            bool
+	reserved              map[string]int     // slots that it may hold, as of the last division
+	roundingCredit        map[string]float64 // rounding error by account
+	sentVirtualTimes      map[string]float64 // the virtual times sent last
+	slotsAdopted          bool
+	expired               bool
+	expiredAt             time.Time
 }
 
-type unacked struct {
+type unackedGrant struct {
 	seq   uint64
 	slots map[string]int
 }
 
-// Start begins a term: until all leases of earlier terms have lapsed, slots
-// that no report accounts for are not given away.
+// Start starts a term. Until all leases of earlier terms have expired, slots that no report
+// accounts for are not granted.
 func (d *Divider) Start(now time.Time) {
-	d.accounts = make(map[string]*account)
-	d.targets = make(map[string]*target)
-	d.routers = make(map[routerKey]*router)
-	d.cautious = now.Add(RouterLease + lapseMargin)
-	d.divided = now
+	d.accounts = make(map[string]*accountState)
+	d.targets = make(map[string]*targetState)
+	d.routers = make(map[routerKey]*routerState)
+	d.cautiousUntil = now.Add(RouterLease + leaseMargin)
+	d.lastDivision = now
 }
 
-// SetConfig puts a configuration in force. The first one of a term is the one
-// that the leader found in the log; targets that a later one adds are new to
-// every router.
-func (d *Divider) SetConfig(now time.Time, c fleet.Config, text json.RawMessage) {
-	first := d.number == 0 && !d.Blank
-	d.number, d.text = c.Number, text
-	d.setAccounts(c)
-	d.setTargets(c, first)
-	d.setClasses(c)
-	for _, r := range d.order {
-		r.dirty = !r.lapsed
-		for name := range r.slots {
-			if t := d.targets[name]; t == nil || !t.Live() {
-				delete(r.slots, name)
+// SetConfig puts a configuration in force. The first one of a term comes from the replicated log;
+// no router holds slots of the targets that later ones add.
+func (d *Divider) SetConfig(now time.Time, config fleet.Config, text json.RawMessage) {
+	first := d.configNumber == 0 && !d.Blank
+	d.configNumber, d.configText = config.Number, text
+	d.setAccounts(config)
+	d.setTargets(config, first)
+	d.setClasses(config)
+	for _, router := range d.routerList {
+		router.needsGrant = !router.expired
+		for name := range router.assigned {
+			if target := d.targets[name]; target == nil || !target.Live() {
+				delete(router.assigned, name)
 			}
 		}
 	}
-	d.wanted = true
+	d.divisionRequested = true
 	d.divide(now)
 }
 
-// SetGone names targets that the platform's list shows as leaving. The list
-// lags: it may take a target out, never bring a leaving one back.
-func (d *Divider) SetGone(now time.Time, names []string) {
-	gone := make(map[string]bool, len(names))
-	for _, n := range names {
-		gone[n] = true
+// SetLeavingTargets sets the targets that the platform's list of VMs shows as leaving. The list
+// lags: it can take a target out of service, but it cannot bring a leaving one back.
+func (d *Divider) SetLeavingTargets(now time.Time, names []string) {
+	leaving := make(map[string]bool, len(names))
+	for _, name := range names {
+		leaving[name] = true
 	}
-	if maps.Equal(gone, d.gone) {
+	if maps.Equal(leaving, d.leaving) {
 		return
 	}
-	d.gone = gone
-	for _, r := range d.order {
-		r.dirty = !r.lapsed
-		for n := range gone {
-			delete(r.slots, n)
+	d.leaving = leaving
+	for _, router := range d.routerList {
+		router.needsGrant = !router.expired
+		for name := range leaving {
+			delete(router.assigned, name)
 		}
 	}
 	d.divide(now)
 }
 
-func (d *Divider) setAccounts(c fleet.Config) {
-	next := make(map[string]*account, len(c.Accounts))
-	for _, a := range c.Accounts {
-		state := d.accounts[a.Name]
+func (d *Divider) setAccounts(config fleet.Config) {
+	next := make(map[string]*accountState, len(config.Accounts))
+	for _, account := range config.Accounts {
+		state := d.accounts[account.Name]
 		if state == nil {
-			state = &account{name: a.Name, cost: 1}
+			state = &accountState{name: account.Name, meanCost: 1}
 		}
-		state.share = a.Share
-		next[a.Name] = state
+		state.share = account.Share
+		next[account.Name] = state
 	}
 	d.accounts = next
 }
 
-func (d *Divider) setTargets(c fleet.Config, first bool) {
-	next := make(map[string]*target, len(c.Targets))
-	for _, t := range c.Targets {
-		old := d.targets[t.Name]
-		fresh := !first && (old == nil || old.fresh)
-		next[t.Name] = &target{Target: t, fresh: fresh}
+func (d *Divider) setTargets(config fleet.Config, first bool) {
+	next := make(map[string]*targetState, len(config.Targets))
+	for _, target := range config.Targets {
+		old := d.targets[target.Name]
+		noEarlierLeases := !first && (old == nil || old.noEarlierLeases)
+		next[target.Name] = &targetState{Target: target, noEarlierLeases: noEarlierLeases}
 		if old != nil {
-			next[t.Name].adopted = old.adopted
+			next[target.Name].adoptedSlots = old.adoptedSlots
 		}
 	}
 	d.targets = next
 }
 
-// Tick lets leases lapse and divides when it is time.
+// Tick expires leases and divides the slots if a division is due.
 func (d *Divider) Tick(now time.Time) {
-	for _, r := range d.order {
-		if !r.lapsed && !r.lapses.IsZero() && !now.Before(r.lapses) {
-			d.lapse(now, r)
+	for _, router := range d.routerList {
+		if !router.expired && !router.leaseExpiry.IsZero() && !now.Before(router.leaseExpiry) {
+			d.expire(now, router)
 		}
 	}
-	d.order = slices.DeleteFunc(d.order, func(r *router) bool {
-		old := r.lapsed && now.Sub(r.lapsedAt) > memoryOfLapsed
+	d.routerList = slices.DeleteFunc(d.routerList, func(router *routerState) bool {
+		old := router.expired && now.Sub(router.expiredAt) > expiredRouterRetention
 		if old {
-			delete(d.routers, r.key)
+			delete(d.routers, router.key)
 		}
 		return old
 	})
-	if now.Before(d.Deadline()) {
+	if now.Before(d.NextTick()) {
 		return
 	}
-	d.update(now)
+	d.refreshTotals(now)
 	d.divide(now)
 }
 
-// lapse ends a router's lease. What it still ran is counted as served: it had
-// the service, whether or not it can ever report it.
-func (d *Divider) lapse(now time.Time, r *router) {
-	d.sum(r, -1)
-	for name, u := range r.usage {
-		if a := d.accounts[name]; a != nil {
-			a.level += u.EstimatedCost / a.share
+// expire ends a router's lease. Its running requests count as served: they had the service, even if
+// the router never reports it.
+func (d *Divider) expire(now time.Time, router *routerState) {
+	d.addToTotals(router, -1)
+	for name, usage := range router.usage {
+		if account := d.accounts[name]; account != nil {
+			account.virtualTime += usage.EstimatedCost / account.share
 		}
-		u.Served += u.EstimatedCost
-		u.EstimatedCost, u.Running = 0, 0
-		r.usage[name] = u
+		usage.Served += usage.EstimatedCost
+		usage.EstimatedCost, usage.Running = 0, 0
+		router.usage[name] = usage
 	}
-	r.queues = nil
-	r.running = nil
-	r.unacked = nil
-	r.dirty = false
-	r.lapsed, r.lapsedAt = true, now
-	clear(r.holding)
-	clear(r.slots)
-	d.weigh(r)
-	d.wanted = true
+	router.queues = nil
+	router.running = nil
+	router.unackedGrants = nil
+	router.needsGrant = false
+	router.expired, router.expiredAt = true, now
+	clear(router.holdings)
+	clear(router.assigned)
+	d.updateIdleSlots(router)
+	d.divisionRequested = true
 }
 
-// Deadline returns when the next Tick is due.
-func (d *Divider) Deadline() time.Time {
-	if d.wanted {
-		return d.divided.Add(dividePause)
+// NextTick returns when Tick must be called next.
+func (d *Divider) NextTick() time.Time {
+	if d.divisionRequested {
+		return d.lastDivision.Add(minDivideInterval)
 	}
-	return d.divided.Add(DividePeriod)
+	return d.lastDivision.Add(DivideInterval)
 }
 
-// Take returns the grants made since the last Take.
-func (d *Divider) Take() []Addressed {
-	out := d.out
-	d.out = nil
-	return out
+// TakeGrants returns and clears the grants made since the last call.
+func (d *Divider) TakeGrants() []RouterGrant {
+	grants := d.grants
+	d.grants = nil
+	return grants
 }
--- a/internal/fairshare/divider_test.go
+++ b/internal/fairshare/divider_test.go
@@ -10,7 +10,7 @@
 	"laburnumfall/internal/message"
 )
 
-// fakeRouter answers grants as a router does.
+// fakeRouter acknowledges grants like a router.
 type fakeRouter struct {
 	report message.Report
 }
@@ -23,44 +23,41 @@
 	return r
 }
 
-// tell sends the router's report.
-func (r *fakeRouter) tell(d *Divider, now time.Time) {
+// sendReport sends the router's report.
+func (r *fakeRouter) sendReport(d *Divider, now time.Time) {
 	r.report.Seq++
 	r.report.SentAt = now
-	d.Report(now, r.report)
+	d.HandleReport(now, r.report)
 }
 
-// hear takes the grants meant for the router.
-func (r *fakeRouter) hear(grants []Addressed) {
-	for _, g := range grants {
-		if g.Router != r.report.Router {
+// receiveGrants applies the grants for the router.
+func (r *fakeRouter) receiveGrants(grants []RouterGrant) {
+	for _, routerGrant := range grants {
+		if routerGrant.Router != r.report.Router {
 			continue
 		}
-		r.report.Term, r.report.AckSeq = g.Grant.Term, g.Grant.Seq
+		r.report.Term, r.report.AckSeq = routerGrant.Grant.Term, routerGrant.Grant.Seq
 		r.report.Slots = nil
-		for _, s := range g.Grant.Slots {
-			r.report.Slots = append(r.report.Slots, message.SlotUsage{Target: s.Target, Limit: s.Count})
+		for _, slot := range routerGrant.Grant.Slots {
+			r.report.Slots = append(r.report.Slots, message.SlotUsage{Target: slot.Target, Limit: slot.Count})
 		}
 	}
 }
 
-func (r *fakeRouter) holds() int {
-	n := 0
-	for _, s := range r.report.Slots {
-		n += s.Limit
+func (r *fakeRouter) heldSlots() int {
+	held := 0
+	for _, slot := range r.report.Slots {
+		held += slot.Limit
 	}
-	return n
+	return held
 }
 
-// Symptom: after a change of leader slots stand idle for a lease length, though
-// every router is known and work waits (a fleet under load lost 3 s).
-// Sequence: a new leader hears two routers that hold all slots; only one has
-// work; slots are taken from the other.
-// Cause: what a known router lets go was withheld as if an unknown router could
-// still hold it.
-func TestNewLeaderMovesSlotsThatKnownRoutersHeld(t *testing.T) {
+// Guards against slots that stay idle for the length of a lease after a leader election although
+// all routers are known: slots that a known router releases must not be withheld as if an unknown
+// one could hold them. A fleet under load lost 3 s of capacity to this.
+func TestNewLeaderReassignsSlotsOfKnownRouters(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	c := fleet.Config{
+	config := fleet.Config{
 		Number:   1,
 		Accounts: []fleet.Account{{Name: "a", Share: 1}},
 		Targets:  []fleet.Target{{Name: "t", Zone: "z", Slots: 8, State: fleet.TargetLive}},
@@ -68,75 +65,70 @@
 	}
 	d := &Divider{Term: 2}
 	d.Start(now)
-	d.SetConfig(now, c, c.JSON())
+	d.SetConfig(now, config, config.JSON())
 	idle := newFakeRouter("idle", 0, message.SlotUsage{Target: "t", Limit: 3})
 	busy := newFakeRouter("busy", 20, message.SlotUsage{Target: "t", Limit: 3, InUse: 3})
 	rounds := func(step time.Duration) {
 		for range 20 {
 			now = now.Add(step)
 			for _, r := range []*fakeRouter{idle, busy} {
-				r.tell(d, now)
+				r.sendReport(d, now)
 				d.Tick(now)
-				grants := d.Take()
-				idle.hear(grants)
-				busy.hear(grants)
+				grants := d.TakeGrants()
+				idle.receiveGrants(grants)
+				busy.receiveGrants(grants)
 			}
 		}
 	}
 	rounds(20 * time.Millisecond)
-	require.Equal(t, 6, busy.holds(), "all that the two had")
-	require.LessOrEqual(t, busy.holds()+idle.holds(), 6, "the other two may be with a router not heard of")
+	require.Equal(t, 6, busy.heldSlots(), "all slots that the two routers held")
+	require.LessOrEqual(t, busy.heldSlots()+idle.heldSlots(), 6, "an unknown router may hold the other two")
 	rounds(200 * time.Millisecond)
-	require.Equal(t, 8, busy.holds()+idle.holds(), "until its lease has lapsed")
+	require.Equal(t, 8, busy.heldSlots()+idle.heldSlots(), "the unknown router's lease has expired")
 }
 
-// Symptom: control traffic grows with the size of the configuration times the
-// number of divisions.
-// Sequence: a configuration is accepted; divisions follow each other before the
-// routers have reported it.
-// Cause: every grant carries it until then.
-func TestConfigurationIsSentOnceAReport(t *testing.T) {
+// Guards against control traffic that grows with the size of the configuration times the number of
+// divisions. The configuration must not be part of every grant until the router reports it.
+func TestConfigIsSentOncePerReport(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	c := fleet.Config{Number: 1}
+	config := fleet.Config{Number: 1}
 	d := &Divider{Term: 1, Blank: true}
 	d.Start(now)
-	r := newFakeRouter("r", 0)
-	r.report.Number = 0
-	r.tell(d, now)
-	d.Take()
-	d.SetConfig(now, c, c.JSON())
-	require.NotEmpty(t, d.Take()[0].Grant.Config)
-	for _, r := range d.order {
-		r.dirty = true
+	router := newFakeRouter("r", 0)
+	router.report.Number = 0
+	router.sendReport(d, now)
+	d.TakeGrants()
+	d.SetConfig(now, config, config.JSON())
+	require.NotEmpty(t, d.TakeGrants()[0].Grant.Config)
+	for _, state := range d.routerList {
+		state.needsGrant = true
 	}
 	d.divide(now)
-	require.Empty(t, d.Take()[0].Grant.Config, "it is on its way")
-	r.tell(d, now.Add(time.Second))
-	require.NotEmpty(t, d.Take()[0].Grant.Config, "it was lost on its way")
+	require.Empty(t, d.TakeGrants()[0].Grant.Config, "already sent in answer to the last report")
+	router.sendReport(d, now.Add(time.Second))
+	require.NotEmpty(t, d.TakeGrants()[0].Grant.Config, "sent again after a new report, because it may have been lost")
 }
 
-// Symptom: an operator is told that a configuration is in force on every router, and a
-// router still goes by the one before.
-// Sequence: the leader changes; the next one accepts a configuration before any router has
-// reported to it; routers still hold leases of the former leader.
-// Cause: of no routers, all had it.
-func TestANewLeaderDoesNotSpeakForRoutersItHasNotHeard(t *testing.T) {
+// Guards against reporting a configuration as in force on all routers while some serve by the one
+// before. After a leader election no router has reported yet, but routers still hold leases of the
+// former leader.
+func TestConfigNotInForceBeforeEarlierLeasesExpire(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	d := &Divider{Term: 2}
 	d.Start(now)
 	d.SetConfig(now, fleet.Config{Number: 7}, nil)
-	_, all := d.InForce(now, 7)
+	_, all := d.ConfigInForce(now, 7)
 	require.False(t, all)
-	have, all := d.InForce(now.Add(RouterLease+lapseMargin), 7)
-	require.True(t, all, "no earlier lease holds any more")
-	require.Zero(t, have)
+	leased, all := d.ConfigInForce(now.Add(RouterLease+leaseMargin), 7)
+	require.True(t, all, "all earlier leases have expired")
+	require.Zero(t, leased)
 
 	blank := &Divider{Term: 2, Blank: true}
 	blank.Start(now)
-	_, all = blank.InForce(now, 0)
+	_, all = blank.ConfigInForce(now, 0)
 	require.False(t, all, "routers may hold a lease without any configuration")
 	first := &Divider{Term: 1, Blank: true}
 	first.Start(now)
-	_, all = first.InForce(now, 0)
+	_, all = first.ConfigInForce(now, 0)
 	require.True(t, all, "there was no leader before")
 }
--- a/internal/fairshare/estimate.go
+++ b/internal/fairshare/estimate.go
@@ -1,60 +1,61 @@
 package fairshare
 
-// queue is the waiting work of an account for one event.
-type queue struct {
-	event string
-	items itemHeap
-	cost  float64 // mean cost of a request, once one was learned
-	ratio float64 // mean of cost over hint
-	known int     // requests learned from, up to learnSteady
-	// How far off the mean and the hints were, as mean squares.
-	meanError float64
-	hintError float64
+// eventQueue is the waiting requests of an account for one event, with the statistics of their
+// cost.
+type eventQueue struct {
+	event       string
+	items       itemHeap
+	meanCost    float64 // moving average of the cost, once a request has ended
+	costPerHint float64 // moving average of cost over hint
+	samples     int     // number of costs learned, up to steadySamples
+	// Mean squared errors of predictions by the mean and by the hints.
+	meanSquaredError float64
+	hintSquaredError float64
 }
 
-func (s *served) queue(event string) *queue {
-	for _, q := range s.queues {
-		if q.event == event {
-			return q
+func (a *localAccount) queue(event string) *eventQueue {
+	for _, queue := range a.queues {
+		if queue.event == event {
+			return queue
 		}
 	}
-	q := &queue{event: event}
-	s.queues = append(s.queues, q)
-	return q
+	queue := &eventQueue{event: event}
+	a.queues = append(a.queues, queue)
+	return queue
 }
 
-// estimate returns the cost to be expected: the mean of such requests, or of
-// all that the router served as long as there were none. A hint counts by how
-// costs related to hints before, within bounds, and only while hints have come
-// closer than the mean: a hint that is wrong by ten times is worse than none.
-func (e *queue) estimate(hint, overall float64) float64 {
-	if e.known == 0 {
-		return max(overall, 1)
+// estimate returns the expected cost: the mean of earlier requests of this kind, or overallMean
+// while there are none. A hint is scaled by how costs related to hints before and is bounded. It
+// counts only while hints predict better than the mean: a hint that is wrong by ten times is worse
+// than none.
+func (q *eventQueue) estimate(hint, overallMean float64) float64 {
+	if q.samples == 0 {
+		return max(overallMean, 1)
 	}
-	if hint <= 0 || e.ratio == 0 || e.hintError >= e.meanError {
-		return e.cost
+	if hint <= 0 || q.costPerHint == 0 || q.hintSquaredError >= q.meanSquaredError {
+		return q.meanCost
 	}
-	return e.fromHint(hint)
+	return q.fromHint(hint)
 }
 
-func (e *queue) fromHint(hint float64) float64 {
-	return min(max(hint*e.ratio, e.cost/hintSpan), e.cost*hintSpan)
+func (q *eventQueue) fromHint(hint float64) float64 {
+	return min(max(hint*q.costPerHint, q.meanCost/maxHintFactor), q.meanCost*maxHintFactor)
 }
 
-// learnSteady is the number of requests after which each newer one counts by
-// estimateGain; before, all count alike.
-const learnSteady = 1 / estimateGain
+// steadySamples is the number of requests after which each newer one counts by costWeight. Before,
+// all count equally.
+const steadySamples = 1 / costWeight
 
-func (e *queue) learn(hint, cost float64) {
-	e.known = min(e.known+1, learnSteady)
-	gain := 1 / float64(e.known)
-	if hint > 0 && e.known > 1 {
-		byMean, byHint := cost-e.cost, cost-e.fromHint(hint)
-		e.meanError += gain * (byMean*byMean - e.meanError)
-		e.hintError += gain * (byHint*byHint - e.hintError)
+func (q *eventQueue) learn(hint, cost float64) {
+	q.samples = min(q.samples+1, steadySamples)
+	gain := 1 / float64(q.samples)
+	if hint > 0 && q.samples > 1 {
+		meanError, hintError := cost-q.meanCost, cost-q.fromHint(hint)
+		q.meanSquaredError += gain * (meanError*meanError - q.meanSquaredError)
+		q.hintSquaredError += gain * (hintError*hintError - q.hintSquaredError)
 	}
-	e.cost += gain * (cost - e.cost)
+	q.meanCost += gain * (cost - q.meanCost)
 	if hint > 0 {
-		e.ratio += gain * (cost/hint - e.ratio)
+		q.costPerHint += gain * (cost/hint - q.costPerHint)
 	}
 }
--- a/internal/fairshare/grant.go
+++ b/internal/fairshare/grant.go
@@ -8,106 +8,106 @@
 	"laburnumfall/internal/message"
 )
 
-// An Addressed is a grant for one incarnation of a router.
-type Addressed struct {
-	Router string
-	Inc    uint64
-	Grant  message.Grant
+// A RouterGrant is a grant and the incarnation of the router that it is for.
+type RouterGrant struct {
+	Router      string
+	Incarnation uint64
+	Grant       message.Grant
 }
 
-// grant renews the lease of a router that has just reported.
-func (d *Divider) grant(r *router) {
-	r.granted++
-	r.dirty = false
-	// Counted from the report, not from now: grants that a division makes must
-	// not keep a dead router's slots.
-	r.lapses = r.heard.Add(RouterLease + lapseMargin)
-	g := message.Grant{
-		Term: d.Term, Seq: r.granted, Incarnation: r.key.inc, EchoSeq: r.seq,
-		ExpiresAt:        r.sent.Add(RouterLease),
-		Number:           d.number,
+// sendGrant renews a router's lease.
+func (d *Divider) sendGrant(router *routerState) {
+	router.grantSeq++
+	router.needsGrant = false
+	// The lease is counted from the report and not from now. Otherwise grants that follow a
+	// division would keep the slots of a dead router reserved.
+	router.leaseExpiry = router.reportReceived.Add(RouterLease + leaseMargin)
+	grant := message.Grant{
+		Term: d.Term, Seq: router.grantSeq, Incarnation: router.key.incarnation, EchoSeq: router.seq,
+		ExpiresAt:        router.reportSent.Add(RouterLease),
+		Number:           d.configNumber,
 		VirtualTimeFloor: d.floor(),
-		SlotsShort:       d.short || d.hungry > 0,
-		LeavingTargets:   slices.Sorted(maps.Keys(d.gone)),
+		SlotsShort:       d.slotsShort || d.starvedRouters > 0,
+		LeavingTargets:   slices.Sorted(maps.Keys(d.leaving)),
 	}
-	if r.levelled != r.seq {
-		r.levelled = r.seq
-		g.VirtualTimes = d.levelsFor(r)
+	if router.virtualTimesSentAtSeq != router.seq {
+		router.virtualTimesSentAtSeq = router.seq
+		grant.VirtualTimes = d.virtualTimesFor(router)
 	}
-	if r.number != d.number && (r.sentNumber != d.number || r.sentAfter != r.seq) {
-		// Once a report: a division's grants would repeat a large one often.
-		r.sentNumber, r.sentAfter = d.number, r.seq
-		g.Config = d.text
+	if router.configNumber != d.configNumber && (router.sentConfigNumber != d.configNumber || router.configSentAtSeq != router.seq) {
+		// Send it once per report: it is large, and each division makes a grant.
+		router.sentConfigNumber, router.configSentAtSeq = d.configNumber, router.seq
+		grant.Config = d.configText
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.slots)) {
-		if n := r.slots[name]; n > 0 {
-			g.Slots = append(g.Slots, message.SlotGrant{Target: name, Count: n})
+	for _, name := range slices.Sorted(maps.Keys(router.assigned)) {
+		if count := router.assigned[name]; count > 0 {
+			grant.Slots = append(grant.Slots, message.SlotGrant{Target: name, Count: count})
 		}
 	}
-	r.unacked = append(r.unacked, unacked{seq: r.granted, slots: maps.Clone(r.slots)})
-	if len(r.unacked) > maxUnacked {
-		mergeOldest(r)
+	router.unackedGrants = append(router.unackedGrants, unackedGrant{seq: router.grantSeq, slots: maps.Clone(router.assigned)})
+	if len(router.unackedGrants) > maxUnackedGrants {
+		mergeOldestUnacked(router)
 	}
-	d.out = append(d.out, Addressed{Router: r.key.name, Inc: r.key.inc, Grant: g})
+	d.grants = append(d.grants, RouterGrant{Router: router.key.name, Incarnation: router.key.incarnation, Grant: grant})
 }
 
-const maxUnacked = 8
+const maxUnackedGrants = 8
 
-// mergeOldest joins the two oldest grants that wait for an answer.
-func mergeOldest(r *router) {
-	first, second := r.unacked[0], r.unacked[1]
-	for name, n := range first.slots {
-		second.slots[name] = max(second.slots[name], n)
+// mergeOldestUnacked merges the two oldest unacknowledged grants.
+func mergeOldestUnacked(router *routerState) {
+	first, second := router.unackedGrants[0], router.unackedGrants[1]
+	for name, count := range first.slots {
+		second.slots[name] = max(second.slots[name], count)
 	}
-	r.unacked = slices.Delete(r.unacked, 0, 1)
+	router.unackedGrants = slices.Delete(router.unackedGrants, 0, 1)
 }
 
-// levelsFor returns the levels that a router needs now: those of the accounts
-// that wait in it, and now and then those that changed of all that it serves.
-func (d *Divider) levelsFor(r *router) []message.VirtualTime {
+// virtualTimesFor returns the virtual times that a router needs now: those of the accounts that
+// wait in it, and periodically those of all accounts it serves whose virtual time has changed.
+func (d *Divider) virtualTimesFor(router *routerState) []message.VirtualTime {
 	const refresh = 8
-	names := make([]string, 0, len(r.queues))
-	for _, q := range r.queues {
-		names = append(names, q.Account)
+	names := make([]string, 0, len(router.queues))
+	for _, queue := range router.queues {
+		names = append(names, queue.Account)
 	}
-	if r.granted%refresh == 1 {
-		for name := range r.usage {
+	if router.grantSeq%refresh == 1 {
+		for name := range router.usage {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	levels := make([]message.VirtualTime, 0, len(names))
+	virtualTimes := make([]message.VirtualTime, 0, len(names))
 	for _, name := range slices.Compact(names) {
-		a := d.accounts[name]
-		if a == nil || !a.backlogged && a.level == r.told[name] {
+		account := d.accounts[name]
+		if account == nil || !account.backlogged && account.virtualTime == router.sentVirtualTimes[name] {
 			continue
 		}
-		r.told[name] = a.level
-		others := (a.charged - r.usage[name].EstimatedCost) / a.share
-		levels = append(levels, message.VirtualTime{
-			Account: name, Value: roundLevel(a.level), RemoteCharge: roundLevel(max(others, 0)), FleetRatio: r.spread(a),
+		router.sentVirtualTimes[name] = account.virtualTime
+		remoteCharge := (account.charged - router.usage[name].EstimatedCost) / account.share
+		virtualTimes = append(virtualTimes, message.VirtualTime{
+			Account: name, Value: roundForWire(account.virtualTime), RemoteCharge: roundForWire(max(remoteCharge, 0)), FleetRatio: router.fleetRatio(account),
 		})
 	}
-	return levels
+	return virtualTimes
 }
 
-// spread returns the account's work in the fleet over its work in the router.
-func (r *router) spread(a *account) float64 {
-	own := r.usage[a.name].Running
-	for _, q := range r.queues {
-		if q.Account == a.name {
-			own += q.Waiting
+// fleetRatio returns the account's work in the fleet relative to its work in the router.
+func (r *routerState) fleetRatio(account *accountState) float64 {
+	ownWork := r.usage[account.name].Running
+	for _, queue := range r.queues {
+		if queue.Account == account.name {
+			ownWork += queue.Waiting
 		}
 	}
-	if own == 0 {
+	if ownWork == 0 {
 		return 1
 	}
 	const precision = 10
-	return math.Round(precision*float64(a.waiting+a.running)/float64(own)) / precision
+	return math.Round(precision*float64(account.waiting+account.running)/float64(ownWork)) / precision
 }
 
-// roundLevel drops digits that no decision needs, to save bytes.
-func roundLevel(v float64) float64 {
+// roundForWire rounds to a precision that suffices for every decision, to make messages smaller.
+func roundForWire(value float64) float64 {
 	const precision = 1e3
-	return math.Round(v*precision) / precision
+	return math.Round(value*precision) / precision
 }
--- a/internal/fairshare/itemheap.go
+++ b/internal/fairshare/itemheap.go
@@ -1,6 +1,6 @@
 package fairshare
 
-// itemHeap orders items by Order, then by ID.
+// itemHeap is a heap of items ordered by ServeBy, then by ID.
 type itemHeap []*Item
 
 // Len implements sort.Interface.
@@ -8,8 +8,8 @@
 
 // Less implements sort.Interface.
 func (h itemHeap) Less(i, j int) bool {
-	if !h[i].Order.Equal(h[j].Order) {
-		return h[i].Order.Before(h[j].Order)
+	if !h[i].ServeBy.Equal(h[j].ServeBy) {
+		return h[i].ServeBy.Before(h[j].ServeBy)
 	}
 	return h[i].ID < h[j].ID
 }
@@ -17,25 +17,25 @@
 // Swap implements sort.Interface.
 func (h itemHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place = i
-	h[j].place = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *itemHeap) Push(x any) {
-	it, ok := x.(*Item)
+	item, ok := x.(*Item)
 	if !ok {
 		return
 	}
-	it.place = len(*h)
-	*h = append(*h, it)
+	item.heapIndex = len(*h)
+	*h = append(*h, item)
 }
 
 // Pop implements heap.Interface.
 func (h *itemHeap) Pop() any {
 	old := *h
-	it := old[len(old)-1]
+	item := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	return it
+	return item
 }
--- a/internal/fairshare/place.go
+++ b/internal/fairshare/place.go
@@ -8,199 +8,198 @@
 	"laburnumfall/internal/fleet"
 )
 
-// countFree counts the slots of each target that no router can be using: what
-// a router was once granted counts until it has answered a later grant, or its
-// lease has lapsed.
-func (p *plan) countFree() {
-	d := p.divider
-	for _, t := range d.targets {
-		t.free = t.Slots
+// countFreeSlots counts the slots of each target that no router can be using. A granted slot counts
+// as used until the router has acknowledged a later grant without it, or its lease has expired.
+func (d *division) countFreeSlots() {
+	divider := d.divider
+	for _, target := range divider.targets {
+		target.freeSlots = target.Slots
 	}
-	p.has = make(map[*class]map[*router]int, len(d.classes))
-	for _, cl := range d.classes {
-		p.has[cl] = make(map[*router]int, len(p.live))
+	d.held = make(map[*targetClass]map[*routerState]int, len(divider.classes))
+	for _, class := range divider.classes {
+		d.held[class] = make(map[*routerState]int, len(d.live))
 	}
-	for _, r := range p.live {
-		p.countRouter(r)
+	for _, router := range d.live {
+		d.countRouter(router)
 	}
-	for _, cl := range d.classes {
-		cl.open(d, p)
+	for _, class := range divider.classes {
+		class.listFreeTargets(divider, d)
 	}
 }
 
-func (p *plan) countRouter(r *router) {
-	if r.reserved == nil {
-		r.reserved = make(map[string]int)
-	}
-	clear(r.reserved)
-	r.reserve(r.reserved)
-	for name, n := range r.reserved {
-		t := p.divider.targets[name]
-		if t == nil {
+func (d *division) countRouter(router *routerState) {
+	if router.reserved == nil {
+		router.reserved = make(map[string]int)
+	}
+	clear(router.reserved)
+	router.addReserved(router.reserved)
+	for name, count := range router.reserved {
+		target := d.divider.targets[name]
+		if target == nil {
 			continue
 		}
-		t.free -= n
-		if has := r.slots[name]; has > 0 && t.class != nil {
-			p.has[t.class][r] += has
+		target.freeSlots -= count
+		if assigned := router.assigned[name]; assigned > 0 && target.class != nil {
+			d.held[target.class][router] += assigned
 		}
 	}
 }
 
-// open lists the targets with free slots, by zone.
-func (cl *class) open(d *Divider, p *plan) {
-	cl.free = 0
-	cl.spare = make(map[fleet.Zone][]*target)
-	cl.zones = cl.zones[:0]
-	for _, t := range cl.targets {
-		if !t.fresh && p.now.Before(d.cautious) {
-			// The rest may be with routers not heard of yet.
-			t.free = min(t.free, t.adopted-(t.Slots-t.free))
+// listFreeTargets lists the targets with free slots by zone.
+func (c *targetClass) listFreeTargets(divider *Divider, division *division) {
+	c.freeSlots = 0
+	c.freeTargets = make(map[fleet.Zone][]*targetState)
+	c.freeZones = c.freeZones[:0]
+	for _, target := range c.targets {
+		if !target.noEarlierLeases && division.now.Before(divider.cautiousUntil) {
+			// Routers that have not reported yet may hold the rest.
+			target.freeSlots = min(target.freeSlots, target.adoptedSlots-(target.Slots-target.freeSlots))
 		}
-		if t.free <= 0 || d.gone[t.Name] {
+		if target.freeSlots <= 0 || divider.leaving[target.Name] {
 			continue
 		}
-		if cl.spare[t.Zone] == nil {
-			cl.zones = append(cl.zones, t.Zone)
+		if c.freeTargets[target.Zone] == nil {
+			c.freeZones = append(c.freeZones, target.Zone)
 		}
-		cl.spare[t.Zone] = append(cl.spare[t.Zone], t)
-		cl.free += t.free
+		c.freeTargets[target.Zone] = append(c.freeTargets[target.Zone], target)
+		c.freeSlots += target.freeSlots
 	}
-	slices.Sort(cl.zones)
+	slices.Sort(c.freeZones)
 }
 
-// reserve notes the most slots of each target that the router may hold.
-func (r *router) reserve(most map[string]int) {
-	for name, n := range r.slots {
-		most[name] = max(most[name], n)
-	}
-	for name, h := range r.holding {
-		most[name] = max(most[name], h.Limit, h.InUse)
-	}
-	for _, u := range r.unacked {
-		for name, n := range u.slots {
-			most[name] = max(most[name], n)
+// addReserved raises the entries of most to the number of slots that the router may hold of each
+// target.
+func (r *routerState) addReserved(most map[string]int) {
+	for name, count := range r.assigned {
+		most[name] = max(most[name], count)
+	}
+	for name, holding := range r.holdings {
+		most[name] = max(most[name], holding.Limit, holding.InUse)
+	}
+	for _, grant := range r.unackedGrants {
+		for name, count := range grant.slots {
+			most[name] = max(most[name], count)
 		}
 	}
 }
 
-// place turns the number of slots that each router should have of a class into
-// slots of its targets. What a router has stays where it is; slots are taken
-// back before any are given out, and given out only once nobody holds them.
-func (p *plan) place(cl *class, wanted map[*router]int) {
-	d := p.divider
-	var lacking []*router
-	has := p.has[cl]
-	move := false
-	for _, r := range p.live {
-		missing := wanted[r] - has[r]
-		move = move || missing > 0 && (has[r] == 0 || d.idle > 0 || missing > tolerance(wanted[r]))
-	}
-	for _, r := range p.live {
+// assignSlots converts the number of slots of a class that each router should have into slots of
+// targets. Slots that a router already has stay with it. Slots are revoked before any are assigned,
+// and they are assigned only when no router can hold them.
+func (d *division) assignSlots(class *targetClass, wanted map[*routerState]int) {
+	divider := d.divider
+	var lacking []*routerState
+	held := d.held[class]
+	rebalance := false
+	for _, router := range d.live {
+		missing := wanted[router] - held[router]
+		rebalance = rebalance || missing > 0 && (held[router] == 0 || divider.idleSlots > 0 || missing > rebalanceThreshold(wanted[router]))
+	}
+	for _, router := range d.live {
 		switch {
-		case has[r] > wanted[r] && move:
-			r.takeBack(d, cl, has[r]-wanted[r])
-		case has[r] < wanted[r]:
-			wanted[r] -= has[r]
-			lacking = append(lacking, r)
+		case held[router] > wanted[router] && rebalance:
+			router.revoke(divider, class, held[router]-wanted[router])
+		case held[router] < wanted[router]:
+			wanted[router] -= held[router]
+			lacking = append(lacking, router)
 		}
 	}
-	// Those that lack most come first; equals take turns.
-	slices.SortStableFunc(lacking, func(a, b *router) int { return cmp.Compare(wanted[b], wanted[a]) })
+	// The routers that lack most come first; ties rotate from division to division.
+	slices.SortStableFunc(lacking, func(a, b *routerState) int { return cmp.Compare(wanted[b], wanted[a]) })
 	for i := range lacking {
-		r := lacking[(i+int(d.rounds))%len(lacking)]
-		if p.giveOut(cl, r, wanted[r]) > 0 {
-			d.short = true
+		router := lacking[(i+int(divider.divisions))%len(lacking)]
+		if d.assignUpTo(class, router, wanted[router]) > 0 {
+			divider.slotsShort = true
 		}
 	}
 }
 
-// tolerance returns by how many slots a router may miss its part before slots
-// that are all in use are moved for it. Moving one idles it for a round trip
-// and costs messages, and each router serves the least served account first
-// whatever it holds.
-func tolerance(want int) int {
-	return max(2, want/4)
+// rebalanceThreshold returns by how many slots a router may fall short of its part before busy
+// slots are moved to it. Moving a slot leaves it idle for a round trip and costs messages, and each
+// router serves the account with the lowest virtual time first whatever it holds.
+func rebalanceThreshold(wanted int) int {
+	return max(2, wanted/4)
 }
 
-// takeBack lowers a router's slots by n, idle ones first.
-func (r *router) takeBack(d *Divider, cl *class, n int) {
-	r.dirty = true
-	names := slices.Sorted(maps.Keys(r.slots))
+// revoke takes count slots of a class from a router, idle ones first.
+func (r *routerState) revoke(d *Divider, class *targetClass, count int) {
+	r.needsGrant = true
+	names := slices.Sorted(maps.Keys(r.assigned))
 	for _, idleOnly := range []bool{true, false} {
 		for _, name := range names {
-			if t := d.targets[name]; t == nil || t.class != cl {
+			if target := d.targets[name]; target == nil || target.class != class {
 				continue
 			}
-			have := r.slots[name]
-			less := min(n, have)
+			have := r.assigned[name]
+			removed := min(count, have)
 			if idleOnly {
-				less = min(less, max(0, have-r.holding[name].InUse))
+				removed = min(removed, max(0, have-r.holdings[name].InUse))
 			}
-			n -= less
-			r.slots[name] = have - less
-			if r.slots[name] == 0 {
-				delete(r.slots, name)
+			count -= removed
+			r.assigned[name] = have - removed
+			if r.assigned[name] == 0 {
+				delete(r.assigned, name)
 			}
-			if n == 0 {
+			if count == 0 {
 				return
 			}
 		}
 	}
 }
 
-// giveOut raises a router's slots by up to n: first those that were taken back
-// and that it has not yet let go, then free ones, one target after the other so
-// that the work spreads, those of the router's own zone first. It returns how
-// many it could not give.
-func (p *plan) giveOut(cl *class, r *router, n int) int {
-	n -= p.restore(cl, r, n)
-	n -= cl.take(r, r.zone, n)
-	for _, zone := range cl.zones {
-		if n == 0 || cl.free == 0 {
+// assignUpTo assigns up to count slots to a router: first slots that were revoked but that it has
+// not released yet, then free ones, those of its own zone first. Free slots are assigned
+// round-robin over the targets, to distribute the load. It returns the number of slots that it
+// could not assign.
+func (d *division) assignUpTo(class *targetClass, router *routerState, count int) int {
+	count -= d.restoreReserved(class, router, count)
+	count -= class.assignFree(router, router.zone, count)
+	for _, zone := range class.freeZones {
+		if count == 0 || class.freeSlots == 0 {
 			break
 		}
-		n -= cl.take(r, zone, n)
+		count -= class.assignFree(router, zone, count)
 	}
-	return n
+	return count
 }
 
-func (p *plan) restore(cl *class, r *router, n int) int {
-	d := p.divider
+func (d *division) restoreReserved(class *targetClass, router *routerState, count int) int {
+	divider := d.divider
 	var names []string
-	for name, most := range r.reserved {
-		if t := d.targets[name]; most > r.slots[name] && t != nil && t.class == cl && !d.gone[name] {
+	for name, most := range router.reserved {
+		if target := divider.targets[name]; most > router.assigned[name] && target != nil && target.class == class && !divider.leaving[name] {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	got := 0
+	restored := 0
 	for _, name := range names {
-		more := min(n-got, r.reserved[name]-r.slots[name], d.targets[name].Slots-r.slots[name])
-		if more > 0 {
-			r.slots[name] += more
-			r.dirty = true
-			got += more
+		added := min(count-restored, router.reserved[name]-router.assigned[name], divider.targets[name].Slots-router.assigned[name])
+		if added > 0 {
+			router.assigned[name] += added
+			router.needsGrant = true
+			restored += added
 		}
 	}
-	return got
+	return restored
 }
 
-// take gives a router up to n free slots of a zone's targets, in turn.
-func (cl *class) take(r *router, zone fleet.Zone, n int) int {
-	got := 0
-	for got < n && len(cl.spare[zone]) > 0 {
-		list := cl.spare[zone]
-		i := cl.cursor % len(list)
-		cl.cursor++
-		t := list[i]
-		t.free--
-		cl.free--
-		r.slots[t.Name]++
-		r.dirty = true
-		got++
-		if t.free == 0 {
-			cl.spare[zone] = slices.Delete(list, i, i+1)
+// assignFree assigns up to count free slots of one zone to a router, round-robin over the targets.
+func (c *targetClass) assignFree(router *routerState, zone fleet.Zone, count int) int {
+	assigned := 0
+	for assigned < count && len(c.freeTargets[zone]) > 0 {
+		list := c.freeTargets[zone]
+		i := c.nextTarget % len(list)
+		c.nextTarget++
+		target := list[i]
+		target.freeSlots--
+		c.freeSlots--
+		router.assigned[target.Name]++
+		router.needsGrant = true
+		assigned++
+		if target.freeSlots == 0 {
+			c.freeTargets[zone] = slices.Delete(list, i, i+1)
 		}
 	}
-	return got
+	return assigned
 }
--- a/internal/fairshare/queues.go
+++ b/internal/fairshare/queues.go
@@ -13,355 +13,358 @@
 )
 
 const (
-	// patience orders requests without a deadline of their own among those
-	// with one: nobody overtakes a request for longer than this.
-	patience = 30 * time.Second
-	// estimateGain is the weight of the newest cost in a learned one.
-	estimateGain = 0.1
-	// hintSpan bounds how far a hint may move an estimate from the mean.
-	hintSpan = 4
-	// rateGain is the weight of the newest interval in a drain rate.
-	rateGain = 0.1
+	// defaultServeWithin orders requests without a deadline among those with one: no request is
+	// overtaken for longer than this.
+	defaultServeWithin = 30 * time.Second
+	// costWeight is the weight of the newest cost in a moving average.
+	costWeight = 0.1
+	// maxHintFactor bounds how far a hint may move an estimate from the mean.
+	maxHintFactor = 4
+	// intervalWeight is the weight of the newest interval in the moving average of dispatch
+	// intervals.
+	intervalWeight = 0.1
 )
 
-// An Item is one waiting request.
+// An Item is a waiting request.
 type Item struct {
 	ID      uint64
 	Account string
 	Event   string
-	// Order is when the request should be served at the latest; within an
-	// account the earliest goes first.
-	Order time.Time
-	// Hint is the caller's rough cost, or 0.
-	Hint float64
-	// Size is what the request takes of the router's memory while it waits.
-	Size int
-	// Charge is the estimate that the account was charged at dispatch.
-	Charge float64
-
-	place int
+	// ServeBy is when the request should be served at the latest. Within an account, the earliest
+	// goes first.
+	ServeBy time.Time
+	// CostHint is the client's estimate of the cost, or 0 if it gave none.
+	CostHint float64
+	// BodyBytes is the memory that the request takes in the router while it waits.
+	BodyBytes int
+	// ChargedCost is the estimate that the account was charged at dispatch.
+	ChargedCost float64
+
+	heapIndex int
 }
 
-// OrderOf returns the order of a request that arrived and wants its answer by
-// deadline, which may be zero.
-func OrderOf(arrived, deadline time.Time) time.Time {
-	late := arrived.Add(patience)
-	if deadline.IsZero() || deadline.After(late) {
-		return late
+// ServeByTime returns the ServeBy of a request, from its arrival and its deadline, which may be
+// zero.
+func ServeByTime(arrived, deadline time.Time) time.Time {
+	latest := arrived.Add(defaultServeWithin)
+	if deadline.IsZero() || deadline.After(latest) {
+		return latest
 	}
 	return deadline
 }
 
-// A Queues holds a router's waiting requests and the service of each account
-// through it. Its zero value is ready for use.
+// Queues holds a router's waiting requests and the service of each account through the router. The
+// zero value is ready for use.
 type Queues struct {
-	accounts map[string]*served
-	waiting  map[uint64]*Item
-	total    int
-	bytes    int // of the waiting requests
-	floor    float64
-	cost     float64   // mean cost of all requests
-	order    []*served // backlogged, in no order
+	accounts     map[string]*localAccount
+	waiting      map[uint64]*Item
+	waitingCount int
+	waitingBytes int // bodies of the waiting requests
+	floor        float64
+	meanCost     float64         // moving average over all requests
+	backlogged   []*localAccount // accounts with waiting requests, unordered
 }
 
-// served is one account as the router sees it.
-type served struct {
-	account fleet.Account
-	queues  []*queue
-
-	level   float64 // as last heard, without what came after base
-	others  float64
-	base    float64 // part of settled that level includes
-	counted float64 // part of charged that the leader knew of then
-	spread  float64 // how many times the own work the fleet has
-	settled float64
-	ended   uint64
-	charged float64
-	running int
-	waiting int
-	bytes   int // of the waiting requests
-	heard   bool
-	place   int // in Queues.order, or -1
-
-	lastTaken time.Time
-	interval  time.Duration // mean time between dispatches
+// localAccount is an account as this router sees it.
+type localAccount struct {
+	config fleet.Account
+	queues []*eventQueue
+
+	virtualTime          float64 // as received, without the service that is not in settledInVirtualTime
+	remoteCharge         float64
+	settledInVirtualTime float64 // part of settled that virtual time includes
+	chargedInVirtualTime float64 // part of charged that the leader knew of when it computed the virtual time
+	fleetRatio           float64 // the fleet's work relative to this router's
+	settled              float64
+	settledCount         uint64
+	charged              float64
+	running              int
+	waiting              int
+	waitingBytes         int // bodies of the waiting requests
+	virtualTimeKnown     bool
+	backloggedIndex      int // in Queues.backlogged, or -1
+
+	lastDispatch     time.Time
+	dispatchInterval time.Duration // moving average of the time between dispatches
 }
 
-// SetAccounts takes over the accounts of a configuration. Accounts that it no
-// longer has keep what waits until it is removed.
+// SetAccounts sets the accounts of a configuration. Accounts that it no longer contains keep their
+// waiting requests until these are removed.
 func (q *Queues) SetAccounts(accounts []fleet.Account) {
-	for _, a := range accounts {
-		q.account(a.Name).account = a
+	for _, account := range accounts {
+		q.account(account.Name).config = account
 	}
 }
 
-func (q *Queues) account(name string) *served {
+func (q *Queues) account(name string) *localAccount {
 	if q.accounts == nil {
-		q.accounts = make(map[string]*served)
+		q.accounts = make(map[string]*localAccount)
 		q.waiting = make(map[uint64]*Item)
 	}
-	s := q.accounts[name]
-	if s == nil {
-		s = &served{account: fleet.Account{Name: name, Share: 1}, place: -1}
-		q.accounts[name] = s
+	account := q.accounts[name]
+	if account == nil {
+		account = &localAccount{config: fleet.Account{Name: name, Share: 1}, backloggedIndex: -1}
+		q.accounts[name] = account
 	}
-	return s
+	return account
 }
 
-// effective returns the account's level as far as the router can know it: what
-// it heard, and what was served and started since. Other routers see the same
-// level and serve the same account meanwhile; each counts its own part as many
-// times as the fleet has the router's work, or all would overshoot together.
-func (s *served) effective(floor float64) float64 {
-	if !s.heard {
-		return floor + (s.settled+s.charged)/s.account.Share
+// effectiveVirtualTime returns the router's estimate of the account's virtual time: the received
+// virtual time plus the service settled and started since. Other routers received the same virtual
+// time and serve the same account meanwhile. So each router scales its own part by the ratio of the
+// fleet's work to its own; otherwise all of them together would overshoot.
+func (a *localAccount) effectiveVirtualTime(floor float64) float64 {
+	if !a.virtualTimeKnown {
+		return floor + (a.settled+a.charged)/a.config.Share
 	}
-	since := s.settled - s.base + s.charged - s.counted
+	since := a.settled - a.settledInVirtualTime + a.charged - a.chargedInVirtualTime
 	if since > 0 {
-		since *= max(s.spread, 1)
+		since *= max(a.fleetRatio, 1)
 	}
-	return s.level + s.others + (s.counted+since)/s.account.Share
+	return a.virtualTime + a.remoteCharge + (a.chargedInVirtualTime+since)/a.config.Share
 }
 
-// Push lets a request wait. It refuses one over the account's bound.
-func (q *Queues) Push(it *Item) error {
-	s := q.account(it.Account)
-	if s.waiting >= s.account.EffectiveQueueLimit() {
+// Push adds a waiting request. It returns an error if that would exceed the bounds of the account
+// or of the router.
+func (q *Queues) Push(item *Item) error {
+	account := q.account(item.Account)
+	if account.waiting >= account.config.EffectiveQueueLimit() {
 		return fleet.NewError(fleet.KindQueueFull, "come back after the time in Retry-After",
-			"%d requests of account %q wait here", s.waiting, it.Account)
+			"%d requests of account %q wait here", account.waiting, item.Account)
 	}
-	if q.overfull(s, it.Size) {
+	if q.exceedsMemoryBound(account, item.BodyBytes) {
 		return fleet.NewError(fleet.KindQueueFull, "come back after the time in Retry-After, or send smaller requests",
-			"%d bytes of account %q and %d in all wait here", s.bytes, it.Account, q.bytes)
+			"%d bytes of account %q and %d in all wait here", account.waitingBytes, item.Account, q.waitingBytes)
 	}
-	heap.Push(&s.queue(it.Event).items, it)
-	q.waiting[it.ID] = it
-	s.waiting++
-	s.bytes += it.Size
-	q.total++
-	q.bytes += it.Size
-	if s.place < 0 {
-		s.place = len(q.order)
-		q.order = append(q.order, s)
+	heap.Push(&account.queue(item.Event).items, item)
+	q.waiting[item.ID] = item
+	account.waiting++
+	account.waitingBytes += item.BodyBytes
+	q.waitingCount++
+	q.waitingBytes += item.BodyBytes
+	if account.backloggedIndex < 0 {
+		account.backloggedIndex = len(q.backlogged)
+		q.backlogged = append(q.backlogged, account)
 	}
 	return nil
 }
 
-// The bounds of the bodies that wait in one router. Requests are bounded in
-// number too, but not by the memory of a small VM.
+// The bounds on the bodies that wait in one router. The bound on their number alone would not
+// protect the memory of a small VM.
 const (
-	accountBytes = 64 << 20
-	routerBytes  = 256 << 20
+	maxAccountBytes = 64 << 20
+	maxRouterBytes  = 256 << 20
 )
 
-// overfull reports whether the account, or the router, has no room for a body.
-func (q *Queues) overfull(s *served, size int) bool {
-	return s.bytes+size > accountBytes || q.bytes+size > routerBytes
+// exceedsMemoryBound reports whether a body of this size would exceed the bound of the account or
+// the router.
+func (q *Queues) exceedsMemoryBound(account *localAccount, bodyBytes int) bool {
+	return account.waitingBytes+bodyBytes > maxAccountBytes || q.waitingBytes+bodyBytes > maxRouterBytes
 }
 
-// Remove takes a request out and reports whether it waited.
+// Remove removes a request and reports whether it was waiting.
 func (q *Queues) Remove(id uint64) (*Item, bool) {
-	it, ok := q.waiting[id]
+	item, ok := q.waiting[id]
 	if !ok {
 		return nil, false
 	}
-	s := q.account(it.Account)
-	heap.Remove(&s.queue(it.Event).items, it.place)
-	q.forget(s, it)
-	return it, true
+	account := q.account(item.Account)
+	heap.Remove(&account.queue(item.Event).items, item.heapIndex)
+	q.recordRemoval(account, item)
+	return item, true
 }
 
-func (q *Queues) forget(s *served, it *Item) {
-	delete(q.waiting, it.ID)
-	s.waiting--
-	s.bytes -= it.Size
-	q.total--
-	q.bytes -= it.Size
-	if s.waiting > 0 {
+func (q *Queues) recordRemoval(account *localAccount, item *Item) {
+	delete(q.waiting, item.ID)
+	account.waiting--
+	account.waitingBytes -= item.BodyBytes
+	q.waitingCount--
+	q.waitingBytes -= item.BodyBytes
+	if account.waiting > 0 {
 		return
 	}
-	last := q.order[len(q.order)-1]
-	q.order[s.place] = last
-	last.place = s.place
-	q.order = q.order[:len(q.order)-1]
-	s.place = -1
+	last := q.backlogged[len(q.backlogged)-1]
+	q.backlogged[account.backloggedIndex] = last
+	last.backloggedIndex = account.backloggedIndex
+	q.backlogged = q.backlogged[:len(q.backlogged)-1]
+	account.backloggedIndex = -1
 }
 
-// Choose takes the next request out: of the accounts that wait for an event
-// with a free slot, the one with the least level. It charges the estimate of
-// the request's cost.
-func (q *Queues) Choose(now time.Time, free func(event string) bool) (*Item, bool) {
-	var best *served
-	var from *queue
+// PopNext removes and returns the next request: that of the account with the lowest virtual time
+// among those that wait for an event with a free slot. It charges the account the estimated cost.
+func (q *Queues) PopNext(now time.Time, hasFreeSlot func(event string) bool) (*Item, bool) {
+	var best *localAccount
+	var queue *eventQueue
 	least := math.Inf(1)
-	for _, s := range q.order {
-		level := s.effective(q.floor)
-		if level > least || level == least && best != nil && s.account.Name > best.account.Name {
+	for _, account := range q.backlogged {
+		virtualTime := account.effectiveVirtualTime(q.floor)
+		if virtualTime > least || virtualTime == least && best != nil && account.config.Name > best.config.Name {
 			continue
 		}
-		if e := s.next(free); e != nil {
-			best, from, least = s, e, level
+		if next := account.nextQueue(hasFreeSlot); next != nil {
+			best, queue, least = account, next, virtualTime
 		}
 	}
 	if best == nil {
 		return nil, false
 	}
-	it, ok := heap.Pop(&from.items).(*Item)
+	item, ok := heap.Pop(&queue.items).(*Item)
 	if !ok {
 		return nil, false
 	}
-	q.forget(best, it)
-	best.take(now)
-	it.Charge = from.estimate(it.Hint, q.cost)
-	best.charged += it.Charge
+	q.recordRemoval(best, item)
+	best.recordDispatch(now)
+	item.ChargedCost = queue.estimate(item.CostHint, q.meanCost)
+	best.charged += item.ChargedCost
 	best.running++
-	return it, true
+	return item, true
 }
 
-// next returns the account's queue with the earliest request that can go.
-func (s *served) next(free func(event string) bool) *queue {
-	var best *queue
-	for _, e := range s.queues {
-		if len(e.items) == 0 || !free(e.event) {
+// nextQueue returns the account's queue whose first request has the earliest ServeBy, among the
+// events with a free slot.
+func (a *localAccount) nextQueue(hasFreeSlot func(event string) bool) *eventQueue {
+	var best *eventQueue
+	for _, queue := range a.queues {
+		if len(queue.items) == 0 || !hasFreeSlot(queue.event) {
 			continue
 		}
-		if best == nil || e.items[0].Order.Before(best.items[0].Order) {
-			best = e
+		if best == nil || queue.items[0].ServeBy.Before(best.items[0].ServeBy) {
+			best = queue
 		}
 	}
 	return best
 }
 
-func (s *served) take(now time.Time) {
-	if !s.lastTaken.IsZero() {
-		gap := now.Sub(s.lastTaken)
-		s.interval += time.Duration(rateGain * float64(gap-s.interval))
+func (a *localAccount) recordDispatch(now time.Time) {
+	if !a.lastDispatch.IsZero() {
+		sinceLast := now.Sub(a.lastDispatch)
+		a.dispatchInterval += time.Duration(intervalWeight * float64(sinceLast-a.dispatchInterval))
 	}
-	s.lastTaken = now
+	a.lastDispatch = now
 }
 
-// Settle replaces the charge of a request by its cost. It counts also for one
-// that failed or was cancelled: the slot was taken.
-func (q *Queues) Settle(it *Item, cost float64) {
-	s := q.account(it.Account)
-	q.release(s, it)
+// Settle replaces the charge of a request by its cost. This includes requests that failed or were
+// canceled, because they occupied the slot.
+func (q *Queues) Settle(item *Item, cost float64) {
+	account := q.account(item.Account)
+	q.removeCharge(account, item)
 	cost = max(cost, 0)
-	s.settled += cost
-	s.ended++
-	s.queue(it.Event).learn(it.Hint, cost)
-	if q.cost == 0 {
-		q.cost = cost
+	account.settled += cost
+	account.settledCount++
+	account.queue(item.Event).learn(item.CostHint, cost)
+	if q.meanCost == 0 {
+		q.meanCost = cost
 	}
-	q.cost += estimateGain * (cost - q.cost)
+	q.meanCost += costWeight * (cost - q.meanCost)
 }
 
-// Refund takes a charge back for a request that no target took.
-func (q *Queues) Refund(it *Item) {
-	q.release(q.account(it.Account), it)
+// Refund removes the charge of a request that no target took.
+func (q *Queues) Refund(item *Item) {
+	q.removeCharge(q.account(item.Account), item)
 }
 
-func (q *Queues) release(s *served, it *Item) {
-	s.running--
-	s.charged -= it.Charge
-	if s.running == 0 {
-		s.charged = 0 // sheds the rounding error of many sums
+func (q *Queues) removeCharge(account *localAccount, item *Item) {
+	account.running--
+	account.charged -= item.ChargedCost
+	if account.running == 0 {
+		account.charged = 0 // removes the accumulated rounding error
 	}
 }
 
-// Heard takes over a level. Known is the usage that the router had reported
-// when the level was computed.
-func (q *Queues) Heard(l message.VirtualTime, known message.Usage) {
-	s := q.account(l.Account)
-	s.level, s.others, s.spread, s.heard = l.Value, l.RemoteCharge, l.FleetRatio, true
-	s.base, s.counted = known.Served, known.EstimatedCost
+// SetVirtualTime sets a virtual time received from the leader. reported is the usage in the
+// router's report that the virtual time includes.
+func (q *Queues) SetVirtualTime(virtualTime message.VirtualTime, reported message.Usage) {
+	account := q.account(virtualTime.Account)
+	account.virtualTime, account.remoteCharge, account.fleetRatio, account.virtualTimeKnown = virtualTime.Value, virtualTime.RemoteCharge, virtualTime.FleetRatio, true
+	account.settledInVirtualTime, account.chargedInVirtualTime = reported.Served, reported.EstimatedCost
 }
 
-// SetFloor sets the level assumed for accounts of which none was heard.
+// SetFloor sets the virtual time assumed for accounts whose virtual time has not been received.
 func (q *Queues) SetFloor(floor float64) {
 	q.floor = floor
 }
 
-// Waiting returns the number of waiting requests.
-func (q *Queues) Waiting() int {
-	return q.total
+// WaitingCount returns the number of waiting requests.
+func (q *Queues) WaitingCount() int {
+	return q.waitingCount
 }
 
-// WaitingOf returns the number of waiting requests of an account.
-func (q *Queues) WaitingOf(account string) int {
-	return q.account(account).waiting
+// WaitingOfAccount returns the number of waiting requests of an account.
+func (q *Queues) WaitingOfAccount(accountName string) int {
+	return q.account(accountName).waiting
 }
 
-// All returns the IDs of all waiting requests in the order of their arrival.
-func (q *Queues) All() []uint64 {
+// WaitingIDs returns the IDs of all waiting requests in order of arrival.
+func (q *Queues) WaitingIDs() []uint64 {
 	return slices.Sorted(maps.Keys(q.waiting))
 }
 
-// Waits reports whether the request waits.
-func (q *Queues) Waits(id uint64) bool {
+// Contains reports whether the request is waiting.
+func (q *Queues) Contains(id uint64) bool {
 	_, ok := q.waiting[id]
 	return ok
 }
 
-// Wait returns how long a request of the account that arrives at now would
-// wait, from the rate at which its queue drains.
-func (q *Queues) Wait(now time.Time, account string) time.Duration {
-	s := q.account(account)
-	interval := s.interval
-	if s.waiting > 0 && !s.lastTaken.IsZero() {
-		// A queue that stands still drains slower than it did.
-		interval = max(interval, now.Sub(s.lastTaken))
+// ExpectedWait returns how long a request of the account that arrives now would wait, estimated
+// from the dispatch rate of its queue.
+func (q *Queues) ExpectedWait(now time.Time, accountName string) time.Duration {
+	account := q.account(accountName)
+	interval := account.dispatchInterval
+	if account.waiting > 0 && !account.lastDispatch.IsZero() {
+		// A queue that does not move drains more slowly than the average says.
+		interval = max(interval, now.Sub(account.lastDispatch))
 	}
-	return time.Duration(s.waiting) * interval
+	return time.Duration(account.waiting) * interval
 }
 
-// Queues returns the waiting work for a report.
-func (q *Queues) Queues() []message.QueueLength {
+// QueueLengths returns the numbers of waiting requests for a report.
+func (q *Queues) QueueLengths() []message.QueueLength {
 	var list []message.QueueLength
-	for _, s := range q.order {
-		for _, e := range s.queues {
-			if len(e.items) > 0 {
-				list = append(list, message.QueueLength{Account: s.account.Name, Event: e.event, Waiting: len(e.items)})
+	for _, account := range q.backlogged {
+		for _, queue := range account.queues {
+			if len(queue.items) > 0 {
+				list = append(list, message.QueueLength{Account: account.config.Name, Event: queue.event, Waiting: len(queue.items)})
 			}
 		}
 	}
 	return list
 }
 
-// Counted returns the part of an account's settled cost that the level last
-// heard includes.
-func (q *Queues) Counted(account string) float64 {
-	return roundLevel(q.account(account).base)
+// SettledInVirtualTime returns the part of an account's settled cost that its received virtual time
+// includes.
+func (q *Queues) SettledInVirtualTime(accountName string) float64 {
+	return roundForWire(q.account(accountName).settledInVirtualTime)
 }
 
 // Usage returns the service of each account for a report.
 func (q *Queues) Usage() []message.Usage {
 	var list []message.Usage
 	for _, name := range slices.Sorted(maps.Keys(q.accounts)) {
-		s := q.accounts[name]
-		if s.ended == 0 && s.running == 0 {
+		account := q.accounts[name]
+		if account.settledCount == 0 && account.running == 0 {
 			continue
 		}
 		list = append(list, message.Usage{
-			Account: name, Served: roundLevel(s.settled), Settled: s.ended,
-			EstimatedCost: roundLevel(s.charged), Running: s.running,
+			Account: name, Served: roundForWire(account.settled), Settled: account.settledCount,
+			EstimatedCost: roundForWire(account.charged), Running: account.running,
 		})
 	}
 	return list
 }
 
-// Levels returns the levels last heard, for a new leader.
-func (q *Queues) Levels() []message.VirtualTime {
+// VirtualTimes returns the received virtual times, which a new leader needs.
+func (q *Queues) VirtualTimes() []message.VirtualTime {
 	var list []message.VirtualTime
 	for _, name := range slices.Sorted(maps.Keys(q.accounts)) {
-		s := q.accounts[name]
-		if s.heard {
-			list = append(list, message.VirtualTime{Account: name, Value: s.level})
+		account := q.accounts[name]
+		if account.virtualTimeKnown {
+			list = append(list, message.VirtualTime{Account: name, Value: account.virtualTime})
 		}
 	}
 	return list
 }
 
-// String names the item in logs.
+// String identifies the item in logs.
 func (it *Item) String() string {
 	return fmt.Sprintf("%d of %s for %s", it.ID, it.Account, it.Event)
 }
--- a/internal/fairshare/report.go
+++ b/internal/fairshare/report.go
@@ -8,165 +8,165 @@
 	"laburnumfall/internal/message"
 )
 
-// Report takes a router's report.
-func (d *Divider) Report(now time.Time, m message.Report) {
-	key := routerKey{name: m.Router, inc: m.Incarnation}
-	r := d.routers[key]
-	if (r == nil || r.lapsed) && !m.Full {
+// HandleReport handles a router's report: it updates the accounting and answers with a grant or, if
+// one is due, with a division.
+func (d *Divider) HandleReport(now time.Time, report message.Report) {
+	key := routerKey{name: report.Router, incarnation: report.Incarnation}
+	router := d.routers[key]
+	if (router == nil || router.expired) && !report.Full {
 		return
 	}
-	if r == nil {
-		r = d.addRouter(key, m)
+	if router == nil {
+		router = d.addRouter(key, report)
 	}
-	if m.Seq <= r.seq && r.seq > 0 {
+	if report.Seq <= router.seq && router.seq > 0 {
 		return
 	}
-	if r.lapsed {
-		r.lapsed = false
-		r.known = false
-	}
-	d.sum(r, -1)
-	d.adoptLevels(r, m)
-	d.count(r, m)
-	r.seq, r.sent, r.heard, r.zone = m.Seq, m.SentAt, now, m.Zone
-	r.number, r.leaving = m.Number, m.Leaving
-	r.queues = m.Queues
-	d.sum(r, 1)
-	for _, q := range r.queues {
-		if a := d.accounts[q.Account]; a != nil {
-			d.lift(now, a)
+	if router.expired {
+		router.expired = false
+		router.acknowledged = false
+	}
+	d.addToTotals(router, -1)
+	d.adoptVirtualTimes(router, report)
+	d.addUsage(router, report)
+	router.seq, router.reportSent, router.reportReceived, router.zone = report.Seq, report.SentAt, now, report.Zone
+	router.configNumber, router.leaving = report.Number, report.Leaving
+	router.queues = report.Queues
+	d.addToTotals(router, 1)
+	for _, queue := range router.queues {
+		if account := d.accounts[queue.Account]; account != nil {
+			d.raiseToFloor(now, account)
 		}
 	}
-	d.hold(r, m)
-	d.weigh(r)
-	if d.wanted && !now.Before(d.divided.Add(dividePause)) {
-		d.update(now)
+	d.updateHoldings(router, report)
+	d.updateIdleSlots(router)
+	if d.divisionRequested && !now.Before(d.lastDivision.Add(minDivideInterval)) {
+		d.refreshTotals(now)
 		d.divide(now)
 		return
 	}
-	d.grant(r)
+	d.sendGrant(router)
 }
 
-func (d *Divider) addRouter(key routerKey, m message.Report) *router {
-	r := &router{
-		key:     key,
-		usage:   make(map[string]message.Usage),
-		holding: make(map[string]message.SlotUsage),
-		slots:   make(map[string]int),
-		credit:  make(map[string]float64),
-		told:    make(map[string]float64),
-	}
-	d.routers[key] = r
-	i, _ := slices.BinarySearchFunc(d.order, r, compareRouters)
-	d.order = slices.Insert(d.order, i, r)
-	// What the levels that the router last heard already include is not
-	// counted again.
-	for _, u := range m.Usage {
-		r.usage[u.Account] = message.Usage{Account: u.Account, Served: u.ServedInVirtualTime, Settled: u.Settled}
-	}
-	return r
+func (d *Divider) addRouter(key routerKey, report message.Report) *routerState {
+	router := &routerState{
+		key:              key,
+		usage:            make(map[string]message.Usage),
+		holdings:         make(map[string]message.SlotUsage),
+		assigned:         make(map[string]int),
+		roundingCredit:   make(map[string]float64),
+		sentVirtualTimes: make(map[string]float64),
+	}
+	d.routers[key] = router
+	index, _ := slices.BinarySearchFunc(d.routerList, router, compareRouters)
+	d.routerList = slices.Insert(d.routerList, index, router)
+	// Do not count again the service that the router's received virtual times already include.
+	for _, usage := range report.Usage {
+		router.usage[usage.Account] = message.Usage{Account: usage.Account, Served: usage.ServedInVirtualTime, Settled: usage.Settled}
+	}
+	return router
 }
 
-func compareRouters(a, b *router) int {
-	return cmp.Or(cmp.Compare(a.key.name, b.key.name), cmp.Compare(a.key.inc, b.key.inc))
+func compareRouters(a, b *routerState) int {
+	return cmp.Or(cmp.Compare(a.key.name, b.key.name), cmp.Compare(a.key.incarnation, b.key.incarnation))
 }
 
-// adoptLevels takes over what routers heard from the leader before. Levels
-// never fall, so the highest of an account is the newest.
-func (d *Divider) adoptLevels(r *router, m message.Report) {
-	if r.known || m.Term >= d.Term {
-		r.known = r.known || m.Term == d.Term
+// adoptVirtualTimes adopts the virtual times that a router received from an earlier leader. Virtual
+// times never decrease, so the highest one of an account is the newest.
+func (d *Divider) adoptVirtualTimes(router *routerState, report message.Report) {
+	if router.acknowledged || report.Term >= d.Term {
+		router.acknowledged = router.acknowledged || report.Term == d.Term
 		return
 	}
-	for _, l := range m.VirtualTimes {
-		if a := d.accounts[l.Account]; a != nil {
-			a.level = max(a.level, l.Value)
+	for _, virtualTime := range report.VirtualTimes {
+		if account := d.accounts[virtualTime.Account]; account != nil {
+			account.virtualTime = max(account.virtualTime, virtualTime.Value)
 		}
 	}
 }
 
-// count adds the service that the report tells of beyond the one before.
-func (d *Divider) count(r *router, m message.Report) {
-	for _, u := range m.Usage {
-		old := r.usage[u.Account]
-		if a := d.accounts[u.Account]; a != nil && u.Served > old.Served {
-			a.level += (u.Served - old.Served) / a.share
-			if ended := u.Settled - old.Settled; u.Settled > old.Settled {
-				mean := (u.Served - old.Served) / float64(ended)
-				a.cost += (mean - a.cost) * min(1, costGain*float64(ended))
+// addUsage adds the service reported since the router's previous report.
+func (d *Divider) addUsage(router *routerState, report message.Report) {
+	for _, usage := range report.Usage {
+		previous := router.usage[usage.Account]
+		if account := d.accounts[usage.Account]; account != nil && usage.Served > previous.Served {
+			account.virtualTime += (usage.Served - previous.Served) / account.share
+			if settled := usage.Settled - previous.Settled; usage.Settled > previous.Settled {
+				mean := (usage.Served - previous.Served) / float64(settled)
+				account.meanCost += (mean - account.meanCost) * min(1, meanCostWeight*float64(settled))
 			}
 		}
-		u.Served = max(u.Served, old.Served)
-		r.usage[u.Account] = u
+		usage.Served = max(usage.Served, previous.Served)
+		router.usage[usage.Account] = usage
 	}
-	r.running = r.running[:0]
-	for name, u := range r.usage {
-		if u.Running > 0 {
-			r.running = append(r.running, name)
+	router.running = router.running[:0]
+	for name, usage := range router.usage {
+		if usage.Running > 0 {
+			router.running = append(router.running, name)
 		}
 	}
-	slices.Sort(r.running)
+	slices.Sort(router.running)
 }
 
-const costGain = 0.05
+const meanCostWeight = 0.05
 
-// hold takes over what the router holds, and forgets the grants that it has
-// answered. Slots that come free this way are divided at once.
-func (d *Divider) hold(r *router, m message.Report) {
+// updateHoldings records the slots that the router holds and removes the grants that it has
+// acknowledged. If that frees slots while some are short, it requests a division.
+func (d *Divider) updateHoldings(router *routerState, report message.Report) {
 	before := make(map[string]int)
-	r.reserve(before)
-	clear(r.holding)
-	for _, h := range m.Slots {
-		r.holding[h.Target] = h
+	router.addReserved(before)
+	clear(router.holdings)
+	for _, holding := range report.Slots {
+		router.holdings[holding.Target] = holding
 	}
-	if m.Term != d.Term {
-		d.adoptSlots(r)
+	if report.Term != d.Term {
+		d.adoptSlots(router)
 		return
 	}
-	r.unacked = slices.DeleteFunc(r.unacked, func(u unacked) bool { return u.seq <= m.AckSeq })
+	router.unackedGrants = slices.DeleteFunc(router.unackedGrants, func(grant unackedGrant) bool { return grant.seq <= report.AckSeq })
 	after := make(map[string]int)
-	r.reserve(after)
-	for name, n := range before {
-		if after[name] < n && d.short {
-			d.wanted = true
+	router.addReserved(after)
+	for name, count := range before {
+		if after[name] < count && d.slotsShort {
+			d.divisionRequested = true
 		}
 	}
 }
 
-// adoptSlots leaves a router what an earlier leader gave it.
-func (d *Divider) adoptSlots(r *router) {
-	if r.adopted {
+// adoptSlots lets a router keep the slots that an earlier leader granted it.
+func (d *Divider) adoptSlots(router *routerState) {
+	if router.slotsAdopted {
 		return
 	}
-	r.adopted = true
-	for name, h := range r.holding {
-		if t := d.targets[name]; t != nil && t.Live() && h.Limit > 0 {
-			r.slots[name] = h.Limit
-			t.adopted += h.Limit
+	router.slotsAdopted = true
+	for name, holding := range router.holdings {
+		if target := d.targets[name]; target != nil && target.Live() && holding.Limit > 0 {
+			router.assigned[name] = holding.Limit
+			target.adoptedSlots += holding.Limit
 		}
 	}
 }
 
-// weigh notes whether a router has slots to spare or work that waits for one. A
-// division at once helps only if there is both; under a standing backlog every
-// slot is busy, and one each period is enough.
-func (d *Divider) weigh(r *router) {
-	idle := 0
-	for _, h := range r.holding {
-		idle += max(0, h.Limit-h.InUse)
-	}
-	d.idle += idle - r.idle
-	r.idle = idle
-	waits := slices.ContainsFunc(r.queues, func(q message.QueueLength) bool { return q.Waiting > 0 })
-	hungry := waits && idle == 0
-	if hungry && !r.hungry {
-		d.hungry++
-	}
-	if !hungry && r.hungry {
-		d.hungry--
-	}
-	r.hungry = hungry
-	if d.hungry > 0 && d.idle+d.unused > 0 {
-		d.wanted = true
+// updateIdleSlots records whether the router has idle slots or waiting work without one. An early
+// division is useful only if the fleet has both. Under a constant backlog every slot is busy, and
+// one division per interval is enough.
+func (d *Divider) updateIdleSlots(router *routerState) {
+	idleSlots := 0
+	for _, holding := range router.holdings {
+		idleSlots += max(0, holding.Limit-holding.InUse)
+	}
+	d.idleSlots += idleSlots - router.idleSlots
+	router.idleSlots = idleSlots
+	waiting := slices.ContainsFunc(router.queues, func(queue message.QueueLength) bool { return queue.Waiting > 0 })
+	starved := waiting && idleSlots == 0
+	if starved && !router.starved {
+		d.starvedRouters++
+	}
+	if !starved && router.starved {
+		d.starvedRouters--
+	}
+	router.starved = starved
+	if d.starvedRouters > 0 && d.idleSlots+d.unleasedSlots > 0 {
+		d.divisionRequested = true
 	}
 }
--- a/internal/fairshare/view.go
+++ b/internal/fairshare/view.go
@@ -7,60 +7,60 @@
 	"laburnumfall/internal/message"
 )
 
-// InForce returns how many routers with a lease have reported the
-// configuration or a later one, and whether all have. A leader that follows another one
-// cannot speak for all until the former's leases have lapsed: routers that hold one may
-// not have reported to it yet, and serve by what they had, or refuse for want of any.
-func (d *Divider) InForce(now time.Time, number uint64) (have int, all bool) {
+// ConfigInForce returns how many routers with a lease have reported the configuration or a later
+// one, and whether all have. In a later term, the answer cannot cover all routers until the leases
+// of earlier terms have expired: routers with such a lease may not have reported yet, and serve by
+// an older configuration, or refuse because they have none.
+func (d *Divider) ConfigInForce(now time.Time, number uint64) (leased int, all bool) {
 	const firstTerm = 1
-	all = d.Term == firstTerm || !now.Before(d.cautious)
-	for _, r := range d.order {
+	all = d.Term == firstTerm || !now.Before(d.cautiousUntil)
+	for _, router := range d.routerList {
 		switch {
-		case r.lapsed:
-		case r.number >= number:
-			have++
+		case router.expired:
+		case router.configNumber >= number:
+			leased++
 		default:
 			all = false
 		}
 	}
-	return have, all
+	return leased, all
 }
 
-// Load returns the slots in use and the slots of live targets.
-func (d *Divider) Load() (busy, slots int) {
-	for _, cl := range d.classes {
-		slots += cl.capacity(d.gone)
+// SlotUsage returns the number of busy slots and the total slots of live targets.
+func (d *Divider) SlotUsage() (busy, slots int) {
+	for _, class := range d.classes {
+		slots += class.capacity(d.leaving)
 	}
-	for _, r := range d.order {
-		for _, h := range r.holding {
-			busy += h.InUse
+	for _, router := range d.routerList {
+		for _, holding := range router.holdings {
+			busy += holding.InUse
 		}
 	}
 	return busy, slots
 }
 
-// Routers returns the routers with a lease.
-func (d *Divider) Routers() []message.RouterStatus {
-	list := make([]message.RouterStatus, 0, len(d.order))
-	for _, r := range d.order {
-		if r.lapsed {
+// RouterStatuses returns the status of the routers with a lease.
+func (d *Divider) RouterStatuses() []message.RouterStatus {
+	list := make([]message.RouterStatus, 0, len(d.routerList))
+	for _, router := range d.routerList {
+		if router.expired {
 			continue
 		}
-		s := message.RouterStatus{Name: r.key.name, Zone: r.zone, Number: r.number, ConfigLag: d.number - min(r.number, d.number), HasLease: true}
-		for _, q := range r.queues {
-			s.Waiting += q.Waiting
+		status := message.RouterStatus{Name: router.key.name, Zone: router.zone, Number: router.configNumber, ConfigLag: d.configNumber - min(router.configNumber, d.configNumber), HasLease: true}
+		for _, queue := range router.queues {
+			status.Waiting += queue.Waiting
 		}
-		for _, u := range r.usage {
-			s.Running += u.Running
+		for _, usage := range router.usage {
+			status.Running += usage.Running
 		}
-		list = append(list, s)
+		list = append(list, status)
 	}
 	return list
 }
 
-// AnyAlive reports whether a router with a lease fits.
-func (d *Divider) AnyAlive(fits func(name string, inc uint64) bool) bool {
-	return slices.ContainsFunc(d.order, func(r *router) bool {
-		return !r.lapsed && fits(r.key.name, r.key.inc)
+// AnyLeased reports whether any router with a lease satisfies matches.
+func (d *Divider) AnyLeased(matches func(name string, incarnation uint64) bool) bool {
+	return slices.ContainsFunc(d.routerList, func(router *routerState) bool {
+		return !router.expired && matches(router.key.name, router.key.incarnation)
 	})
 }
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -301,8 +301,8 @@
 
 func (c *core) deadline() time.Time {
 	next := c.node.NextTick()
-	if c.divider != nil && c.divider.Deadline().Before(next) {
-		next = c.divider.Deadline()
+	if c.divider != nil && c.divider.NextTick().Before(next) {
+		next = c.divider.NextTick()
 	}
 	return next
 }
@@ -362,6 +362,6 @@
 		if report.Quarantine != nil {
 			c.pendingReports = append(c.pendingReports, pendingReport{key, *report.Quarantine})
 		}
-		c.divider.Report(now, report)
+		c.divider.HandleReport(now, report)
 	})
 }
--- a/internal/keeper/handlers.go
+++ b/internal/keeper/handlers.go
@@ -145,7 +145,7 @@
 }
 
 func (c *core) ownerAlive(owner uint64) bool {
-	return c.divider.AnyAlive(func(name string, incarnation uint64) bool {
+	return c.divider.AnyLeased(func(name string, incarnation uint64) bool {
 		return statestore.HashOwner(message.ClaimOwner(name, incarnation)) == owner
 	})
 }
@@ -204,7 +204,7 @@
 		routers, inForce := 0, false
 		err := c.runAndWait(ctx, func(now time.Time) {
 			if c.divider != nil && c.isReadyLeader(now) {
-				routers, inForce = c.divider.InForce(now, applied.Number)
+				routers, inForce = c.divider.ConfigInForce(now, applied.Number)
 			}
 		})
 		if err != nil {
@@ -243,9 +243,9 @@
 			Leader: c.node.ID, Term: c.node.Term(), CommitIndex: c.node.CommitIndex(),
 			Number: c.store.Number(), Digest: c.store.Digest(), Claims: c.store.Claims(), Quarantined: len(c.store.Quarantine().Entries()),
 			Changing: c.node.MembershipChangePending(), Evacuated: c.store.Evacuations().Zones,
-			ServiceGap: c.divider.Gap(), Routers: c.divider.Routers(),
+			ServiceGap: c.divider.ServiceGap(), Routers: c.divider.RouterStatuses(),
 		}
-		status.SlotsBusy, status.Slots = c.divider.Load()
+		status.SlotsBusy, status.Slots = c.divider.SlotUsage()
 		for _, member := range c.node.Members() {
 			status.Keepers = append(status.Keepers, message.KeeperStatus{
 				Name: member.Name, ID: member.ID, Address: member.Address, Voter: member.Voter, MatchIndex: c.node.MatchIndex(member.ID),
--- a/internal/keeper/leader.go
+++ b/internal/keeper/leader.go
@@ -42,8 +42,8 @@
 	}
 	c.divider.Tick(now)
 	c.maintainMembership(now)
-	for _, addressed := range c.divider.Take() {
-		key := routerKey{addressed.Router, addressed.Inc}
+	for _, addressed := range c.divider.TakeGrants() {
+		key := routerKey{addressed.Router, addressed.Incarnation}
 		if conn := c.routers[key]; conn != nil && c.node.IsActiveLeader(c.clock.Now()) {
 			addressed.Grant.Restrictions = c.restrictionsFor(now, c.lastReports[key])
 			c.transport.sendGrant(conn, addressed.Grant)
--- a/internal/keeper/simcluster_test.go
+++ b/internal/keeper/simcluster_test.go
@@ -144,7 +144,7 @@
 			continue
 		}
 		c.routers[routerKey{r.Router, r.Incarnation}] = conn
-		c.divider.Report(g.clock.Now(), r)
+		c.divider.HandleReport(g.clock.Now(), r)
 		g.turn(name)
 	}
 }
--- a/internal/keeper/vmlist.go
+++ b/internal/keeper/vmlist.go
@@ -149,7 +149,7 @@
 		}
 	}
 	slices.Sort(leaving)
-	c.divider.SetGone(c.clock.Now(), append(evacuated, leaving...))
+	c.divider.SetLeavingTargets(c.clock.Now(), append(evacuated, leaving...))
 	if len(config.Pools) > 0 {
 		c.setTargets(c.clock.Now(), fleet.TargetListing{Targets: config.Instances(leaving)})
 	}
