--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -38,8 +38,9 @@
 	Outcome fleet.Outcome
 	// RetryAt is when a retry may succeed; zero means never.
 	RetryAt time.Time
-	// Fate is the known fate of the claim key, set if the request was refused because of its claim.
-	Fate message.RunState
+	// RunState is the run state of the claimed key, set if the request was refused because of its
+	// claim.
+	RunState message.RunState
 }
 
 // An AcquireClaim asks the keepers for the exclusive right to run a request.
@@ -48,7 +49,7 @@
 	Claim message.Claim
 }
 
-// A SettleClaim reports the fate of a claimed request to the keepers.
+// A SettleClaim reports the run state of a claimed request to the keepers.
 type SettleClaim struct {
 	Settlement message.Settlement
 }
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -10,7 +10,7 @@
 // admit queues a request, or returns its refusal.
 func (s *Scheduler) admit(now time.Time, req *pendingRequest) *Refuse {
 	if s.stopping {
-		return newUnrunRefusal(now.Add(minRetryAfter), fleet.KindStopping, "ask another router", "this router is stopping")
+		return newNotRunRefusal(now.Add(minRetryAfter), fleet.KindStopping, "ask another router", "this router is stopping")
 	}
 	if !s.HasLease(now) {
 		return s.noLeaseRefusal(now)
@@ -21,7 +21,7 @@
 	}
 	wait := s.queues.ExpectedWait(now, req.Account)
 	if !req.Deadline.IsZero() && now.Add(wait).After(req.Deadline) {
-		return newUnrunRefusal(now.Add(wait), fleet.KindDeadline, "allow more time, or come back after Retry-After",
+		return newNotRunRefusal(now.Add(wait), fleet.KindDeadline, "allow more time, or come back after Retry-After",
 			"the deadline passes before the account's queue has drained")
 	}
 	req.item = &fairshare.Item{
@@ -29,7 +29,7 @@
 		ServeBy: fairshare.ServeByTime(now, req.Deadline),
 	}
 	if err := s.queues.Push(req.item); err != nil {
-		return newUnrunRefusal(now.Add(max(wait, minRetryAfter)), fleet.KindQueueFull, "come back after Retry-After", "%v", err)
+		return newNotRunRefusal(now.Add(max(wait, minRetryAfter)), fleet.KindQueueFull, "come back after Retry-After", "%v", err)
 	}
 	return nil
 }
@@ -37,18 +37,20 @@
 // minRetryAfter is the shortest time after which a refused client is asked to retry.
 const minRetryAfter = time.Second
 
+// checkEvent returns the refusal of a request whose event does not exist, does not admit it, or cannot
+// serve it now. Otherwise it returns nil.
 func (s *Scheduler) checkEvent(now time.Time, event *eventState, req *pendingRequest) *Refuse {
 	switch {
 	case event == nil:
-		return newUnrunRefusal(time.Time{}, fleet.KindEventUnavailable, "name an event of the configuration in force", "there is no event %q", req.Event)
+		return newNotRunRefusal(time.Time{}, fleet.KindEventUnavailable, "name an event of the configuration in force", "there is no event %q", req.Event)
 	case !event.Admits(req.Account):
-		return newUnrunRefusal(time.Time{}, fleet.KindAccountNotAdmitted, "have the account added to the event", "account %q is not in event %q", req.Account, req.Event)
+		return newNotRunRefusal(time.Time{}, fleet.KindAccountNotAdmitted, "have the account added to the event", "account %q is not in event %q", req.Account, req.Event)
 	case !event.End.IsZero() && !now.Before(event.End):
-		return newUnrunRefusal(time.Time{}, fleet.KindEventUnavailable, "name an event that is open", "event %q has ended", req.Event)
+		return newNotRunRefusal(time.Time{}, fleet.KindEventUnavailable, "name an event that is open", "event %q has ended", req.Event)
 	case !event.Open(now):
-		return newUnrunRefusal(event.Start, fleet.KindNoTarget, "come back when the event starts", "event %q starts at %s", req.Event, event.Start)
+		return newNotRunRefusal(event.Start, fleet.KindNoTarget, "come back when the event starts", "event %q starts at %s", req.Event, event.Start)
 	case !event.hasLiveTarget():
-		return newUnrunRefusal(now.Add(minRetryAfter), fleet.KindNoTarget, "have a live target added to the event", "event %q has no live target", req.Event)
+		return newNotRunRefusal(now.Add(minRetryAfter), fleet.KindNoTarget, "have a live target added to the event", "event %q has no live target", req.Event)
 	}
 	if until, failing := event.allFailingUntil(now); failing {
 		return allFailingRefusal(event.Name, until)
@@ -57,7 +59,7 @@
 }
 
 func allFailingRefusal(eventName string, until time.Time) *Refuse {
-	return newUnrunRefusal(until, fleet.KindNoTarget, "come back after Retry-After", "all targets of event %q fail", eventName)
+	return newNotRunRefusal(until, fleet.KindNoTarget, "come back after Retry-After", "all targets of event %q fail", eventName)
 }
 
 // allFailingUntil reports whether the circuit breakers of all targets of the event are open, and
@@ -86,10 +88,11 @@
 }
 
 func (s *Scheduler) noLeaseRefusal(now time.Time) *Refuse {
-	return newUnrunRefusal(now.Add(minRetryAfter), fleet.KindNoLease, "ask another router, or come back after Retry-After",
+	return newNotRunRefusal(now.Add(minRetryAfter), fleet.KindNoLease, "ask another router, or come back after Retry-After",
 		"this router has no lease from the keepers")
 }
 
-func newUnrunRefusal(retryAt time.Time, kind fleet.ErrorKind, remedy, format string, args ...any) *Refuse {
+// newNotRunRefusal returns a refusal which guarantees that no target ran the request.
+func newNotRunRefusal(retryAt time.Time, kind fleet.ErrorKind, remedy, format string, args ...any) *Refuse {
 	return &Refuse{Err: fleet.NewError(kind, remedy, format, args...), Outcome: fleet.OutcomeNotRun, RetryAt: retryAt}
 }
--- a/internal/dispatch/at_most_once_test.go
+++ b/internal/dispatch/at_most_once_test.go
@@ -23,22 +23,21 @@
 
 // outcomeCounts counts the outcomes reported to clients.
 type outcomeCounts struct {
-	requests, ran, unrun, unknown, unanswered int
+	requests, ran, notRun, unknown, unanswered int
 }
 
 func (c *outcomeCounts) add(other outcomeCounts) {
 	c.requests += other.requests
 	c.ran += other.ran
-	c.unrun += other.unrun
+	c.notRun += other.notRun
 	c.unknown += other.unknown
 	c.unanswered += other.unanswered
 }
 
-// Guards against a non-repeatable request that runs twice, and against the outcome unrun for one
-// that ran. Random faults occur at every step while keys are sent repeatedly through several routers:
-// lost claims and answers, target failures, router restarts, freezes and partitions, leader
-// changes, client disconnects. The causes would be a run without a claim, a claim granted twice, or
-// an answer before the fate was certain.
+// Guards against a non-repeatable request that runs twice, and against the outcome "not run" for
+// one that ran: after a run without a claim, a claim granted twice, or an answer before the run
+// state was certain. Keys are resent through several routers while messages are lost, targets fail,
+// routers restart, freeze, stop or are partitioned, leaders change, and clients disconnect.
 func TestAtMostOnceUnderRandomFaults(t *testing.T) {
 	cases := 10_000
 	if testing.Short() {
@@ -60,10 +59,10 @@
 	for _, count := range counts {
 		total.add(count)
 	}
-	t.Logf("%d requests: ran %d, unrun %d, unknown %d (%.1f%%), unanswered because the router restarted %d",
-		total.requests, total.ran, total.unrun, total.unknown, 100*float64(total.unknown)/float64(total.requests), total.unanswered)
+	t.Logf("%d requests: ran %d, not run %d, unknown %d (%.1f%%), unanswered because the router restarted %d",
+		total.requests, total.ran, total.notRun, total.unknown, 100*float64(total.unknown)/float64(total.requests), total.unanswered)
 	require.Positive(t, total.ran)
-	require.Positive(t, total.unrun)
+	require.Positive(t, total.notRun)
 	require.Positive(t, total.unknown)
 }
 
@@ -151,8 +150,8 @@
 		case request.refused == nil:
 			counts.unknown++ // the client's connection broke
 		case request.refused.Outcome == fleet.OutcomeNotRun:
-			counts.unrun++
-			require.Zero(t, request.runs, "seed %d: request %d was reported unrun (%v) and ran", seed, request.ID, request.refused.Err)
+			counts.notRun++
+			require.Zero(t, request.runs, "seed %d: request %d was reported as not run (%v) and ran", seed, request.ID, request.refused.Err)
 		case request.refused.Outcome == fleet.OutcomeRan:
 			counts.ran++
 		default:
--- a/internal/dispatch/breaker.go
+++ b/internal/dispatch/breaker.go
@@ -36,6 +36,7 @@
 	return b.probation.Allows(busy)
 }
 
+// probing reports whether the target has failed repeatedly and has not recovered yet.
 func (b *breaker) probing() bool {
 	return b.failures >= openAfterFailures || b.probation.Active()
 }
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -168,12 +168,12 @@
 func (s *Scheduler) refuseClaim(now time.Time, req *pendingRequest, result message.ClaimResult, lost bool) {
 	switch {
 	case req.disconnected:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
+		s.refuse(req, newNotRunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case lost || result.Granted:
 		s.refuse(req, s.noLeaseRefusal(now))
 	case result.ClaimsFull:
 		req.claimAttempt = 0
-		s.refuse(req, newUnrunRefusal(now.Add(claimsFullRetryAfter), fleet.KindCapacityExhausted, "come back later, or send it as repeatable",
+		s.refuse(req, newNotRunRefusal(now.Add(claimsFullRetryAfter), fleet.KindCapacityExhausted, "come back later, or send it as repeatable",
 			"the keepers hold as many claims as they may"))
 	default:
 		req.claimAttempt = 0
@@ -185,17 +185,18 @@
 const claimsFullRetryAfter = time.Minute
 
 // claimedRefusal returns the refusal of a request whose claim key is already taken. Its outcome is
-// never unrun: the client asks about the key, and an earlier request with that key may have run.
-func claimedRefusal(fate message.RunState) *Refuse {
+// never "not run": the client asks about the key, and an earlier request with that key may have
+// run.
+func claimedRefusal(state message.RunState) *Refuse {
 	outcome := fleet.OutcomeUnknown
-	if fate == message.RunStateRan {
+	if state == message.RunStateRan {
 		outcome = fleet.OutcomeRan
 	}
 	return &Refuse{
 		Err: fleet.NewError(fleet.KindClaimed, "look for the first answer; use a new key only for new work",
-			"the request under this key: %s", fate),
-		Outcome: outcome,
-		Fate:    fate,
+			"the request under this key: %s", state),
+		Outcome:  outcome,
+		RunState: state,
 	}
 }
 
@@ -215,7 +216,7 @@
 func (s *Scheduler) requeue(now time.Time, req *pendingRequest) {
 	req.phase = phaseWaiting
 	if err := s.queues.Push(req.item); err != nil {
-		s.refuse(req, newUnrunRefusal(now.Add(minRetryAfter), fleet.KindQueueFull, "come back after Retry-After", "%v", err))
+		s.refuse(req, newNotRunRefusal(now.Add(minRetryAfter), fleet.KindQueueFull, "come back after Retry-After", "%v", err))
 	}
 }
 
@@ -273,6 +274,7 @@
 	}
 }
 
+// finishAttempt completes, retries or refuses a request whose attempt has ended.
 func (s *Scheduler) finishAttempt(now time.Time, req *pendingRequest, result AttemptResult) {
 	switch {
 	case result.ResponseComplete:
@@ -280,13 +282,13 @@
 	case result.ResponseStarted:
 		s.remove(req, message.RunStateUnknown)
 	case req.disconnected:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
+		s.refuse(req, newNotRunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case s.mayRetry(now, req, result):
 		req.failedTarget = req.targetName
 		req.targetName = ""
 		s.requeue(now, req)
 	case !result.Sent:
-		s.refuse(req, newUnrunRefusal(now.Add(minRetryAfter), fleet.KindNoTarget, "come back after Retry-After", "target %s cannot be reached", req.targetName))
+		s.refuse(req, newNotRunRefusal(now.Add(minRetryAfter), fleet.KindNoTarget, "come back after Retry-After", "target %s cannot be reached", req.targetName))
 	default:
 		s.remove(req, message.RunStateUnknown)
 		s.emit(Refuse{
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -121,7 +121,7 @@
 		req := s.requests[id]
 		event := s.events[req.Event]
 		if event == nil || !event.Admits(req.Account) {
-			s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindEventUnavailable, "name an event of the configuration in force",
+			s.refuse(req, newNotRunRefusal(time.Time{}, fleet.KindEventUnavailable, "name an event of the configuration in force",
 				"event %q no longer takes account %q", req.Event, req.Account))
 		}
 	}
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -38,7 +38,7 @@
 }
 
 func quarantinedRefusal(retryAt time.Time, terminationCount int) *Refuse {
-	return newUnrunRefusal(retryAt, fleet.KindQuarantined, "send other work; ask the operators about this request (lfctl held)",
+	return newNotRunRefusal(retryAt, fleet.KindQuarantined, "send other work; ask the operators about this request (lfctl held)",
 		"%d targets have ended under this request", terminationCount)
 }
 
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -72,11 +72,11 @@
 	s.HandleAttemptEnd(epoch.Add(40*time.Millisecond), 1, dispatch.AttemptResult{Sent: true, Failed: true, TargetClosed: true})
 	actions := s.TakeActions()
 	probed := false
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case dispatch.Probe:
 			probed = true
-			require.Equal(t, sends[0].Target.Name, a.Target.Name)
+			require.Equal(t, sends[0].Target.Name, action.Target.Name)
 		case dispatch.Send:
 			require.Fail(t, "a second copy runs")
 		}
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -14,29 +14,29 @@
 
 type retryBudgetKey struct{ account, event string }
 
-// tokenBudget limits the retries of one account for one event.
-type tokenBudget struct {
+// retryBudget limits the retries of one account for one event.
+type retryBudget struct {
 	tokens float64
 }
 
-func (s *Scheduler) retryBudget(req *pendingRequest) *tokenBudget {
+func (s *Scheduler) retryBudget(req *pendingRequest) *retryBudget {
 	if s.retryBudgets == nil {
-		s.retryBudgets = make(map[retryBudgetKey]*tokenBudget)
+		s.retryBudgets = make(map[retryBudgetKey]*retryBudget)
 	}
 	key := retryBudgetKey{req.Account, req.Event}
 	budget := s.retryBudgets[key]
 	if budget == nil {
-		budget = &tokenBudget{tokens: maxRetryTokens}
+		budget = &retryBudget{tokens: maxRetryTokens}
 		s.retryBudgets[key] = budget
 	}
 	return budget
 }
 
-func (b *tokenBudget) deposit() {
+func (b *retryBudget) deposit() {
 	b.tokens = min(b.tokens+retryRatio, maxRetryTokens)
 }
 
-func (b *tokenBudget) withdraw() bool {
+func (b *retryBudget) withdraw() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -24,8 +24,8 @@
 	Deadline time.Time
 	// CostHint is the client's estimate of the cost, or 0 if it gave none.
 	CostHint float64
-	// ClaimKey identifies a request that must run at most once in the whole fleet. It is empty if
-	// the request may be repeated.
+	// ClaimKey is the idempotency key of a request that must run at most once in the whole fleet.
+	// It is empty if the request may be repeated.
 	ClaimKey string
 	// BodyBytes is the length of the body, which stays in memory while the request waits.
 	BodyBytes int
@@ -79,7 +79,7 @@
 	slotClaims    []slotClaim // ordered by timeout
 	parked        []uint64    // request IDs, ordered by timeout
 	claimsSlow    bool        // the keepers do not answer claims in time
-	retryBudgets  map[retryBudgetKey]*tokenBudget
+	retryBudgets  map[retryBudgetKey]*retryBudget
 	prefixes      prefixTargets
 	stopping      bool
 	actions       []Action
@@ -191,10 +191,10 @@
 	req.disconnected = true
 	switch req.phase {
 	case phaseWaiting:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
+		s.refuse(req, newNotRunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 		s.dispatchWaiting(now)
 	case phaseParked:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
+		s.refuse(req, newNotRunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case phaseRunning:
 		s.emit(Cancel{ID: id})
 	case phaseClaiming:
@@ -203,7 +203,7 @@
 }
 
 // refuse ends a request with a refusal. If an earlier attempt may have run it, the outcome is
-// reported as unknown and never as unrun.
+// reported as unknown and never as "not run".
 func (s *Scheduler) refuse(req *pendingRequest, refusal *Refuse) {
 	s.queues.Remove(req.ID)
 	s.unpark(req)
@@ -218,12 +218,12 @@
 }
 
 // remove deletes a request and settles its claim, if it has one.
-func (s *Scheduler) remove(req *pendingRequest, fate message.RunState) {
+func (s *Scheduler) remove(req *pendingRequest, state message.RunState) {
 	delete(s.requests, req.ID)
 	if req.claimAttempt == 0 {
 		return
 	}
-	s.emit(SettleClaim{Settlement: message.Settlement{Key: req.ClaimKey, Owner: s.claimOwner(), Attempt: req.claimAttempt, State: fate}})
+	s.emit(SettleClaim{Settlement: message.Settlement{Key: req.ClaimKey, Owner: s.claimOwner(), Attempt: req.claimAttempt, State: state}})
 }
 
 // Stop begins a graceful shutdown: the router is no longer ready and refuses all waiting requests.
@@ -231,7 +231,7 @@
 func (s *Scheduler) Stop(now time.Time) {
 	s.stopping = true
 	s.refuseWaiting(func() *Refuse {
-		return newUnrunRefusal(now.Add(minRetryAfter), fleet.KindStopping, "ask another router", "this router is stopping")
+		return newNotRunRefusal(now.Add(minRetryAfter), fleet.KindStopping, "ask another router", "this router is stopping")
 	})
 	s.requestReport(now)
 	s.Tick(now)
@@ -250,7 +250,7 @@
 	}
 	for _, id := range s.deadlines.due(now) {
 		if req := s.requests[id]; req != nil && (req.phase == phaseWaiting || req.phase == phaseParked) {
-			s.refuse(req, newUnrunRefusal(now.Add(s.queues.ExpectedWait(now, req.Account)), fleet.KindDeadline,
+			s.refuse(req, newNotRunRefusal(now.Add(s.queues.ExpectedWait(now, req.Account)), fleet.KindDeadline,
 				"allow more time", "the deadline passed while the request waited"))
 		}
 	}
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -36,9 +36,9 @@
 // takeActionsOf takes all actions and returns those of one type.
 func takeActionsOf[A dispatch.Action](s *dispatch.Scheduler) []A {
 	var matching []A
-	for _, a := range s.TakeActions() {
-		if a, ok := a.(A); ok {
-			matching = append(matching, a)
+	for _, action := range s.TakeActions() {
+		if typed, ok := action.(A); ok {
+			matching = append(matching, typed)
 		}
 	}
 	return matching
@@ -55,26 +55,26 @@
 	s.HandleClaimResult(epoch.Add(3*time.Second), 1, message.ClaimResult{Granted: true}, false)
 	actions := s.TakeActions()
 	var refused, settled bool
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case dispatch.Send:
 			require.Fail(t, "sent without a lease")
 		case dispatch.Refuse:
 			refused = true
-			require.Equal(t, fleet.OutcomeNotRun, a.Outcome)
-			require.False(t, a.RetryAt.IsZero())
+			require.Equal(t, fleet.OutcomeNotRun, action.Outcome)
+			require.False(t, action.RetryAt.IsZero())
 		case dispatch.SettleClaim:
 			settled = true
-			require.Equal(t, message.RunStateNotRun, a.Settlement.State)
+			require.Equal(t, message.RunStateNotRun, action.Settlement.State)
 		}
 	}
 	require.True(t, refused)
 	require.True(t, settled, "the claim is settled")
 }
 
-// Guards against the outcome unrun for a request that ran. A repeatable request breaks off on one
-// target and is retried; the refusal must cover all attempts, not only the last.
-func TestRetriedRequestIsNotReportedUnrun(t *testing.T) {
+// Guards against the outcome "not run" for a request that ran. A repeatable request breaks off on
+// one target and is retried; the refusal must cover all attempts, not only the last.
+func TestRetriedRequestOutcomeIsUnknown(t *testing.T) {
 	s := newLeasedScheduler(newConfig([]float64{1}, []int{1, 1}), 1)
 	for id := range uint64(2) {
 		s.Submit(epoch, newRequest(id+1))
@@ -239,8 +239,8 @@
 	s.HandleDisconnect(epoch, 1) // running
 	require.Len(t, takeActionsOf[dispatch.Cancel](s), 1)
 	s.HandleAttemptEnd(epoch, 1, dispatch.AttemptResult{Sent: true, Cost: 1})
-	for _, a := range s.TakeActions() {
-		if send, ok := a.(dispatch.Send); ok {
+	for _, action := range s.TakeActions() {
+		if send, ok := action.(dispatch.Send); ok {
 			require.Equal(t, uint64(3), send.ID)
 			return
 		}
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -22,7 +22,7 @@
 	config  fleet.Config
 	divider *fairshare.Divider
 	term    uint64
-	ledger  statestore.Store
+	store   statestore.Store
 	routers []*simRouter
 	targets map[string]*simTarget
 	lastID  uint64
@@ -198,7 +198,7 @@
 }
 
 func (sim *simulation) applyCommand(command statestore.Command) statestore.Result {
-	result, err := sim.ledger.Do(command.Encode())
+	result, err := sim.store.Do(command.Encode())
 	if err != nil {
 		panic(err)
 	}
--- a/internal/fairshare/bench_test.go
+++ b/internal/fairshare/bench_test.go
@@ -83,35 +83,35 @@
 	return d, report, grant
 }
 
-func (s scale) report(i int, round uint64, slots []message.SlotGrant, at time.Time) message.Report {
-	r := message.Report{
-		Router: fmt.Sprintf("router-%04d", i), Zone: fleet.Zone(fmt.Sprint(i % 7)), Incarnation: 1, Full: true,
+func (s scale) report(routerIndex int, round uint64, slots []message.SlotGrant, at time.Time) message.Report {
+	report := message.Report{
+		Router: fmt.Sprintf("router-%04d", routerIndex), Zone: fleet.Zone(fmt.Sprint(routerIndex % 7)), Incarnation: 1, Full: true,
 		Seq: round + 1, SentAt: at, Term: 1, AckSeq: 100 * round, Number: 1,
 	}
 	backlogged := max(1, s.accounts/10)
-	for k := range min(backloggedPerRouter, backlogged) {
-		account := (i + k) % backlogged
-		r.Queues = append(r.Queues, message.QueueLength{
-			Account: fmt.Sprintf("account-%03d", account), Event: fmt.Sprintf("model-%d", account%s.models), Waiting: 5 + (i+k)%20,
+	for offset := range min(backloggedPerRouter, backlogged) {
+		account := (routerIndex + offset) % backlogged
+		report.Queues = append(report.Queues, message.QueueLength{
+			Account: fmt.Sprintf("account-%03d", account), Event: fmt.Sprintf("model-%d", account%s.models), Waiting: 5 + (routerIndex+offset)%20,
 		})
 	}
-	for k := range 20 {
-		account := (i*7 + k) % s.accounts
-		r.Usage = append(r.Usage, message.Usage{
-			Account: fmt.Sprintf("account-%03d", account), Served: float64(round*100 + uint64(k)), Settled: round * 5, EstimatedCost: 40, Running: 1,
+	for offset := range 20 {
+		account := (routerIndex*7 + offset) % s.accounts
+		report.Usage = append(report.Usage, message.Usage{
+			Account: fmt.Sprintf("account-%03d", account), Served: float64(round*100 + uint64(offset)), Settled: round * 5, EstimatedCost: 40, Running: 1,
 		})
 	}
 	for _, slot := range slots {
-		r.Slots = append(r.Slots, message.SlotUsage{Target: slot.Target, Limit: slot.Count, InUse: slot.Count})
+		report.Slots = append(report.Slots, message.SlotUsage{Target: slot.Target, Limit: slot.Count, InUse: slot.Count})
 	}
-	return r
+	return report
 }
 
 func BenchmarkDivision(b *testing.B) {
-	for _, s := range scales {
-		b.Run(s.String(), func(b *testing.B) {
+	for _, size := range scales {
+		b.Run(size.String(), func(b *testing.B) {
 			now := time.Unix(1e9, 0)
-			d, report, grant := newFleet(s, now)
+			d, report, grant := newFleet(size, now)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
@@ -128,20 +128,20 @@
 
 // BenchmarkReport measures the handling of one report by the leader, including decoding.
 func BenchmarkReport(b *testing.B) {
-	for _, s := range scales {
-		b.Run(s.String(), func(b *testing.B) {
+	for _, size := range scales {
+		b.Run(size.String(), func(b *testing.B) {
 			now := time.Unix(1e9, 0)
-			d, report, _ := newFleet(s, now)
+			d, report, _ := newFleet(size, now)
 			data, err := json.Marshal(report)
 			require.NoError(b, err)
 			d.lastDivision = now.Add(time.Hour) // prevents divisions
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				var r message.Report
-				require.NoError(b, json.Unmarshal(data, &r))
-				r.Seq = uint64(100 + i)
-				d.HandleReport(now.Add(time.Second), r)
+				var report message.Report
+				require.NoError(b, json.Unmarshal(data, &report))
+				report.Seq = uint64(100 + i)
+				d.HandleReport(now.Add(time.Second), report)
 				for _, routerGrant := range d.TakeGrants() {
 					jsonSize(b, routerGrant.Grant)
 				}
@@ -166,13 +166,13 @@
 					push(fmt.Sprintf("account-%03d", i))
 				}
 			}
-			free := func(string) bool { return true }
+			hasFreeSlot := func(string) bool { return true }
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				it, _ := q.PopNext(now, free)
-				q.Settle(it, 10)
-				push(it.Account)
+				item, _ := q.PopNext(now, hasFreeSlot)
+				q.Settle(item, 10)
+				push(item.Account)
 			}
 		})
 	}
@@ -186,12 +186,12 @@
 
 // BenchmarkLeaderMemory measures the memory of a leader's state of the fleet.
 func BenchmarkLeaderMemory(b *testing.B) {
-	for _, s := range scales {
-		b.Run(s.String(), func(b *testing.B) {
+	for _, size := range scales {
+		b.Run(size.String(), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			d, _, _ := newFleet(s, time.Unix(1e9, 0))
+			d, _, _ := newFleet(size, time.Unix(1e9, 0))
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for range b.N {
--- a/internal/fairshare/divide.go
+++ b/internal/fairshare/divide.go
@@ -251,6 +251,8 @@
 	return low
 }
 
+// leastProjected returns the claimant with the lowest virtual time after its slots so far, among those
+// with unmet demand, or nil if there is none.
 func leastProjected(claimants []*claimant) *claimant {
 	var best *claimant
 	least := math.Inf(1)
--- a/internal/fairshare/divider.go
+++ b/internal/fairshare/divider.go
@@ -52,15 +52,15 @@
 	routerList   []*routerState // sorted by name and incarnation
 	leaving      map[string]bool
 
-	cautiousUntil     time.Time // until then, unknown routers may hold slots
-	lastDivision      time.Time
-	divisionRequested bool // divide before the end of the interval
-	divisions         uint64
-	idleSlots         int  // slots that routers hold and do not use
-	starvedRouters    int  // routers with waiting work and no idle slot
-	unleasedSlots     int  // slots that no router held after the last division
-	slotsShort        bool // the last division could not assign all slots that it wanted to
-	grants            []RouterGrant
+	unknownLeasesUntil time.Time // until then, unknown routers may hold slots
+	lastDivision       time.Time
+	divisionRequested  bool // divide before the end of the interval
+	divisions          uint64
+	idleSlots          int  // slots that routers hold and do not use
+	starvedRouters     int  // routers with waiting work and no idle slot
+	unleasedSlots      int  // slots that no router held after the last division
+	slotsShort         bool // the last division could not assign all slots that it wanted to
+	grants             []RouterGrant
 }
 
 type routerKey struct {
@@ -99,7 +99,7 @@
 	adoptedSlots int
 }
 
-// routerState is one incarnation of a router as the leader knows it.
+// routerState is one incarnation of a router as the leader sees it.
 type routerState struct {
 	key            routerKey
 	zone           fleet.Zone
@@ -144,17 +144,17 @@
 	d.accounts = make(map[string]*accountState)
 	d.targets = make(map[string]*targetState)
 	d.routers = make(map[routerKey]*routerState)
-	d.cautiousUntil = now.Add(RouterLease + leaseMargin)
+	d.unknownLeasesUntil = now.Add(RouterLease + leaseMargin)
 	d.lastDivision = now
 }
 
 // SetConfig puts a configuration in force. The first one of a term comes from the replicated log;
 // no router holds slots of the targets that later ones add.
 func (d *Divider) SetConfig(now time.Time, config fleet.Config, text json.RawMessage) {
-	first := d.configNumber == 0 && !d.Blank
+	inherited := d.configNumber == 0 && !d.Blank
 	d.configNumber, d.configText = config.Number, text
 	d.setAccounts(config)
-	d.setTargets(config, first)
+	d.setTargets(config, inherited)
 	d.setClasses(config)
 	for _, router := range d.routerList {
 		router.needsGrant = !router.expired
@@ -201,11 +201,11 @@
 	d.accounts = next
 }
 
-func (d *Divider) setTargets(config fleet.Config, first bool) {
+func (d *Divider) setTargets(config fleet.Config, inherited bool) {
 	next := make(map[string]*targetState, len(config.Targets))
 	for _, target := range config.Targets {
 		old := d.targets[target.Name]
-		noEarlierLeases := !first && (old == nil || old.noEarlierLeases)
+		noEarlierLeases := !inherited && (old == nil || old.noEarlierLeases)
 		next[target.Name] = &targetState{Target: target, noEarlierLeases: noEarlierLeases}
 		if old != nil {
 			next[target.Name].adoptedSlots = old.adoptedSlots
--- a/internal/fairshare/place.go
+++ b/internal/fairshare/place.go
@@ -27,6 +27,7 @@
 	}
 }
 
+// countRouter subtracts the slots that a router may hold from the free slots of their targets.
 func (d *division) countRouter(router *routerState) {
 	if router.reserved == nil {
 		router.reserved = make(map[string]int)
@@ -51,7 +52,7 @@
 	c.freeTargets = make(map[fleet.Zone][]*targetState)
 	c.freeZones = c.freeZones[:0]
 	for _, target := range c.targets {
-		if !target.noEarlierLeases && division.now.Before(divider.cautiousUntil) {
+		if !target.noEarlierLeases && division.now.Before(divider.unknownLeasesUntil) {
 			// Routers that have not reported yet may hold the rest.
 			target.freeSlots = min(target.freeSlots, target.adoptedSlots-(target.Slots-target.freeSlots))
 		}
@@ -163,6 +164,8 @@
 	return count
 }
 
+// restoreReserved assigns a router up to count slots again that were revoked from it and that it has
+// not released yet. It returns their number.
 func (d *division) restoreReserved(class *targetClass, router *routerState, count int) int {
 	divider := d.divider
 	var names []string
--- a/internal/fairshare/report.go
+++ b/internal/fairshare/report.go
@@ -58,8 +58,8 @@
 		sentVirtualTimes: make(map[string]float64),
 	}
 	d.routers[key] = router
-	index, _ := slices.BinarySearchFunc(d.routerList, router, compareRouters)
-	d.routerList = slices.Insert(d.routerList, index, router)
+	position, _ := slices.BinarySearchFunc(d.routerList, router, compareRouters)
+	d.routerList = slices.Insert(d.routerList, position, router)
 	// Do not count again the service that the router's received virtual times already include.
 	for _, usage := range report.Usage {
 		router.usage[usage.Account] = message.Usage{Account: usage.Account, Served: usage.ServedInVirtualTime, Settled: usage.Settled}
--- a/internal/fairshare/view.go
+++ b/internal/fairshare/view.go
@@ -13,7 +13,7 @@
 // an older configuration, or refuse because they have none.
 func (d *Divider) ConfigInForce(now time.Time, number uint64) (leased int, all bool) {
 	const firstTerm = 1
-	all = d.Term == firstTerm || !now.Before(d.cautiousUntil)
+	all = d.Term == firstTerm || !now.Before(d.unknownLeasesUntil)
 	for _, router := range d.routerList {
 		switch {
 		case router.expired:
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -204,7 +204,7 @@
 	if !ok {
 		status = fasthttp.StatusInternalServerError
 	}
-	writeJSON(ctx, status, refusalBody{Kind: a.Err.Kind, Message: a.Err.Message, Remedy: a.Err.Remedy, Fate: a.Fate})
+	writeJSON(ctx, status, refusalBody{Kind: a.Err.Kind, Message: a.Err.Message, Remedy: a.Err.Remedy, Fate: a.RunState})
 	ctx.Response.Header.Set(headerOutcome, string(a.Outcome))
 	if !a.RetryAt.IsZero() {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(r.Clock.Now(), a.RetryAt))
