--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -232,15 +232,15 @@
 }
 
 func (sim *simulation) sendGrants() {
-	for _, addressed := range sim.divider.TakeGrants() {
-		sim.controlBytes += jsonSize(addressed.Grant)
+	for _, routerGrant := range sim.divider.TakeGrants() {
+		sim.controlBytes += jsonSize(routerGrant.Grant)
 		for _, router := range sim.routers {
-			if router.name != addressed.Router || sim.losesMessage(router) {
+			if router.name != routerGrant.Router || sim.losesMessage(router) {
 				continue
 			}
 			scheduler := router.scheduler
 			sim.after(sim.delay, func() {
-				sim.deliver(router, scheduler, func(s *dispatch.Scheduler) { s.HandleGrant(sim.now, addressed.Grant) })
+				sim.deliver(router, scheduler, func(s *dispatch.Scheduler) { s.HandleGrant(sim.now, routerGrant.Grant) })
 			})
 		}
 	}
--- a/internal/fairshare/divide.go
+++ b/internal/fairshare/divide.go
@@ -29,14 +29,14 @@
 	credit float64
 }
 
-// divide assigns every slot to a router: first to the routers whose accounts want slots, in max-min
-// order of the accounts' virtual times, then the rest evenly.
+// divide assigns every slot to a router: first to the routers whose accounts want slots, the
+// account with the lowest virtual time first, then the rest evenly.
 func (d *Divider) divide(now time.Time) {
 	d.lastDivision = now
 	d.divisionRequested = false
 	d.slotsShort = false
 	d.divisions++
-	division := &division{divider: d, now: now, live: d.liveRouters(), given: make(map[routerAccount]int), taken: make(map[string]int)}
+	division := &division{divider: d, now: now, live: d.liveRouters(), givenByRouter: make(map[routerAccount]int), givenByAccount: make(map[string]int)}
 	division.countFreeSlots()
 	division.collectDemands()
 	for _, class := range d.classes {
@@ -62,10 +62,10 @@
 	demands map[*targetClass][]classDemand
 	// held is the number of slots of each class that each router was assigned before.
 	held map[*targetClass]map[*routerState]int
-	// taken and given count the slots that earlier classes gave to accounts that may use several
-	// classes: taken by account, given by router and account.
-	taken map[string]int
-	given map[routerAccount]int
+	// givenByAccount and givenByRouter count the slots that earlier classes gave to accounts that
+	// may use several classes.
+	givenByAccount map[string]int
+	givenByRouter  map[routerAccount]int
 }
 
 // classDemand is the work of one account in one router that a class may serve.
@@ -140,7 +140,7 @@
 	for _, claimant := range claimants {
 		class.given[claimant.account.name] = claimant.slots
 		if len(claimant.account.classes) > 1 {
-			d.taken[claimant.account.name] += claimant.slots
+			d.givenByAccount[claimant.account.name] += claimant.slots
 		}
 		claimant.distribute(d, wanted)
 	}
@@ -158,8 +158,8 @@
 		count := demand.count
 		if len(demand.account.classes) > 1 {
 			key := routerAccount{demand.router, demand.account}
-			used := min(count, d.given[key])
-			d.given[key] -= used
+			used := min(count, d.givenByRouter[key])
+			d.givenByRouter[key] -= used
 			count -= used
 		}
 		if count <= 0 {
@@ -178,7 +178,7 @@
 	const leastCost = 1e-9
 	for _, claimant := range list {
 		claimant.virtualTimePerSlot = slotDamping * max(totalCost/float64(requests), leastCost) / claimant.account.share
-		claimant.virtualTime = claimant.account.effectiveVirtualTime() + float64(d.taken[claimant.account.name])*claimant.virtualTimePerSlot
+		claimant.virtualTime = claimant.account.effectiveVirtualTime() + float64(d.givenByAccount[claimant.account.name])*claimant.virtualTimePerSlot
 	}
 	slices.SortFunc(list, func(a, b *claimant) int {
 		return cmp.Or(cmp.Compare(a.virtualTime, b.virtualTime), cmp.Compare(a.account.name, b.account.name))
@@ -283,7 +283,7 @@
 		wanted[part.router] += part.slots
 		part.router.roundingCredit[name] = part.credit
 		if len(c.account.classes) > 1 {
-			division.given[routerAccount{part.router, c.account}] += part.slots
+			division.givenByRouter[routerAccount{part.router, c.account}] += part.slots
 		}
 	}
 }
--- a/internal/fairshare/report.go
+++ b/internal/fairshare/report.go
@@ -8,8 +8,8 @@
 	"laburnumfall/internal/message"
 )
 
-// HandleReport handles a router's report: it updates the accounting and answers with a grant or, if
-// one is due, with a division.
+// HandleReport handles a router's report. It updates the accounting, and then divides the slots if
+// a requested division is due, or else renews the router's lease.
 func (d *Divider) HandleReport(now time.Time, report message.Report) {
 	key := routerKey{name: report.Router, incarnation: report.Incarnation}
 	router := d.routers[key]
