--- a/internal/dispatch/baseline_test.go
+++ b/internal/dispatch/baseline_test.go
@@ -10,9 +10,9 @@
 	sim           *simulation
 	queues        []map[int][]*simRequest // by router and account
 	freeSlots     []int
-	service       [fairAccounts]float64 // charged when a request starts, with its true cost
+	service       [accountCount]float64 // charged when a request starts, with its true cost
 	position      []int
-	deficit       [][fairAccounts]float64
+	deficit       [][accountCount]float64
 	chooseAccount func(b *baseline, router int) int
 }
 
@@ -25,7 +25,7 @@
 
 func runBaseline(s scenario, seed uint64, policy string) fairnessResult {
 	sim := newSimulation(seed, newConfig(accountShares(), equalSlots(s.targets, slotsPerTarget)), 0)
-	routers := fairRouters
+	routers := routerCount
 	b := &baseline{sim: sim}
 	switch policy {
 	case singleQueue:
@@ -44,7 +44,7 @@
 		b.freeSlots = append(b.freeSlots, slots)
 	}
 	b.position = make([]int, routers)
-	b.deficit = make([][fairAccounts]float64, routers)
+	b.deficit = make([][accountCount]float64, routers)
 	meter := newMeter(sim, s, seed, func(router int, request *simRequest) {
 		router %= routers
 		account := accountIndex(request.Account)
@@ -93,7 +93,7 @@
 
 func (b *baseline) leastServed(router int) int {
 	best, least := -1, math.Inf(1)
-	for account := range fairAccounts {
+	for account := range accountCount {
 		if level := b.service[account] / accountShares()[account]; len(b.queues[router][account]) > 0 && level < least {
 			best, least = account, level
 		}
@@ -110,7 +110,7 @@
 		backlogged = backlogged || len(queue) > 0
 	}
 	for backlogged {
-		account := b.position[router] % fairAccounts
+		account := b.position[router] % accountCount
 		queue := b.queues[router][account]
 		if len(queue) > 0 && b.deficit[router][account] >= queue[0].cost {
 			b.deficit[router][account] -= queue[0].cost
@@ -120,7 +120,7 @@
 			b.deficit[router][account] = 0
 		}
 		b.position[router]++
-		next := b.position[router] % fairAccounts
+		next := b.position[router] % accountCount
 		if len(b.queues[router][next]) > 0 {
 			b.deficit[router][next] += quantum * accountShares()[next]
 		}
--- a/internal/dispatch/fairness_meter_test.go
+++ b/internal/dispatch/fairness_meter_test.go
@@ -28,7 +28,7 @@
 
 func (m *fairnessMeter) run() fairnessResult {
 	start := m.sim.now
-	for account := range fairAccounts {
+	for account := range accountCount {
 		m.scheduleArrivals(account)
 	}
 	m.sample()
@@ -58,7 +58,7 @@
 
 func (m *fairnessMeter) sendRequest(account int) {
 	duration := time.Duration((0.5 + m.random.Float64()) * float64(meanDuration))
-	if m.scenario.heavy {
+	if m.scenario.heavyTail {
 		duration = time.Duration(min(math.Pow(1-m.random.Float64(), -1/1.5), 25) * float64(meanDuration) / 3)
 	}
 	request := &simRequest{duration: duration, cost: duration.Seconds() * unitsPerSlotSecond, arrived: m.sim.now}
@@ -68,7 +68,7 @@
 		request.CostHint = m.scenario.hint(m.random, request.cost)
 	}
 	m.waiting[account]++
-	m.unended = append(m.unended, request)
+	m.unfinished = append(m.unfinished, request)
 	m.send(m.scenario.route(m.random, account), request)
 }
 
@@ -82,11 +82,11 @@
 // sample measures the current state and schedules the next sample.
 func (m *fairnessMeter) sample() {
 	now := m.sim.now
-	var waiting, running [fairAccounts]int
-	var backlogged [fairAccounts]bool
-	var service [fairAccounts]float64
-	kept := m.unended[:0]
-	for _, request := range m.unended {
+	var waiting, running [accountCount]int
+	var backlogged [accountCount]bool
+	var service [accountCount]float64
+	kept := m.unfinished[:0]
+	for _, request := range m.unfinished {
 		account := accountIndex(request.Account)
 		if !request.ended.IsZero() {
 			m.recordEnded(account, request)
@@ -101,8 +101,8 @@
 		running[account]++
 		service[account] += min(now.Sub(request.started), request.duration).Seconds() * unitsPerSlotSecond
 	}
-	m.unended = kept
-	for a := range fairAccounts {
+	m.unfinished = kept
+	for a := range accountCount {
 		service[a] += m.service[a]
 	}
 	m.compare(waiting, running, backlogged, service)
@@ -116,30 +116,30 @@
 		return
 	}
 	m.service[account] += min(request.ended.Sub(request.started), request.duration).Seconds() * unitsPerSlotSecond
-	if account == fairAccounts-1 {
+	if account == accountCount-1 {
 		m.smallestWaits = append(m.smallestWaits, request.started.Sub(request.arrived))
 	}
 }
 
-func (m *fairnessMeter) compare(waiting, running [fairAccounts]int, backlogged [fairAccounts]bool, service [fairAccounts]float64) {
-	for a := range fairAccounts {
+func (m *fairnessMeter) compare(waiting, running [accountCount]int, backlogged [accountCount]bool, service [accountCount]float64) {
+	for a := range accountCount {
 		for b := range a {
 			both := backlogged[a] && backlogged[b]
 			m.gaps[a][b].add(both, service[a]/accountShares()[a]-service[b]/accountShares()[b])
 		}
 	}
 	busy, demand := 0, 0
-	for a := range fairAccounts {
+	for a := range accountCount {
 		busy += running[a]
 		demand += running[a] + waiting[a]
 	}
-	m.busy += float64(busy)
-	m.usable += float64(min(m.scenario.slots(), demand))
+	m.busySlots += float64(busy)
+	m.usableSlots += float64(min(m.scenario.slots(), demand))
 }
 
 func (m *fairnessMeter) result(elapsed time.Duration) fairnessResult {
-	result := fairnessResult{utilisation: m.busy / m.usable, maxCost: m.maxCost}
-	for a := range fairAccounts {
+	result := fairnessResult{utilisation: m.busySlots / m.usableSlots, maxCost: m.maxCost}
+	for a := range accountCount {
 		for b := range a {
 			result.gap = max(result.gap, m.gaps[a][b].widest)
 		}
@@ -148,7 +148,7 @@
 	if n := len(m.smallestWaits); n > 0 {
 		result.smallestWaitP99 = m.smallestWaits[n*99/100]
 	}
-	result.controlBytesPerSecond = float64(m.sim.controlBytes) / elapsed.Seconds() / fairRouters
+	result.controlBytesPerSecond = float64(m.sim.controlBytes) / elapsed.Seconds() / routerCount
 	for _, target := range m.sim.targets {
 		result.excessRunning = max(result.excessRunning, target.maxRunning-target.Slots)
 	}
--- a/internal/dispatch/fairness_test.go
+++ b/internal/dispatch/fairness_test.go
@@ -22,15 +22,15 @@
 	// rate returns the arrivals per second of an account.
 	rate func(sim *simulation, account int) float64
 	// route returns the router of an account's next request.
-	route func(random *rand.Rand, account int) int
-	hint  func(random *rand.Rand, cost float64) float64
-	heavy bool // request costs have a heavy-tailed distribution
-	fault func(sim *simulation)
+	route     func(random *rand.Rand, account int) int
+	hint      func(random *rand.Rand, cost float64) float64
+	heavyTail bool // request costs have a heavy-tailed distribution
+	fault     func(sim *simulation)
 }
 
 const (
-	fairRouters    = 8
-	fairAccounts   = 16
+	routerCount    = 8
+	accountCount   = 16
 	slotsPerTarget = 8
 	meanDuration   = 400 * time.Millisecond
 	// unitsPerSlotSecond is the service that one slot provides in a second.
@@ -39,7 +39,7 @@
 
 // accountShares returns the shares: a few large accounts beside many small ones.
 func accountShares() []float64 {
-	shares := slices.Repeat([]float64{1}, fairAccounts)
+	shares := slices.Repeat([]float64{1}, accountCount)
 	shares[0], shares[1], shares[2] = 8, 4, 4
 	return shares
 }
@@ -58,7 +58,7 @@
 
 // runScenario runs a scenario under the fleet's own policy.
 func runScenario(s scenario, seed uint64) fairnessResult {
-	sim := newSimulation(seed, newConfig(accountShares(), equalSlots(s.targets, slotsPerTarget)), fairRouters)
+	sim := newSimulation(seed, newConfig(accountShares(), equalSlots(s.targets, slotsPerTarget)), routerCount)
 	sim.advance(500 * time.Millisecond)
 	sim.controlBytes = 0
 	meter := newMeter(sim, s, seed, func(router int, request *simRequest) { sim.submit(sim.routers[router], request) })
@@ -75,12 +75,12 @@
 	scenario      scenario
 	random        *rand.Rand // for arrivals, so that they are the same under every policy
 	send          func(router int, request *simRequest)
-	unended       []*simRequest
-	waiting       [fairAccounts]int
-	service       [fairAccounts]float64
-	gaps          [fairAccounts][fairAccounts]gapRange
-	busy          float64
-	usable        float64 // slot samples for which there was work
+	unfinished    []*simRequest
+	waiting       [accountCount]int
+	service       [accountCount]float64
+	gaps          [accountCount][accountCount]gapRange
+	busySlots     float64
+	usableSlots   float64 // slot samples for which there was work
 	smallestWaits []time.Duration
 	maxCost       float64
 }
@@ -94,10 +94,10 @@
 }
 
 // anyRouter distributes the requests of every account over all routers.
-func anyRouter(random *rand.Rand, _ int) int { return random.IntN(fairRouters) }
+func anyRouter(random *rand.Rand, _ int) int { return random.IntN(routerCount) }
 
 // fixedRouter sends all requests of an account to one router.
-func fixedRouter(_ *rand.Rand, account int) int { return account % fairRouters }
+func fixedRouter(_ *rand.Rand, account int) int { return account % routerCount }
 
 // offeredLoad returns arrival rates at which each account offers a multiple of its fair part of all
 // slots.
@@ -137,7 +137,7 @@
 				return cost * math.Pow(10, 2*random.Float64()-1)
 			}
 		}),
-		variant("heavy tail", func(s *scenario) { s.heavy = true }),
+		variant("heavy tail", func(s *scenario) { s.heavyTail = true }),
 		variant("reports lost, late, doubled", func(s *scenario) {
 			s.fault = func(sim *simulation) { sim.loss, sim.duplicated = 0.2, 0.2 }
 		}),
@@ -221,7 +221,7 @@
 		all := scenarios(rapid.IntRange(4, 16).Draw(t, "targets"))
 		s := rapid.SampledFrom(all).Draw(t, "load")
 		s.seconds = 6
-		s.heavy = rapid.Bool().Draw(t, "heavy")
+		s.heavyTail = rapid.Bool().Draw(t, "heavy")
 		if rapid.Bool().Draw(t, "uneven") {
 			s.route = fixedRouter
 		}
@@ -236,7 +236,7 @@
 	for _, route := range []func(*rand.Rand, int) int{anyRouter, fixedRouter} {
 		s := scenario{targets: 13, seconds: 30, route: route}
 		s.rate = func(sim *simulation, account int) float64 {
-			if account == fairAccounts-1 {
+			if account == accountCount-1 {
 				return 1
 			}
 			return offeredLoad(5)(sim, account)
--- a/internal/fairshare/class.go
+++ b/internal/fairshare/class.go
@@ -104,7 +104,7 @@
 // idle, and updates the floors. Between divisions, reports only adjust the totals.
 func (d *Divider) refreshTotals(now time.Time) {
 	for _, account := range d.accounts {
-		account.charged, account.waiting, account.running = 0, 0, 0
+		account.chargedCost, account.waiting, account.running = 0, 0, 0
 	}
 	for _, router := range d.routerList {
 		d.addToTotals(router, 1)
@@ -126,7 +126,7 @@
 	}
 	for _, name := range router.running {
 		if account := d.accounts[name]; account != nil {
-			account.charged += float64(sign) * router.usage[name].EstimatedCost
+			account.chargedCost += float64(sign) * router.usage[name].EstimatedCost
 			account.running += sign * router.usage[name].Running
 		}
 	}
@@ -142,7 +142,7 @@
 	waiting := account.waiting > 0
 	if waiting && now.Sub(account.lastWaiting) > idleGrace {
 		for _, class := range account.classes {
-			account.virtualTime = max(account.virtualTime, class.floor-account.charged/account.share)
+			account.virtualTime = max(account.virtualTime, class.floor-account.chargedCost/account.share)
 		}
 	}
 	account.backlogged = waiting
--- a/internal/fairshare/divider.go
+++ b/internal/fairshare/divider.go
@@ -73,7 +73,7 @@
 	name        string
 	share       float64
 	virtualTime float64 // settled cost over share, raised after idle times
-	charged     float64 // estimated cost of the running requests
+	chargedCost float64 // estimated cost of the running requests
 	waiting     int
 	running     int
 	backlogged  bool
@@ -84,7 +84,7 @@
 
 // effectiveVirtualTime returns the virtual time including the charge of the running requests.
 func (a *accountState) effectiveVirtualTime() float64 {
-	return a.virtualTime + a.charged/a.share
+	return a.virtualTime + a.chargedCost/a.share
 }
 
 // targetState is a target and the accounting of its slots.
--- a/internal/fairshare/estimate.go
+++ b/internal/fairshare/estimate.go
@@ -7,7 +7,7 @@
 	items       itemHeap
 	meanCost    float64 // moving average of the cost, once a request has ended
 	costPerHint float64 // moving average of cost over hint
-	samples     int     // number of costs learned, up to steadySamples
+	samples     int     // number of recorded costs, up to steadySamples
 	// Mean squared errors of predictions by the mean and by the hints.
 	meanSquaredError float64
 	hintSquaredError float64
@@ -46,16 +46,16 @@
 // all count equally.
 const steadySamples = 1 / costWeight
 
-func (q *eventQueue) learn(hint, cost float64) {
+func (q *eventQueue) recordCost(hint, cost float64) {
 	q.samples = min(q.samples+1, steadySamples)
-	gain := 1 / float64(q.samples)
+	weight := 1 / float64(q.samples)
 	if hint > 0 && q.samples > 1 {
 		meanError, hintError := cost-q.meanCost, cost-q.fromHint(hint)
-		q.meanSquaredError += gain * (meanError*meanError - q.meanSquaredError)
-		q.hintSquaredError += gain * (hintError*hintError - q.hintSquaredError)
+		q.meanSquaredError += weight * (meanError*meanError - q.meanSquaredError)
+		q.hintSquaredError += weight * (hintError*hintError - q.hintSquaredError)
 	}
-	q.meanCost += gain * (cost - q.meanCost)
+	q.meanCost += weight * (cost - q.meanCost)
 	if hint > 0 {
-		q.costPerHint += gain * (cost/hint - q.costPerHint)
+		q.costPerHint += weight * (cost/hint - q.costPerHint)
 	}
 }
--- a/internal/fairshare/grant.go
+++ b/internal/fairshare/grant.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		router.sentVirtualTimes[name] = account.virtualTime
-		remoteCharge := (account.charged - router.usage[name].EstimatedCost) / account.share
+		remoteCharge := (account.chargedCost - router.usage[name].EstimatedCost) / account.share
 		virtualTimes = append(virtualTimes, message.VirtualTime{
 			Account: name, Value: roundForWire(account.virtualTime), RemoteCharge: roundForWire(max(remoteCharge, 0)), FleetRatio: router.fleetRatio(account),
 		})
--- a/internal/fairshare/queues.go
+++ b/internal/fairshare/queues.go
@@ -70,14 +70,14 @@
 	config fleet.Account
 	queues []*eventQueue
 
-	virtualTime          float64 // as received, without the service that is not in settledInVirtualTime
+	virtualTime          float64 // as received from the leader; service since then is not included
 	remoteCharge         float64
-	settledInVirtualTime float64 // part of settled that virtual time includes
-	chargedInVirtualTime float64 // part of charged that the leader knew of when it computed the virtual time
+	settledInVirtualTime float64 // part of settledCost that virtualTime includes
+	chargedInVirtualTime float64 // part of chargedCost that the leader knew of when it computed virtualTime
 	fleetRatio           float64 // the fleet's work relative to this router's
-	settled              float64
+	settledCost          float64
 	settledCount         uint64
-	charged              float64
+	chargedCost          float64
 	running              int
 	waiting              int
 	waitingBytes         int // bodies of the waiting requests
@@ -115,9 +115,9 @@
 // fleet's work to its own; otherwise all of them together would overshoot.
 func (a *localAccount) effectiveVirtualTime(floor float64) float64 {
 	if !a.virtualTimeKnown {
-		return floor + (a.settled+a.charged)/a.config.Share
+		return floor + (a.settledCost+a.chargedCost)/a.config.Share
 	}
-	since := a.settled - a.settledInVirtualTime + a.charged - a.chargedInVirtualTime
+	since := a.settledCost - a.settledInVirtualTime + a.chargedCost - a.chargedInVirtualTime
 	if since > 0 {
 		since *= max(a.fleetRatio, 1)
 	}
@@ -215,7 +215,7 @@
 	q.recordRemoval(best, item)
 	best.recordDispatch(now)
 	item.ChargedCost = queue.estimate(item.CostHint, q.meanCost)
-	best.charged += item.ChargedCost
+	best.chargedCost += item.ChargedCost
 	best.running++
 	return item, true
 }
@@ -249,9 +249,9 @@
 	account := q.account(item.Account)
 	q.removeCharge(account, item)
 	cost = max(cost, 0)
-	account.settled += cost
+	account.settledCost += cost
 	account.settledCount++
-	account.queue(item.Event).learn(item.CostHint, cost)
+	account.queue(item.Event).recordCost(item.CostHint, cost)
 	if q.meanCost == 0 {
 		q.meanCost = cost
 	}
@@ -265,9 +265,9 @@
 
 func (q *Queues) removeCharge(account *localAccount, item *Item) {
 	account.running--
-	account.charged -= item.ChargedCost
+	account.chargedCost -= item.ChargedCost
 	if account.running == 0 {
-		account.charged = 0 // removes the accumulated rounding error
+		account.chargedCost = 0 // removes the accumulated rounding error
 	}
 }
 
@@ -345,8 +345,8 @@
 			continue
 		}
 		list = append(list, message.Usage{
-			Account: name, Served: roundForWire(account.settled), Settled: account.settledCount,
-			EstimatedCost: roundForWire(account.charged), Running: account.running,
+			Account: name, Served: roundForWire(account.settledCost), Settled: account.settledCount,
+			EstimatedCost: roundForWire(account.chargedCost), Running: account.running,
 		})
 	}
 	return list
