--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -13,7 +13,7 @@
 		return
 	}
 	for {
-		item, ok := s.queues.Choose(now, func(name string) bool { return s.eventHasFreeSlot(now, name) })
+		item, ok := s.queues.PopNext(now, func(eventName string) bool { return s.eventHasFreeSlot(now, eventName) })
 		if !ok {
 			return
 		}
@@ -141,7 +141,7 @@
 
 // HandleClaimResult handles the keepers' answer to a claim. lost means that no answer came: the
 // request was not sent and never will be under this claim, so it was not run.
-func (s *Scheduler) HandleClaimResult(now time.Time, id uint64, verdict message.ClaimResult, lost bool) {
+func (s *Scheduler) HandleClaimResult(now time.Time, id uint64, result message.ClaimResult, lost bool) {
 	req := s.requests[id]
 	if req == nil || req.phase != phaseClaiming {
 		return
@@ -151,33 +151,33 @@
 	}
 	target := s.targets[req.targetName]
 	switch {
-	case verdict.Granted && !req.disconnected && s.HasLease(now) && target != nil && !target.leaving && target.slots > 0:
+	case result.Granted && !req.disconnected && s.HasLease(now) && target != nil && !target.leaving && target.slots > 0:
 		req.claimed = true
 		s.send(now, req, target, ReasonLeastLoaded)
-	case verdict.Granted && !req.disconnected && s.HasLease(now) && !s.stopping:
+	case result.Granted && !req.disconnected && s.HasLease(now) && !s.stopping:
 		req.claimed = true
 		s.releaseSlot(req)
 		s.requeue(now, req)
 	default:
 		s.releaseSlot(req)
-		s.refuseClaim(now, req, verdict, lost)
+		s.refuseClaim(now, req, result, lost)
 	}
 	s.dispatchWaiting(now)
 }
 
-func (s *Scheduler) refuseClaim(now time.Time, req *pendingRequest, verdict message.ClaimResult, lost bool) {
+func (s *Scheduler) refuseClaim(now time.Time, req *pendingRequest, result message.ClaimResult, lost bool) {
 	switch {
 	case req.disconnected:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
-	case lost || verdict.Granted:
+		s.refuse(req, newNotRunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
+	case lost || result.Granted:
 		s.refuse(req, s.noLeaseRefusal(now))
-	case verdict.ClaimsFull:
+	case result.ClaimsFull:
 		req.claimAttempt = 0
-		s.refuse(req, newUnrunRefusal(now.Add(claimsFullRetryAfter), fleet.KindCapacityExhausted, "come back later, or send it as repeatable",
+		s.refuse(req, newNotRunRefusal(now.Add(claimsFullRetryAfter), fleet.KindCapacityExhausted, "come back later, or send it as repeatable",
 			"the keepers hold as many claims as they may"))
 	default:
 		req.claimAttempt = 0
-		s.refuse(req, claimedRefusal(verdict.State))
+		s.refuse(req, claimedRefusal(result.State))
 	}
 }
 
@@ -185,17 +185,18 @@
 const claimsFullRetryAfter = time.Minute
 
 // claimedRefusal returns the refusal of a request whose claim key is already taken. Its outcome is
-// never unrun: the client asks about the key, and an earlier request with that key may have run.
-func claimedRefusal(fate message.RunState) *Refuse {
+// never "not run": the client asks about the key, and an earlier request with that key may have
+// run.
+func claimedRefusal(state message.RunState) *Refuse {
 	outcome := fleet.OutcomeUnknown
-	if fate == message.RunStateRan {
+	if state == message.RunStateRan {
 		outcome = fleet.OutcomeRan
 	}
 	return &Refuse{
 		Err: fleet.NewError(fleet.KindClaimed, "look for the first answer; use a new key only for new work",
-			"the request under this key: %s", fate),
-		Outcome: outcome,
-		Fate:    fate,
+			"the request under this key: %s", state),
+		Outcome:  outcome,
+		RunState: state,
 	}
 }
 
@@ -215,7 +216,7 @@
 func (s *Scheduler) requeue(now time.Time, req *pendingRequest) {
 	req.phase = phaseWaiting
 	if err := s.queues.Push(req.item); err != nil {
-		s.refuse(req, newUnrunRefusal(now.Add(minRetryAfter), fleet.KindQueueFull, "come back after Retry-After", "%v", err))
+		s.refuse(req, newNotRunRefusal(now.Add(minRetryAfter), fleet.KindQueueFull, "come back after Retry-After", "%v", err))
 	}
 }
 
@@ -267,12 +268,13 @@
 	}
 	s.finishAttempt(now, req, result)
 	s.dispatchWaiting(now)
-	if s.slotsShort && s.queues.Waiting() == 0 {
+	if s.slotsShort && s.queues.WaitingCount() == 0 {
 		// Another router needs the slot that was released.
 		s.requestReportAfter(now, minFreeSlotReportInterval)
 	}
 }
 
+// finishAttempt completes, retries or refuses a request whose attempt has ended.
 func (s *Scheduler) finishAttempt(now time.Time, req *pendingRequest, result AttemptResult) {
 	switch {
 	case result.ResponseComplete:
@@ -280,13 +282,13 @@
 	case result.ResponseStarted:
 		s.remove(req, message.RunStateUnknown)
 	case req.disconnected:
-		s.refuse(req, newUnrunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
+		s.refuse(req, newNotRunRefusal(time.Time{}, fleet.KindCallerLeft, "none", "the caller went away"))
 	case s.mayRetry(now, req, result):
 		req.failedTarget = req.targetName
 		req.targetName = ""
 		s.requeue(now, req)
 	case !result.Sent:
-		s.refuse(req, newUnrunRefusal(now.Add(minRetryAfter), fleet.KindNoTarget, "come back after Retry-After", "target %s cannot be reached", req.targetName))
+		s.refuse(req, newNotRunRefusal(now.Add(minRetryAfter), fleet.KindNoTarget, "come back after Retry-After", "target %s cannot be reached", req.targetName))
 	default:
 		s.remove(req, message.RunStateUnknown)
 		s.emit(Refuse{
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -22,7 +22,7 @@
 	config  fleet.Config
 	divider *fairshare.Divider
 	term    uint64
-	ledger  statestore.Store
+	store   statestore.Store
 	routers []*simRouter
 	targets map[string]*simTarget
 	lastID  uint64
@@ -113,7 +113,7 @@
 	}
 	divider.Tick(sim.now)
 	sim.sendGrants()
-	sim.after(max(divider.Deadline().Sub(sim.now), time.Millisecond), func() { sim.tickDivider(divider) })
+	sim.after(max(divider.NextTick().Sub(sim.now), time.Millisecond), func() { sim.tickDivider(divider) })
 }
 
 // startRouter starts a router without any state.
@@ -198,7 +198,7 @@
 }
 
 func (sim *simulation) applyCommand(command statestore.Command) statestore.Result {
-	result, err := sim.ledger.ApplyCommand(command.Encode())
+	result, err := sim.store.ApplyCommand(command.Encode())
 	if err != nil {
 		panic(err)
 	}
@@ -225,34 +225,34 @@
 			extraDelay = time.Duration(sim.random.IntN(500)) * time.Millisecond
 		}
 		sim.after(sim.delay+extraDelay, func() {
-			sim.divider.Report(sim.now, report)
+			sim.divider.HandleReport(sim.now, report)
 			sim.sendGrants()
 		})
 	}
 }
 
 func (sim *simulation) sendGrants() {
-	for _, addressed := range sim.divider.Take() {
-		sim.controlBytes += jsonSize(addressed.Grant)
+	for _, routerGrant := range sim.divider.TakeGrants() {
+		sim.controlBytes += jsonSize(routerGrant.Grant)
 		for _, router := range sim.routers {
-			if router.name != addressed.Router || sim.losesMessage(router) {
+			if router.name != routerGrant.Router || sim.losesMessage(router) {
 				continue
 			}
 			scheduler := router.scheduler
 			sim.after(sim.delay, func() {
-				sim.deliver(router, scheduler, func(s *dispatch.Scheduler) { s.HandleGrant(sim.now, addressed.Grant) })
+				sim.deliver(router, scheduler, func(s *dispatch.Scheduler) { s.HandleGrant(sim.now, routerGrant.Grant) })
 			})
 		}
 	}
 }
 
-func (sim *simulation) answerClaim(router *simRouter, scheduler *dispatch.Scheduler, action dispatch.AcquireClaim) {
+func (sim *simulation) answerClaim(router *simRouter, scheduler *dispatch.Scheduler, acquire dispatch.AcquireClaim) {
 	fault := claimFault{}
 	if sim.nextClaimFault != nil {
 		fault = sim.nextClaimFault(sim)
 	}
-	answer := func(verdict message.ClaimResult, lost bool) {
-		sim.deliver(router, scheduler, func(s *dispatch.Scheduler) { s.HandleClaimResult(sim.now, action.ID, verdict, lost) })
+	answer := func(result message.ClaimResult, lost bool) {
+		sim.deliver(router, scheduler, func(s *dispatch.Scheduler) { s.HandleClaimResult(sim.now, acquire.ID, result, lost) })
 	}
 	const claimTimeout = 500 * time.Millisecond
 	if fault.requestLost || router.partitioned {
@@ -260,12 +260,12 @@
 		return
 	}
 	sim.after(sim.delay, func() {
-		verdict := sim.applyCommand(statestore.Command{ProposedAt: sim.now, Claims: []message.Claim{action.Claim}}).ClaimResults[0]
+		result := sim.applyCommand(statestore.Command{ProposedAt: sim.now, Claims: []message.Claim{acquire.Claim}}).ClaimResults[0]
 		if fault.answerLost {
 			sim.after(claimTimeout, func() { answer(message.ClaimResult{}, true) })
 			return
 		}
-		sim.after(sim.delay, func() { answer(verdict, false) })
+		sim.after(sim.delay, func() { answer(result, false) })
 	})
 }
 
--- a/internal/keeper/simcluster_test.go
+++ b/internal/keeper/simcluster_test.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		c.routers[routerKey{report.Router, report.Incarnation}] = conn
-		c.divider.Report(cluster.clock.Now(), report)
+		c.divider.HandleReport(cluster.clock.Now(), report)
 		cluster.runCore(name)
 	}
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -205,7 +205,7 @@
 	if !ok {
 		status = fasthttp.StatusInternalServerError
 	}
-	writeJSON(ctx, status, refusalBody{Kind: refusal.Err.Kind, Message: refusal.Err.Message, Remedy: refusal.Err.Remedy, Fate: refusal.Fate})
+	writeJSON(ctx, status, refusalBody{Kind: refusal.Err.Kind, Message: refusal.Err.Message, Remedy: refusal.Err.Remedy, Fate: refusal.RunState})
 	ctx.Response.Header.Set(headerOutcome, string(refusal.Outcome))
 	if !refusal.RetryAt.IsZero() {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(r.Clock.Now(), refusal.RetryAt))
