--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -51,7 +51,7 @@
 	}
 	cause := Cause{Why: explanation.why(r, end), Look: explanation.look}
 	if truncated {
-		cause.Why = "the answer had begun and was broken off, so that it cannot look whole: " + cause.Why
+		cause.Why = "the answer had begun and was aborted, so that the caller does not take it for complete: " + cause.Why
 	}
 	return cause
 }
@@ -75,31 +75,31 @@
 	fleet.ReasonStreamTruncated: {explainLostAttempt("the stream ended early"), "the target: did it stop, or was its zone cut off?"},
 	fleet.ReasonCallerLeft:      {explainCallerLeft, "the caller's own time limit"},
 	fleet.ReasonAnswerWriteFailed: {
-		withError("the answer was there, and the caller's connection took it no more"), "the caller, and the way to it",
+		withError("the answer could not be written to the caller's connection"), "the caller, and the network to it",
 	},
 	fleet.ReasonStreamWriteFailed: {
-		withError("the caller's connection took no more of the stream"), "the caller, and the way to it",
+		withError("the stream could not be written to the caller's connection"), "the caller, and the network to it",
 	},
 	fleet.ReasonTargetClosed: {
-		fixedText("its target was evacuated, or became cold, while the request was on its way there"), "evacuated zones changed, targets changed",
+		fixedText("its target was evacuated, or became cold, after the router had chosen it"), "evacuated zones changed, targets changed",
 	},
-	fleet.ReasonServiceOverloaded: {explainOverload, "how many targets the pool has (targets changed), and what its routes ask for"},
+	fleet.ReasonServiceOverloaded: {explainOverload, "how many targets the pool has (targets changed), and the load of its routes"},
 	fleet.ReasonAllEvacuated: {
-		fixedText("all targets of its pool lie in evacuated zones"), "lfctl status: the evacuated zones; docs/operators/evacuate.md",
+		fixedText("all targets of its pool are in evacuated zones"), "lfctl status: the evacuated zones; docs/operators/evacuate.md",
 	},
 	fleet.ReasonTargetFailed: {explainLostAttempt("the target answered with a failure"), "the target's own log"},
 	fleet.ReasonBodyMemoryFull: {
-		fixedText("bodies of requests in progress filled an eighth of the router's memory"), "who sends large bodies, and whether targets are slow",
+		fixedText("the bodies of requests in progress use an eighth of the router's memory, which is the limit"), "who sends large bodies, and whether targets are slow",
 	},
 	fleet.ReasonGraceExpired: {
-		fixedText("the router was stopping, and the request was still in progress when the grace ended"), "stopping and stopped lines: until, active",
+		fixedText("the router was stopping, and the request was still in progress at the end of the grace period"), "stopping and stopped lines: until, active",
 	},
 	fleet.ReasonQuarantined: {
 		explainQuarantined,
 		"quarantine and cut by the target lines with its print; lfctl held, lfctl lift",
 	},
-	fleet.ReasonBodyTooLarge:   {fixedText("its body is larger than the configuration's limit"), "the configuration's limits of callers"},
-	fleet.ReasonBodyIncomplete: {withError("its body did not come whole before its time was up"), "the caller, and the way to it"},
+	fleet.ReasonBodyTooLarge:   {fixedText("its body is larger than the configuration's limit"), "the limits for callers in the configuration"},
+	fleet.ReasonBodyIncomplete: {withError("its body was not received completely before the timeout"), "the caller, and the network to it"},
 	fleet.ReasonNoAnswer:       {explainLostAttempt("the target gave no answer"), "the target: did it stop, or was its zone cut off?"},
 	fleet.ReasonAddressReused:  {explainAddressReused, "the target's start; targets changed: its age"},
 	fleet.ReasonNoConfig: {
@@ -111,17 +111,17 @@
 		"keepers: no leader found; leading and no longer leading at the keepers",
 	},
 	fleet.ReasonNoRoute:            {fixedText("the configuration in force has no route for its host and path"), "configuration in force: its number"},
-	fleet.ReasonNoTarget:           {fixedText("the pool had no target that takes new work"), "targets changed: how many leave"},
-	fleet.ReasonOverShare:          {explainOverShare, "other accounts' done lines: who else was refused, and who served"},
+	fleet.ReasonNoTarget:           {fixedText("the pool had no target that accepts new requests"), "targets changed: how many are leaving"},
+	fleet.ReasonOverShare:          {explainOverShare, "done lines of other accounts: which were refused, and which served"},
 	fleet.ReasonStopping:           {explainStopping, "stopping: since when; the balancer's readiness checks"},
-	fleet.ReasonStreamNotResumable: {explainLostAttempt("the stream broke off, and the next target could not go on with it"), "send lines: after"},
-	fleet.ReasonDeadlineExceeded:   {explainDeadline, "the attempts: which one took the time"},
+	fleet.ReasonStreamNotResumable: {explainLostAttempt("the stream was interrupted, and the next target could not resume it"), "send lines: after"},
+	fleet.ReasonDeadlineExceeded:   {explainDeadline, "the send lines: which attempt took the time"},
 	fleet.ReasonUnknownKey:         {fixedText("no account of the configuration in force has its key"), "configuration in force: its number"},
 	fleet.ReasonNoTargetReachable:  {explainLostAttempt("no connection to several targets in a row"), "targets changed: its age; is the router's zone cut off?"},
 	fleet.ReasonNotRun:             {explainNotRun, "the target's load in the send lines"},
-	fleet.ReasonUnsigned:           {explainLostAttempt("the answer bore no signature of the target"), "what listens at the target's address"},
+	fleet.ReasonUnsigned:           {explainLostAttempt("the answer had no signature of the target"), "what listens at the target's address"},
 	fleet.ReasonWarming: {
-		fixedText("all targets of its pool that are not evacuated were cold, and had what they may get"), "targets changed: how many started anew; docs/operators/evacuate.md",
+		fixedText("all targets of its pool that are not evacuated were cold and had reached their limit of requests"), "targets changed: how many restarted; docs/operators/evacuate.md",
 	},
 }
 
@@ -143,50 +143,50 @@
 	case end.Status >= firstServerError:
 		return fmt.Sprintf("target %s itself answered %d%s", last.Target, end.Status, report.blame(last))
 	case last.Attempt > 1:
-		return fmt.Sprintf("answered by the attempt number %d; %d ms had gone by before that", last.Attempt, end.Duration-last.Duration)
+		return fmt.Sprintf("answered by attempt number %d, which began after %d ms", last.Attempt, end.Duration-last.Duration)
 	case last.FirstByte > slowFirstByte && last.FirstByte > mispredictionFactor*last.PredictedFirstByte:
-		return fmt.Sprintf("target %s took %d ms to begin, %d were predicted: it was slower than it looked%s", last.Target, last.FirstByte, last.PredictedFirstByte, report.blame(last))
+		return fmt.Sprintf("target %s sent the first byte after %d ms, %d were predicted: it was slower than predicted%s", last.Target, last.FirstByte, last.PredictedFirstByte, report.blame(last))
 	case last.FirstByte > slowFirstByte && last.QueueTime*2 > last.PredictedFirstByte:
-		return fmt.Sprintf("of %d ms predicted to the first byte, %d were the work of others at target %s", last.PredictedFirstByte, last.QueueTime, last.Target)
+		return fmt.Sprintf("of %d ms predicted to the first byte, %d were for requests before it at target %s", last.PredictedFirstByte, last.QueueTime, last.Target)
 	case last.FirstByte > slowFirstByte && last.UncachedTokens > 0:
-		return fmt.Sprintf("target %s had to read %d tokens%s, which took most of %d ms to the first byte", last.Target, last.UncachedTokens, notCachedNote(last), last.FirstByte)
+		return fmt.Sprintf("target %s had to prefill %d tokens%s, which took most of the %d ms to the first byte", last.Target, last.UncachedTokens, notCachedNote(last), last.FirstByte)
 	case last.Load >= fullLoad:
-		return fmt.Sprintf("answered; target %s had %.0f%% of its slots taken, which slows its streams", last.Target, 100*last.Load)
+		return fmt.Sprintf("answered; target %s had %.0f%% of its slots in use, which slows its streams", last.Target, 100*last.Load)
 	}
-	return fmt.Sprintf("answered in %d ms, the first byte after %d", end.Duration, last.FirstByte)
+	return fmt.Sprintf("answered in %d ms, with the first byte after %d", end.Duration, last.FirstByte)
 }
 
 func notCachedNote(attempt *Line) string {
 	if attempt.CachedAtTarget {
 		return ""
 	}
-	return " (the prompt's parts belong elsewhere)"
+	return " (the prompt's parts are expected to be cached at another target)"
 }
 
 func explainWaitTooLong(_ *RequestReport, end *Line) string {
-	return fmt.Sprintf("the first byte was predicted after %d ms, when its caller would have left; %.0f%% of the best target's slots were taken", end.PredictedWait, 100*end.Load)
+	return fmt.Sprintf("the first byte was predicted after %d ms, when its caller would have left already; the best target had %.0f%% of its slots in use", end.PredictedWait, 100*end.Load)
 }
 
 func explainCallerLeft(report *RequestReport, end *Line) string {
 	text := fmt.Sprintf("its caller left after %d ms", end.Duration)
 	if last := report.Last(); last != nil {
-		text += fmt.Sprintf(", while target %s had it for %d ms (%d predicted to the first byte, which came after %d)", last.Target, last.Duration, last.PredictedFirstByte, last.FirstByte)
+		text += fmt.Sprintf(", when target %s had processed the request for %d ms (first byte predicted after %d, received after %d)", last.Target, last.Duration, last.PredictedFirstByte, last.FirstByte)
 		return text + report.blame(last)
 	}
 	return text + ", before it was sent to a target"
 }
 
 func explainOverload(report *RequestReport, _ *Line) string {
-	all, unrun := report.Pool.Total(), report.Pool[fleet.AttemptNotRun]
-	text := "its service was asked for more than it can do, and the request was kept back as surplus of its account or route"
-	if all > 0 {
-		text += fmt.Sprintf(": of %d attempts there around that time, it refused %d", all, unrun)
+	total, notRun := report.Pool.Total(), report.Pool[fleet.AttemptNotRun]
+	text := "its service was overloaded, and the request was shed as excess load of its account or route"
+	if total > 0 {
+		text += fmt.Sprintf("; of %d attempts in that pool around that time, targets refused %d", total, notRun)
 	}
 	return text
 }
 
 func explainKeysUnverifiable(report *RequestReport, end *Line) string {
-	text := "the router had no answer from a leading keeper for longer than its lease on keys lasts"
+	text := "the router had no answer from the leading keeper for longer than its lease on keys"
 	for _, line := range report.Known {
 		if line.Message == messageNoLeader {
 			text += fmt.Sprintf("; it had found none for %.1f s", end.Time.Sub(line.Time).Seconds())
@@ -195,61 +195,61 @@
 	refused, served := report.Others[fleet.ReasonKeysUnverifiable], report.Others[fleet.ReasonAnswered]
 	switch {
 	case served > 0 && refused*10 < served:
-		text += fmt.Sprintf("; other routers served %d requests meanwhile and refused %d for that: this router was cut off from the keepers", served, refused)
+		text += fmt.Sprintf("; other routers served %d requests around that time and refused %d for this reason: this router was cut off from the keepers", served, refused)
 	case refused > 0:
-		text += fmt.Sprintf("; other routers refused %d for that as well: nobody led the keepers, or several routers were cut off", refused)
+		text += fmt.Sprintf("; other routers refused %d for this reason as well: the keepers had no leader, or several routers were cut off", refused)
 	}
 	return text
 }
 
 func explainOverShare(report *RequestReport, end *Line) string {
 	refused := report.Account[fleet.ReasonOverShare]
-	text := fmt.Sprintf("its account asked for more than its share (%d of its %d requests around that time were refused for that), and targets had no room beside: %d ms were predicted to the first byte, %.0f%% of the best target's slots taken",
+	text := fmt.Sprintf("its account exceeded its share (%d of its %d requests around that time were refused for this reason), and targets had no spare capacity: the first byte was predicted after %d ms, and the best target had %.0f%% of its slots in use",
 		refused, report.Account.Total(), end.PredictedWait, 100*end.Load)
 	if end.ExcessFactor > 1 {
-		text += fmt.Sprintf("; the account was served %.1f times as much as another that lacked service", end.ExcessFactor)
+		text += fmt.Sprintf("; the account got %.1f times as much service as an underserved account", end.ExcessFactor)
 	}
 	return text
 }
 
 func explainQuarantined(_ *RequestReport, end *Line) string {
-	return fmt.Sprintf("%d targets have ended under requests like it (same account, method, path and body; print %s), so it is held back: each run may take another target away from everybody",
+	return fmt.Sprintf("%d targets have ended while they ran requests like it (same account, method, path and body; print %s), so it is quarantined: each run may end another target",
 		end.TargetEnds, end.Fingerprint)
 }
 
 func explainStopping(report *RequestReport, end *Line) string {
-	text := "the router was on its way out; others take new requests"
+	text := "the router was stopping; other routers accept new requests"
 	for _, line := range report.Known {
 		if line.Message == messageStopping {
-			text += fmt.Sprintf("; it had been told to stop %.1f s before, and takes requests for some seconds, until the balancer has noticed", end.Time.Sub(line.Time).Seconds())
+			text += fmt.Sprintf("; its shutdown began %.1f s before, and it accepts requests for some seconds, until the load balancer has removed it", end.Time.Sub(line.Time).Seconds())
 		}
 	}
 	return text
 }
 
 func explainDeadline(report *RequestReport, end *Line) string {
-	text := fmt.Sprintf("the caller's or the route's time was up after %d ms", end.Duration)
+	text := fmt.Sprintf("the deadline of the caller or the timeout of the route expired after %d ms", end.Duration)
 	if last := report.Last(); last != nil {
-		text += fmt.Sprintf("; the last attempt, at target %s, took %d of them (%s)", last.Target, last.Duration, last.Result)
+		text += fmt.Sprintf("; the last attempt, at target %s, took %d ms of that (%s)", last.Target, last.Duration, last.Result)
 		text += report.blame(last)
 	}
 	return text
 }
 
 func explainAddressReused(report *RequestReport, end *Line) string {
-	text := "the target that it was sent to had just been replaced: another one has its address, and the list of targets did not say so yet"
+	text := "the target that it was sent to had just been replaced: another one has its address, and the router's list of targets was not up to date"
 	for _, line := range report.Known {
 		if line.Message == messageTargets {
-			text += fmt.Sprintf("; the router had heard of the last change %.1f s before", end.Time.Sub(line.Time).Seconds())
+			text += fmt.Sprintf("; the list last changed %.1f s before", end.Time.Sub(line.Time).Seconds())
 		}
 	}
-	return text + fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", report.Pool.Total(), report.Pool[fleet.AttemptAddressReused])
+	return text + fmt.Sprintf("; of %d attempts in that pool around that time, %d failed for this reason", report.Pool.Total(), report.Pool[fleet.AttemptAddressReused])
 }
 
 func explainNotRun(report *RequestReport, end *Line) string {
-	text := fmt.Sprintf("the targets that it was sent to (%d) said that they had no room for it", end.Sent)
+	text := fmt.Sprintf("the targets that it was sent to (%d) refused it for lack of capacity", end.Sent)
 	if last := report.Last(); last != nil {
-		text += fmt.Sprintf("; of %d attempts in that pool around that time, %d met that", report.Pool.Total(), report.Pool[fleet.AttemptNotRun])
+		text += fmt.Sprintf("; of %d attempts in that pool around that time, %d were refused", report.Pool.Total(), report.Pool[fleet.AttemptNotRun])
 	}
 	return text
 }
@@ -259,19 +259,19 @@
 	return func(report *RequestReport, end *Line) string {
 		why := text
 		if last := report.Last(); last != nil {
-			why += fmt.Sprintf(" at target %s after %d ms", last.Target, last.Duration)
+			why += fmt.Sprintf(": target %s, after %d ms", last.Target, last.Duration)
 			if last.Error != "" {
 				why += " (" + last.Error + ")"
 			}
 			why += report.targetRestarted(last) + report.blame(last)
 			if last.TimeLeft <= minRetryTime {
-				return why + fmt.Sprintf("; it was not sent again since its time was up but for %d ms", max(last.TimeLeft, 0))
+				return why + fmt.Sprintf("; it was not retried, since only %d ms were left until its deadline", max(last.TimeLeft, 0))
 			}
 		}
 		if end.Sent <= 1 {
-			return why + "; it was not sent again: its route allows one attempt, it may run only once, or the retry budget was used up"
+			return why + "; it was not retried: its route allows one attempt, it may run only once, or the retry budget was exhausted"
 		}
-		return why + fmt.Sprintf("; it was sent %d times, as often as its route or the retry budget allows", end.Sent)
+		return why + fmt.Sprintf("; it was sent %d times, which is the limit of its route or of the retry budget", end.Sent)
 	}
 }
 
@@ -282,7 +282,7 @@
 	if attempt.TargetStart == 0 || lastStart <= attempt.TargetStart {
 		return ""
 	}
-	return fmt.Sprintf("; the target started again under its ID at %s: the run that had the request is gone", formatStart(lastStart))
+	return fmt.Sprintf("; the target restarted with the same ID at %s, which ended the request", formatStart(lastStart))
 }
 
 // blame returns a note on whether the attempts within the window show that the target fails, or its whole
@@ -299,9 +299,9 @@
 	case targetRate >= highFailureRate && targetRate > 2*othersRate:
 		return fmt.Sprintf("; this target failed %d of %d attempts around that time, others %d of %d: it is the target", targetFailed, target.Total(), othersFailed, pool.Total()-target.Total())
 	case targetRate >= highFailureRate:
-		return fmt.Sprintf("; this target failed %d of %d attempts around that time, others %d of %d: it is the whole pool, or the way there", targetFailed, target.Total(), othersFailed, pool.Total()-target.Total())
+		return fmt.Sprintf("; this target failed %d of %d attempts around that time, others %d of %d: it is the whole pool, or the network to it", targetFailed, target.Total(), othersFailed, pool.Total()-target.Total())
 	}
-	return fmt.Sprintf("; around that time this target failed %d of %d attempts: it is not failing in general", targetFailed, target.Total())
+	return fmt.Sprintf("; around that time this target failed %d of %d attempts: it does not fail in general", targetFailed, target.Total())
 }
 
 // targetFailures returns the number of attempts that failed because of the target.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -64,8 +64,8 @@
 	}
 	send := `{"@message":"send","@timestamp":"2026-01-01T00:00:10Z","request":"mine","target":"t"}` + "\n"
 	for _, tt := range []struct{ name, lines, why string }{
-		{"hung", line("01", "start") + line("05", "stopping") + send + line("11", "stopped") + line("14", "start"), "nothing left in progress, and was killed"},
-		{"cut", line("01", "start") + send + line("11", "stopping") + line("19", "start"), "was told to stop and was killed before it ended"},
+		{"hung", line("01", "start") + line("05", "stopping") + send + line("11", "stopped") + line("14", "start"), "killed during a shutdown, after all requests in progress had ended"},
+		{"cut", line("01", "start") + send + line("11", "stopping") + line("19", "start"), "its router was killed during a shutdown"},
 		{"overdue", line("01", "start") + send + line("11", "stopping") + line("18", "overdue") + line("18", "stop"), "ended itself"},
 		{"killed", line("01", "start") + send + line("19", "start"), "was killed, or crashed"},
 		{"dropped", line("01", "start") + send + line("11", "stopping") + line("12", "stopped") + line("13", "stop") + line("19", "start"), "the line was dropped"},
@@ -87,7 +87,7 @@
 	require.NoError(t, os.WriteFile(file, []byte(line+"\n"), 0o600))
 	report, err := explain.Find("mine", []explain.Source{explain.File(file)})
 	require.NoError(t, err)
-	require.Contains(t, report.Cause().Why, "no line tells of its end")
+	require.Contains(t, report.Cause().Why, "there is no line about its end")
 	require.Equal(t, "r1", report.Lines[0].Process)
 }
 
@@ -120,16 +120,16 @@
 // The cause of a late answer follows from the line of its last attempt.
 func TestCauseOfLateAnswer(t *testing.T) {
 	for want, attempt := range map[string]explain.Line{
-		"it was slower than it looked":  {FirstByte: 900, PredictedFirstByte: 100, Attempt: 1},
-		"were the work of others":       {FirstByte: 400, PredictedFirstByte: 500, QueueTime: 400, Attempt: 1},
-		"had to read 9000 tokens":       {FirstByte: 400, PredictedFirstByte: 400, UncachedTokens: 9000, CachedAtTarget: true, Attempt: 1},
-		"belong elsewhere":              {FirstByte: 400, PredictedFirstByte: 400, UncachedTokens: 9000, Attempt: 1},
-		"had 95% of its slots taken":    {FirstByte: 50, PredictedFirstByte: 40, Load: 0.95, Attempt: 1},
-		"by the attempt number 2":       {FirstByte: 50, PredictedFirstByte: 40, Attempt: 2},
-		"answered in 700 ms, the first": {FirstByte: 50, PredictedFirstByte: 40, Attempt: 1},
-		"itself answered 500":           {FirstByte: 50, PredictedFirstByte: 40, Attempt: 1, Status: 500},
-		"it is not failing in general":  {FirstByte: 900, PredictedFirstByte: 100, Attempt: 1, Target: "t"},
-		"failed 0 of 4 attempts":        {FirstByte: 900, PredictedFirstByte: 100, Attempt: 1, Target: "t"},
+		"it was slower than predicted":       {FirstByte: 900, PredictedFirstByte: 100, Attempt: 1},
+		"were for requests before it":        {FirstByte: 400, PredictedFirstByte: 500, QueueTime: 400, Attempt: 1},
+		"had to prefill 9000 tokens":         {FirstByte: 400, PredictedFirstByte: 400, UncachedTokens: 9000, CachedAtTarget: true, Attempt: 1},
+		"cached at another target":           {FirstByte: 400, PredictedFirstByte: 400, UncachedTokens: 9000, Attempt: 1},
+		"had 95% of its slots in use":        {FirstByte: 50, PredictedFirstByte: 40, Load: 0.95, Attempt: 1},
+		"by attempt number 2":                {FirstByte: 50, PredictedFirstByte: 40, Attempt: 2},
+		"answered in 700 ms, with the first": {FirstByte: 50, PredictedFirstByte: 40, Attempt: 1},
+		"itself answered 500":                {FirstByte: 50, PredictedFirstByte: 40, Attempt: 1, Status: 500},
+		"it does not fail in general":        {FirstByte: 900, PredictedFirstByte: 100, Attempt: 1, Target: "t"},
+		"failed 0 of 4 attempts":             {FirstByte: 900, PredictedFirstByte: 100, Attempt: 1, Target: "t"},
 	} {
 		attempt.Message, attempt.Result = "send", fleet.AttemptAnswered
 		end := explain.Line{Message: "done", Reason: fleet.ReasonAnswered, Status: max(attempt.Status, 200), Duration: 700}
@@ -148,7 +148,7 @@
 		Message: "done", Reason: fleet.ReasonQuarantined, Status: 503, TargetEnds: 3, Fingerprint: "e5Ym0IaA-ksrL0NoekFNyg",
 	}}}
 	cause := report.Cause()
-	require.Contains(t, cause.Why, "3 targets have ended under requests like it")
+	require.Contains(t, cause.Why, "3 targets have ended while they ran requests like it")
 	require.Contains(t, cause.Why, "e5Ym0IaA-ksrL0NoekFNyg")
 	require.Contains(t, cause.Look, "lfctl held")
 }
@@ -160,7 +160,7 @@
 	}{
 		{"it is the target", explain.AttemptCounts{fleet.AttemptNoAnswer: 5, fleet.AttemptAnswered: 5}, explain.AttemptCounts{fleet.AttemptNoAnswer: 6, fleet.AttemptAnswered: 100}},
 		{"it is the whole pool", explain.AttemptCounts{fleet.AttemptNoAnswer: 5, fleet.AttemptAnswered: 5}, explain.AttemptCounts{fleet.AttemptNoAnswer: 50, fleet.AttemptAnswered: 50}},
-		{"it is not failing in general", explain.AttemptCounts{fleet.AttemptNoAnswer: 1, fleet.AttemptAnswered: 50}, explain.AttemptCounts{fleet.AttemptNoAnswer: 6, fleet.AttemptAnswered: 100}},
+		{"it does not fail in general", explain.AttemptCounts{fleet.AttemptNoAnswer: 1, fleet.AttemptAnswered: 50}, explain.AttemptCounts{fleet.AttemptNoAnswer: 6, fleet.AttemptAnswered: 100}},
 	}
 	for _, tt := range tests {
 		report := explain.RequestReport{
@@ -189,7 +189,7 @@
 	text, err := json.Marshal(report)
 	require.NoError(t, err)
 	require.Contains(t, string(text), `"t (started 00:00:01.000)":{"no answer":1}`)
-	require.Contains(t, report.Cause().Why, "the target started again under its ID at 00:01:01.500: the run that had the request is gone")
+	require.Contains(t, report.Cause().Why, "the target restarted with the same ID at 00:01:01.500, which ended the request")
 }
 
 func TestBlamesRouterOrKeepers(t *testing.T) {
@@ -198,7 +198,7 @@
 		others explain.ReasonCounts
 	}{
 		{"this router was cut off", explain.ReasonCounts{fleet.ReasonAnswered: 100, fleet.ReasonKeysUnverifiable: 2}},
-		{"nobody led the keepers", explain.ReasonCounts{fleet.ReasonAnswered: 10, fleet.ReasonKeysUnverifiable: 50}},
+		{"the keepers had no leader", explain.ReasonCounts{fleet.ReasonAnswered: 10, fleet.ReasonKeysUnverifiable: 50}},
 	}
 	for _, tt := range tests {
 		report := explain.RequestReport{Lines: []explain.Line{{Message: "done", Reason: fleet.ReasonKeysUnverifiable, Status: 503}}, Others: tt.others}
--- a/internal/explain/lives.go
+++ b/internal/explain/lives.go
@@ -54,20 +54,20 @@
 func (r *RequestReport) causeWithoutEnd() Cause {
 	lifecycle := r.lifecycle()
 	cause := Cause{
-		Why:  "no line tells of its end: it is in progress, its process was killed, or the line was dropped",
+		Why:  "there is no line about its end: it is in progress, its process was killed, or the line was dropped",
 		Look: "the last lines of the process, and its next start",
 	}
 	switch {
 	case lifecycle.overdue:
-		cause = Cause{Why: "its router was told to stop, hung, and ended itself at the end of its grace", Look: "overdue: stacks"}
+		cause = Cause{Why: "its router hung during a shutdown and ended itself at the end of the grace period", Look: "overdue: stacks"}
 	case lifecycle.ended:
-		cause = Cause{Why: "its process ended without a line of its end: the line was dropped, or came too late", Look: "log lines dropped"}
+		cause = Cause{Why: "its process ended without a line about the request's end: the line was dropped, or written too late", Look: "log lines dropped"}
 	case !lifecycle.stoppingSince.IsZero() && lifecycle.stopped && lifecycle.restarted:
-		cause = Cause{Why: "its router was told to stop, had nothing left in progress, and was killed before it ended", Look: "what waits behind stopped: is callers' connections closed there?"}
+		cause = Cause{Why: "its router was killed during a shutdown, after all requests in progress had ended", Look: "the lines after stopped: is there one with callers' connections closed?"}
 	case !lifecycle.stoppingSince.IsZero() && lifecycle.restarted:
-		cause = Cause{Why: "its router was told to stop and was killed before it ended", Look: "stopping: until; was the VM slow, or did it stand still?"}
+		cause = Cause{Why: "its router was killed during a shutdown", Look: "stopping: until; was the VM slow or paused?"}
 	case lifecycle.restarted:
-		cause = Cause{Why: "its process was killed, or crashed, and has started again", Look: "the platform: who ended it?"}
+		cause = Cause{Why: "its process was killed, or crashed, and has restarted", Look: "the platform: what ended the process?"}
 	}
 	return cause
 }
