--- a/internal/regression/regression.go
+++ b/internal/regression/regression.go
@@ -1,4 +1,4 @@
-// Package regression fits straight lines to benchmark results over several sizes.
+// Package regression fits straight lines to results of benchmarks that run with several sizes.
 package regression
 
 import (
@@ -17,71 +17,73 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// A Series is one metric of one benchmark over sizes.
+// A Series contains the values of one metric of one benchmark by size.
 type Series struct {
-	Name string // of the benchmark and of what its sizes count
+	Name string // names of the benchmark and of the property that its sizes count
 	Unit string
-	X, Y []float64
+	X, Y []float64 // sizes and values
 }
 
-// leastSizes is how many sizes a slope must be fitted over.
-const leastSizes = 3
+// minSizes is the minimum number of sizes to fit a line.
+const minSizes = 3
 
-// Fit returns the line through the points and how much of their spread it
-// explains, from 0 to 1.
+// Fit returns the least-squares line through the points, and its coefficient of determination R², from
+// 0 to 1.
 func (s Series) Fit() (base, slope, r2 float64) {
 	base, slope = stat.LinearRegression(s.X, s.Y, nil, false)
 	return base, slope, stat.RSquared(s.X, s.Y, nil, base, slope)
 }
 
-var sized = regexp.MustCompile(`^(Benchmark\S*?)/(?:.*/)?([a-z]+)=(\d+)(?:-\d+)?$`)
+var sizedBenchmark = regexp.MustCompile(`^(Benchmark\S*?)/(?:.*/)?([a-z]+)=(\d+)(?:-\d+)?$`)
 
-// Read collects the series of benchmarks whose names end in "key=number".
+// Read reads the output of go test -bench and returns the series of benchmarks whose names end in
+// "key=number". It fails if a number is invalid, or if no benchmark has three sizes.
 func Read(r io.Reader) ([]Series, error) {
-	var list []Series
-	places := make(map[string]int)
+	var series []Series
+	indexByKey := make(map[string]int)
 	scanner := bufio.NewScanner(r)
 	for scanner.Scan() {
 		fields := strings.Fields(scanner.Text())
 		if len(fields) < 4 {
 			continue
 		}
-		m := sized.FindStringSubmatch(fields[0])
-		if m == nil {
+		match := sizedBenchmark.FindStringSubmatch(fields[0])
+		if match == nil {
 			continue
 		}
-		x, err := strconv.ParseFloat(m[3], 64)
+		size, err := strconv.ParseFloat(match[3], 64)
 		if err != nil {
-			return nil, fmt.Errorf("read the size of %s: %w", fields[0], err)
+			return nil, fmt.Errorf("read the size in the benchmark name %s: %w", fields[0], err)
 		}
 		for i := 2; i+1 < len(fields); i += 2 {
-			y, err := strconv.ParseFloat(fields[i], 64)
+			value, err := strconv.ParseFloat(fields[i], 64)
 			if err != nil {
 				return nil, fmt.Errorf("read %q of %s (give the plain output of go test -bench): %w", fields[i], fields[0], err)
 			}
-			name := m[1] + " by " + m[2]
+			name := match[1] + " by " + match[2]
 			key := name + " " + fields[i+1]
-			place, ok := places[key]
+			index, ok := indexByKey[key]
 			if !ok {
-				place = len(list)
-				places[key] = place
-				list = append(list, Series{Name: name, Unit: fields[i+1]})
+				index = len(series)
+				indexByKey[key] = index
+				series = append(series, Series{Name: name, Unit: fields[i+1]})
 			}
-			list[place].X = append(list[place].X, x)
-			list[place].Y = append(list[place].Y, y)
+			series[index].X = append(series[index].X, size)
+			series[index].Y = append(series[index].Y, value)
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, fmt.Errorf("read the results: %w", err)
+		return nil, fmt.Errorf("read the benchmark results: %w", err)
 	}
-	return enough(list)
+	return requireSizes(series)
 }
 
-func enough(list []Series) ([]Series, error) {
+// requireSizes returns the series with at least minSizes sizes. It fails if there are none.
+func requireSizes(series []Series) ([]Series, error) {
 	var kept []Series
-	for _, s := range list {
-		if len(s.X) >= leastSizes {
-			kept = append(kept, s)
+	for _, candidate := range series {
+		if len(candidate.X) >= minSizes {
+			kept = append(kept, candidate)
 		}
 	}
 	if len(kept) == 0 {
@@ -90,44 +92,44 @@
 	return kept, nil
 }
 
-// Table returns the fits as a Markdown table, with the values at a size.
-func Table(list []Series, at float64) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "| benchmark | unit | sizes | base | slope | fit | at %g |\n|---|---|---|---|---|---|---|\n", at)
-	for _, s := range list {
-		base, slope, r2 := s.Fit()
-		fmt.Fprintf(&b, "| %s | %s | %g to %g | %.4g | %.4g | %.3f | %.4g |\n",
-			s.Name, s.Unit, s.X[0], s.X[len(s.X)-1], base, slope, r2, base+slope*at)
+// Table returns the fitted lines as a Markdown table, with their values at one size.
+func Table(series []Series, size float64) string {
+	var table strings.Builder
+	fmt.Fprintf(&table, "| benchmark | unit | sizes | base | slope | fit | at %g |\n|---|---|---|---|---|---|---|\n", size)
+	for _, fitted := range series {
+		base, slope, r2 := fitted.Fit()
+		fmt.Fprintf(&table, "| %s | %s | %g to %g | %.4g | %.4g | %.3f | %.4g |\n",
+			fitted.Name, fitted.Unit, fitted.X[0], fitted.X[len(fitted.X)-1], base, slope, r2, base+slope*size)
 	}
-	return b.String()
+	return table.String()
 }
 
-// Draw writes the times of all benchmarks, and their fits, to a PNG file.
-func Draw(list []Series, file string) error {
+// Draw plots the times (ns/op) of all benchmarks and the fitted lines to a PNG file.
+func Draw(series []Series, file string) error {
 	const width, height = 8 * vg.Inch, 5 * vg.Inch
-	p := plot.New()
-	p.Title.Text = "time by size, with fitted lines"
-	p.X.Label.Text = "size"
-	p.Y.Label.Text = "ns/op"
-	p.Legend.Top, p.Legend.Left = true, true
-	var lines []any
-	for _, s := range list {
-		if s.Unit != "ns/op" {
+	figure := plot.New()
+	figure.Title.Text = "time by size, with fitted lines"
+	figure.X.Label.Text = "size"
+	figure.Y.Label.Text = "ns/op"
+	figure.Legend.Top, figure.Legend.Left = true, true
+	var namesAndPoints []any
+	for _, drawn := range series {
+		if drawn.Unit != "ns/op" {
 			continue
 		}
-		points := make(plotter.XYs, len(s.X))
-		for i := range s.X {
-			points[i] = plotter.XY{X: s.X[i], Y: s.Y[i]}
+		points := make(plotter.XYs, len(drawn.X))
+		for i := range drawn.X {
+			points[i] = plotter.XY{X: drawn.X[i], Y: drawn.Y[i]}
 		}
-		lines = append(lines, s.Name, points)
-		base, slope, _ := s.Fit()
-		p.Add(plotter.NewFunction(func(x float64) float64 { return base + slope*x }))
+		namesAndPoints = append(namesAndPoints, drawn.Name, points)
+		base, slope, _ := drawn.Fit()
+		figure.Add(plotter.NewFunction(func(x float64) float64 { return base + slope*x }))
 	}
-	if err := plotutil.AddLinePoints(p, lines...); err != nil {
-		return fmt.Errorf("draw: %w", err)
+	if err := plotutil.AddLinePoints(figure, namesAndPoints...); err != nil {
+		return fmt.Errorf("draw the benchmark results: %w", err)
 	}
-	if err := p.Save(width, height, file); err != nil {
-		return fmt.Errorf("write %s: %w", file, err)
+	if err := figure.Save(width, height, file); err != nil {
+		return fmt.Errorf("write the plot to %s: %w", file, err)
 	}
 	return nil
 }
