--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -177,7 +177,7 @@
 }
 
 func explainOverload(report *RequestReport, _ *Line) string {
-	total, notRun := report.Pool.Total(), report.Pool[fleet.AttemptNotRun]
+	total, notRun := report.PoolAttempts.Total(), report.PoolAttempts[fleet.AttemptNotRun]
 	text := "its service was overloaded, and the request was shed as excess load of its account or route"
 	if total > 0 {
 		text += fmt.Sprintf("; of %d attempts in that pool around that time, targets refused %d", total, notRun)
@@ -187,12 +187,12 @@
 
 func explainKeysUnverifiable(report *RequestReport, end *Line) string {
 	text := "the router had no answer from the leading keeper for longer than its lease on keys"
-	for _, line := range report.Known {
+	for _, line := range report.LastStateLines {
 		if line.Message == messageNoLeader {
 			text += fmt.Sprintf("; it had found none for %.1f s", end.Time.Sub(line.Time).Seconds())
 		}
 	}
-	refused, served := report.Others[fleet.ReasonKeysUnverifiable], report.Others[fleet.ReasonAnswered]
+	refused, served := report.OtherProcessReasons[fleet.ReasonKeysUnverifiable], report.OtherProcessReasons[fleet.ReasonAnswered]
 	switch {
 	case served > 0 && refused*10 < served:
 		text += fmt.Sprintf("; other routers served %d requests around that time and refused %d for this reason: this router was cut off from the keepers", served, refused)
@@ -203,9 +203,9 @@
 }
 
 func explainOverShare(report *RequestReport, end *Line) string {
-	refused := report.Account[fleet.ReasonOverShare]
+	refused := report.AccountReasons[fleet.ReasonOverShare]
 	text := fmt.Sprintf("its account exceeded its share (%d of its %d requests around that time were refused for this reason), and targets had no spare capacity: the first byte was predicted after %d ms, and the best target had %.0f%% of its slots in use",
-		refused, report.Account.Total(), end.PredictedWait, 100*end.Load)
+		refused, report.AccountReasons.Total(), end.PredictedWait, 100*end.Load)
 	if end.ExcessFactor > 1 {
 		text += fmt.Sprintf("; the account got %.1f times as much service as an underserved account", end.ExcessFactor)
 	}
@@ -219,7 +219,7 @@
 
 func explainStopping(report *RequestReport, end *Line) string {
 	text := "the router was stopping; other routers accept new requests"
-	for _, line := range report.Known {
+	for _, line := range report.LastStateLines {
 		if line.Message == messageStopping {
 			text += fmt.Sprintf("; its shutdown began %.1f s before, and it accepts requests for some seconds, until the load balancer has removed it", end.Time.Sub(line.Time).Seconds())
 		}
@@ -238,18 +238,18 @@
 
 func explainAddressReused(report *RequestReport, end *Line) string {
 	text := "the target that it was sent to had just been replaced: another one has its address, and the router's list of targets was not up to date"
-	for _, line := range report.Known {
+	for _, line := range report.LastStateLines {
 		if line.Message == messageTargets {
 			text += fmt.Sprintf("; the list last changed %.1f s before", end.Time.Sub(line.Time).Seconds())
 		}
 	}
-	return text + fmt.Sprintf("; of %d attempts in that pool around that time, %d failed for this reason", report.Pool.Total(), report.Pool[fleet.AttemptAddressReused])
+	return text + fmt.Sprintf("; of %d attempts in that pool around that time, %d failed for this reason", report.PoolAttempts.Total(), report.PoolAttempts[fleet.AttemptAddressReused])
 }
 
 func explainNotRun(report *RequestReport, end *Line) string {
 	text := fmt.Sprintf("the targets that it was sent to (%d) refused it for lack of capacity", end.Sent)
 	if last := report.Last(); last != nil {
-		text += fmt.Sprintf("; of %d attempts in that pool around that time, %d were refused", report.Pool.Total(), report.Pool[fleet.AttemptNotRun])
+		text += fmt.Sprintf("; of %d attempts in that pool around that time, %d were refused", report.PoolAttempts.Total(), report.PoolAttempts[fleet.AttemptNotRun])
 	}
 	return text
 }
@@ -278,7 +278,7 @@
 // targetRestarted returns a note if the target of an attempt has restarted since, and "" otherwise. A
 // restart loses the target's requests and their state.
 func (r *RequestReport) targetRestarted(attempt *Line) string {
-	lastStart := r.Starts[attempt.Target]
+	lastStart := r.TargetStarts[attempt.Target]
 	if attempt.TargetStart == 0 || lastStart <= attempt.TargetStart {
 		return ""
 	}
@@ -288,7 +288,7 @@
 // blame returns a note on whether the attempts within the window show that the target fails, or its whole
 // pool. It is "" if there are no other attempts to compare with.
 func (r *RequestReport) blame(attempt *Line) string {
-	target, pool := r.Targets[attempt.targetIncarnation()], r.Pool
+	target, pool := r.TargetAttempts[attempt.targetIncarnation()], r.PoolAttempts
 	if target.Total() == 0 || pool.Total() == target.Total() {
 		return ""
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -135,8 +135,8 @@
 		end := explain.Line{Message: "done", Reason: fleet.ReasonAnswered, Status: max(attempt.Status, 200), Duration: 700}
 		report := explain.RequestReport{Lines: []explain.Line{attempt, end}}
 		if attempt.Target != "" {
-			report.Targets = map[explain.Incarnation]explain.AttemptCounts{{ID: "t"}: {fleet.AttemptAnswered: 4}}
-			report.Pool = explain.AttemptCounts{fleet.AttemptAnswered: 9}
+			report.TargetAttempts = map[explain.Incarnation]explain.AttemptCounts{{ID: "t"}: {fleet.AttemptAnswered: 4}}
+			report.PoolAttempts = explain.AttemptCounts{fleet.AttemptAnswered: 9}
 		}
 		require.Contains(t, report.Cause().Why, want)
 	}
@@ -168,7 +168,7 @@
 				{Message: "send", Result: fleet.AttemptNoAnswer, Target: "t", TimeLeft: 900},
 				{Message: "done", Reason: fleet.ReasonNoAnswer, Status: 502, Sent: 1},
 			},
-			Targets: map[explain.Incarnation]explain.AttemptCounts{{ID: "t"}: tt.target}, Pool: tt.pool,
+			TargetAttempts: map[explain.Incarnation]explain.AttemptCounts{{ID: "t"}: tt.target}, PoolAttempts: tt.pool,
 		}
 		require.Contains(t, report.Cause().Why, tt.want)
 	}
@@ -185,7 +185,7 @@
 	require.NoError(t, os.WriteFile(file, []byte(lines), 0o600))
 	report, err := explain.Find("mine", []explain.Source{explain.File(file)})
 	require.NoError(t, err)
-	require.Equal(t, 1, report.Targets[explain.Incarnation{ID: "t", StartMillis: 1000}].Total(), "attempts at the next incarnation do not count")
+	require.Equal(t, 1, report.TargetAttempts[explain.Incarnation{ID: "t", StartMillis: 1000}].Total(), "attempts at the next incarnation do not count")
 	text, err := json.Marshal(report)
 	require.NoError(t, err)
 	require.Contains(t, string(text), `"t (started 00:00:01.000)":{"no answer":1}`)
@@ -201,7 +201,7 @@
 		{"the keepers had no leader", explain.ReasonCounts{fleet.ReasonAnswered: 10, fleet.ReasonKeysUnverifiable: 50}},
 	}
 	for _, tt := range tests {
-		report := explain.RequestReport{Lines: []explain.Line{{Message: "done", Reason: fleet.ReasonKeysUnverifiable, Status: 503}}, Others: tt.others}
+		report := explain.RequestReport{Lines: []explain.Line{{Message: "done", Reason: fleet.ReasonKeysUnverifiable, Status: 503}}, OtherProcessReasons: tt.others}
 		require.Contains(t, report.Cause().Why, tt.want)
 	}
 }
--- a/internal/explain/lifecycle.go
+++ b/internal/explain/lifecycle.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxLives bounds the kept lines about starts and stops.
-const maxLives = 1024
+// maxLifecycleLines bounds the kept lines about starts and stops.
+const maxLifecycleLines = 1024
 
 // addLifecycleLine keeps a line if it is about a start or stop of its process.
 func (r *RequestReport) addLifecycleLine(line *Line) {
 	switch line.Message {
 	case messageStart, messageStopping, messageStopped, messageOverdue, messageStop:
-		if len(r.Lives) < maxLives {
-			r.Lives = append(r.Lives, *line)
+		if len(r.LifecycleLines) < maxLifecycleLines {
+			r.LifecycleLines = append(r.LifecycleLines, *line)
 		}
 	default:
 	}
@@ -29,7 +29,7 @@
 func (r *RequestReport) lifecycle() processLifecycle {
 	last := r.Lines[len(r.Lines)-1]
 	var lifecycle processLifecycle
-	for _, line := range r.Lives {
+	for _, line := range r.LifecycleLines {
 		switch {
 		case line.Process != last.Process:
 		case line.Message == messageStart && line.Time.After(last.Time):
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -22,27 +22,27 @@
 	for _, line := range r.Lines {
 		out.line(line)
 	}
-	if len(r.Known) > 0 {
+	if len(r.LastStateLines) > 0 {
 		out.printf("\nwhat its processes knew by then (the last line of each kind)\n")
-		for _, line := range r.Known {
+		for _, line := range r.LastStateLines {
 			out.line(line)
 		}
 	}
-	if len(r.Elsewhere) > 0 {
+	if len(r.OtherStateLines) > 0 {
 		out.printf("\nwhat other processes came to know around it\n")
-		for _, line := range r.Elsewhere {
+		for _, line := range r.OtherStateLines {
 			out.line(line)
 		}
 	}
 	out.printf("\naround it (%v before and after)\n", window)
-	for _, target := range slices.SortedFunc(maps.Keys(r.Targets), compareIncarnations) {
-		out.printf("  attempts at %s: %s\n", target, formatCounts(r.Targets[target]))
+	for _, target := range slices.SortedFunc(maps.Keys(r.TargetAttempts), compareIncarnations) {
+		out.printf("  attempts at %s: %s\n", target, formatCounts(r.TargetAttempts[target]))
 	}
-	out.printf("  attempts in its pool: %s\n", formatCounts(r.Pool))
-	out.printf("  ends at its processes: %s\n", formatCounts(r.Around))
-	out.printf("  ends at other processes: %s\n", formatCounts(r.Others))
-	if len(r.Account) > 0 {
-		out.printf("  ends of its account: %s\n", formatCounts(r.Account))
+	out.printf("  attempts in its pool: %s\n", formatCounts(r.PoolAttempts))
+	out.printf("  ends at its processes: %s\n", formatCounts(r.SameProcessReasons))
+	out.printf("  ends at other processes: %s\n", formatCounts(r.OtherProcessReasons))
+	if len(r.AccountReasons) > 0 {
+		out.printf("  ends of its account: %s\n", formatCounts(r.AccountReasons))
 	}
 	if r.Dropped > 0 {
 		out.printf("  %d lines there say that others were dropped: the counts are too low\n", r.Dropped)
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -15,8 +15,8 @@
 	window = 3 * time.Second
 	// maxKinds bounds how many kinds of state lines are kept for each process.
 	maxKinds = 64
-	// maxElsewhere bounds the kept lines of other processes.
-	maxElsewhere = 20
+	// maxOtherStateLines bounds the kept lines of other processes.
+	maxOtherStateLines = 20
 )
 
 // A RequestReport is what the logs contain about one request. State lines are those that belong to no
@@ -25,29 +25,29 @@
 	ID string
 	// Lines are the lines of the request, in order of time.
 	Lines []Line
-	// Known shows the state of the processes that handled the request: the last state line of each
-	// kind before the request's end.
-	Known []Line
-	// Lives are the lines of these processes' starts and stops, in order of time.
-	Lives []Line
-	// Elsewhere are state lines of other processes within the time window around the request, up to
-	// maxElsewhere.
-	Elsewhere []Line
+	// LastStateLines show the state of the processes that handled the request: the last state line of
+	// each kind before the request's end.
+	LastStateLines []Line `json:"Known"`
+	// LifecycleLines are the lines of these processes' starts and stops, in order of time.
+	LifecycleLines []Line `json:"Lives"`
+	// OtherStateLines are state lines of other processes within the time window around the request,
+	// up to maxOtherStateLines.
+	OtherStateLines []Line `json:"Elsewhere"`
 	// Dropped is how many lines within the window report that lines were dropped.
 	Dropped int
-	// Targets counts the attempts of all requests within the window at each target that this request
-	// was sent to.
-	Targets map[Incarnation]AttemptCounts
-	// Starts holds the latest known start of each of these targets by ID, in Unix milliseconds.
-	Starts map[string]int64
-	// Pool counts the attempts within the window at all targets of this request's pool.
-	Pool AttemptCounts
-	// Account counts the requests of this request's account that ended within the window.
-	Account ReasonCounts
-	// Around counts the requests that ended within the window at the same processes, and Others those
-	// at all other processes.
-	Around ReasonCounts
-	Others ReasonCounts
+	// TargetAttempts counts the attempts of all requests within the window at each target that this
+	// request was sent to.
+	TargetAttempts map[Incarnation]AttemptCounts `json:"Targets"`
+	// TargetStarts holds the latest known start of each of these targets by ID, in Unix milliseconds.
+	TargetStarts map[string]int64 `json:"Starts"`
+	// PoolAttempts counts the attempts within the window at all targets of this request's pool.
+	PoolAttempts AttemptCounts `json:"Pool"`
+	// AccountReasons counts the requests of this request's account that ended within the window.
+	AccountReasons ReasonCounts `json:"Account"`
+	// SameProcessReasons counts the requests that ended within the window at the processes of this
+	// request, and OtherProcessReasons those at all other processes.
+	SameProcessReasons  ReasonCounts `json:"Around"`
+	OtherProcessReasons ReasonCounts `json:"Others"`
 }
 
 // An Incarnation identifies a target between two of its starts.
@@ -101,7 +101,7 @@
 // Find returns the report about one request. It reads every log twice, so that it need not keep all
 // lines in memory. If there is no line about the request, it returns an *UnknownRequestError.
 func Find(id string, sources []Source) (*RequestReport, error) {
-	report := &RequestReport{ID: id, Targets: map[Incarnation]AttemptCounts{}, Starts: map[string]int64{}, Pool: AttemptCounts{}, Account: ReasonCounts{}, Around: ReasonCounts{}, Others: ReasonCounts{}}
+	report := &RequestReport{ID: id, TargetAttempts: map[Incarnation]AttemptCounts{}, TargetStarts: map[string]int64{}, PoolAttempts: AttemptCounts{}, AccountReasons: ReasonCounts{}, SameProcessReasons: ReasonCounts{}, OtherProcessReasons: ReasonCounts{}}
 	for _, source := range sources {
 		if err := eachLine(source, report.addOwnLine); err != nil {
 			return nil, err
@@ -117,9 +117,9 @@
 			return nil, err
 		}
 	}
-	report.Known = pass.knownLines()
-	slices.SortStableFunc(report.Elsewhere, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	slices.SortStableFunc(report.Lives, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	report.LastStateLines = pass.sortedLastLines()
+	slices.SortStableFunc(report.OtherStateLines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	slices.SortStableFunc(report.LifecycleLines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	return report, nil
 }
 
@@ -183,8 +183,8 @@
 		pass.account = cmp.Or(pass.account, line.Account)
 		pass.pool = cmp.Or(pass.pool, line.Pool)
 		if line.Target != "" {
-			r.Targets[line.targetIncarnation()] = AttemptCounts{}
-			r.Starts[line.Target] = max(r.Starts[line.Target], line.TargetStart)
+			r.TargetAttempts[line.targetIncarnation()] = AttemptCounts{}
+			r.TargetStarts[line.Target] = max(r.TargetStarts[line.Target], line.TargetStart)
 		}
 	}
 	return pass
@@ -206,21 +206,21 @@
 			result = fleet.AttemptTargetFailed
 		}
 		if line.Pool == p.pool {
-			p.report.Pool[result]++
+			p.report.PoolAttempts[result]++
 		}
-		if counts, ok := p.report.Targets[line.targetIncarnation()]; ok {
+		if counts, ok := p.report.TargetAttempts[line.targetIncarnation()]; ok {
 			counts[result]++
 		}
-		if start, ok := p.report.Starts[line.Target]; ok {
-			p.report.Starts[line.Target] = max(start, line.TargetStart)
+		if start, ok := p.report.TargetStarts[line.Target]; ok {
+			p.report.TargetStarts[line.Target] = max(start, line.TargetStart)
 		}
 	case messageDone:
 		if p.account != "" && line.Account == p.account {
-			p.report.Account[line.Reason]++
+			p.report.AccountReasons[line.Reason]++
 		}
-		reasons := p.report.Others
+		reasons := p.report.OtherProcessReasons
 		if p.processes[line.Process] {
-			reasons = p.report.Around
+			reasons = p.report.SameProcessReasons
 		}
 		reasons[line.Reason]++
 	}
@@ -229,7 +229,7 @@
 // addStateLine keeps the line if it is the last one of its kind before the request's end.
 func (p *secondPass) addStateLine(line *Line) {
 	if !p.processes[line.Process] {
-		p.addElsewhere(line)
+		p.addOtherStateLine(line)
 		return
 	}
 	p.report.addLifecycleLine(line)
@@ -249,15 +249,15 @@
 	}
 }
 
-// addElsewhere keeps a state line of another process if it is within the window.
-func (p *secondPass) addElsewhere(line *Line) {
-	if len(p.report.Elsewhere) < maxElsewhere && !line.Time.Before(p.from) && !line.Time.After(p.to) {
-		p.report.Elsewhere = append(p.report.Elsewhere, *line)
+// addOtherStateLine keeps a state line of another process if it is within the window.
+func (p *secondPass) addOtherStateLine(line *Line) {
+	if len(p.report.OtherStateLines) < maxOtherStateLines && !line.Time.Before(p.from) && !line.Time.After(p.to) {
+		p.report.OtherStateLines = append(p.report.OtherStateLines, *line)
 	}
 }
 
-// knownLines returns the kept state lines in order of time.
-func (p *secondPass) knownLines() []Line {
+// sortedLastLines returns the kept state lines in order of time.
+func (p *secondPass) sortedLastLines() []Line {
 	var all []Line
 	for _, ofProcess := range p.lastLines {
 		for _, line := range ofProcess {
