--- a/internal/explain/events.go
+++ b/internal/explain/events.go
@@ -67,7 +67,7 @@
 // PrintEvents writes the Markdown page that lists all events.
 func PrintEvents(w io.Writer) error {
 	out := printer{w: w}
-	out.printf("# Log lines\n\nMade from the table in `internal/explain`, which a test holds against the code.\n")
+	out.printf("# Log lines\n\nGenerated from the table in `internal/explain`, which a test compares with the code.\n")
 	out.printf("Each line is JSON on standard output with `@timestamp`, `@level`, `@module` and\n`@message`; times without a unit are in milliseconds. `lfctl explain ID` reads them.\n")
 	for _, process := range []string{"both", "router", "keeper"} {
 		out.printf("\n## %s\n", map[string]string{"both": "Every process", "router": "Routers", "keeper": "Keepers"}[process])
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -17,7 +17,7 @@
 	"laburnumfall/internal/fleet"
 )
 
-// maxLineBytes bounds the length of a line; longer ones are skipped. Lines of this project have less
+// maxLineBytes bounds the length of a line; longer ones are skipped. Lines of this project are shorter
 // than 2 KB.
 const maxLineBytes = 64 << 10
 
@@ -50,16 +50,16 @@
 	RetryAfter         int64               `json:"back"` // when the caller may retry, in ms; 0 is never
 	TargetStart        int64               `json:"born"` // in Unix milliseconds
 	CopySource         string              `json:"copy"` // engine from which KV cache is copied
-	TargetEnds         int                 `json:"ends"` // how many targets ended while they ran the request
+	TargetEnds         int                 `json:"ends"` // how many targets ended while they ran this request or identical ones
 	Error              string              `json:"error"`
 	ExcessFactor       float64             `json:"excess"` // service of the account, as a multiple of that of an underserved account
-	FirstByte          int64               `json:"first"`  // until the first byte, in ms
+	FirstByte          int64               `json:"first"`  // time to first byte, in ms
 	CachedAtTarget     bool                `json:"home"`   // the target is where the prompt's parts are expected to be cached
 	TimeLeft           int64               `json:"left"`   // until the caller's deadline, in ms
 	Load               float64             `json:"load"`   // fraction of the target's slots that is in use
 	OwnTokens          int                 `json:"own"`    // tokens of the prompt's unshared part
 	Pool               string              `json:"pool"`
-	PredictedFirstByte int64               `json:"predicted"` // until the first byte, in ms
+	PredictedFirstByte int64               `json:"predicted"` // predicted time to first byte, in ms
 	Fingerprint        string              `json:"print"`     // of the account, method, path and body
 	QueueTime          int64               `json:"queue"`     // part of the predicted time that is for requests before it, in ms
 	Reason             fleet.Reason        `json:"reason"`
@@ -73,7 +73,7 @@
 	Duration           int64               `json:"took"` // in ms
 	Attempt            int                 `json:"try"`
 	UncachedTokens     int                 `json:"unread"` // tokens of the prompt that the target has to prefill
-	PredictedWait      int64               `json:"wait"`   // until the first byte, in ms
+	PredictedWait      int64               `json:"wait"`   // predicted time to first byte of a refused request, in ms
 	Complete           bool                `json:"whole"`
 	WithinShare        bool                `json:"within"` // the account was within its share when the request arrived
 	Why                string              `json:"why"`    // reason for a refusal or for the choice of a target
@@ -92,12 +92,12 @@
 }
 
 // parseLine parses one line. It reports false for lines that are not of this project.
-func parseLine(text, file string) (Line, bool) {
+func parseLine(text, sourceName string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
 	}
-	line := Line{Text: strings.TrimSpace(text[start:]), Process: file}
+	line := Line{Text: strings.TrimSpace(text[start:]), Process: sourceName}
 	if err := json.Unmarshal([]byte(line.Text), &line); err != nil || line.Message == "" || line.Time.IsZero() {
 		return Line{}, false
 	}
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -37,7 +37,8 @@
 	// WithinShare is the fraction of requests whose account was within its share at their first
 	// arrival.
 	WithinShare float64 `json:"within"`
-	OnTime      float64 `json:"in_aim"`
+	// OnTime are requests whose first byte came within the latency objective, from the first arrival.
+	OnTime float64 `json:"in_aim"`
 	// The late answers are divided into those after an earlier refusal, those that were sent although
 	// the predicted time to first byte was above the latency objective, and others.
 	LateAfterRefusal float64 `json:"back"`
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -82,9 +82,9 @@
 type ReasonCounts map[fleet.Reason]int
 
 // Total returns the number of all requests.
-func (e ReasonCounts) Total() int {
+func (c ReasonCounts) Total() int {
 	total := 0
-	for _, n := range e {
+	for _, n := range c {
 		total += n
 	}
 	return total
--- a/internal/explain/sizes.go
+++ b/internal/explain/sizes.go
@@ -31,7 +31,7 @@
 // prompt identifies a request of a route: all its attempts have the same account and sizes.
 type prompt struct {
 	account                 string
-	ownTokens, sharedTokens int // tokens
+	ownTokens, sharedTokens int
 }
 
 func (p prompt) tokens() int { return p.ownTokens + p.sharedTokens }
