--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -115,6 +115,7 @@
 	}
 }
 
+// start listens on an address and serves requests.
 func (t *PlatformTarget) start(address string) error {
 	listener, err := listenWhenFree(address)
 	if err != nil {
@@ -185,9 +186,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, target := range p.targets {
-		_ = target.server.Close() // all requests have ended
+		_ = target.server.Close() // requests in progress do not matter any more
 	}
-	_ = p.server.Close() // all requests have ended
+	_ = p.server.Close() // requests in progress do not matter any more
 }
 
 // listPageSize is the number of targets on a page of the list.
--- a/internal/workload/ablation.go
+++ b/internal/workload/ablation.go
@@ -23,17 +23,21 @@
 // mechanismDisablers maps the name of each mechanism of the router policy to a function that
 // disables it.
 var mechanismDisablers = map[string]func(*routerPolicy){
+	// without the rule ShortWait
 	"brief":  func(p *routerPolicy) { p.rules = []admission.Rule{standardHeadroom} },
 	"chance": func(p *routerPolicy) { p.noJitter = true },
 	"copies": func(p *routerPolicy) { p.copyRate = 0 },
 	"intime": func(p *routerPolicy) { p.retryPolicy = constantRetryAfter(fixedRetryAfter) },
+	// without GrowByDeficit
 	"reach": func(p *routerPolicy) {
 		p.rules = []admission.Rule{admission.Headroom{Scales: []admission.HeadroomScale{admission.ShrinkByExcess{}}}, admission.ShortWait{}}
 	},
 	"reports": func(p *routerPolicy) { p.reportPeriod = slowReportPeriod },
-	"room":    func(p *routerPolicy) { p.rules = []admission.Rule{admission.ShortWait{}} },
-	"shares":  func(p *routerPolicy) { p.capacity = 0 },
-	"sizes":   func(p *routerPolicy) { p.sizeFairness = false },
+	// without the rule Headroom
+	"room":   func(p *routerPolicy) { p.rules = []admission.Rule{admission.ShortWait{}} },
+	"shares": func(p *routerPolicy) { p.capacity = 0 },
+	"sizes":  func(p *routerPolicy) { p.sizeFairness = false },
+	// without ShrinkByExcess
 	"yield": func(p *routerPolicy) {
 		p.rules = []admission.Rule{admission.Headroom{Scales: []admission.HeadroomScale{admission.GrowByDeficit{}}}, admission.ShortWait{}}
 	},
--- a/internal/workload/arrivals.go
+++ b/internal/workload/arrivals.go
@@ -43,6 +43,7 @@
 	return arrivals
 }
 
+// generate draws the arrivals of one kind of request.
 func (g *generator) generate(kindIndex int) []arrival {
 	kind := g.scenario.Kinds[kindIndex]
 	var rankDistributions []distuv.Categorical
@@ -138,6 +139,7 @@
 	return drawn
 }
 
+// drawHotSpot draws whether a request has the most popular shared parts.
 func (g *generator) drawHotSpot(at time.Duration) bool {
 	for _, disturbance := range g.scenario.Disturbances {
 		if disturbance.Kind == disturbanceHot && disturbance.activeAt(at) && g.random.Float64() < disturbance.Fraction {
@@ -155,6 +157,7 @@
 	return placement.PromptPart{ID: id << 1, Tokens: g.drawTokens(tokens, random)}
 }
 
+// drawTokens draws a number of tokens, at least 1.
 func (g *generator) drawTokens(distribution TokenDistribution, random *rand.Rand) int {
 	tokens := distribution.Mean
 	if distribution.LogStdDev > 0 {
--- a/internal/workload/centralqueue.go
+++ b/internal/workload/centralqueue.go
@@ -69,7 +69,7 @@
 func (p *centralQueuePolicy) send(sim *simulation, a *attempt, engineIndex int) {
 	prefill, _, source := sim.prefillPlan(engineIndex, a)
 	if source >= 0 {
-		a.choice = &placement.Choice{CopyFrom: sim.ids[source]}
+		a.choice = &placement.Choice{CopyFrom: sim.engineIDs[source]}
 	}
 	p.prefillInTransit[engineIndex] += prefill
 	sim.scheduleAfter(sim.latency(a.routerIndex, engineIndex), func() { p.prefillInTransit[engineIndex] -= prefill })
--- a/internal/workload/policy.go
+++ b/internal/workload/policy.go
@@ -132,7 +132,7 @@
 	}
 	key := shared[len(shared)-1].ID
 	return sim.cheapestEngine(func(engineIndex int) float64 {
-		return float64(xxhash.Sum64String(strconv.FormatUint(key, 16) + sim.ids[engineIndex]))
+		return float64(xxhash.Sum64String(strconv.FormatUint(key, 16) + sim.engineIDs[engineIndex]))
 	})
 }
 
--- a/internal/workload/request.go
+++ b/internal/workload/request.go
@@ -31,7 +31,7 @@
 	firstEventAt        time.Time // when the caller received its first event
 	lastEventAt         time.Time // when the caller received its last event, or began to wait
 	longestGap          time.Duration
-	events              int
+	eventCount          int
 	refusedWithCapacity bool // refused at least once while engines had free capacity
 	current             *attempt
 }
@@ -68,8 +68,8 @@
 
 // arrive starts an attempt of a caller at one of the routers.
 func (sim *simulation) arrive(r *request) {
-	sim.attempts++
-	a := &attempt{request: r, id: sim.attempts, routerIndex: int((r.callerID + uint64(r.callerAttempts)*7) % uint64(sim.scenario.Routers))}
+	sim.lastAttemptID++
+	a := &attempt{request: r, id: sim.lastAttemptID, routerIndex: int((r.callerID + uint64(r.callerAttempts)*7) % uint64(sim.scenario.Routers))}
 	r.callerAttempts++
 	r.current = a
 	if r.callerAttempts == 1 {
@@ -104,6 +104,7 @@
 	})
 }
 
+// cancel ends an attempt at its engine after the caller has left.
 func (sim *simulation) cancel(a *attempt) {
 	if a.ended {
 		return
@@ -138,10 +139,11 @@
 func (sim *simulation) sendTo(a *attempt, engineIndex int) {
 	a.engineIndex, a.ended = engineIndex, false
 	a.sends++
-	a.tried = append(a.tried, fleet.Incarnation{ID: sim.ids[engineIndex]})
+	a.tried = append(a.tried, fleet.Incarnation{ID: sim.engineIDs[engineIndex]})
 	sim.scheduleAfter(sim.latency(a.routerIndex, engineIndex), func() { sim.submit(a) })
 }
 
+// submit hands an attempt to its engine, if the engine is up and accepts it.
 func (sim *simulation) submit(a *attempt) {
 	engineRequest := engine.Request{ID: a.id, Parts: a.parts, OutputTokens: a.outputTokens, CopySource: sim.copySource(a)}
 	if sim.down[a.engineIndex] {
@@ -161,7 +163,7 @@
 	if a.choice == nil || a.choice.CopyFrom == "" {
 		return nil
 	}
-	for index, id := range sim.ids {
+	for index, id := range sim.engineIDs {
 		if id == a.choice.CopyFrom && !sim.down[index] {
 			return sim.engines[index]
 		}
@@ -226,7 +228,7 @@
 		a.firstTokenGenerated = true
 		sim.scheduleAfter(latency, func() { sim.policy.FirstByte(sim, a) })
 	}
-	if event.Generated >= a.events*a.kind.TokensPerEvent || event.Done {
+	if event.Generated >= a.eventCount*a.kind.TokensPerEvent || event.Done {
 		a.recordEvent(event.At.Add(latency + time.Duration(sim.scenario.CallerLatency)))
 	}
 	if !event.Done {
@@ -241,7 +243,7 @@
 
 // recordEvent records an event that reaches the caller.
 func (r *request) recordEvent(at time.Time) {
-	r.events++
+	r.eventCount++
 	if r.firstEventAt.IsZero() {
 		r.firstEventAt = at
 	} else {
--- a/internal/workload/result.go
+++ b/internal/workload/result.go
@@ -21,7 +21,7 @@
 	OnTime              float64 `json:"ontime"`
 	Late                float64 `json:"late"`
 	Refused             float64 `json:"refused"`
-	Abandoned           float64 `json:"left"` // the caller received no event for too long
+	Abandoned           float64 `json:"left"` // the caller left at its deadline or after a long wait without an event
 	Failed              float64 `json:"failed"`
 	RefusedWithCapacity float64 `json:"roomy"`  // refused at least once while engines had free capacity
 	LongGaps            float64 `json:"paused"` // fraction of the served requests with an event gap over the maximum of their kind
@@ -53,6 +53,7 @@
 	BySize []Metrics `json:"sizes"`
 }
 
+// result computes the metrics of the run from all requests sent after the warm-up time.
 func (sim *simulation) result(name string, seed uint64) Result {
 	duration := sim.now.Sub(start)
 	sim.requests = slices.DeleteFunc(sim.requests, func(r *request) bool { return r.at < time.Duration(sim.scenario.WarmupTime) })
@@ -115,6 +116,7 @@
 	return deciles
 }
 
+// computeMetrics returns the metrics of some requests, given the mean request size of each kind.
 func computeMetrics(name string, requests []*request, meanSizes []float64) Metrics {
 	metrics := Metrics{Name: name, Requests: len(requests)}
 	if len(requests) == 0 {
--- a/internal/workload/routerpolicy.go
+++ b/internal/workload/routerpolicy.go
@@ -91,7 +91,7 @@
 // availableInstances returns the engines that are up.
 func (sim *simulation) availableInstances() []fleet.Instance {
 	var instances []fleet.Instance
-	for i, id := range sim.ids {
+	for i, id := range sim.engineIDs {
 		if !sim.down[i] {
 			instances = append(instances, fleet.Instance{
 				Incarnation: fleet.Incarnation{ID: id}, Pool: enginePool, Address: id, Zone: zoneName(i % sim.scenario.Zones), Slots: sim.scenario.Engines.Slots,
@@ -105,6 +105,8 @@
 	return fleet.Zone("z" + strconv.Itoa(index))
 }
 
+// report sends the load of a router to the leader, receives that of the others, and schedules the
+// next report.
 func (p *routerPolicy) report(sim *simulation, r *router) {
 	demand, ownBacklog := r.Shares.Demand(sim.now), r.Placer.Backlog()
 	sim.scheduleAfter(time.Duration(sim.scenario.CrossZoneLatency), func() {
@@ -139,7 +141,7 @@
 		return -1, refusal.RetryAfter
 	}
 	a.choice = choice
-	for i, id := range sim.ids {
+	for i, id := range sim.engineIDs {
 		if id == choice.Target.ID {
 			return i, 0
 		}
--- a/internal/workload/simulation.go
+++ b/internal/workload/simulation.go
@@ -21,14 +21,14 @@
 	calls            callQueue
 	lastSeq          int // sequence number of the last scheduled call
 	engines          []*engine.Engine
-	ids              []string
+	engineIDs        []string
 	down             []bool // by engine
 	attemptsOnEngine []map[uint64]*attempt
 	stepEndScheduled []time.Time // by engine: the step end for which a call is scheduled, zero if there is none
 	routes           []*fleet.Route
 	random           *rand.Rand
 	requests         []*request
-	attempts         uint64
+	lastAttemptID    uint64
 }
 
 // A scheduledCall is a function that runs at a simulated time.
@@ -38,6 +38,7 @@
 	call func()
 }
 
+// callQueue implements heap.Interface. It orders calls by time, then by sequence number.
 type callQueue []scheduledCall
 
 func (q callQueue) Len() int { return len(q) }
@@ -106,7 +107,7 @@
 	}
 	for i := range settings.Count {
 		sim.engines = append(sim.engines, &engine.Engine{Spec: spec})
-		sim.ids = append(sim.ids, engineID(i))
+		sim.engineIDs = append(sim.engineIDs, engineID(i))
 		sim.attemptsOnEngine = append(sim.attemptsOnEngine, make(map[uint64]*attempt))
 	}
 	sim.stepEndScheduled, sim.down = make([]time.Time, settings.Count), make([]bool, settings.Count)
@@ -138,6 +139,7 @@
 	}
 }
 
+// crashEngines crashes random engines, which come back empty at a time.
 func (sim *simulation) crashEngines(count int, until time.Time) {
 	for _, i := range sim.random.Perm(len(sim.engines))[:count] {
 		sim.down[i] = true
