--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -10,11 +10,11 @@
 
 // Standin runs lf-standin and returns its exit code.
 func Standin(args []string, stdout, stderr io.Writer) int {
-	var o common
-	p := program[standin.Settings]{name: "lf-standin", read: standin.ReadSettings}
-	p.run = func(ctx context.Context, s standin.Settings) error {
-		server := &standin.Standin{Settings: s, Log: settings.Logger(s.Name, s.LogLevel, s.LogFormat)}
+	var options commonOptions
+	standinProgram := program[standin.Settings]{name: "lf-standin", readSettings: standin.ReadSettings}
+	standinProgram.run = func(ctx context.Context, standinSettings standin.Settings) error {
+		server := &standin.Standin{Settings: standinSettings, Log: settings.NewLogger(standinSettings.Name, standinSettings.LogLevel, standinSettings.LogFormat)}
 		return server.Run(ctx)
 	}
-	return p.main(&o, &o, args, stdout, stderr)
+	return standinProgram.main(&options, &options, args, stdout, stderr)
 }
--- a/internal/keeper/autocluster_test.go
+++ b/internal/keeper/autocluster_test.go
@@ -251,7 +251,7 @@
 			continue
 		}
 		c := vm.core
-		command := statestore.Command{Document: &statestore.Document{Number: number, Text: fmt.Append(nil, number)}}
+		command := statestore.Command{RouteConfig: &statestore.RouteConfig{Number: number, Text: fmt.Append(nil, number)}}
 		c.submit(cluster.clock.Time, command, func(_ statestore.Result, err error) {
 			if err == nil && number > cluster.newestAcked {
 				cluster.newestAcked, cluster.ackedAt = number, cluster.clock.Time
@@ -271,7 +271,7 @@
 			continue
 		}
 		leaders++
-		require.GreaterOrEqual(cluster.t, vm.core.store.Document().Number, cluster.newestAcked, "a reader at %s would see an older configuration", vm.name)
+		require.GreaterOrEqual(cluster.t, vm.core.store.RouteConfig().Number, cluster.newestAcked, "a reader at %s would see an older configuration", vm.name)
 	}
 	require.LessOrEqual(cluster.t, leaders, 1)
 	for _, router := range cluster.routers {
@@ -322,7 +322,7 @@
 	for _, vm := range cluster.vms {
 		text += fmt.Sprintf("%s partition %d lost %t joined %t", vm.name, vm.partition, vm.lost, vm.joined)
 		if c := vm.core; c != nil {
-			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.CommitIndex(), c.store.Document().Number)
+			text += fmt.Sprintf(" id %s role %d term %d commit %d document %d members", c.node.ID, c.node.Role(), c.node.Term(), c.node.CommitIndex(), c.store.RouteConfig().Number)
 			for _, member := range c.node.Members() {
 				text += fmt.Sprintf(" %s/%t", member.ID, member.Voter)
 			}
--- a/internal/keeper/evacuation.go
+++ b/internal/keeper/evacuation.go
@@ -33,7 +33,7 @@
 // hasZone is refused. A request that changes nothing, such as a repeated one or the end of an
 // evacuation that never began, is answered from the store.
 func (c *core) proposeEvacuation(now time.Time, request message.EvacuateRequest, done func(message.EvacuateResult, error)) {
-	evacuations := c.store.Evacuations()
+	evacuations := c.store.EvacuatedZones()
 	switch {
 	case !c.isReadyLeader(now):
 		done(message.EvacuateResult{}, quorum.NewNotLeaderError(c.leaderAddress()))
@@ -43,9 +43,9 @@
 		done(message.EvacuateResult{Zones: evacuations.Zones}, nil)
 	default:
 		c.log.Info("evacuation ordered", "zone", request.Zone, "end", request.End, "operator", request.Operator)
-		command := statestore.Command{Evacuation: &statestore.Evacuation{Zone: request.Zone, End: request.End}}
+		command := statestore.Command{Evacuation: &statestore.EvacuationChange{Zone: request.Zone, End: request.End}}
 		c.submit(now, command, func(_ statestore.Result, err error) {
-			done(message.EvacuateResult{Zones: c.store.Evacuations().Zones}, err)
+			done(message.EvacuateResult{Zones: c.store.EvacuatedZones().Zones}, err)
 		})
 	}
 }
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -38,7 +38,7 @@
 	listTerm     uint64
 	listReadAt   time.Time
 	aggregator   quota.Aggregator
-	ownDocument  statestore.Document // packed configuration in the product's own format
+	ownDocument  statestore.RouteConfig // packed configuration in the product's own format
 
 	warming      warmingTargets
 	warmupLeases warmup.LeaseTable // of warmupTerm
@@ -61,7 +61,7 @@
 	c.renewals.aggregator.Report(now, request.Router, request.Demand, request.Backlog)
 	response.Leads = true
 	response.WarmupLease = c.warmupLeaseTable(now).Renew(now, request.Router, request.Incarnation, request.WarmupLease)
-	if evacuations := c.store.Evacuations(); evacuations.Revision != request.EvacuationRevision {
+	if evacuations := c.store.EvacuatedZones(); evacuations.Revision != request.EvacuationRevision {
 		response.EvacuatedZones = &evacuations
 	}
 	if request.AcceptsColumns {
@@ -124,31 +124,31 @@
 
 func packLoads(summedAt time.Time, loads message.Loads, accountsDigest uint32) (packedLoads, error) {
 	loads.AccountsDigest = accountsDigest
-	withAccounts, err := codec.PackJSON(loads)
+	withAccounts, err := codec.CompressJSON(loads)
 	if err != nil {
 		return packedLoads{}, err
 	}
 	loads.Accounts = nil
-	withoutAccounts, err := codec.PackJSON(loads)
+	withoutAccounts, err := codec.CompressJSON(loads)
 	return packedLoads{summedAt: summedAt, accountsDigest: accountsDigest, withAccounts: withAccounts, withoutAccounts: withoutAccounts}, err
 }
 
 // servedDocument returns the configuration that the routers serve: the operator's document of
 // routes if there is one, otherwise the configuration in the product's own format.
-func (c *core) servedDocument() statestore.Document {
-	if document := c.store.Document(); document.Number > 0 {
+func (c *core) servedDocument() statestore.RouteConfig {
+	if document := c.store.RouteConfig(); document.Number > 0 {
 		return document
 	}
 	config, text := c.store.Config()
 	if len(config.Routes) == 0 || c.renewals.ownDocument.Number == config.Number {
 		return c.renewals.ownDocument
 	}
-	packed, err := codec.Pack(text)
+	packed, err := codec.Compress(text)
 	if err != nil {
 		c.log.Error("a configuration cannot be packed: its routes are not served", "number", config.Number, "error", err)
 		return c.renewals.ownDocument
 	}
-	c.renewals.ownDocument = statestore.Document{Number: config.Number, Text: packed}
+	c.renewals.ownDocument = statestore.RouteConfig{Number: config.Number, Text: packed}
 	return c.renewals.ownDocument
 }
 
@@ -193,6 +193,7 @@
 	return await(ctx, c, func(now time.Time, done func(message.RenewResponse, error)) { done(c.renew(now, request), nil) })
 }
 
+// recordRenewal records a router's renewal, and removes expired routers once per sweepInterval.
 func (s *renewalState) recordRenewal(now time.Time, router string) {
 	if s.lastRenewals == nil {
 		s.lastRenewals = make(map[string]time.Time)
@@ -220,7 +221,7 @@
 	}
 	warming := warmingTargets(listing.WarmingUntil(readAt))
 	if c.renewals.listRevision == 0 || !slices.Equal(c.renewals.targets, targets) || !slices.Equal(c.renewals.damagedIDs, damaged) || warming.extends(c.renewals.warming) {
-		packed, err := codec.PackJSON(targets)
+		packed, err := codec.CompressJSON(targets)
 		if err != nil {
 			c.log.Error("the list of targets cannot be packed: routers go on with the one before", "error", err)
 			return
@@ -259,11 +260,11 @@
 			done(struct{}{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
-		if request.Number <= c.store.Document().Number {
+		if request.Number <= c.store.RouteConfig().Number {
 			done(struct{}{}, nil) // repeated, or a higher number is in force
 			return
 		}
-		command := statestore.Command{Document: &statestore.Document{Number: request.Number, Text: request.PackedConfig}}
+		command := statestore.Command{RouteConfig: &statestore.RouteConfig{Number: request.Number, Text: request.PackedConfig}}
 		c.submit(now, command, func(_ statestore.Result, err error) { done(struct{}{}, err) })
 	})
 }
@@ -276,7 +277,7 @@
 			done(message.RoutesDocument{}, quorum.NewNotLeaderError(c.leaderAddress()))
 			return
 		}
-		document := c.store.Document()
+		document := c.store.RouteConfig()
 		done(message.RoutesDocument{Number: document.Number, PackedConfig: document.Text}, nil)
 	})
 }
--- a/internal/keeperclient/apply.go
+++ b/internal/keeperclient/apply.go
@@ -50,7 +50,7 @@
 	if len(response.PackedConfig) == 0 || response.Number <= c.configNumber() {
 		return false
 	}
-	text, err := codec.Unpack(response.PackedConfig)
+	text, err := codec.Decompress(response.PackedConfig)
 	if err != nil {
 		c.Log.Error("configuration cannot be unpacked: going on with the one before", "number", response.Number, "error", err)
 		return false
@@ -65,7 +65,8 @@
 	return true
 }
 
-// applyEvacuations never returns to a lower revision, for the same reason.
+// applyEvacuations never returns to a lower revision, because a lower one is from a response that
+// was overtaken.
 func (c *Client) applyEvacuations(state *State, response message.RenewResponse) bool {
 	if response.EvacuatedZones == nil || response.EvacuatedZones.Revision <= state.Evacuated.Revision {
 		return false
@@ -96,7 +97,7 @@
 	targets := response.Targets
 	if len(response.PackedTargets) > 0 {
 		var err error
-		if targets, err = codec.UnpackJSON[[]fleet.Instance](response.PackedTargets); err != nil {
+		if targets, err = codec.DecompressJSON[[]fleet.Instance](response.PackedTargets); err != nil {
 			c.Log.Error("the list of targets cannot be unpacked: going on with the one before", "list", response.ListRevision, "error", err)
 			return
 		}
@@ -110,7 +111,7 @@
 func (c *Client) applyLoads(ownBacklog []message.Backlog, response message.RenewResponse) {
 	demand, backlog := response.Demand, response.Backlog
 	if len(response.PackedLoads) > 0 {
-		loads, err := codec.UnpackJSON[message.Loads](response.PackedLoads)
+		loads, err := codec.DecompressJSON[message.Loads](response.PackedLoads)
 		if err != nil {
 			c.Log.Error("loads cannot be unpacked: going on with those before", "term", response.Term, "error", err)
 			return
@@ -173,7 +174,7 @@
 
 func (c *Client) applyTargets(source string, readAt time.Time, listing fleet.TargetListing) bool {
 	before := c.knownTargets.Targets()
-	if !c.knownTargets.Take(readAt, listing) {
+	if !c.knownTargets.Update(readAt, listing) {
 		return false
 	}
 	startMillis := make(map[string]int64, len(before))
@@ -210,7 +211,7 @@
 			"age", now.Sub(c.knownTargets.ReadAt()).Milliseconds())
 		return
 	}
-	c.damageNotes.Take(now, listing)
+	c.damageNotes.Record(now, listing)
 	if c.OnColdTargets != nil && len(listing.Warming) > 0 {
 		c.OnColdTargets(listing.WarmingUntil(now))
 	}
--- a/internal/keeperclient/keeperclient_test.go
+++ b/internal/keeperclient/keeperclient_test.go
@@ -72,8 +72,8 @@
 	return request, json.Unmarshal(params, &request)
 }
 
-// Notice implements rpc.Handler.
-func (k *fakeKeeper) Notice(*rpc.Conn, string, json.RawMessage) {}
+// Notify implements rpc.Handler.
+func (k *fakeKeeper) Notify(*rpc.Conn, string, json.RawMessage) {}
 
 func (k *fakeKeeper) update(change func(k *fakeKeeper)) {
 	k.mu.Lock()
@@ -97,7 +97,7 @@
 
 // packedConfig returns the packed form of a configuration that decodeConfigNumber reads.
 func packedConfig(t *testing.T, number uint64) []byte {
-	data, err := codec.Pack(fmt.Append(nil, number))
+	data, err := codec.Compress(fmt.Append(nil, number))
 	require.NoError(t, err)
 	return data
 }
@@ -174,7 +174,7 @@
 }
 
 func packJSON[T any](t *testing.T, value T) []byte {
-	data, err := codec.PackJSON(value)
+	data, err := codec.CompressJSON(value)
 	require.NoError(t, err)
 	return data
 }
@@ -238,7 +238,7 @@
 }
 
 // Guards against a router that never gets a large configuration. The response takes longer than
-// hedgeDelay, and the router must not give the request up for a new one each time.
+// hedgeDelay, and the router must not abandon the request and send a new one each time.
 func TestAcceptsResponseSlowerThanHedgeDelay(t *testing.T) {
 	keeper := startKeeper(t)
 	keeper.configDelay = 2 * hedgeDelay
@@ -283,16 +283,16 @@
 	seeds := []string{leader.address}
 	var silentKeepers []*fakeKeeper
 	for range 6 {
-		silent := startKeeper(t)
-		silent.silent = true
-		silentKeepers = append(silentKeepers, silent)
-		seeds = append(seeds, silent.address)
+		silentKeeper := startKeeper(t)
+		silentKeeper.silent = true
+		silentKeepers = append(silentKeepers, silentKeeper)
+		seeds = append(seeds, silentKeeper.address)
 	}
 	leader.response = message.RenewResponse{Leads: true, Term: 1, Number: 1, PackedConfig: packedConfig(t, 1), Keepers: seeds}
 	client, _ := startClient(t, &fakeList{}, seeds...)
 	require.Eventually(t, client.hasConfig(1), waitLimit, pollInterval)
-	for _, silent := range silentKeepers {
-		silent.update(func(keeper *fakeKeeper) { keeper.requestCount = 0 })
+	for _, silentKeeper := range silentKeepers {
+		silentKeeper.update(func(keeper *fakeKeeper) { keeper.requestCount = 0 })
 	}
 	leader.update(func(keeper *fakeKeeper) {
 		keeper.response.Number, keeper.response.PackedConfig = 2, packedConfig(t, 2)
@@ -300,8 +300,8 @@
 	})
 	require.Eventually(t, client.hasConfig(2), waitLimit, pollInterval)
 	requestCount := 0
-	for _, silent := range silentKeepers {
-		silent.update(func(keeper *fakeKeeper) { requestCount += keeper.requestCount })
+	for _, silentKeeper := range silentKeepers {
+		silentKeeper.update(func(keeper *fakeKeeper) { requestCount += keeper.requestCount })
 	}
 	require.LessOrEqual(t, requestCount, 3, "each late response of the leader may cost one request to another keeper, so that the lease holds")
 }
