--- a/internal/standin/listdamage.go
+++ b/internal/standin/listdamage.go
@@ -34,7 +34,7 @@
 	p.damage.entries = entries
 }
 
-// SetListBody replaces the body of all responses with the list; "" restores the list.
+// SetListBody replaces the response to every read of the list by these bytes; "" restores the list.
 func (p *Platform) SetListBody(body string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
