--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -116,8 +116,8 @@
 	require.Equal(t, noRouter, probedRouter("c1-2"))
 }
 
-// TestDetectsRepeatedCrashRequests guards against a checker that accepts further runs of a request once
-// it has crashed enough targets and healthy routers must know of it.
+// TestDetectsRepeatedCrashRequests guards against a checker that accepts further runs of a request that
+// crashes targets after its quarantine must have reached all healthy routers.
 func TestDetectsRepeatedCrashRequests(t *testing.T) {
 	const body = "crash-1"
 	start := time.Now()
@@ -126,10 +126,10 @@
 		outage   span
 		violated bool
 	}{
-		"few":                          {runs: []float64{0, 1, 2, 2.5, 4.9, 10, 20, 30}},
-		"more":                         {runs: []float64{0, 1, 2, 5.1, 10, 20, 30}, violated: true},
-		"before the routers must know": {runs: []float64{0, 0, 0, 0, 1, 1, 2, 2}},
-		"during an outage":             {runs: []float64{0, 1, 2, 5.1, 10, 20, 30}, outage: span{start.Add(8 * time.Second), start.Add(9 * time.Second)}},
+		"few":                   {runs: []float64{0, 1, 2, 2.5, 4.9, 10, 20, 30}},
+		"more":                  {runs: []float64{0, 1, 2, 5.1, 10, 20, 30}, violated: true},
+		"before its quarantine": {runs: []float64{0, 0, 0, 0, 1, 1, 2, 2}},
+		"during an outage":      {runs: []float64{0, 1, 2, 5.1, 10, 20, 30}, outage: span{start.Add(8 * time.Second), start.Add(9 * time.Second)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h, found := newHistory(), &violations{}
--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -17,12 +17,13 @@
 	// the time after which a crashed target restarts.
 	crashRequestInterval = 150 * time.Millisecond
 	crashDowntime        = 500 * time.Millisecond
-	// Once a request has crashed maxCrashedTargets targets, propagationTime is the time after which
-	// each healthy router must know of it, and maxLateCrashRuns the number of times that it may still
-	// run after that.
+	// maxCrashedTargets is the number of crashed targets after which a request must be quarantined, and
+	// maxLateCrashRuns the number of times that it may still run once the quarantine must have reached
+	// all healthy routers.
 	maxCrashedTargets = 3
 	maxLateCrashRuns  = 3
-	propagationTime   = 3 * time.Second
+	// propagationTime is how long a change may take to reach each healthy router.
+	propagationTime = 3 * time.Second
 )
 
 // sendCrashRequests repeatedly sends a request that crashes targets, through all routers in turn.
@@ -99,20 +100,20 @@
 }
 
 // checkCrashCounts checks, for each request body that crashed maxCrashedTargets targets, how often
-// healthy routers still sent it once they must have known.
+// healthy routers still sent it after its quarantine must have reached them.
 func (h *history) checkCrashCounts(crashTimes map[string][]time.Time, runsByBody map[string][]standin.SiteRun, found *violations) {
 	for body, times := range crashTimes {
 		slices.SortFunc(times, time.Time.Compare)
 		if len(times) < maxCrashedTargets {
 			continue
 		}
-		knownAt := times[maxCrashedTargets-1].Add(propagationTime)
+		propagatedAt := times[maxCrashedTargets-1].Add(propagationTime)
 		lateRuns := 0
 		for _, run := range runsByBody[body] {
-			if run.At.After(knownAt) && h.isHealthy(probedRouter(run.ID), run.At) {
+			if run.At.After(propagatedAt) && h.isHealthy(probedRouter(run.ID), run.At) {
 				lateRuns++
 			}
 		}
-		found.check(lateRuns <= maxLateCrashRuns, "%s ran %d times after all routers must have known that it crashes targets, %d times in total", body, lateRuns, len(runsByBody[body]))
+		found.check(lateRuns <= maxLateCrashRuns, "%s ran %d times after its quarantine must have reached all routers, %d times in total", body, lateRuns, len(runsByBody[body]))
 	}
 }
--- a/internal/soak/driver_test.go
+++ b/internal/soak/driver_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// applyProcessEvent applies an event to a process. SIGHUPs, changes of its settings and partial requests
-// may coincide with its other faults, which follow one another.
+// applyProcessEvent applies an event to a process. SIGHUPs, changes of the settings and partial
+// requests may coincide with the other faults of the process, which follow one another.
 func (d *driver) applyProcessEvent(ev event, proc *process) {
 	switch ev.Action {
 	case actionSIGHUP:
@@ -222,8 +222,8 @@
 	d.history.recordCutSpan(router, span{start, time.Now().Add(recoveryTime)})
 }
 
-// applyTargetEvent replaces the oldest target, or restarts a target that may be unlisted or draining for
-// the event's duration before.
+// applyTargetEvent replaces the oldest target or restarts a target. Before a restart the target may be
+// unlisted or draining for the event's duration.
 func (d *driver) applyTargetEvent(ev event) {
 	if ev.Action == actionReplace {
 		d.violations.check(d.addTarget() == nil, "%s could not be applied", ev)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestSoakRegressions runs all scenarios that have failed, unchanged. Each file starts with the cause of
-// the failure.
+// TestSoakRegressions runs all scenarios that have ever failed, unchanged. Each file starts with the
+// cause of the failure.
 func TestSoakRegressions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	require.NoError(t, err)
@@ -160,8 +160,8 @@
 	}
 }
 
-// requireTargetsServe waits until each target that is listed as ready gets a new request. There must be
-// enough callers to need all targets.
+// requireTargetsServe waits until each live target gets a new request. There must be enough callers to
+// need all targets.
 func (d *driver) requireTargetsServe() {
 	for _, target := range d.liveTargets {
 		runCount := len(target.Runs())
