--- a/internal/cmd/ctlcmd.go
+++ b/internal/cmd/ctlcmd.go
@@ -34,7 +34,7 @@
 // ctl holds the options and state that all commands of lfctl share.
 type ctl struct {
 	Keepers string `long:"keepers" value-name:"HOST:PORT,…" description:"addresses of the keepers" env:"LF_KEEPERS"`
-	Secret  string `long:"secret" value-name:"FILE" description:"the fleet's secret" env:"LF_SECRET"`
+	Secret  string `long:"secret" value-name:"FILE" description:"file with the secret of the fleet" env:"LF_SECRET"`
 	JSON    bool   `long:"json" description:"print JSON"`
 	Version bool   `long:"version" description:"print the version and exit"`
 
@@ -100,8 +100,8 @@
 	return nil, fleet.NewError(fleet.KindMalformed, "call a keeper", "lfctl serves no calls")
 }
 
-// Notice implements rpc.Handler.
-func (clientHandler) Notice(*rpc.Conn, string, json.RawMessage) {}
+// Notify implements rpc.Handler.
+func (clientHandler) Notify(*rpc.Conn, string, json.RawMessage) {}
 
 // call sends a request to the leader and tries the keepers in turn until it is found or the
 // timeout expires. All requests of lfctl are idempotent, so each may be sent again.
--- a/internal/cmd/loadcmd.go
+++ b/internal/cmd/loadcmd.go
@@ -58,7 +58,7 @@
 	if err := options.writeResults(results); err != nil {
 		return fail(stderr, exitFailure, err)
 	}
-	failures := scenario.Check(results)
+	failures := scenario.FailedChecks(results)
 	for _, failure := range failures {
 		printf(stdout, "check failed: %s\n", failure)
 	}
@@ -133,5 +133,5 @@
 	if o.Plot == "" {
 		return nil
 	}
-	return workload.Draw(results, o.Plot)
+	return workload.WritePlot(results, o.Plot)
 }
--- a/internal/cmd/localcmd.go
+++ b/internal/cmd/localcmd.go
@@ -118,17 +118,17 @@
 			return fmt.Errorf("write the secret: %w", err)
 		}
 	}
-	if l.keeperAddress, err = standin.FreeAddress(); err != nil {
+	if l.keeperAddress, err = standin.ReserveAddress(); err != nil {
 		return err
 	}
 	const routerCount = 2
 	for range routerCount {
-		address, err := standin.FreeAddress()
+		address, err := standin.ReserveAddress()
 		if err != nil {
 			return err
 		}
 		l.routerAddresses = append(l.routerAddresses, address)
-		if address, err = standin.FreeAddress(); err != nil {
+		if address, err = standin.ReserveAddress(); err != nil {
 			return err
 		}
 		l.routeAddresses = append(l.routeAddresses, address)
@@ -140,7 +140,7 @@
 	for _, kind := range []fleet.TargetKind{fleet.TargetEngine, fleet.TargetService} {
 		server := &standin.Standin{Settings: standin.Settings{
 			Name: string(kind) + "-1", Listen: "127.0.0.1:0", Kind: kind,
-			Tokens: localTokens, Pace: fleet.Duration(localPace), Delay: fleet.Duration(localPace),
+			Tokens: localTokens, TokenInterval: fleet.Duration(localPace), Delay: fleet.Duration(localPace),
 		}}
 		address, err := server.Listen()
 		if err != nil {
@@ -155,7 +155,7 @@
 }
 
 func (l *localFleet) runKeeper(ctx context.Context) error {
-	admin, err := standin.FreeAddress()
+	admin, err := standin.ReserveAddress()
 	if err != nil {
 		return err
 	}
@@ -169,14 +169,14 @@
 		return err
 	}
 	node := &keeper.Keeper{
-		Settings: keeperSettings, Log: settings.Logger("k1", l.options.Level, ""), Clock: clock.NewRealClock(),
+		Settings: keeperSettings, Log: settings.NewLogger("k1", l.options.Level, ""), Clock: clock.NewRealClock(),
 		Disk: disk, Init: len(files) == 0,
 	}
 	return node.Run(ctx)
 }
 
 func (l *localFleet) runRouter(ctx context.Context, index int, address string) error {
-	admin, err := standin.FreeAddress()
+	admin, err := standin.ReserveAddress()
 	if err != nil {
 		return err
 	}
@@ -184,9 +184,9 @@
 	node := &router.Router{
 		Settings: settings.Router{
 			Name: name, Zone: "regina", Listen: address, Admin: admin, Keepers: []string{l.keeperAddress}, Secret: l.secretFile,
-			Hosts: l.routeAddresses[index], Routes: settings.DefaultRoutes(),
+			RouteListen: l.routeAddresses[index], Routing: settings.DefaultRouting(),
 		},
-		Log:   settings.Logger(name, l.options.Level, ""),
+		Log:   settings.NewLogger(name, l.options.Level, ""),
 		Clock: clock.NewRealClock(),
 	}
 	return node.Run(ctx)
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -11,9 +11,9 @@
 // Standin runs lf-standin and returns its exit code.
 func Standin(args []string, stdout, stderr io.Writer) int {
 	var options commonOptions
-	standinProgram := program[standin.Settings]{name: "lf-standin", readSettings: standin.Read}
+	standinProgram := program[standin.Settings]{name: "lf-standin", readSettings: standin.ReadSettings}
 	standinProgram.run = func(ctx context.Context, standinSettings standin.Settings) error {
-		server := &standin.Standin{Settings: standinSettings, Log: settings.Logger(standinSettings.Name, standinSettings.Level, standinSettings.Format)}
+		server := &standin.Standin{Settings: standinSettings, Log: settings.NewLogger(standinSettings.Name, standinSettings.LogLevel, standinSettings.LogFormat)}
 		return server.Run(ctx)
 	}
 	return standinProgram.main(&options, &options, args, stdout, stderr)
--- a/internal/codec/json.go
+++ b/internal/codec/json.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// PackJSON returns a value as packed JSON.
-func PackJSON[T any](value T) ([]byte, error) {
+// CompressJSON returns a value as compressed JSON.
+func CompressJSON[T any](value T) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
-		return nil, fmt.Errorf("pack a value: %w", err)
+		return nil, fmt.Errorf("encode a value as JSON: %w", err)
 	}
-	return Pack(text)
+	return Compress(text)
 }
 
-// UnpackJSON returns the value of packed JSON.
-func UnpackJSON[T any](data []byte) (T, error) {
+// DecompressJSON returns the value that compressed JSON encodes.
+func DecompressJSON[T any](data []byte) (T, error) {
 	var value T
-	text, err := Unpack(data)
+	text, err := Decompress(data)
 	if err != nil {
 		return value, err
 	}
 	if err := json.Unmarshal(text, &value); err != nil {
-		return value, fmt.Errorf("unpack a value (it was packed by another version): %w", err)
+		return value, fmt.Errorf("decode a value from JSON (another version encoded it): %w", err)
 	}
 	return value, nil
 }
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -309,8 +309,8 @@
 // deadline returns when runOnce must run again at the latest.
 func (c *core) deadline() time.Time {
 	next := c.node.NextTick()
-	if c.divider != nil && c.divider.Deadline().Before(next) {
-		next = c.divider.Deadline()
+	if c.divider != nil && c.divider.NextTick().Before(next) {
+		next = c.divider.NextTick()
 	}
 	return next
 }
@@ -358,7 +358,7 @@
 func (c *core) handleReport(conn *rpc.Conn, params json.RawMessage) {
 	var report message.Report
 	if err := json.Unmarshal(params, &report); err != nil {
-		c.log.Warn("report cannot be read", "router", conn.Name(), "error", err)
+		c.log.Warn("report cannot be read", "router", conn.PeerName(), "error", err)
 		return
 	}
 	c.enqueue(func(now time.Time) {
@@ -370,6 +370,6 @@
 		if report.Quarantine != nil {
 			c.pendingReports = append(c.pendingReports, pendingReport{key, *report.Quarantine})
 		}
-		c.divider.Report(now, report)
+		c.divider.HandleReport(now, report)
 	})
 }
--- a/internal/keeper/handlers.go
+++ b/internal/keeper/handlers.go
@@ -18,8 +18,8 @@
 	inForcePollInterval = 20 * time.Millisecond
 )
 
-// Notice implements rpc.Handler.
-func (k *Keeper) Notice(peer *rpc.Conn, method string, params json.RawMessage) {
+// Notify implements rpc.Handler.
+func (k *Keeper) Notify(peer *rpc.Conn, method string, params json.RawMessage) {
 	switch method {
 	case message.MethodQuorum:
 		k.core.handleQuorumMessage(params)
@@ -146,7 +146,7 @@
 
 // ownerAlive reports whether a router has a lease, given the hash of its name as a claim's owner.
 func (c *core) ownerAlive(owner uint64) bool {
-	return c.divider.AnyAlive(func(name string, incarnation uint64) bool {
+	return c.divider.AnyLeased(func(name string, incarnation uint64) bool {
 		return statestore.HashOwner(message.ClaimOwner(name, incarnation)) == owner
 	})
 }
@@ -206,7 +206,7 @@
 		routers, inForce := 0, false
 		err := c.runAndWait(ctx, func(now time.Time) {
 			if c.divider != nil && c.isReadyLeader(now) {
-				routers, inForce = c.divider.InForce(now, applied.Number)
+				routers, inForce = c.divider.ConfigInForce(now, applied.Number)
 			}
 		})
 		if err != nil {
@@ -245,9 +245,9 @@
 			Leader: c.node.ID, Term: c.node.Term(), CommitIndex: c.node.CommitIndex(),
 			Number: c.store.ConfigNumber(), Digest: c.store.ConfigDigest(), Claims: c.store.ClaimCount(), Quarantined: len(c.store.Quarantine().Entries()),
 			Changing: c.node.MembershipChangePending(), Evacuated: c.store.EvacuatedZones().Zones,
-			ServiceGap: c.divider.Gap(), Routers: c.divider.Routers(),
+			ServiceGap: c.divider.ServiceGap(), Routers: c.divider.RouterStatuses(),
 		}
-		status.SlotsBusy, status.Slots = c.divider.Load()
+		status.SlotsBusy, status.Slots = c.divider.SlotUsage()
 		for _, member := range c.node.Members() {
 			status.Keepers = append(status.Keepers, message.KeeperStatus{
 				Name: member.Name, ID: member.ID, Address: member.Address, Voter: member.Voter, MatchIndex: c.node.MatchIndex(member.ID),
--- a/internal/router/keeperconns.go
+++ b/internal/router/keeperconns.go
@@ -66,7 +66,7 @@
 		conn, err := rpc.Dial(ctx, address, k.name, k.secret, k, k.counter)
 		if err == nil {
 			redialDelay.Reset()
-			k.log.Debug("linked", "keeper", conn.Name(), "address", address)
+			k.log.Debug("linked", "keeper", conn.PeerName(), "address", address)
 			k.useConn(ctx, address, conn)
 		} else {
 			k.log.Debug("connection failed; redialing", "address", address, "error", err)
@@ -134,13 +134,13 @@
 }
 
 // Notice implements rpc.Handler. It applies grants.
-func (k *keeperConns) Notice(peer *rpc.Conn, method string, params json.RawMessage) {
+func (k *keeperConns) Notify(peer *rpc.Conn, method string, params json.RawMessage) {
 	if method != message.MethodGrant {
 		return
 	}
 	var grant message.Grant
 	if err := json.Unmarshal(params, &grant); err != nil {
-		k.log.Warn("grant cannot be read", "keeper", peer.Name(), "error", err)
+		k.log.Warn("grant cannot be read", "keeper", peer.PeerName(), "error", err)
 		return
 	}
 	k.loop.applyGrant(grant, func(inForce bool) {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -39,7 +39,7 @@
 }
 
 func freeAddress(t testing.TB) string {
-	address, err := standin.FreeAddress()
+	address, err := standin.ReserveAddress()
 	require.NoError(t, err)
 	return address
 }
@@ -51,7 +51,7 @@
 }
 
 // startFleetWith is startFleet with settings for the routes of the router.
-func startFleetWith(t testing.TB, routes *settings.Routes, targets ...fleet.Target) *testFleet {
+func startFleetWith(t testing.TB, routes *settings.Routing, targets ...fleet.Target) *testFleet {
 	dir := t.TempDir()
 	secret := filepath.Join(dir, "secret")
 	require.NoError(t, os.WriteFile(secret, []byte("0123456789abcdef"), 0o600))
@@ -68,7 +68,7 @@
 		Log: log, Clock: clock.NewRealClock(), Disk: &journal.RealDisk{Folder: filepath.Join(dir, "k1")}, Init: true,
 	}
 	routerServer := &router.Router{
-		Settings: settings.Router{Name: "r1", Zone: "z", Listen: f.router, Admin: f.admin, Keepers: []string{keeperAddress}, Secret: secret, Routes: routes},
+		Settings: settings.Router{Name: "r1", Zone: "z", Listen: f.router, Admin: f.admin, Keepers: []string{keeperAddress}, Secret: secret, Routing: routes},
 		Log:      log, Clock: clock.NewRealClock(),
 	}
 	group.Go(func() error { return keeperServer.Run(ctx) })
@@ -257,7 +257,7 @@
 // Guards against slots held for callers that have disconnected while their streams run. The HTTP
 // library does not report disconnects to a handler.
 func TestDisconnectCancelsStreamAtTarget(t *testing.T) {
-	engine, target := startStandin(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, Pace: fleet.Duration(5 * time.Millisecond)})
+	engine, target := startStandin(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, TokenInterval: fleet.Duration(5 * time.Millisecond)})
 	target.Slots = 2
 	f := startFleet(t, target)
 	for _, body := range []string{`{"stream":true}`, `{"stream":true}`, `{"stream":true}`} {
@@ -279,7 +279,7 @@
 // Guards against a slot held for a caller that disconnects before an unstreamed response has
 // begun, while another request waits for the slot.
 func TestDisconnectFreesSlotOfUnstreamedRequest(t *testing.T) {
-	engine, target := startStandin(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, Pace: fleet.Duration(5 * time.Millisecond)})
+	engine, target := startStandin(t, standin.Settings{Name: "engine", Kind: fleet.TargetEngine, Tokens: 2000, TokenInterval: fleet.Duration(5 * time.Millisecond)})
 	target.Slots = 1
 	f := startFleet(t, target)
 	for range 2 {
@@ -337,7 +337,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }() // nothing else uses it
-	f := startFleetWith(t, &settings.Routes{Grace: time.Millisecond}, fleet.Target{Name: "mute", Address: listener.Addr().String(), Kind: fleet.TargetEngine, Slots: 8})
+	f := startFleetWith(t, &settings.Routing{GracePeriod: time.Millisecond}, fleet.Target{Name: "mute", Address: listener.Addr().String(), Kind: fleet.TargetEngine, Slots: 8})
 	callerConn, err := net.Dial("tcp", f.router)
 	require.NoError(t, err)
 	defer func() { _ = callerConn.Close() }() // may be closed already
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -205,7 +205,7 @@
 	if !ok {
 		status = fasthttp.StatusInternalServerError
 	}
-	writeJSON(ctx, status, refusalBody{Kind: refusal.Err.Kind, Message: refusal.Err.Message, Remedy: refusal.Err.Remedy, Fate: refusal.Fate})
+	writeJSON(ctx, status, refusalBody{Kind: refusal.Err.Kind, Message: refusal.Err.Message, Remedy: refusal.Err.Remedy, Fate: refusal.RunState})
 	ctx.Response.Header.Set(headerOutcome, string(refusal.Outcome))
 	if !refusal.RetryAt.IsZero() {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(r.Clock.Now(), refusal.RetryAt))
@@ -215,9 +215,9 @@
 	}
 }
 
-// retryAfter returns the time until at in whole seconds, at least one.
-func retryAfter(now, at time.Time) string {
-	seconds := int64((at.Sub(now) + time.Second - 1) / time.Second)
+// retryAfter returns the time until retryAt in whole seconds, at least one.
+func retryAfter(now, retryAt time.Time) string {
+	seconds := int64((retryAt.Sub(now) + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(seconds, 1), 10)
 }
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -76,12 +76,12 @@
 
 func (s *Service) assemble() {
 	gw, client := &s.gateway, &s.client
-	gw.Settings, gw.Name, gw.Zone, gw.Listen = *s.Settings.Routes, s.Settings.Name, s.Settings.Zone, s.Listen
+	gw.Settings, gw.Name, gw.Zone, gw.Listen = *s.Settings.Routing, s.Settings.Name, s.Settings.Zone, s.Listen
 	gw.Clock, gw.Log, gw.Dialect, gw.Metrics, gw.State = s.Clock, s.Log, s.Dialect, s.Meters, client.State
 	gw.StateIsFresh = client.StateIsFresh
 	client.Name, client.Zone, client.Incarnation = s.Settings.Name, s.Settings.Zone, uint64(s.Clock.Now().UnixNano())
-	client.Clock, client.Log, client.Secret, client.KeyLease = s.Clock, s.Log, s.Secret, s.Settings.Routes.Lease
-	client.Decode, client.List, client.ReadRate = s.Decode, s.List, s.Settings.Routes.Reads
+	client.Clock, client.Log, client.Secret, client.KeyLease = s.Clock, s.Log, s.Secret, s.Settings.Routing.KeyLease
+	client.Decode, client.List, client.ReadRate = s.Decode, s.List, s.Settings.Routing.ListReadRate
 	client.OnChange, client.Load, client.OnFleetLoad = gw.SetTargets, gw.Load, gw.SetFleetLoad
 	pollLeader := make(chan struct{}, 1)
 	gw.PollLeader, client.PollNow = pollLeader, pollLeader
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -79,7 +79,7 @@
 		violations int
 	}{{guestKey, 6 * time.Second, 0}, {guestKey, 8 * time.Second, 1}, {memberKey, 8 * time.Second, 0}} {
 		var found violations
-		h.checkRevokedKey(standin.SiteRun{At: h.revokedAt.Add(tt.after)}, tt.key, &found)
+		h.checkRevokedKey(standin.TargetRun{At: h.revokedAt.Add(tt.after)}, tt.key, &found)
 		require.Len(t, found.list, tt.violations)
 	}
 }
@@ -90,10 +90,10 @@
 func TestDetectsRunsAtDrainedTarget(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
-	h, drained := newHistory(), &standin.SiteTarget{ID: "t-0"}
+	h, drained := newHistory(), &standin.PlatformTarget{ID: "t-0"}
 	violationCount := func(seconds float64) int {
 		var found violations
-		h.checkDrainedTarget(drained, standin.SiteRun{At: at(seconds)}, 1, &found)
+		h.checkDrainedTarget(drained, standin.TargetRun{At: at(seconds)}, 1, &found)
 		return len(found.list)
 	}
 	require.Zero(t, violationCount(9), "the target is not draining")
@@ -137,11 +137,11 @@
 				h.recordEventOutage(event{Kind: kindKeeper}, tt.outage)
 			}
 			crashTimes := make(map[string][]time.Time)
-			runsByBody := make(map[string][]standin.SiteRun)
+			runsByBody := make(map[string][]standin.TargetRun)
 			for _, seconds := range tt.runs {
 				at := start.Add(time.Duration(seconds * float64(time.Second)))
 				crashTimes[body] = append(crashTimes[body], at)
-				runsByBody[body] = append(runsByBody[body], standin.SiteRun{At: at, ID: "ask-0-1", Body: body})
+				runsByBody[body] = append(runsByBody[body], standin.TargetRun{At: at, RequestID: "ask-0-1", Body: body})
 			}
 			h.checkCrashCounts(crashTimes, runsByBody, found)
 			require.Equal(t, tt.violated, len(found.list) > 0, "%v", found.list)
--- a/internal/soak/config_test.go
+++ b/internal/soak/config_test.go
@@ -66,7 +66,7 @@
 	u.history.recordRevocation(u.guestHasKey, &u.history.revocationSentAt)
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(pollInterval) {
 		u.nextKeeper = (u.nextKeeper + 1) % len(u.keepers)
-		if status, _ := u.operator().Put(u.nextKeeper, fmt.Sprintf(configTemplate, version, version, guestEntry)); status == http.StatusOK {
+		if status, _ := u.operator().PutConfig(u.nextKeeper, fmt.Sprintf(configTemplate, version, version, guestEntry)); status == http.StatusOK {
 			break
 		}
 		if time.Now().After(deadline) {
@@ -101,7 +101,7 @@
 func (u *configUpdater) watchKeepers(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		readStart := time.Now()
-		status, text := u.operator().Get(i % len(u.keepers))
+		status, text := u.operator().GetConfig(i % len(u.keepers))
 		var config struct{ Version int }
 		if status == http.StatusOK && json.Unmarshal([]byte(text), &config) == nil {
 			u.checkKeeperRead(readStart, i%len(u.keepers), config.Version)
--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -51,7 +51,7 @@
 // it closes the target and aborts the handler by a panic. The target restarts under the same ID
 // after crashDowntime, unless it was drained or restarted meanwhile. It returns false for any other
 // request.
-func (d *driver) crashIfRequested(target *standin.SiteTarget, run standin.SiteRun) bool {
+func (d *driver) crashIfRequested(target *standin.PlatformTarget, run standin.TargetRun) bool {
 	if !strings.HasPrefix(run.Body, crashBodyPrefix) {
 		return false
 	}
@@ -80,10 +80,10 @@
 
 // checkCrashRequests checks that requests which crash targets are quarantined in time. It counts one
 // crash for each target that ran a request of the same body.
-func (h *history) checkCrashRequests(site *standin.Site, found *violations) {
+func (h *history) checkCrashRequests(site *standin.Platform, found *violations) {
 	crashTimes := make(map[string][]time.Time) // of targets, by request body
-	runsByBody := make(map[string][]standin.SiteRun)
-	for _, target := range site.All() {
+	runsByBody := make(map[string][]standin.TargetRun)
+	for _, target := range site.AllIncarnations() {
 		crashed := make(map[string]bool)
 		for _, run := range target.Runs() {
 			if !strings.HasPrefix(run.Body, crashBodyPrefix) {
@@ -101,7 +101,7 @@
 
 // checkCrashCounts checks, for each request body that crashed maxCrashedTargets targets, how often
 // healthy routers still sent it after its quarantine must have reached them.
-func (h *history) checkCrashCounts(crashTimes map[string][]time.Time, runsByBody map[string][]standin.SiteRun, found *violations) {
+func (h *history) checkCrashCounts(crashTimes map[string][]time.Time, runsByBody map[string][]standin.TargetRun, found *violations) {
 	for body, times := range crashTimes {
 		slices.SortFunc(times, time.Time.Compare)
 		if len(times) < maxCrashedTargets {
@@ -110,7 +110,7 @@
 		propagatedAt := times[maxCrashedTargets-1].Add(propagationTime)
 		lateRuns := 0
 		for _, run := range runsByBody[body] {
-			if run.At.After(propagatedAt) && h.isHealthy(probedRouter(run.ID), run.At) {
+			if run.At.After(propagatedAt) && h.isHealthy(probedRouter(run.RequestID), run.At) {
 				lateRuns++
 			}
 		}
--- a/internal/soak/driver_test.go
+++ b/internal/soak/driver_test.go
@@ -121,7 +121,7 @@
 func (d *driver) damageDisk(ev event, proc *process) error {
 	switch ev.Variant {
 	case variantDiskLost:
-		return os.RemoveAll(proc.settings.Folder)
+		return os.RemoveAll(proc.settings.DataDir)
 	case variantTornWrite:
 		return proc.tearLog()
 	}
@@ -136,7 +136,7 @@
 	if ev.Action == actionKill && ev.Variant != variantDiskLost && ev.Variant != variantTornWrite {
 		clockVariant = ev.Variant
 	}
-	proc.settings.First = ev.Kind == kindRouter
+	proc.settings.FirstStart = ev.Kind == kindRouter
 	if err := proc.start(clockVariant); err != nil {
 		d.violations.add("%s: %v", ev, err)
 	}
@@ -150,7 +150,7 @@
 	time.Sleep(time.Duration(ev.Duration))
 	d.violations.check(os.Remove(keeper.path(".disk")) == nil, "%s could not be ended: the file of its disk fault remains", ev)
 	keeper.kill()
-	keeper.settings.First = false
+	keeper.settings.FirstStart = false
 	if err := keeper.start(""); err != nil {
 		d.violations.add("%s: %v", ev, err)
 	}
@@ -163,7 +163,7 @@
 	first := int(time.Duration(ev.At)/time.Millisecond) % count
 	settings := proc.settings
 	settings.Seeds = d.seedAddresses(first, (first+1)%count, (first+2)%count)
-	err := os.WriteFile(proc.path(".new"), []byte(settings.Text()), 0o600)
+	err := os.WriteFile(proc.path(".new"), []byte(settings.TOML()), 0o600)
 	if err == nil {
 		err = os.Rename(proc.path(".new"), proc.path(".toml"))
 	}
@@ -203,21 +203,21 @@
 	start := time.Now()
 	switch ev.Action {
 	case actionDelay:
-		proxy.Delay(delay)
+		proxy.SetDelay(delay)
 	case actionReset:
-		proxy.Reset()
+		proxy.ResetConnections()
 	case actionBlockInbound:
-		proxy.Silence(standin.ToTarget)
+		proxy.Block(standin.ToTarget)
 	case actionBlockOutbound:
-		proxy.Silence(standin.ToCaller)
+		proxy.Block(standin.ToCaller)
 	case actionBlockBoth:
-		proxy.Silence(standin.ToTarget)
-		proxy.Silence(standin.ToCaller)
+		proxy.Block(standin.ToTarget)
+		proxy.Block(standin.ToCaller)
 	default:
 		d.violations.add("unknown action on connections: %s", ev)
 	}
 	time.Sleep(time.Duration(ev.Duration))
-	proxy.Heal()
+	proxy.ClearFaults()
 	d.history.recordEventOutage(ev, span{start, time.Now()})
 	d.history.recordCutSpan(router, span{start, time.Now().Add(recoveryTime)})
 }
@@ -267,16 +267,16 @@
 func (d *driver) applyListFault(ev event) {
 	start := time.Now()
 	if ev.Action == actionGarbleList {
-		d.platform.Garble("\xff{")
+		d.platform.SetListBody("\xff{")
 	} else {
-		d.platform.Damage(standin.DamagedEntries...)
+		d.platform.SetDamagedEntries(standin.DamagedEntries...)
 	}
 	time.Sleep(time.Duration(ev.Duration))
 	if ev.Action == actionGarbleList {
-		d.platform.Garble("")
+		d.platform.SetListBody("")
 		d.history.recordListOutage(span{start, time.Now()})
 	} else {
-		d.platform.Damage()
+		d.platform.SetDamagedEntries()
 	}
 }
 
--- a/internal/soak/evacuation_test.go
+++ b/internal/soak/evacuation_test.go
@@ -59,12 +59,12 @@
 // checkEvacuatedZone checks that a request which a router sent to a target did not run in an
 // evacuated zone. A router must comply once it and all keepers were healthy for propagationTime
 // without interruption since the order.
-func (h *history) checkEvacuatedZone(target *standin.SiteTarget, run standin.SiteRun, router int, found *violations) {
+func (h *history) checkEvacuatedZone(target *standin.PlatformTarget, run standin.TargetRun, router int, found *violations) {
 	for _, evac := range h.evacuations {
 		if evac.zone != target.Zone || !evac.overlaps(run.At, run.At) || h.mayBeDelayed(run) {
 			continue
 		}
-		found.check(h.longestHealthySpan(router, evac.start, run.At) <= propagationTime, "%s ran at %s, %s after its zone was evacuated", run.ID, target.ID, run.At.Sub(evac.start))
+		found.check(h.longestHealthySpan(router, evac.start, run.At) <= propagationTime, "%s ran at %s, %s after its zone was evacuated", run.RequestID, target.ID, run.At.Sub(evac.start))
 	}
 }
 
@@ -93,7 +93,7 @@
 	h.evacuations = []evacuation{{span{at(0), at(10)}, "z1"}}
 	violationCount := func(zone string, seconds float64) int {
 		var found violations
-		h.checkEvacuatedZone(&standin.SiteTarget{ID: "t-0", Zone: zone}, standin.SiteRun{At: at(seconds)}, 1, &found)
+		h.checkEvacuatedZone(&standin.PlatformTarget{ID: "t-0", Zone: zone}, standin.TargetRun{At: at(seconds)}, 1, &found)
 		return len(found.list)
 	}
 	require.Zero(t, violationCount("z1", 2))
--- a/internal/soak/fleet_test.go
+++ b/internal/soak/fleet_test.go
@@ -32,7 +32,7 @@
 	size          fleetSize
 	folder        string
 	port          int
-	platform      *standin.Site
+	platform      *standin.Platform
 	keepers       []*process
 	routers       []*process
 	keeperProxies []*standin.Proxy // in front of keepers
@@ -40,17 +40,17 @@
 	violations    *violations
 
 	mu            sync.Mutex
-	targetProxies []*standin.Proxy      // in front of targets, the oldest first
-	liveTargets   []*standin.SiteTarget // added and not replaced, the oldest first
+	targetProxies []*standin.Proxy          // in front of targets, the oldest first
+	liveTargets   []*standin.PlatformTarget // added and not replaced, the oldest first
 	addedTargets  int
 }
 
 func newTestFleet(t *testing.T, size fleetSize) *testFleet {
 	f := &testFleet{t: t, size: size, folder: t.TempDir(), violations: &violations{}}
 	var err error
-	f.port, err = standin.FreePorts(standin.ProcessPorts)
+	f.port, err = standin.ReservePorts(standin.PortsPerProcess)
 	require.NoError(t, err)
-	f.platform, err = standin.StartSite(f.ip(firstKeeperHost) + ":0")
+	f.platform, err = standin.StartPlatform(f.ip(firstKeeperHost) + ":0")
 	require.NoError(t, err)
 	t.Cleanup(f.close)
 	for i := range size.Keepers {
@@ -88,8 +88,8 @@
 
 func (f *testFleet) newProcess(program, name string, host int) *process {
 	return &process{program: program, folder: f.folder, violations: f.violations, settings: standin.ProcessSettings{
-		Name: name, IP: f.ip(host), Zone: fmt.Sprintf("z%d", 1+host%2), Port: f.port, Seeds: f.seedAddresses(0, 1, 2), First: true,
-		Folder: filepath.Join(f.folder, name), List: f.platform.Address(),
+		Name: name, IP: f.ip(host), Zone: fmt.Sprintf("z%d", 1+host%2), Port: f.port, Seeds: f.seedAddresses(0, 1, 2), FirstStart: true,
+		DataDir: filepath.Join(f.folder, name), ListAddress: f.platform.Address(),
 	}}
 }
 
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	target.Behind(proxy.Address())
+	target.SetListedAddress(proxy.Address())
 	f.addedTargets++
 	f.liveTargets, f.targetProxies = append(f.liveTargets, target), append(f.targetProxies, proxy)
 	return nil
@@ -146,24 +146,24 @@
 // delayResponse answers a request to a target with a delay, or crashes the target if the request asks
 // for that. It reports false for other paths, which the target answers at once: among them are the
 // routes that show the version of the configuration.
-func (d *driver) delayResponse(target *standin.SiteTarget, w http.ResponseWriter, r *http.Request) bool {
+func (d *driver) delayResponse(target *standin.PlatformTarget, w http.ResponseWriter, r *http.Request) bool {
 	switch r.URL.Path {
 	case streamPath:
-		target.Ran(r)
-		target.Head(w, r)
-		for i := 1; i <= standin.SiteEvents; i++ {
-			target.Stream(w, i, i)
+		target.RecordRun(r)
+		target.WriteHeaders(w, r)
+		for i := 1; i <= standin.StreamEvents; i++ {
+			target.WriteEvents(w, i, i)
 			time.Sleep(streamEventInterval)
 		}
 		return true
 	case "/once/x", "/keyed/x":
-		run := target.Ran(r)
+		run := target.RecordRun(r)
 		if d.crashIfRequested(target, run) {
 			return true
 		}
 		time.Sleep(serviceTime)
-		target.Head(w, r)
-		_, _ = io.WriteString(w, "ran "+run.ID+" "+run.Body) // the router may have closed the connection
+		target.WriteHeaders(w, r)
+		_, _ = io.WriteString(w, "ran "+run.RequestID+" "+run.Body) // the router may have closed the connection
 		return true
 	}
 	return false
@@ -195,9 +195,9 @@
 func (f *testFleet) keepLogs() {
 	folder, err := "", error(nil)
 	if *logFolder == "" {
-		folder, err = standin.KeepLogs(f.t.Name(), f.folder)
+		folder, err = standin.SaveLogs(f.t.Name(), f.folder)
 	} else {
-		folder, err = standin.KeepLogsIn(*logFolder, f.t.Name(), f.folder)
+		folder, err = standin.SaveLogsIn(*logFolder, f.t.Name(), f.folder)
 	}
 	f.t.Logf("logs are kept in %q, error: %v", folder, err)
 }
--- a/internal/soak/generate_test.go
+++ b/internal/soak/generate_test.go
@@ -254,7 +254,7 @@
 // revokeKeyDuringPause revokes a key while a router is paused, for longer than a revoked key may stay
 // valid.
 func (g *generator) revokeKeyDuringPause() {
-	victim, duration := g.IntN(g.Size.Routers), maxRevocationLag+standin.CallerTime+g.randomDuration(500, 2500)
+	victim, duration := g.IntN(g.Size.Routers), maxRevocationLag+standin.CallerTimeout+g.randomDuration(500, 2500)
 	if !g.keyRevoked && g.reserve(kindRouter, victim, g.at, duration+time.Second) {
 		g.addEvent(g.at, kindRouter, victim, actionPause, "", duration)
 		g.at += g.randomDuration(50, 300)
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -23,7 +23,7 @@
 	// graceSendLimit and graceCutStart bound, counted from SIGTERM, which requests the end of the grace
 	// period may cut: those sent no later than the first and still running after the second.
 	graceSendLimit = 3 * time.Second
-	graceCutStart  = standin.Grace * time.Second * 5 / 6
+	graceCutStart  = standin.GraceSeconds * time.Second * 5 / 6
 )
 
 // The values that stand for a router's index in records and lookups where no single router is meant.
@@ -52,21 +52,21 @@
 // allowed.
 type history struct {
 	mu               sync.Mutex
-	cutSpans         []routerSpan                      // in which answers by a router may be cut
-	pauses           []routerSpan                      // in which a router was paused and may act on stale data
-	outages          []routerSpan                      // in which a router, or a keeper (anyRouter), had a fault
-	linkFaults       []span                            // in which requests may reach targets late
-	listOutages      []span                            // in which the list of targets could not be read
-	stops            map[int][]span                    // of routers, from SIGTERM to the exit
-	drainedAt        map[*standin.SiteTarget]time.Time // when the list began to show a target as draining
-	ownStalls        []span                            // in which the test process did not run
+	cutSpans         []routerSpan                          // in which answers by a router may be cut
+	pauses           []routerSpan                          // in which a router was paused and may act on stale data
+	outages          []routerSpan                          // in which a router, or a keeper (anyRouter), had a fault
+	linkFaults       []span                                // in which requests may reach targets late
+	listOutages      []span                                // in which the list of targets could not be read
+	stops            map[int][]span                        // of routers, from SIGTERM to the exit
+	drainedAt        map[*standin.PlatformTarget]time.Time // when the list began to show a target as draining
+	ownStalls        []span                                // in which the test process did not run
 	evacuations      []evacuation
 	revocationSentAt time.Time // when the revocation of the guest's key was first sent
 	revokedAt        time.Time // when the revocation was accepted
 }
 
 func newHistory() *history {
-	return &history{stops: make(map[int][]span), drainedAt: make(map[*standin.SiteTarget]time.Time)}
+	return &history{stops: make(map[int][]span), drainedAt: make(map[*standin.PlatformTarget]time.Time)}
 }
 
 // recordRouterFault records the span of a process fault in which answers may be cut. Faults of
@@ -138,7 +138,7 @@
 	h.stops[router] = append(h.stops[router], during)
 }
 
-func (h *history) recordDrain(target *standin.SiteTarget) {
+func (h *history) recordDrain(target *standin.PlatformTarget) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.drainedAt[target] = time.Now()
@@ -152,21 +152,21 @@
 
 // checkPromises checks everything that callers and targets recorded against the promises, and adds
 // each violation to found.
-func (h *history) checkPromises(attempts []standin.Attempt, site *standin.Site, found *violations) {
+func (h *history) checkPromises(attempts []standin.Attempt, site *standin.Platform, found *violations) {
 	runCounts, keyByID, routerByID := make(map[string]int), make(map[string]string), make(map[string]int)
 	for _, attempt := range attempts {
 		keyByID[attempt.ID], routerByID[attempt.ID] = attempt.Key, attempt.Router
 	}
-	for _, target := range site.All() {
+	for _, target := range site.AllIncarnations() {
 		for _, run := range target.Runs() {
-			runCounts[run.ID]++
-			router, known := routerByID[run.ID]
+			runCounts[run.RequestID]++
+			router, known := routerByID[run.RequestID]
 			if !known {
-				router = probedRouter(run.ID)
+				router = probedRouter(run.RequestID)
 			}
 			h.checkDrainedTarget(target, run, router, found)
 			h.checkEvacuatedZone(target, run, router, found)
-			h.checkRevokedKey(run, keyByID[run.ID], found)
+			h.checkRevokedKey(run, keyByID[run.RequestID], found)
 		}
 	}
 	for _, attempt := range attempts {
@@ -181,17 +181,17 @@
 		found.check(ok, "%s %s through router %d, sent %s, ended %s, status %d, ran %d times: %s",
 			attempt.ID, attempt.Path, attempt.Router, formatTime(attempt.Sent), formatTime(attempt.Ended), attempt.Status, runCount, violation)
 	}
-	check(attempt.Wrong == "", attempt.Wrong)
+	check(attempt.Violation == "", attempt.Violation)
 	check(runCount <= 1 || attempt.Path == "/keyed/x", "a request that is not idempotent must run at most once")
 	h.checkStatus(attempt, runCount, check)
-	if attempt.Status == 0 && !attempt.Refused && !attempt.Left {
+	if attempt.Status == 0 && !attempt.Refused && !attempt.Abandoned {
 		h.checkUnanswered(attempt, runCount, check)
 	}
 }
 
 // checkDrainedTarget checks that a request which a router sent to a draining target ran no later than
 // maxDrainLag after routers could read that from the list.
-func (h *history) checkDrainedTarget(target *standin.SiteTarget, run standin.SiteRun, router int, found *violations) {
+func (h *history) checkDrainedTarget(target *standin.PlatformTarget, run standin.TargetRun, router int, found *violations) {
 	drainedAt, drained := h.drainedAt[target]
 	if !drained {
 		return
@@ -209,11 +209,11 @@
 	if h.mayBeDelayed(run) {
 		return
 	}
-	found.check(run.At.Sub(drainedAt) <= maxDrainLag, "%s ran at %s, %s after the list showed the target as draining", run.ID, target.ID, run.At.Sub(drainedAt))
+	found.check(run.At.Sub(drainedAt) <= maxDrainLag, "%s ran at %s, %s after the list showed the target as draining", run.RequestID, target.ID, run.At.Sub(drainedAt))
 }
 
 // mayBeDelayed reports whether a link fault may have delayed a request on its way to the target.
-func (h *history) mayBeDelayed(run standin.SiteRun) bool {
+func (h *history) mayBeDelayed(run standin.TargetRun) bool {
 	for _, fault := range h.linkFaults {
 		if fault.overlaps(run.At, run.At) {
 			return true
@@ -224,10 +224,10 @@
 
 // checkRevokedKey checks that no request ran with the guest's key too long after its revocation. A
 // request that was admitted while the key was valid may wait for at most its deadline.
-func (h *history) checkRevokedKey(run standin.SiteRun, key string, found *violations) {
+func (h *history) checkRevokedKey(run standin.TargetRun, key string, found *violations) {
 	if key == guestKey && !h.revokedAt.IsZero() && !h.mayBeDelayed(run) {
 		lag := run.At.Sub(h.revokedAt)
-		found.check(lag <= maxRevocationLag+standin.CallerTime, "%s ran %s after its key was revoked", run.ID, lag)
+		found.check(lag <= maxRevocationLag+standin.CallerTimeout, "%s ran %s after its key was revoked", run.RequestID, lag)
 	}
 }
 
@@ -258,11 +258,11 @@
 		}
 	}
 	stalled := h.stalledDuring(attempt.Sent, attempt.Ended)
-	if attempt.Ended.Sub(attempt.Sent)-stalled >= standin.CallerTime+overdueMargin {
+	if attempt.Ended.Sub(attempt.Sent)-stalled >= standin.CallerTimeout+overdueMargin {
 		check(false, "it did not end by its deadline")
 		return
 	}
-	if attempt.Path == streamPath && attempt.Ended.Sub(attempt.Sent) >= standin.CallerTime && stalled > standin.CallerTime-streamTime {
+	if attempt.Path == streamPath && attempt.Ended.Sub(attempt.Sent) >= standin.CallerTimeout && stalled > standin.CallerTimeout-streamTime {
 		return // its deadline passed while the test process, and its target in it, was stalled
 	}
 	for _, stop := range h.stops[attempt.Router] {
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -58,7 +58,7 @@
 
 // writeSettings writes the settings file.
 func (p *process) writeSettings() error {
-	return os.WriteFile(p.path(".toml"), []byte(p.settings.Text()), 0o600)
+	return os.WriteFile(p.path(".toml"), []byte(p.settings.TOML()), 0o600)
 }
 
 // start starts the program with a variant of clock skew, or "" for none. It returns when the log shows
@@ -185,7 +185,7 @@
 	}
 	select {
 	case <-run.exited:
-	case <-time.After(standin.Grace*time.Second + stopMargin):
+	case <-time.After(standin.GraceSeconds*time.Second + stopMargin):
 		p.violations.add("%s got SIGTERM at %s and still runs after its grace period", p.settings.Name, formatTime(stopSpan.start))
 		p.signal(syscall.SIGQUIT, true)
 		<-run.exited
@@ -200,7 +200,7 @@
 // tearLog appends the beginning of a batch to a keeper's write-ahead log, as a crash in the middle of a
 // write does.
 func (p *process) tearLog() error {
-	logs, err := filepath.Glob(filepath.Join(p.settings.Folder, "log-*"))
+	logs, err := filepath.Glob(filepath.Join(p.settings.DataDir, "log-*"))
 	if err != nil || len(logs) == 0 {
 		return err
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -125,7 +125,7 @@
 	cancel()
 	workers.Wait()
 	d.stopAll()
-	d.requirePromises(callers.Taken())
+	d.requirePromises(callers.Attempts())
 }
 
 func (d *driver) logPhase(phase string) {
@@ -166,7 +166,7 @@
 	for _, target := range d.liveTargets {
 		runCount := len(target.Runs())
 		require.Eventually(d.t, func() bool { return len(target.Runs()) > runCount }, waitTimeout, pollInterval,
-			"%s, started at %s, gets no work", target.ID, formatTime(time.UnixMilli(target.Born)))
+			"%s, started at %s, gets no work", target.ID, formatTime(time.UnixMilli(target.StartMillis)))
 	}
 }
 
@@ -180,23 +180,23 @@
 			}
 			return memberKey
 		},
-		Door: func(caller, request int) (int, string) {
+		ChooseRouter: func(caller, request int) (int, string) {
 			router := (caller + request/20) % len(d.routerProxies)
 			return router, d.routerProxies[router].Address()
 		},
-		Alone: func(router int, local string) bool { return d.routerProxies[router].Alone(local) },
-		Manner: func(_, request int) standin.Manner {
+		DialFailed: func(router int, local string) bool { return d.routerProxies[router].DialFailed(local) },
+		Behavior: func(_, request int) standin.CallerBehavior {
 			switch {
 			case request%7 == 3:
-				return standin.Pieces
+				return standin.BehaviorChunkedBody
 			case request%7 == 5:
-				return standin.Slow
+				return standin.BehaviorSlowReader
 			case request%11 == 6:
-				return standin.Leaving
+				return standin.BehaviorAbandon
 			}
-			return standin.Prompt
+			return standin.BehaviorNormal
 		},
-		Patience: overdueMargin + time.Second,
+		ExtraWait: overdueMargin + time.Second,
 	}
 }
 
