--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -80,10 +80,10 @@
 
 // checkCrashRequests checks that requests which crash targets are quarantined in time. It counts one
 // crash for each target that ran a request of the same body.
-func (h *history) checkCrashRequests(site *standin.Platform, found *violations) {
+func (h *history) checkCrashRequests(platform *standin.Platform, found *violations) {
 	crashTimes := make(map[string][]time.Time) // of targets, by request body
 	runsByBody := make(map[string][]standin.TargetRun)
-	for _, target := range site.AllIncarnations() {
+	for _, target := range platform.AllIncarnations() {
 		crashed := make(map[string]bool)
 		for _, run := range target.Runs() {
 			if !strings.HasPrefix(run.Body, crashBodyPrefix) {
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -152,12 +152,12 @@
 
 // checkPromises checks everything that callers and targets recorded against the promises, and adds
 // each violation to found.
-func (h *history) checkPromises(attempts []standin.Attempt, site *standin.Platform, found *violations) {
+func (h *history) checkPromises(attempts []standin.Attempt, platform *standin.Platform, found *violations) {
 	runCounts, keyByID, routerByID := make(map[string]int), make(map[string]string), make(map[string]int)
 	for _, attempt := range attempts {
 		keyByID[attempt.ID], routerByID[attempt.ID] = attempt.Key, attempt.Router
 	}
-	for _, target := range site.AllIncarnations() {
+	for _, target := range platform.AllIncarnations() {
 		for _, run := range target.Runs() {
 			runCounts[run.RequestID]++
 			router, known := routerByID[run.RequestID]
@@ -172,7 +172,7 @@
 	for _, attempt := range attempts {
 		h.checkAttempt(attempt, runCounts[attempt.ID], found)
 	}
-	h.checkCrashRequests(site, found)
+	h.checkCrashRequests(platform, found)
 }
 
 // checkAttempt checks a caller's attempt that targets ran runCount times.
