--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// newCallers returns callers that send to all routers in turn, in all manners of sending and reading.
+// newCallers returns callers that send to all routers in turn and show all kinds of caller behavior.
 func (d *driver) newCallers() *standin.Callers {
 	return &standin.Callers{
 		Paths: []string{"/once/x", "/keyed/x", streamPath},
