--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -130,6 +130,28 @@
 	return g.placer.Warmup.Seat(now)
 }
 
+// Absent returns the targets that this router has found to be gone. It may be called at any
+// time.
+func (g *Gateway) Absent(now time.Time) []fleet.Incarnation {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.placer.Found(now)
+}
+
+// SetAbsent takes the targets that any router has found to be gone. It may be called at any
+// time.
+func (g *Gateway) SetAbsent(targets []fleet.Incarnation) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.placer.SetAbsent(g.Clock.Now(), targets)
+}
+
+func (g *Gateway) noteAbsent(target fleet.Incarnation) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.placer.Absent(g.Clock.Now(), target)
+}
+
 // Load returns what this router's callers ask for and what waits at targets. It
 // may be called at any time.
 func (g *Gateway) Load(now time.Time) ([]message.Demand, []message.Backlog) {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -1,8 +1,10 @@
 package gateway
 
 import (
+	"errors"
 	"io"
 	"net/http"
+	"syscall"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
@@ -47,6 +49,9 @@
 			return outcome{next: over, reason: fleet.ReasonCallerLeft, err: err}
 		}
 		g.ended(c, placement.Unreached)
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			g.noteAbsent(c.Target.Incarnation)
+		}
 		g.logSend(q, c, started, fleet.AttemptUnreached, err)
 		return outcome{next: elsewhere, reason: fleet.ReasonNoConnection, err: err, unrun: true}
 	}
@@ -157,6 +162,7 @@
 	if g.Dialect.Moved(a.Status) {
 		q.moved++
 		g.ended(c, placement.Unreached)
+		g.noteAbsent(c.Target.Incarnation)
 		g.logSend(q, c, started, fleet.AttemptMoved, nil, "status", a.Status)
 		return outcome{next: again, reason: fleet.ReasonMoved, unrun: true}
 	}
--- a/internal/keeper/renew.go
+++ b/internal/keeper/renew.go
@@ -12,6 +12,7 @@
 	"laburnumfall/internal/packed"
 	"laburnumfall/internal/quorum"
 	"laburnumfall/internal/quota"
+	"laburnumfall/internal/roster"
 	"laburnumfall/internal/warmup"
 )
 
@@ -39,6 +40,8 @@
 	readAt time.Time
 	board  quota.Board
 	own    ledger.Document // the product's own configuration, packed
+	absent roster.Absences
+	listed map[fleet.Incarnation]bool // targets
 
 	warming warming
 	seats   warmup.Seats // of seatsOf
@@ -64,6 +67,10 @@
 	if e := c.ledger.Evacuations(); e.Revision != p.Evacuations {
 		r.Evacuations = &e
 	}
+	c.routes.absent.Report(now, p.Absent, func(in fleet.Incarnation) bool { return c.routes.listed[in] })
+	if revision, targets := c.routes.absent.Now(now); revision != p.Absences {
+		r.Absences = &message.Absences{Revision: revision, Targets: targets}
+	}
 	if p.Columns {
 		r.Loads = c.loads(now, p.Names)
 	} else {
@@ -230,6 +237,10 @@
 		c.log.Info("list of targets changed", "targets", len(targets), "damaged", len(damaged), "list", c.routes.list, "term", term)
 	}
 	c.routes.targets, c.routes.damaged, c.routes.readAt = targets, damaged, readAt
+	c.routes.listed = make(map[fleet.Incarnation]bool, len(targets))
+	for _, in := range targets {
+		c.routes.listed[in.Incarnation] = true
+	}
 	c.routes.warming = warming
 }
 
--- a/internal/keeper/renew_test.go
+++ b/internal/keeper/renew_test.go
@@ -9,6 +9,7 @@
 	"laburnumfall/internal/fleet"
 	"laburnumfall/internal/message"
 	"laburnumfall/internal/packed"
+	"laburnumfall/internal/roster"
 )
 
 // Symptom: while routers or keepers are replaced, routers of the version before
@@ -147,3 +148,21 @@
 	require.Equal(t, []string{"a", "x", "y"}, more.Accounts)
 	require.Equal(t, []int{10, 0, 11}, more.Rates)
 }
+
+// Guards against targets that are gone, and of which only the router that found it knows.
+func TestRoutersAreToldOfTargetsThatOthersFindGone(t *testing.T) {
+	g, c := newLeader(t, 5)
+	a, b := fleet.Incarnation{ID: "a", Born: 1}, fleet.Incarnation{ID: "b", Born: 1}
+	c.setTargets(g.clock.Now(), fleet.Listing{Targets: []fleet.Instance{{Incarnation: a, Pool: "p"}, {Incarnation: b, Pool: "p"}}})
+	require.Nil(t, c.renew(g.clock.Now(), message.Renew{Router: "r"}).Absences)
+	found := c.renew(g.clock.Now(), message.Renew{Router: "r", Absent: []fleet.Incarnation{b, {ID: "unlisted"}}})
+	require.Equal(t, []fleet.Incarnation{b}, found.Absences.Targets)
+	other := c.renew(g.clock.Now(), message.Renew{Router: "s"})
+	require.Equal(t, found.Absences, other.Absences)
+	again := c.renew(g.clock.Now(), message.Renew{Router: "s", Absences: other.Absences.Revision})
+	require.Nil(t, again.Absences, "the router holds them")
+	g.run(roster.AbsentFor)
+	lapsed := c.renew(g.clock.Now(), message.Renew{Router: "s", Absences: other.Absences.Revision})
+	require.NotNil(t, lapsed.Absences)
+	require.Empty(t, lapsed.Absences.Targets)
+}
--- a/internal/message/renew.go
+++ b/internal/message/renew.go
@@ -37,6 +37,10 @@
 	// Quarantine is which requests targets have ended under; nil from a router of the
 	// version before.
 	Quarantine *quarantine.Report `json:"quarantine,omitempty"`
+	// Absent are targets that this router has found to be gone, and Absences is the revision
+	// of those that it holds.
+	Absent   []fleet.Incarnation `json:"absent,omitempty"`
+	Absences uint64              `json:"absences,omitempty"`
 }
 
 // A Demand is the tokens a second that an account asks for, and what of these is
@@ -114,10 +118,19 @@
 	Keepers []string `json:"keepers,omitempty"`
 	// Packs says that the next question over this link may be packed.
 	Packs bool `json:"packs,omitempty"`
+	// Absences are the listed targets that routers have found to be gone, if the router does
+	// not hold them yet.
+	Absences *Absences `json:"absences,omitempty"`
 	// Rulings are which requests are held back; nil from a keeper of the version before.
 	Rulings *quarantine.Rulings `json:"rulings,omitempty"`
 }
 
+// Absences are listed targets that are gone.
+type Absences struct {
+	Revision uint64              `json:"revision"`
+	Targets  []fleet.Incarnation `json:"targets,omitempty"`
+}
+
 // A Warming is a target that is cold for a time after its answer.
 type Warming struct {
 	Target string        `json:"target"`
--- a/internal/placement/copy.go
+++ b/internal/placement/copy.go
@@ -154,7 +154,7 @@
 
 // sound reports whether other engines may be told to copy from a target.
 func (s *state) sound(now time.Time) bool {
-	return s.downs == 0 && (s.silent == 0 || now.Sub(s.oldest) <= silentAfter)
+	return s.downs == 0 && !now.Before(s.absent) && (s.silent == 0 || now.Sub(s.oldest) <= silentAfter)
 }
 
 // done notes that the copy, if any, is over.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -179,6 +179,7 @@
 	rate    float64                 // prompt tokens read in a millisecond by one engine
 	bounds  map[string]warmup.Bound // by pool
 
+	looked      look
 	evacuations fleet.Evacuations
 	warming     map[fleet.Incarnation]time.Time // until when targets are cold
 	spent       map[string]spent                // how long a request takes, by pool
@@ -208,7 +209,7 @@
 			}
 		}
 	}
-	p.states, p.pools, p.takers, p.locals = states, pools, takers, locals
+	p.states, p.pools, p.takers, p.locals, p.looked = states, pools, takers, locals, look{}
 }
 
 // Takers returns how many targets take new work.
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -45,6 +45,8 @@
 
 	downUntil time.Time
 	downs     int
+	absent    time.Time // until when the target counts as gone
+	foundAt   time.Time // when this router found that
 	heardAt   time.Time
 	oldest    time.Time // when the oldest request without any answer was sent
 	silent    int       // requests without any answer
--- a/internal/placement/warming.go
+++ b/internal/placement/warming.go
@@ -58,10 +58,10 @@
 	return s.mayCold && p.bounds[s.Pool].Cold()
 }
 
-// open reports whether a target takes one more request of this router's: it is not cold, or
+// open reports whether a target takes one more request of this router's: it is there, and not cold, or
 // this router's part of what it gets leaves room.
 func (p *Placer) open(now time.Time, s *state) bool {
-	return s.takes() && (!p.cold(now, s) || s.meter.Allows(now, p.Warmup.Part(now, s.hash, p.bounds[s.Pool])))
+	return s.takes() && !p.gone(now, s) && (!p.cold(now, s) || s.meter.Allows(now, p.Warmup.Part(now, s.hash, p.bounds[s.Pool])))
 }
 
 // Sent notes that a request leaves for the target of its choice now. It reports false, and
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -87,6 +87,7 @@
 	wake := make(chan struct{}, 1)
 	g.Wake, u.Wake = wake, wake
 	u.Quarantine, u.Ruled = g.Quarantine, g.Ruled
+	u.Found, u.Absent = g.Absent, g.SetAbsent
 	u.Warming, u.Seat, u.Held = g.SetWarming, g.LeaseSeat, g.Seat
 	// Targets that configurations list keep their names, and nobody tells their starts.
 	g.Guard = quarantine.Guard{Owner: message.Owner(u.Name, u.Inc), Named: s.List == nil}
--- a/internal/uplink/round.go
+++ b/internal/uplink/round.go
@@ -49,6 +49,9 @@
 	ask.Demand, ask.Backlog = u.Load(q.asked)
 	q.mine = ask.Backlog
 	ask.Evacuations = u.State().Evacuated.Revision
+	if u.Found != nil {
+		ask.Absent, ask.Absences = u.Found(q.asked), u.absences
+	}
 	if u.Held != nil {
 		ask.Seat = u.Held(q.asked)
 	}
--- a/internal/uplink/take.go
+++ b/internal/uplink/take.go
@@ -42,6 +42,15 @@
 	if u.takeList(asked, r) || changed {
 		u.Changed(s, u.roster.Targets())
 	}
+	u.takeAbsences(r)
+}
+
+func (u *Uplink) takeAbsences(r message.Renewal) {
+	if r.Absences == nil || u.Absent == nil {
+		return
+	}
+	u.absences = r.Absences.Revision
+	u.Absent(r.Absences.Targets)
 }
 
 // takeTable never goes back to a lower number: a leader always has the highest,
--- a/internal/uplink/uplink.go
+++ b/internal/uplink/uplink.go
@@ -92,6 +92,10 @@
 	Warming func(until map[fleet.Incarnation]time.Time)
 	Seat    func(asked time.Time, s warmup.Seat)
 	Held    func(now time.Time) warmup.Seat
+	// Found returns the targets that this router has found to be gone, and Absent is told of
+	// all that routers have.
+	Found  func(now time.Time) []fleet.Incarnation
+	Absent func(targets []fleet.Incarnation)
 	// Quarantine returns which requests targets have ended under, and Ruled is told which are
 	// held back, by the leader of a term in answer to a question of a time. Wake asks for a
 	// question at once.
@@ -117,6 +121,7 @@
 	renewed  time.Time
 	term     uint64
 	list     uint64
+	absences uint64 // revision of the targets that are gone
 	sent     sentList
 	notes    roster.DamageNotes
 	readOwn  time.Time // when this router last read the list itself
