--- a/internal/dispatch/at_most_once_test.go
+++ b/internal/dispatch/at_most_once_test.go
@@ -90,7 +90,7 @@
 // scheduleKey sends a key up to three times. One key in four may be repeated.
 func (sim *simulation) scheduleKey(index int) {
 	account := fmt.Sprintf("a%02d", sim.random.IntN(2))
-	claimKey := statestore.KeyOf(account, fmt.Sprint(index))
+	claimKey := statestore.HashKey(account, fmt.Sprint(index))
 	if index%4 == 3 {
 		claimKey = ""
 	}
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -181,7 +181,7 @@
 		sim.answerClaim(router, scheduler, action)
 	case dispatch.SettleClaim:
 		sim.after(sim.delay, func() {
-			sim.applyCommand(statestore.Command{At: sim.now, Settlements: []message.Settlement{action.Settlement}})
+			sim.applyCommand(statestore.Command{ProposedAt: sim.now, Settlements: []message.Settlement{action.Settlement}})
 		})
 	case dispatch.Refuse:
 		request := router.unanswered[action.ID]
@@ -198,7 +198,7 @@
 }
 
 func (sim *simulation) applyCommand(command statestore.Command) statestore.Result {
-	result, err := sim.store.Do(command.Encode())
+	result, err := sim.store.ApplyCommand(command.Encode())
 	if err != nil {
 		panic(err)
 	}
@@ -260,7 +260,7 @@
 		return
 	}
 	sim.after(sim.delay, func() {
-		result := sim.applyCommand(statestore.Command{At: sim.now, Claims: []message.Claim{acquire.Claim}}).Verdicts[0]
+		result := sim.applyCommand(statestore.Command{ProposedAt: sim.now, Claims: []message.Claim{acquire.Claim}}).ClaimResults[0]
 		if fault.answerLost {
 			sim.after(claimTimeout, func() { answer(message.ClaimResult{}, true) })
 			return
--- a/internal/keeper/evacuation_test.go
+++ b/internal/keeper/evacuation_test.go
@@ -52,7 +52,7 @@
 					vm.core.zones = zones
 				}
 			}
-			evacuations := cluster.leader().core.store.Evacuations()
+			evacuations := cluster.leader().core.store.EvacuatedZones()
 			for zone, evacuated := range want {
 				require.Equal(t, evacuated, evacuations.Contains(zone), "seed %d", seed)
 			}
@@ -78,12 +78,12 @@
 		require.ErrorAs(t, evacuate(message.EvacuateRequest{Zone: "nowhere", End: end}), &refusal)
 		require.Equal(t, fleet.KindMalformed, refusal.Kind)
 	}
-	require.Zero(t, c.store.Evacuations().Revision)
+	require.Zero(t, c.store.EvacuatedZones().Revision)
 
 	c.setTargets(cluster.clock.Now(), fleet.TargetListing{Targets: []fleet.Instance{{Incarnation: fleet.Incarnation{ID: "a"}, Zone: "z"}}})
 	require.NoError(t, evacuate(message.EvacuateRequest{Zone: "z"}))
 	c.setTargets(cluster.clock.Now(), fleet.TargetListing{})
 	require.NoError(t, evacuate(message.EvacuateRequest{Zone: "z"}), "an accepted request is not refused when it is repeated")
 	require.NoError(t, evacuate(message.EvacuateRequest{Zone: "z", End: true}))
-	require.False(t, slices.Contains(c.store.Evacuations().Zones, "z"))
+	require.False(t, slices.Contains(c.store.EvacuatedZones().Zones, "z"))
 }
--- a/internal/keeper/handlers.go
+++ b/internal/keeper/handlers.go
@@ -144,6 +144,7 @@
 	return updated
 }
 
+// ownerAlive reports whether a router has a lease, given the hash of its name as a claim's owner.
 func (c *core) ownerAlive(owner uint64) bool {
 	return c.divider.AnyLeased(func(name string, incarnation uint64) bool {
 		return statestore.HashOwner(message.ClaimOwner(name, incarnation)) == owner
@@ -187,13 +188,13 @@
 		done(message.ApplyResult{}, quorum.NewNotLeaderError(c.node.LeaderID()))
 		return
 	}
-	command := statestore.Command{Apply: &statestore.Apply{Config: config.JSON(), Operator: operator}}
+	command := statestore.Command{ConfigUpdate: &statestore.ConfigUpdate{Config: config.JSON(), Operator: operator}}
 	c.submit(now, command, func(result statestore.Result, err error) {
-		if err != nil || result.Applied == nil {
+		if err != nil || result.ApplyResult == nil {
 			done(message.ApplyResult{}, err)
 			return
 		}
-		done(*result.Applied, nil)
+		done(*result.ApplyResult, nil)
 	})
 }
 
@@ -230,7 +231,7 @@
 			return
 		}
 		_, text := c.store.Config()
-		done(message.ShowResult{Config: text, History: c.store.History()}, nil)
+		done(message.ShowResult{Config: text, History: c.store.ConfigHistory()}, nil)
 	})
 }
 
@@ -242,8 +243,8 @@
 		}
 		status := message.Status{
 			Leader: c.node.ID, Term: c.node.Term(), CommitIndex: c.node.CommitIndex(),
-			Number: c.store.Number(), Digest: c.store.Digest(), Claims: c.store.Claims(), Quarantined: len(c.store.Quarantine().Entries()),
-			Changing: c.node.MembershipChangePending(), Evacuated: c.store.Evacuations().Zones,
+			Number: c.store.ConfigNumber(), Digest: c.store.ConfigDigest(), Claims: c.store.ClaimCount(), Quarantined: len(c.store.Quarantine().Entries()),
+			Changing: c.node.MembershipChangePending(), Evacuated: c.store.EvacuatedZones().Zones,
 			ServiceGap: c.divider.ServiceGap(), Routers: c.divider.RouterStatuses(),
 		}
 		status.SlotsBusy, status.Slots = c.divider.SlotUsage()
--- a/internal/keeper/leader.go
+++ b/internal/keeper/leader.go
@@ -12,6 +12,7 @@
 var errNoQuorum = fleet.NewError(fleet.KindNoQuorum, "send it again: the same request is carried out once",
 	"the leader changed before a quorum held the request")
 
+// updateDividerConfig passes the configuration in force to the divider.
 func (c *core) updateDividerConfig() {
 	if c.divider == nil {
 		return
@@ -32,11 +33,11 @@
 		return // the term may continue once a quorum responds again
 	}
 	if c.divider == nil || c.divider.Term != c.node.Term() {
-		c.log.Info("leading", "term", c.node.Term(), "number", c.store.Number())
-		c.divider = &fairshare.Divider{Term: c.node.Term(), Blank: c.store.Number() == 0}
+		c.log.Info("leading", "term", c.node.Term(), "number", c.store.ConfigNumber())
+		c.divider = &fairshare.Divider{Term: c.node.Term(), Blank: c.store.ConfigNumber() == 0}
 		c.divider.Start(now)
 		c.coordinator = nil // belongs to the previous term
-		if c.store.Number() > 0 {
+		if c.store.ConfigNumber() > 0 {
 			c.updateDividerConfig()
 		}
 	}
@@ -98,7 +99,7 @@
 				call.done(nil, err)
 				continue
 			}
-			call.done(result.Verdicts[offset:offset+len(call.claims)], nil)
+			call.done(result.ClaimResults[offset:offset+len(call.claims)], nil)
 			offset += len(call.claims)
 		}
 		for _, call := range settleCalls {
@@ -110,7 +111,7 @@
 // submit proposes a command. It calls done with the outcome, at once if the command cannot be
 // proposed.
 func (c *core) submit(now time.Time, command statestore.Command, done func(statestore.Result, error)) {
-	command.At = now
+	command.ProposedAt = now
 	index, term, err := c.node.Propose(now, command.Encode())
 	if err != nil {
 		done(statestore.Result{}, err)
